--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -32,7 +32,11 @@
 impl ClassRates {
     /// Fraction of the arrivals that was answered in time.
     fn served_fraction(self) -> f64 {
-        if self.arrivals > 0.0 { self.served / self.arrivals } else { 1.0 }
+        if self.arrivals > 0.0 {
+            self.served / self.arrivals
+        } else {
+            1.0
+        }
     }
 }
 
@@ -52,7 +56,11 @@
 impl Admission {
     /// Admits everything.
     pub(crate) fn new(settings: &Settings) -> Self {
-        let open = ClassAdmission { value: 0.0, max_stretch: f64::INFINITY, admitted_fraction: 1.0 };
+        let open = ClassAdmission {
+            value: 0.0,
+            max_stretch: f64::INFINITY,
+            admitted_fraction: 1.0,
+        };
         Self {
             classes: vec![open; settings.classes.len()],
             tenants: vec![DecayingRate::default(); settings.tenant_quotas.len()],
--- a/balancer/src/admission/class_values.rs
+++ b/balancer/src/admission/class_values.rs
@@ -19,16 +19,27 @@
             .zip(&settings.classes)
             .map(|(rate, class)| rate.arrivals * class.priority_weight)
             .sum();
-        let worst = rates.iter().map(|rate| rate.served_fraction()).fold(1.0, f64::min);
-        for (((class, statistics), class_settings), rate) in
-            self.classes.iter_mut().zip(fleet.classes.iter()).zip(&settings.classes).zip(&rates)
+        let worst = rates
+            .iter()
+            .map(|rate| rate.served_fraction())
+            .fold(1.0, f64::min);
+        for (((class, statistics), class_settings), rate) in self
+            .classes
+            .iter_mut()
+            .zip(fleet.classes.iter())
+            .zip(&settings.classes)
+            .zip(&rates)
         {
-            let mut value = (1.0 - goal) * class_settings.priority_weight / total_weight.max(MIN_DIVISOR);
+            let mut value =
+                (1.0 - goal) * class_settings.priority_weight / total_weight.max(MIN_DIVISOR);
             if rate.served_fraction() <= worst {
                 value += goal / rate.arrivals.max(MIN_DIVISOR);
             }
-            class.value =
-                if settings.value_per_request { value } else { value / statistics.base_time().max(1.0) };
+            class.value = if settings.value_per_request {
+                value
+            } else {
+                value / statistics.base_time().max(1.0)
+            };
         }
         self.update_max_stretches(fleet, &rates);
     }
@@ -42,7 +53,8 @@
                 continue;
             }
             let objective = fleet.settings.class(class).latency_objective as f64;
-            let own_stretch = OBJECTIVE_FRACTION * objective / fleet.classes.get(class).base_time().max(1.0);
+            let own_stretch =
+                OBJECTIVE_FRACTION * objective / fleet.classes.get(class).base_time().max(1.0);
             max_stretch = (max_stretch * PRECEDENCE).min(own_stretch);
             self.classes[class.index()].max_stretch = max_stretch;
         }
--- a/balancer/src/admission/objective.rs
+++ b/balancer/src/admission/objective.rs
@@ -18,21 +18,34 @@
 
 impl Admission {
     /// Whether a request sent there would be answered in time.
-    pub(crate) fn meets_objective(&self, fleet: &Fleet, request: &Request, backend: &Backend) -> bool {
+    pub(crate) fn meets_objective(
+        &self,
+        fleet: &Fleet,
+        request: &Request,
+        backend: &Backend,
+    ) -> bool {
         let settings = &fleet.settings;
         let slowness = backend.expected_slowness(fleet.now, settings);
         if has_spare_capacity(fleet, backend, slowness) {
             return true;
         }
         let is_late = fleet.now >= request.objective_deadline;
-        let end = if is_late { request.expires_at } else { request.objective_deadline };
+        let end = if is_late {
+            request.expires_at
+        } else {
+            request.objective_deadline
+        };
         let time_left = end.saturating_sub(fleet.now) as f64;
         // A repeat that waits for more capacity than this will be late: nothing is saved by it.
-        let fraction =
-            if request.attempts.is_empty() { OBJECTIVE_FRACTION } else { RETRY_OBJECTIVE_FRACTION };
+        let fraction = if request.attempts.is_empty() {
+            OBJECTIVE_FRACTION
+        } else {
+            RETRY_OBJECTIVE_FRACTION
+        };
         let base_time = fleet.classes.get(request.class).base_time();
-        let max_stretch =
-            self.classes[request.class.index()].max_stretch.min(fraction * time_left / base_time);
+        let max_stretch = self.classes[request.class.index()]
+            .max_stretch
+            .min(fraction * time_left / base_time);
         let load = backend.load(settings);
         // A cold one has its own budget; a fast one's queue is as crowded as another's of that length.
         let crowding = (slowness * backend.warm_up_fraction(fleet.now, &settings.rules)).max(1.0);
--- a/balancer/src/admission/overload.rs
+++ b/balancer/src/admission/overload.rs
@@ -5,7 +5,9 @@
 use crate::fleet::Fleet;
 use crate::load_feedback::LoadFeedback;
 use crate::random::Random;
-use crate::tuning::{FEEDBACK_DELAY_PERIODS, IDLE_LOAD, LARGE_FLEET_SPILL_THRESHOLD, MIN_ARRIVAL_RATE};
+use crate::tuning::{
+    FEEDBACK_DELAY_PERIODS, IDLE_LOAD, LARGE_FLEET_SPILL_THRESHOLD, MIN_ARRIVAL_RATE,
+};
 use crate::units::MIN_DIVISOR;
 
 /// Queue per core of a zone at the spill threshold.
@@ -43,7 +45,8 @@
         let home = fleet.zones.get(fleet.local_zone());
         let count = home.endpoint_count().max(1.0);
         let arrivals = fleet.classes.total_arrivals(fleet.now) * fleet.settings.nodes_per_zone();
-        let coming = (arrivals * FEEDBACK_DELAY_PERIODS * feedback.delay_seconds() / count).max(MIN_COMING);
+        let coming =
+            (arrivals * FEEDBACK_DELAY_PERIODS * feedback.delay_seconds() / count).max(MIN_COMING);
         let target_queue = target.map(|zone| fleet.zones.get(zone).mean_queue());
         // A crossing has its price: the other zone must hold less by one request a core at least.
         let home_queue = home.mean_queue();
@@ -53,13 +56,16 @@
             (self.spill_fraction + GAIN * spilling.max(-home_queue) / coming).clamp(0.0, 1.0);
         // Home spills first; only what no zone has capacity for is rejected.
         let queue = target_queue.map_or(home_queue, |other| 0.5 * (home_queue + other));
-        self.admitted_fraction =
-            (self.admitted_fraction + GAIN * (max_queue(fleet) - queue) / coming).clamp(MIN_ADMITTED, 1.0);
+        self.admitted_fraction = (self.admitted_fraction
+            + GAIN * (max_queue(fleet) - queue) / coming)
+            .clamp(MIN_ADMITTED, 1.0);
     }
 
     /// Part of a tenant's requests that is beyond this node's part of its quota.
     fn over_quota_fraction(&self, settings: &Settings, now: Nanos, tenant: usize) -> f64 {
-        let (Some(rate), Some(quota)) = (self.tenants.get(tenant), settings.tenant_quotas.get(tenant)) else {
+        let (Some(rate), Some(quota)) =
+            (self.tenants.get(tenant), settings.tenant_quotas.get(tenant))
+        else {
             return 0.0;
         };
         if settings.over_quota_value >= 1.0 {
@@ -70,10 +76,20 @@
     }
 
     /// The fraction by which an arrival is admitted: its class's, or that of arrivals beyond quotas.
-    pub(crate) fn draw_fraction(&self, fleet: &Fleet, tenant: usize, class: f64, random: &mut Random) -> f64 {
+    pub(crate) fn draw_fraction(
+        &self,
+        fleet: &Fleet,
+        tenant: usize,
+        class: f64,
+        random: &mut Random,
+    ) -> f64 {
         let over_quota = self.over_quota_fraction(&fleet.settings, fleet.now, tenant);
         let is_over_quota = over_quota > 0.0 && random.draw() < over_quota;
-        if is_over_quota { self.over_quota_admitted } else { class }
+        if is_over_quota {
+            self.over_quota_admitted
+        } else {
+            class
+        }
     }
 
     /// Spreads what is admitted over the classes, the most valuable first. A tenant that floods is rejected
@@ -84,20 +100,27 @@
         let fraction = self.admitted_fraction.min(own_bound(fleet, feedback));
         let over_quota: f64 = (0..self.tenants.len())
             .map(|tenant| {
-                self.over_quota_fraction(&fleet.settings, now, tenant) * self.tenants[tenant].per_second(now)
+                self.over_quota_fraction(&fleet.settings, now, tenant)
+                    * self.tenants[tenant].per_second(now)
             })
             .sum();
         let within = (1.0 - over_quota / arrivals.max(MIN_DIVISOR)).clamp(MIN_WITHIN_QUOTA, 1.0);
-        self.over_quota_admitted =
-            if within < 1.0 { ((fraction - within) / (1.0 - within)).clamp(0.0, 1.0) } else { fraction };
+        self.over_quota_admitted = if within < 1.0 {
+            ((fraction - within) / (1.0 - within)).clamp(0.0, 1.0)
+        } else {
+            fraction
+        };
         let within_admitted = (fraction / within).min(1.0);
         let mut left = within_admitted * arrivals;
         for class in self.by_value() {
             let class_arrivals = fleet.classes.get(class).arrivals(now);
             // A class without recent arrivals is not one that there is no capacity for.
             let is_bounded = within_admitted < 1.0 && class_arrivals > MIN_ARRIVAL_RATE;
-            self.classes[class.index()].admitted_fraction =
-                if is_bounded { (left / class_arrivals).clamp(MIN_ADMITTED, 1.0) } else { 1.0 };
+            self.classes[class.index()].admitted_fraction = if is_bounded {
+                (left / class_arrivals).clamp(MIN_ADMITTED, 1.0)
+            } else {
+                1.0
+            };
             left = (left - class_arrivals).max(0.0);
         }
     }
@@ -120,10 +143,12 @@
 /// where discovery is down.
 fn own_bound(fleet: &Fleet, feedback: &LoadFeedback) -> f64 {
     let home = fleet.zones.get(fleet.local_zone());
-    let is_calm = feedback.is_fresh(fleet.now) && home.mean_queue() < CALM_QUEUE_FRACTION * SPILL_QUEUE;
+    let is_calm =
+        feedback.is_fresh(fleet.now) && home.mean_queue() < CALM_QUEUE_FRACTION * SPILL_QUEUE;
     if is_calm {
         return 1.0;
     }
     let arrivals = fleet.classes.total_arrivals(fleet.now);
-    OVERDRAW * (fleet.classes.total_served_in_time(fleet.now) + RATE_PRIOR) / (arrivals + RATE_PRIOR)
+    OVERDRAW * (fleet.classes.total_served_in_time(fleet.now) + RATE_PRIOR)
+        / (arrivals + RATE_PRIOR)
 }
--- a/balancer/src/api.rs
+++ b/balancer/src/api.rs
@@ -7,10 +7,11 @@
 
 pub use actions::{Action, LogEvent};
 pub use events::{
-    AttemptResult, Endpoint, EndpointState, EndpointUpdate, Event, LoadReport, Outcome, RequestArrival,
+    AttemptResult, Endpoint, EndpointState, EndpointUpdate, Event, LoadReport, Outcome,
+    RequestArrival,
 };
 pub use ids::{BackendId, ClassId, Nanos, RequestId, ZoneId};
 pub use settings::{
-    ClassSettings, DedupScope, Discovery, Idempotency, Limits, SafetyLimits, Settings, SettingsError,
-    WeightSource,
+    ClassSettings, DedupScope, Discovery, Idempotency, Limits, SafetyLimits, Settings,
+    SettingsError, WeightSource,
 };
--- a/balancer/src/api/actions.rs
+++ b/balancer/src/api/actions.rs
@@ -89,7 +89,11 @@
                 let does = if *active { "spills" } else { "serves" };
                 write!(f, "home zone {does}; the best other one is {}", to.0)
             }
-            Self::Ejected { backend, duration, outcome } => {
+            Self::Ejected {
+                backend,
+                duration,
+                outcome,
+            } => {
                 write!(
                     f,
                     "backend {} ejected for {} ms: {}",
@@ -98,7 +102,9 @@
                     outcome.log_name()
                 )
             }
-            Self::Readmitted { backend } => write!(f, "backend {} readmitted: trials served", backend.0),
+            Self::Readmitted { backend } => {
+                write!(f, "backend {} readmitted: trials served", backend.0)
+            }
         }
     }
 }
--- a/balancer/src/api/events.rs
+++ b/balancer/src/api/events.rs
@@ -39,7 +39,11 @@
 impl Endpoint {
     /// Its size, or 1 where that says nothing.
     pub fn size_or_one(&self) -> f64 {
-        if self.size.is_finite() && self.size > 0.0 { self.size } else { 1.0 }
+        if self.size.is_finite() && self.size > 0.0 {
+            self.size
+        } else {
+            1.0
+        }
     }
 }
 
--- a/balancer/src/api/settings.rs
+++ b/balancer/src/api/settings.rs
@@ -224,7 +224,10 @@
                 return fail("classes", "aim and deadline must be above 0");
             }
             if !rate(class.priority_weight) || !rate(class.late_value_fraction) {
-                return fail("classes", "worth and late share must be finite and not negative");
+                return fail(
+                    "classes",
+                    "worth and late share must be finite and not negative",
+                );
             }
         }
         if self.limits.max_attempts == 0 {
--- a/balancer/src/backend.rs
+++ b/balancer/src/backend.rs
@@ -40,13 +40,24 @@
 impl Backend {
     /// A backend that has just been listed.
     pub(crate) fn new(entry: Endpoint) -> Self {
-        Self { entry, ..Self::default() }
+        Self {
+            entry,
+            ..Self::default()
+        }
     }
 
     /// Takes over a new list entry; a changed start time means a new process, of which nothing is known.
-    pub(crate) fn update_entry(&mut self, entry: Endpoint, subset_rank: u64, reported_queue: Option<f64>) {
+    pub(crate) fn update_entry(
+        &mut self,
+        entry: Endpoint,
+        subset_rank: u64,
+        reported_queue: Option<f64>,
+    ) {
         if self.entry.started_at != entry.started_at {
-            *self = Self { in_flight: self.in_flight, ..Self::new(entry) };
+            *self = Self {
+                in_flight: self.in_flight,
+                ..Self::new(entry)
+            };
         }
         self.entry = entry;
         self.subset_rank = subset_rank;
@@ -115,9 +126,12 @@
 
     /// Fraction of its capacity that it surely has by now; 1 when warm.
     pub(crate) fn warm_up_fraction(&self, now: Nanos, rules: &SafetyLimits) -> f64 {
-        let Some(started_at) = self.entry.started_at else { return 1.0 };
+        let Some(started_at) = self.entry.started_at else {
+            return 1.0;
+        };
         let age = now.saturating_sub(started_at) as f64 / rules.slow_start_duration.max(1) as f64;
-        (rules.slow_start_capacity + (1.0 - rules.slow_start_capacity) * age).clamp(MIN_WARM_UP_FRACTION, 1.0)
+        (rules.slow_start_capacity + (1.0 - rules.slow_start_capacity) * age)
+            .clamp(MIN_WARM_UP_FRACTION, 1.0)
     }
 
     /// Counts a request that it starts to work on; while it warms up, its work counts against the budget.
@@ -146,7 +160,9 @@
 
     /// Takes a load report in; impossible figures are passed over.
     pub(crate) fn record_report(&mut self, now: Nanos, report: LoadReport) {
-        if let Some(utilization) = report.utilization.filter(|value| (0.0..=MAX_UTILIZATION).contains(value))
+        if let Some(utilization) = report
+            .utilization
+            .filter(|value| (0.0..=MAX_UTILIZATION).contains(value))
         {
             self.record_utilization(now, utilization);
         }
@@ -154,12 +170,18 @@
 
     /// Adds a utilization sample.
     pub(crate) fn record_utilization(&mut self, now: Nanos, utilization: f64) {
-        self.utilization.update(now, utilization, UTILIZATION_TIME_CONSTANT, UTILIZATION_MIN_WEIGHT);
+        self.utilization.update(
+            now,
+            utilization,
+            UTILIZATION_TIME_CONSTANT,
+            UTILIZATION_MIN_WEIGHT,
+        );
     }
 
     /// Adds a slowness sample.
     pub(crate) fn record_slowness(&mut self, now: Nanos, slowness: f64) {
-        self.slowness.update(now, slowness, SLOWNESS_TIME_CONSTANT, SLOWNESS_MIN_WEIGHT);
+        self.slowness
+            .update(now, slowness, SLOWNESS_TIME_CONSTANT, SLOWNESS_MIN_WEIGHT);
     }
 
     /// Adds work that it has served.
--- a/balancer/src/backends.rs
+++ b/balancer/src/backends.rs
@@ -59,34 +59,54 @@
 
     /// The backends of a zone with their ids.
     pub(crate) fn in_zone(&self, zone: ZoneId) -> impl Iterator<Item = (BackendId, &Backend)> {
-        self.iter().filter(move |(_, backend)| backend.zone() == zone)
+        self.iter()
+            .filter(move |(_, backend)| backend.zone() == zone)
     }
 
     /// Ranks of a zone's backends in service, in the order of their ids.
     pub(crate) fn subset_ranks(&self, zone: ZoneId) -> Vec<u64> {
-        self.in_service().filter(|backend| backend.zone() == zone).map(Backend::subset_rank).collect()
+        self.in_service()
+            .filter(|backend| backend.zone() == zone)
+            .map(Backend::subset_rank)
+            .collect()
     }
 
     /// How many listed backends get nothing new now: those that drain, are ejected or on trial, or have
     /// rejected work a moment ago.
     pub(crate) fn count_avoided(&self, now: Nanos) -> usize {
-        self.values().filter(|backend| backend.outlier.is_avoided(backend.entry().state, now)).count()
+        self.values()
+            .filter(|backend| backend.outlier.is_avoided(backend.entry().state, now))
+            .count()
     }
 
     /// Failures over all backends.
     pub(crate) fn failures(&self) -> FleetFailures {
         let in_service = self.in_service().count() as f64;
-        let ejected = self.values().filter(|backend| !backend.outlier.is_healthy()).count() as f64;
-        let failure_rates: f64 = self.values().map(|backend| backend.outlier.failure_rate()).sum();
-        FleetFailures { in_service, ejected, mean_failure_rate: failure_rates / in_service.max(1.0) }
+        let ejected = self
+            .values()
+            .filter(|backend| !backend.outlier.is_healthy())
+            .count() as f64;
+        let failure_rates: f64 = self
+            .values()
+            .map(|backend| backend.outlier.failure_rate())
+            .sum();
+        FleetFailures {
+            in_service,
+            ejected,
+            mean_failure_rate: failure_rates / in_service.max(1.0),
+        }
     }
 
     /// Totals of the reported queues, by zone.
     pub(crate) fn queue_totals(&self, zone_count: usize) -> Vec<QueueTotals> {
         let mut totals = vec![QueueTotals::default(); zone_count];
         for backend in self.in_service() {
-            let Some(total) = totals.get_mut(backend.zone().index()) else { continue };
-            let Some(queue) = backend.feedback.reported_queue() else { continue };
+            let Some(total) = totals.get_mut(backend.zone().index()) else {
+                continue;
+            };
+            let Some(queue) = backend.feedback.reported_queue() else {
+                continue;
+            };
             total.backends += 1.0;
             total.queue += queue;
             total.size += backend.size();
@@ -111,13 +131,15 @@
         for endpoint in endpoints {
             self.apply_endpoint(endpoint, is_load_adjusted, random);
         }
-        self.by_id
-            .retain(|_, backend| backend.entry().state != EndpointState::Removed || backend.in_flight() > 0);
+        self.by_id.retain(|_, backend| {
+            backend.entry().state != EndpointState::Removed || backend.in_flight() > 0
+        });
     }
 
     /// Marks the backends that a complete list does not name.
     fn mark_missing_as_removed(&mut self, endpoints: &[Endpoint]) {
-        let named: BTreeSet<BackendId> = endpoints.iter().map(|endpoint| endpoint.backend).collect();
+        let named: BTreeSet<BackendId> =
+            endpoints.iter().map(|endpoint| endpoint.backend).collect();
         for (id, backend) in &mut self.by_id {
             if !named.contains(id) {
                 backend.mark_removed();
@@ -127,8 +149,14 @@
 
     /// Keeps the largest load-adjusted size of each machine kind.
     fn learn_idle_sizes(&mut self, endpoints: &[Endpoint]) {
-        for endpoint in endpoints.iter().filter(|endpoint| endpoint.size.is_finite()) {
-            let idle_size = self.idle_size_by_kind.entry(endpoint.machine_kind).or_insert(0.0);
+        for endpoint in endpoints
+            .iter()
+            .filter(|endpoint| endpoint.size.is_finite())
+        {
+            let idle_size = self
+                .idle_size_by_kind
+                .entry(endpoint.machine_kind)
+                .or_insert(0.0);
             *idle_size = idle_size.max(endpoint.size);
         }
     }
@@ -137,11 +165,22 @@
     fn apply_endpoint(&mut self, mut endpoint: Endpoint, is_load_adjusted: bool, random: &Random) {
         let listed_size = endpoint.size;
         if is_load_adjusted {
-            endpoint.size = self.idle_size_by_kind.get(&endpoint.machine_kind).copied().unwrap_or(1.0);
+            endpoint.size = self
+                .idle_size_by_kind
+                .get(&endpoint.machine_kind)
+                .copied()
+                .unwrap_or(1.0);
         }
-        let reported_queue =
-            (is_load_adjusted && listed_size > 0.0).then(|| (endpoint.size / listed_size - 1.0).max(0.0));
-        let backend = self.by_id.entry(endpoint.backend).or_insert_with(|| Backend::new(endpoint));
-        backend.update_entry(endpoint, random.subset_rank(endpoint.backend), reported_queue);
+        let reported_queue = (is_load_adjusted && listed_size > 0.0)
+            .then(|| (endpoint.size / listed_size - 1.0).max(0.0));
+        let backend = self
+            .by_id
+            .entry(endpoint.backend)
+            .or_insert_with(|| Backend::new(endpoint));
+        backend.update_entry(
+            endpoint,
+            random.subset_rank(endpoint.backend),
+            reported_queue,
+        );
     }
 }
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -10,8 +10,8 @@
 
 use crate::admission::Admission;
 use crate::api::{
-    Action, Discovery, Endpoint, EndpointUpdate, Event, LogEvent, Nanos, Outcome, RequestId, Settings,
-    SettingsError, WeightSource, ZoneId,
+    Action, Discovery, Endpoint, EndpointUpdate, Event, LogEvent, Nanos, Outcome, RequestId,
+    Settings, SettingsError, WeightSource, ZoneId,
 };
 use crate::backend::Backend;
 use crate::discovery_polling::DiscoveryPolling;
@@ -86,26 +86,36 @@
     fn dispatch_event(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => self.start(actions),
-            Event::EndpointsUpdated { update, endpoints } => self.update_endpoints(update, endpoints),
+            Event::EndpointsUpdated { update, endpoints } => {
+                self.update_endpoints(update, endpoints);
+            }
             Event::DiscoveryFailed => {
-                self.discovery.schedule_poll_backoff(self.fleet.now, &mut self.random);
+                self.discovery
+                    .schedule_poll_backoff(self.fleet.now, &mut self.random);
             }
             Event::RequestArrived(arrival) => self.on_arrival(&arrival, false, actions),
             Event::UploadStarted(arrival) => self.on_arrival(&arrival, true, actions),
-            Event::UploadComplete { request, expires_at } => self.on_upload_complete(request, expires_at),
+            Event::UploadComplete {
+                request,
+                expires_at,
+            } => self.on_upload_complete(request, expires_at),
             Event::BodyConsumed { request } => self.requests.mark_body_consumed(request),
             Event::ResponseAborted { backend } => {
                 self.record_for_outlier_detection(backend, Outcome::Reset, actions);
             }
             Event::AttemptEnded(result) => self.on_attempt_ended(&result, actions),
             Event::ResponseStarted { request } => self.requests.mark_streaming(request),
-            Event::HealthCheckEnded { backend, report, .. } => {
+            Event::HealthCheckEnded {
+                backend, report, ..
+            } => {
                 if let Some(state) = self.fleet.backends.get_mut(backend) {
                     state.record_report(self.fleet.now, report);
                 }
             }
             Event::ClientDisconnected { request } => self.requests.finish(request),
-            Event::ZoneShareChanged { zone, share } => self.on_zone_share_changed(zone, share, actions),
+            Event::ZoneShareChanged { zone, share } => {
+                self.on_zone_share_changed(zone, share, actions);
+            }
             Event::ZoneProbeRequested { zone, timeout } => {
                 if let Some(state) = self.fleet.zones.get_mut(zone) {
                     state.request_probe(timeout);
@@ -150,7 +160,9 @@
             self.discovery.reset_backoff();
         }
         let is_load_adjusted = self.fleet.settings.weight_source == WeightSource::LoadAdjusted;
-        self.fleet.backends.apply(update, endpoints, is_load_adjusted, &self.random);
+        self.fleet
+            .backends
+            .apply(update, endpoints, is_load_adjusted, &self.random);
         for (zone, state) in self.fleet.zones.iter_mut() {
             state.set_endpoint_ranks(self.fleet.backends.subset_ranks(zone), SUBSET_SIZE);
         }
@@ -163,15 +175,24 @@
     /// Moves the fractions that spill and that are admitted, in a large fleet.
     fn update_spill_and_admission(&mut self) {
         let target = self.routing.best_target();
-        self.admission.update_spill_and_admission(&self.fleet, &self.load_feedback, target);
+        self.admission
+            .update_spill_and_admission(&self.fleet, &self.load_feedback, target);
     }
 
     /// What a zone may take has changed. Where home is closed, what its own answers said of how much can be
     /// admitted says nothing of the other zones.
     fn on_zone_share_changed(&mut self, zone: ZoneId, share: f64, actions: &mut Vec<Action>) {
-        let change = self.fleet.zones.get_mut(zone).map(|state| state.set_share(share));
+        let change = self
+            .fleet
+            .zones
+            .get_mut(zone)
+            .map(|state| state.set_share(share));
         if change == Some(ShareChange::Reopened) {
-            let backends = self.fleet.backends.values_mut().filter(|backend| backend.zone() == zone);
+            let backends = self
+                .fleet
+                .backends
+                .values_mut()
+                .filter(|backend| backend.zone() == zone);
             backends.for_each(Backend::reset_after_zone_reopened);
         }
         if change == Some(ShareChange::Closed) {
@@ -208,14 +229,20 @@
             zone.age_min_latency();
         }
         self.routing.score_zones(&self.fleet);
-        if self.load_feedback.is_report_feedback_due(&self.fleet.settings, now) {
+        if self
+            .load_feedback
+            .is_report_feedback_due(&self.fleet.settings, now)
+        {
             let zones = (0..self.fleet.settings.zone_count).map(ZoneId);
-            let utilizations: Vec<Option<f64>> = zones.map(|zone| utilization(&self.fleet, zone)).collect();
-            self.load_feedback.apply_reports(&mut self.fleet, &utilizations);
+            let utilizations: Vec<Option<f64>> =
+                zones.map(|zone| utilization(&self.fleet, zone)).collect();
+            self.load_feedback
+                .apply_reports(&mut self.fleet, &utilizations);
             self.update_spill_and_admission();
         }
         if self.fleet.settings.is_large_fleet() {
-            self.admission.update_admitted_fractions(&self.fleet, &self.load_feedback);
+            self.admission
+                .update_admitted_fractions(&self.fleet, &self.load_feedback);
         }
         if let Some(event) = self.routing.update_spilling(&self.fleet) {
             self.log(actions, event);
@@ -232,25 +259,41 @@
 
     /// What the choice of a backend reads.
     fn selection(&self) -> EndpointSelection<'_> {
-        EndpointSelection { fleet: &self.fleet, admission: &self.admission, random: &self.random }
+        EndpointSelection {
+            fleet: &self.fleet,
+            admission: &self.admission,
+            random: &self.random,
+        }
     }
 
     /// Time between two checks on queued requests.
     fn queue_check_period(&self) -> Nanos {
         let settings = &self.fleet.settings;
-        QUEUE_CHECK_PERIOD.min(settings.rules.answer_grace / 2).max(settings.timer_resolution).max(MIN_TIMER)
+        QUEUE_CHECK_PERIOD
+            .min(settings.rules.answer_grace / 2)
+            .max(settings.timer_resolution)
+            .max(MIN_TIMER)
     }
 
     /// Asks for the next timer only while something waits for one: at full size a timer that always ran cost
     /// more than all requests together (it cut full-size days off as too slow).
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let now = self.fleet.now;
-        let queue_check = (!self.requests.queued().is_empty()).then(|| now + self.queue_check_period());
-        let poll = self.discovery.next_poll_at().map(|at| at.max(now + MIN_TIMER));
-        let Some(next) = queue_check.into_iter().chain(poll).min() else { return };
+        let queue_check =
+            (!self.requests.queued().is_empty()).then(|| now + self.queue_check_period());
+        let poll = self
+            .discovery
+            .next_poll_at()
+            .map(|at| at.max(now + MIN_TIMER));
+        let Some(next) = queue_check.into_iter().chain(poll).min() else {
+            return;
+        };
         if self.timer_at.is_none_or(|at| at <= now || next < at) {
             self.timer_at = Some(next);
-            actions.push(Action::SetTimer { after: next - now, token: 0 });
+            actions.push(Action::SetTimer {
+                after: next - now,
+                token: 0,
+            });
         }
     }
 }
--- a/balancer/src/balancer/attempts.rs
+++ b/balancer/src/balancer/attempts.rs
@@ -17,7 +17,8 @@
         probe_timeout: Option<Nanos>,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let (Some(request), Some(backend)) = (self.requests.get(id), self.fleet.backends.get(to)) else {
+        let (Some(request), Some(backend)) = (self.requests.get(id), self.fleet.backends.get(to))
+        else {
             return false;
         };
         if !is_eligible(&self.fleet, request, backend) {
@@ -27,18 +28,26 @@
         let late_timeout = attempt_timeout(&self.fleet, request, admitted_fraction);
         let timeout = late_timeout.into_iter().chain(probe_timeout).min();
         self.record_send(id, to);
-        actions.push(Action::Send { request: id, backend: to, timeout });
+        actions.push(Action::Send {
+            request: id,
+            backend: to,
+            timeout,
+        });
         true
     }
 
     /// Counts an attempt with its request, backend and zone. An upload counts as load when it is complete.
     fn record_send(&mut self, id: RequestId, to: BackendId) {
         let (now, settings) = (self.fleet.now, &self.fleet.settings);
-        let (Some(request), Some(backend)) = (self.requests.get_mut(id), self.fleet.backends.get_mut(to))
+        let (Some(request), Some(backend)) =
+            (self.requests.get_mut(id), self.fleet.backends.get_mut(to))
         else {
             return;
         };
-        let placement = Placement { zone: backend.zone(), cell: backend.entry().cell };
+        let placement = Placement {
+            zone: backend.zone(),
+            cell: backend.entry().cell,
+        };
         request.phase = Phase::Open;
         request.attempts.push(Attempt {
             backend: to,
@@ -62,15 +71,26 @@
     /// A request's body is complete: its client's time begins, and so does the work where it was sent.
     pub(super) fn on_upload_complete(&mut self, id: RequestId, expires_at: Nanos) {
         let (now, settings) = (self.fleet.now, &self.fleet.settings);
-        let Some(request) = self.requests.get_mut(id).filter(|request| request.is_uploading) else { return };
+        let Some(request) = self
+            .requests
+            .get_mut(id)
+            .filter(|request| request.is_uploading)
+        else {
+            return;
+        };
         request.is_uploading = false;
         request.expires_at = expires_at;
-        request.objective_deadline = expires_at.min(now + settings.class(request.class).latency_objective);
+        request.objective_deadline =
+            expires_at.min(now + settings.class(request.class).latency_objective);
         request.half_time = now + expires_at.saturating_sub(now) / 2;
-        let uploads =
-            request.attempts.iter_mut().filter(|attempt| attempt.is_in_flight() && !attempt.is_counted);
+        let uploads = request
+            .attempts
+            .iter_mut()
+            .filter(|attempt| attempt.is_in_flight() && !attempt.is_counted);
         for attempt in uploads {
-            let Some(backend) = self.fleet.backends.get_mut(attempt.backend) else { continue };
+            let Some(backend) = self.fleet.backends.get_mut(attempt.backend) else {
+                continue;
+            };
             attempt.is_counted = true;
             attempt.sent_at = now;
             attempt.load = backend.load(settings);
@@ -83,11 +103,16 @@
 
     /// An attempt has ended: learns from it, then ends or retries the request.
     pub(super) fn on_attempt_ended(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(result.request) else { return };
-        let (class, work, objective_deadline) = (request.class, request.work, request.objective_deadline);
+        let Some(request) = self.requests.get_mut(result.request) else {
+            return;
+        };
+        let (class, work, objective_deadline) =
+            (request.class, request.work, request.objective_deadline);
         let is_open = request.phase != Phase::Ended;
         let own = request.attempts.get_mut(result.attempt as usize);
-        let Some(attempt) = own.filter(|attempt| attempt.is_in_flight()) else { return };
+        let Some(attempt) = own.filter(|attempt| attempt.is_in_flight()) else {
+            return;
+        };
         attempt.outcome = Some(result.outcome);
         let attempt = *attempt;
         if attempt.is_counted {
@@ -115,7 +140,10 @@
             let counts_late = !self.fleet.settings.is_large_fleet();
             let is_in_time = counts_late || self.fleet.now <= objective_deadline;
             if is_open && result.outcome == Outcome::Success && is_in_time {
-                self.fleet.classes.get_mut(class).record_served_in_time(self.fleet.now);
+                self.fleet
+                    .classes
+                    .get_mut(class)
+                    .record_served_in_time(self.fleet.now);
             }
             if is_open {
                 self.cancel_in_flight(result.request, actions);
@@ -133,15 +161,26 @@
         actions: &mut Vec<Action>,
     ) {
         let (now, is_large_fleet) = (self.fleet.now, self.fleet.settings.is_large_fleet());
-        let Some(backend) = self.fleet.backends.get_mut(id) else { return };
+        let Some(backend) = self.fleet.backends.get_mut(id) else {
+            return;
+        };
         match backend.outlier.record(now, outcome, is_large_fleet) {
             OutcomeEffect::None => {}
             OutcomeEffect::Readmitted => self.log(actions, LogEvent::Readmitted { backend: id }),
             OutcomeEffect::Failed => {
                 let failures = self.fleet.backends.failures();
-                let Some(failed) = self.fleet.backends.get_mut(id) else { return };
+                let Some(failed) = self.fleet.backends.get_mut(id) else {
+                    return;
+                };
                 if let Some(duration) = failed.outlier.eject_if_outlier(now, outcome, &failures) {
-                    self.log(actions, LogEvent::Ejected { backend: id, duration, outcome });
+                    self.log(
+                        actions,
+                        LogEvent::Ejected {
+                            backend: id,
+                            duration,
+                            outcome,
+                        },
+                    );
                 }
             }
         }
@@ -152,8 +191,17 @@
         if !self.fleet.settings.limits.cancellation {
             return;
         }
-        let Some(request) = self.requests.get(id) else { return };
-        let in_flight = request.attempts.iter().zip(0..).filter(|(attempt, _)| attempt.is_in_flight());
-        actions.extend(in_flight.map(|(_, attempt)| Action::Cancel { request: id, attempt }));
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let in_flight = request
+            .attempts
+            .iter()
+            .zip(0..)
+            .filter(|(attempt, _)| attempt.is_in_flight());
+        actions.extend(in_flight.map(|(_, attempt)| Action::Cancel {
+            request: id,
+            attempt,
+        }));
     }
 }
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -20,7 +20,8 @@
         let class = self.fleet.classes.known_id(arrival.class);
         let request = self.new_request(arrival, class, is_upload);
         let is_past_objective = request.expires_at <= self.fleet.now
-            || (request.objective_deadline <= self.fleet.now && is_worthless_late(&self.fleet, class));
+            || (request.objective_deadline <= self.fleet.now
+                && is_worthless_late(&self.fleet, class));
         let admitted_fraction = self.admission.admitted_fraction(class);
         self.requests.insert(arrival.request, request);
         self.retry_budget.earn();
@@ -30,37 +31,60 @@
         // backends can do in time, is rejected before it costs them anything.
         let tenant = arrival.tenant.map_or(usize::MAX, |tenant| tenant as usize);
         if !is_past_objective {
-            self.fleet.classes.get_mut(class).record_arrival(self.fleet.now);
+            self.fleet
+                .classes
+                .get_mut(class)
+                .record_arrival(self.fleet.now);
             self.admission.record_tenant_arrival(self.fleet.now, tenant);
         }
-        let fraction = self.admission.draw_fraction(&self.fleet, tenant, admitted_fraction, &mut self.random);
+        let fraction =
+            self.admission
+                .draw_fraction(&self.fleet, tenant, admitted_fraction, &mut self.random);
         let is_admitted = !is_past_objective && (fraction >= 1.0 || self.random.draw() < fraction);
         if !is_admitted {
-            self.end(arrival.request, self.fleet.settings.limits.max_retry_after, actions);
+            self.end(
+                arrival.request,
+                self.fleet.settings.limits.max_retry_after,
+                actions,
+            );
             return;
         }
         self.dispatch(arrival.request, actions);
     }
 
     /// The state of a request that arrives now; its class learns from it.
-    fn new_request(&mut self, arrival: &RequestArrival, class: ClassId, is_upload: bool) -> Request {
+    fn new_request(
+        &mut self,
+        arrival: &RequestArrival,
+        class: ClassId,
+        is_upload: bool,
+    ) -> Request {
         let now = self.fleet.now;
         let class_settings = *self.fleet.settings.class(class);
         let statistics = self.fleet.classes.get_mut(class);
         let idle_work = statistics.base_time() * IDLE_LOAD;
-        let work = arrival.expected_work.map_or(idle_work, |hint| hint as f64).max(1.0);
+        let work = arrival
+            .expected_work
+            .map_or(idle_work, |hint| hint as f64)
+            .max(1.0);
         statistics.record_work(work);
         // A body on its way says nothing of the client's time, which has not begun.
         let time_left = arrival.expires_at.saturating_sub(now);
-        let try_time = if is_upload { class_settings.deadline } else { time_left };
+        let try_time = if is_upload {
+            class_settings.deadline
+        } else {
+            time_left
+        };
         statistics.record_try(try_time);
         // Picking the requests with small hints for a small budget picks the hints that are too low.
         let slow_start_work = work.max(statistics.mean_work());
-        let objective_end =
-            objective_start(&self.fleet, arrival, class, try_time) + class_settings.latency_objective;
+        let objective_end = objective_start(&self.fleet, arrival, class, try_time)
+            + class_settings.latency_objective;
         Request {
             class,
-            affinity_key: arrival.affinity_key.filter(|_| self.fleet.settings.key_affinity),
+            affinity_key: arrival
+                .affinity_key
+                .filter(|_| self.fleet.settings.key_affinity),
             work,
             slow_start_work,
             objective_deadline: if is_upload {
@@ -87,8 +111,12 @@
 
     /// Sends a request as a probe of a zone, if one is wanted and the request is fit for it.
     fn send_zone_probe(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(request) = self.requests.get(id) else { return false };
-        let Some(probe) = self.selection().zone_probe(id, request) else { return false };
+        let Some(request) = self.requests.get(id) else {
+            return false;
+        };
+        let Some(probe) = self.selection().zone_probe(id, request) else {
+            return false;
+        };
         if let Some(zone) = self.fleet.zones.get_mut(probe.zone) {
             zone.clear_probe();
         }
@@ -97,15 +125,22 @@
 
     /// Sends a request to the chosen backend; false if there is none.
     pub(super) fn send_to_chosen(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(backend) = self.choose(id) else { return false };
+        let Some(backend) = self.choose(id) else {
+            return false;
+        };
         self.send(id, backend, None, actions)
     }
 
     /// The backend for a request, or none if it is better queued.
     fn choose(&mut self, id: RequestId) -> Option<BackendId> {
-        let prefers_home = prefers_home(&self.fleet, self.admission.spill_fraction(), &mut self.random);
+        let prefers_home = prefers_home(
+            &self.fleet,
+            self.admission.spill_fraction(),
+            &mut self.random,
+        );
         let request = self.requests.get(id)?;
-        self.routing.choose(&self.selection(), id, request, prefers_home)
+        self.routing
+            .choose(&self.selection(), id, request, prefers_home)
     }
 
     /// Sends what is queued as backends have capacity, the most valuable first.
@@ -127,9 +162,9 @@
         let queued = self.requests.queued().iter().copied();
         let expired: Vec<RequestId> = queued
             .filter(|&id| {
-                self.requests
-                    .get(id)
-                    .is_some_and(|request| is_expired(&self.fleet, request, self.queue_check_period()))
+                self.requests.get(id).is_some_and(|request| {
+                    is_expired(&self.fleet, request, self.queue_check_period())
+                })
             })
             .collect();
         for id in expired {
@@ -139,10 +174,15 @@
 
     /// The one place that ends requests: rejected where trying again does no harm, failed otherwise.
     pub(super) fn end(&mut self, id: RequestId, retry_after: Nanos, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(id) else { return };
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
         let settings = &self.fleet.settings;
         actions.push(if may_reject(settings, request) {
-            Action::Reject { request: id, retry_after: retry_after.min(settings.limits.max_retry_after) }
+            Action::Reject {
+                request: id,
+                retry_after: retry_after.min(settings.limits.max_retry_after),
+            }
         } else {
             Action::Fail { request: id }
         });
--- a/balancer/src/class_statistics.rs
+++ b/balancer/src/class_statistics.rs
@@ -70,7 +70,12 @@
 
     /// Takes in the expected work of an arrival.
     pub(crate) fn record_work(&mut self, work: f64) {
-        self.mean_work += (work - self.mean_work) * if self.mean_work > 0.0 { MEAN_WORK_WEIGHT } else { 1.0 };
+        self.mean_work += (work - self.mean_work)
+            * if self.mean_work > 0.0 {
+                MEAN_WORK_WEIGHT
+            } else {
+                1.0
+            };
     }
 
     /// The longest time that a client has given one try.
@@ -112,7 +117,9 @@
 impl Classes {
     /// One entry for each class of the settings.
     pub(crate) fn new(settings: &[ClassSettings]) -> Self {
-        Self { classes: settings.iter().map(ClassStatistics::new).collect() }
+        Self {
+            classes: settings.iter().map(ClassStatistics::new).collect(),
+        }
     }
 
     /// The class of that id, or the last one where there is none of it.
--- a/balancer/src/deadlines.rs
+++ b/balancer/src/deadlines.rs
@@ -34,14 +34,21 @@
     let longest = fleet.classes.get(class).longest_try();
     let is_short = try_time < longest - longest / SHORTER_TRY_DIVISOR;
     if may_be_repeat && is_worthless_late(fleet, class) && is_short {
-        return arrival.expires_at.saturating_sub(fleet.settings.class(class).deadline).min(fleet.now);
+        return arrival
+            .expires_at
+            .saturating_sub(fleet.settings.class(class).deadline)
+            .min(fleet.now);
     }
     fleet.now
 }
 
 /// Past its objective an answer may be worth nothing: then a backend need not work on it. In a small fleet
 /// what is admitted by own figures hardly waits that long, and the repeats cost more.
-pub(crate) fn attempt_timeout(fleet: &Fleet, request: &Request, admitted_fraction: f64) -> Option<Nanos> {
+pub(crate) fn attempt_timeout(
+    fleet: &Fleet,
+    request: &Request,
+    admitted_fraction: f64,
+) -> Option<Nanos> {
     let late_value = fleet.settings.class(request.class).late_value_fraction;
     let drops_late = fleet.settings.is_large_fleet()
         && (late_value == 0.0 || (late_value <= MAX_DROPPED_LATE_VALUE && admitted_fraction < 1.0));
@@ -59,7 +66,11 @@
     let base_time = fleet.classes.get(request.class).base_time();
     let least_time = to_nanos(base_time * IDLE_LOAD * MIN_WORK_FRACTION) + period;
     let was_never_sent = request.attempts.iter().all(Attempt::has_missed_backend);
-    let end = if was_never_sent { request.half_time } else { request.expires_at };
+    let end = if was_never_sent {
+        request.half_time
+    } else {
+        request.expires_at
+    };
     request.phase == Phase::Queued
         && !request.has_attempt_in_flight()
         && (fleet.now + least_time >= request.objective_deadline || fleet.now + period >= end)
--- a/balancer/src/endpoint_selection.rs
+++ b/balancer/src/endpoint_selection.rs
@@ -45,7 +45,9 @@
 
     /// The backend with the least expected delay.
     fn pick_by_delay(&self, id: RequestId, request: &Request, zone: ZoneId) -> Option<BackendId> {
-        let affine = request.affinity_key.and_then(|key| self.affine_backend(key, zone));
+        let affine = request
+            .affinity_key
+            .and_then(|key| self.affine_backend(key, zone));
         let mut jitter = self.random.jitter(id);
         let mut best: Option<(f64, BackendId)> = None;
         for (candidate, backend) in self.fleet.backends.in_zone(zone) {
@@ -98,7 +100,9 @@
         let slowness = if feedback.reported_queue().is_some() {
             1.0 / backend.warm_up_fraction(self.fleet.now, &self.fleet.settings.rules)
         } else {
-            backend.expected_slowness(self.fleet.now, &self.fleet.settings).max(MIN_PICK_SLOWNESS)
+            backend
+                .expected_slowness(self.fleet.now, &self.fleet.settings)
+                .max(MIN_PICK_SLOWNESS)
         };
         backend.size() * feedback.learned_weight() * feedback.feedback_weight()
             / (self.penalty(request, id, backend) * slowness)
@@ -107,7 +111,11 @@
     /// Failing fast must not look idle: failures weigh like delay; faded, or no trial would be made.
     fn penalty(&self, request: &Request, id: BackendId, backend: &Backend) -> f64 {
         let failure_rate = backend.outlier.decayed_failure_rate(self.fleet.now);
-        let tried = if request.has_tried(id) { TRIED_PENALTY } else { 0.0 };
+        let tried = if request.has_tried(id) {
+            TRIED_PENALTY
+        } else {
+            0.0
+        };
         1.0 + FAILURE_PENALTY * failure_rate + tried
     }
 
@@ -118,42 +126,65 @@
 
     /// Whether a backend is available and would answer in time.
     fn could_answer(&self, request: &Request, backend: &Backend) -> bool {
-        backend.outlier.is_available(self.fleet.now, backend.in_flight())
+        backend
+            .outlier
+            .is_available(self.fleet.now, backend.in_flight())
             && self.admission.meets_objective(self.fleet, request, backend)
     }
 
     /// Whether the home backend that knows the request's key would answer it in time.
     pub(crate) fn could_use_affinity(&self, request: &Request) -> bool {
         let home = self.fleet.local_zone();
-        let affine = request.affinity_key.and_then(|key| self.affine_backend(key, home));
+        let affine = request
+            .affinity_key
+            .and_then(|key| self.affine_backend(key, home));
         let backend = affine.and_then(|id| self.fleet.backends.get(id));
         backend.is_some_and(|backend| self.could_answer(request, backend))
     }
 
     /// The backend of a zone that a key goes to first, the same at every node (rendezvous hashing).
     fn affine_backend(&self, key: u64, zone: ZoneId) -> Option<BackendId> {
-        let listed = self.fleet.backends.in_zone(zone).filter(|(_, backend)| backend.is_in_service());
-        listed.max_by_key(|(_, backend)| rendezvous_score(backend.entry().name_hash, key)).map(|(id, _)| id)
+        let listed = self
+            .fleet
+            .backends
+            .in_zone(zone)
+            .filter(|(_, backend)| backend.is_in_service());
+        listed
+            .max_by_key(|(_, backend)| rendezvous_score(backend.entry().name_hash, key))
+            .map(|(id, _)| id)
     }
 
     /// The zone probe that a request makes, if one is wanted: only a request that may be repeated anywhere.
     pub(crate) fn zone_probe(&self, id: RequestId, request: &Request) -> Option<ZoneProbe> {
         let wanted = self.fleet.zones.wanted_probe()?;
         // Half of its client's time at most: the rest is for another attempt.
-        let timeout = wanted.timeout.min(request.expires_at.saturating_sub(self.fleet.now) / 2);
-        let is_idempotent = self.fleet.settings.class(request.class).idempotency == Idempotency::Idempotent;
+        let timeout = wanted
+            .timeout
+            .min(request.expires_at.saturating_sub(self.fleet.now) / 2);
+        let is_idempotent =
+            self.fleet.settings.class(request.class).idempotency == Idempotency::Idempotent;
         if !is_idempotent || !request.attempts.is_empty() || request.is_uploading || timeout == 0 {
             return None;
         }
         let backend = self.probe_backend(id, request, wanted.zone)?;
-        Some(ZoneProbe { zone: wanted.zone, backend, timeout })
+        Some(ZoneProbe {
+            zone: wanted.zone,
+            backend,
+            timeout,
+        })
     }
 
     /// A backend without own requests, by chance: what it was like before its zone closed says nothing.
     fn probe_backend(&self, id: RequestId, request: &Request, zone: ZoneId) -> Option<BackendId> {
-        let idle = self.fleet.backends.in_zone(zone).filter(|(_, backend)| backend.in_flight() == 0);
+        let idle = self
+            .fleet
+            .backends
+            .in_zone(zone)
+            .filter(|(_, backend)| backend.in_flight() == 0);
         let eligible = idle.filter(|(_, backend)| is_eligible(self.fleet, request, backend));
         let candidates: Vec<BackendId> = eligible.map(|(backend, _)| backend).collect();
-        candidates.get(self.random.request_index(id, PROBE_SALT, candidates.len())).copied()
+        candidates
+            .get(self.random.request_index(id, PROBE_SALT, candidates.len()))
+            .copied()
     }
 }
--- a/balancer/src/ewma.rs
+++ b/balancer/src/ewma.rs
@@ -23,8 +23,9 @@
 impl Ewma {
     /// Adds a sample. It weighs by the time since the last one, `min_weight` at least; the first one fully.
     pub(crate) fn update(&mut self, now: Nanos, sample: f64, tau: Nanos, min_weight: f64) {
-        let weight =
-            self.updated_at.map_or(1.0, |at| (1.0 - decay(now.saturating_sub(at), tau)).max(min_weight));
+        let weight = self.updated_at.map_or(1.0, |at| {
+            (1.0 - decay(now.saturating_sub(at), tau)).max(min_weight)
+        });
         self.value += (sample - self.value) * weight;
         self.updated_at = Some(now);
     }
@@ -36,12 +37,15 @@
 
     /// The average, decayed towards 0 since the last sample.
     pub(crate) fn decayed(&self, now: Nanos, tau: Nanos) -> f64 {
-        self.updated_at.map_or(0.0, |at| self.value * decay(now.saturating_sub(at), tau))
+        self.updated_at
+            .map_or(0.0, |at| self.value * decay(now.saturating_sub(at), tau))
     }
 
     /// The average, decayed towards `prior` since the last sample; `prior` without samples.
     pub(crate) fn decayed_towards(&self, prior: f64, now: Nanos, tau: Nanos) -> f64 {
-        let Some(at) = self.updated_at else { return prior };
+        let Some(at) = self.updated_at else {
+            return prior;
+        };
         prior + (self.value - prior) * decay(now.saturating_sub(at), tau)
     }
 
@@ -52,7 +56,8 @@
 
     /// Whether the last sample is younger than `age`.
     pub(crate) fn is_younger_than(&self, now: Nanos, age: Nanos) -> bool {
-        self.updated_at.is_some_and(|at| now.saturating_sub(at) < age)
+        self.updated_at
+            .is_some_and(|at| now.saturating_sub(at) < age)
     }
 }
 
--- a/balancer/src/expected_delay.rs
+++ b/balancer/src/expected_delay.rs
@@ -21,6 +21,7 @@
     /// Slowness against the fleet's mean, forgotten towards what its warm-up implies.
     pub(crate) fn expected_slowness(&self, now: Nanos, settings: &Settings) -> f64 {
         let prior = 1.0 / self.warm_up_fraction(now, &settings.rules);
-        self.measured_slowness().decayed_towards(prior, now, SLOWNESS_FORGET_TIME)
+        self.measured_slowness()
+            .decayed_towards(prior, now, SLOWNESS_FORGET_TIME)
     }
 }
--- a/balancer/src/feedback_weights.rs
+++ b/balancer/src/feedback_weights.rs
@@ -9,7 +9,11 @@
 
 impl Default for FeedbackWeights {
     fn default() -> Self {
-        Self { reported_queue: None, learned_weight: 1.0, feedback_weight: 1.0 }
+        Self {
+            reported_queue: None,
+            learned_weight: 1.0,
+            feedback_weight: 1.0,
+        }
     }
 }
 
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -39,11 +39,15 @@
     /// All zones but the node's own.
     pub(crate) fn remote_zones(&self) -> impl Iterator<Item = ZoneId> + Clone {
         let local = self.local_zone();
-        (0..self.settings.zone_count).map(ZoneId).filter(move |&zone| zone != local)
+        (0..self.settings.zone_count)
+            .map(ZoneId)
+            .filter(move |&zone| zone != local)
     }
 
     /// Statistics and settings of each class, by id.
-    pub(crate) fn classes_with_settings(&self) -> impl Iterator<Item = (&ClassStatistics, &ClassSettings)> {
+    pub(crate) fn classes_with_settings(
+        &self,
+    ) -> impl Iterator<Item = (&ClassStatistics, &ClassSettings)> {
         self.classes.iter().zip(&self.settings.classes)
     }
 }
--- a/balancer/src/health_checks.rs
+++ b/balancer/src/health_checks.rs
@@ -25,7 +25,9 @@
 impl HealthChecks {
     /// The budget of a node that starts.
     pub(crate) fn new() -> Self {
-        Self { tokens: INITIAL_TOKENS }
+        Self {
+            tokens: INITIAL_TOKENS,
+        }
     }
 
     /// Each arrival pays for a part of a check.
@@ -39,7 +41,9 @@
             return;
         }
         while self.tokens >= 1.0 {
-            let Some(backend) = next_due(fleet) else { return };
+            let Some(backend) = next_due(fleet) else {
+                return;
+            };
             self.tokens -= 1.0;
             if let Some(state) = fleet.backends.get_mut(backend) {
                 state.record_health_check(fleet.now);
@@ -54,12 +58,22 @@
     let is_due = |backend: &Backend| {
         backend.health_checked_at().is_none() || weighted_age(fleet, backend) >= CHECK_INTERVAL
     };
-    let due = fleet.backends.iter().filter(|(_, backend)| backend.is_in_service() && is_due(backend));
-    due.max_by_key(|(_, backend)| (weighted_age(fleet, backend), backend.subset_rank())).map(|(id, _)| id)
+    let due = fleet
+        .backends
+        .iter()
+        .filter(|(_, backend)| backend.is_in_service() && is_due(backend));
+    due.max_by_key(|(_, backend)| (weighted_age(fleet, backend), backend.subset_rank()))
+        .map(|(id, _)| id)
 }
 
 /// Time since a backend's last check, shortened for other zones.
 fn weighted_age(fleet: &Fleet, backend: &Backend) -> Nanos {
-    let age = fleet.now.saturating_sub(backend.health_checked_at().unwrap_or(0));
-    if backend.zone() == fleet.local_zone() { age } else { age / REMOTE_INTERVAL_FACTOR }
+    let age = fleet
+        .now
+        .saturating_sub(backend.health_checked_at().unwrap_or(0));
+    if backend.zone() == fleet.local_zone() {
+        age
+    } else {
+        age / REMOTE_INTERVAL_FACTOR
+    }
 }
--- a/balancer/src/learning.rs
+++ b/balancer/src/learning.rs
@@ -34,14 +34,20 @@
 impl CapacitySample {
     /// Work served for each unit of used capacity.
     fn per_unit(self) -> f64 {
-        if self.used > 0.0 { self.served / self.used } else { 0.0 }
+        if self.used > 0.0 {
+            self.served / self.used
+        } else {
+            0.0
+        }
     }
 }
 
 impl Fleet {
     /// Learns slowness, base time and served work from one attempt.
     pub(crate) fn learn_from_attempt(&mut self, observation: &AttemptObservation) {
-        let Some(backend) = self.backends.get_mut(observation.backend) else { return };
+        let Some(backend) = self.backends.get_mut(observation.backend) else {
+            return;
+        };
         backend.end_request();
         let class = self.classes.get_mut(observation.class);
         let elapsed = observation.elapsed as f64;
@@ -62,7 +68,9 @@
                 }
             }
             // No answer at all tells of a delay of at least the time waited.
-            Outcome::TimedOut if slowness > known_slowness => backend.record_slowness(self.now, slowness),
+            Outcome::TimedOut if slowness > known_slowness => {
+                backend.record_slowness(self.now, slowness);
+            }
             _ => {}
         }
     }
@@ -71,10 +79,12 @@
     /// nodes add up to one capacity.
     pub(crate) fn measure_capacity(&mut self) {
         let samples = self.capacity_samples();
-        let total = samples.iter().fold(CapacitySample::default(), |total, sample| CapacitySample {
-            served: total.served + sample.served,
-            used: total.used + sample.used,
-        });
+        let total = samples
+            .iter()
+            .fold(CapacitySample::default(), |total, sample| CapacitySample {
+                served: total.served + sample.served,
+                used: total.used + sample.used,
+            });
         let node_share = total.per_unit() / f64::from(self.settings.node_count);
         for ((_, zone), sample) in self.zones.iter_mut().zip(samples) {
             zone.update_capacity(sample.per_unit().max(node_share));
@@ -86,7 +96,11 @@
         let mut samples = vec![CapacitySample::default(); self.zones.count()];
         for backend in self.backends.values() {
             let is_warm = backend.warm_up_fraction(self.now, &self.settings.rules) >= 1.0;
-            if !is_warm || !backend.utilization().is_younger_than(self.now, UTILIZATION_MAX_AGE) {
+            if !is_warm
+                || !backend
+                    .utilization()
+                    .is_younger_than(self.now, UTILIZATION_MAX_AGE)
+            {
                 continue;
             }
             if let Some(sample) = samples.get_mut(backend.zone().index()) {
--- a/balancer/src/load_feedback.rs
+++ b/balancer/src/load_feedback.rs
@@ -38,7 +38,11 @@
 impl LoadFeedback {
     /// No figures so far.
     pub(crate) fn new() -> Self {
-        Self { listed_at: None, list_period_seconds: INITIAL_LIST_PERIOD, next_report_feedback_at: 0 }
+        Self {
+            listed_at: None,
+            list_period_seconds: INITIAL_LIST_PERIOD,
+            next_report_feedback_at: 0,
+        }
     }
 
     /// Seconds until what is sent now shows in a list.
@@ -48,7 +52,8 @@
 
     /// Whether a list has come lately.
     pub(crate) fn is_fresh(&self, now: Nanos) -> bool {
-        self.listed_at.is_some_and(|at| now.saturating_sub(at) < UTILIZATION_MAX_AGE)
+        self.listed_at
+            .is_some_and(|at| now.saturating_sub(at) < UTILIZATION_MAX_AGE)
     }
 
     /// Takes in the load-adjusted sizes of a list, which reach all nodes alike and late.
@@ -64,20 +69,31 @@
             state.set_mean_queue(total.queue / f64::max(total.backends, 1.0));
         }
         for backend in fleet.backends.values_mut() {
-            let Some(total) = totals.get(backend.zone().index()) else { continue };
-            let Some(queue) = backend.feedback.reported_queue() else { continue };
+            let Some(total) = totals.get(backend.zone().index()) else {
+                continue;
+            };
+            let Some(queue) = backend.feedback.reported_queue() else {
+                continue;
+            };
             // A slow machine should hold less for the same delay.
             let zone_size = f64::max(total.size, MIN_DIVISOR);
             let mean_queue = (total.queue + total.backends) / zone_size * backend.size() - 1.0;
             let arrivals_there = (arrivals * backend.size() / zone_size).max(1.0);
-            adjust_weights(&mut backend.feedback, queue, mean_queue.max(MIN_MEAN_QUEUE), arrivals_there);
+            adjust_weights(
+                &mut backend.feedback,
+                queue,
+                mean_queue.max(MIN_MEAN_QUEUE),
+                arrivals_there,
+            );
             backend.record_utilization(fleet.now, queue / (1.0 + queue));
         }
     }
 
     /// Takes in the gap since the last list.
     fn measure_period(&mut self, now: Nanos) {
-        let gap = self.listed_at.map_or(1.0, |at| now.saturating_sub(at) as f64 / SECOND as f64);
+        let gap = self
+            .listed_at
+            .map_or(1.0, |at| now.saturating_sub(at) as f64 / SECOND as f64);
         self.list_period_seconds +=
             (gap.min(MAX_LIST_PERIOD) - self.list_period_seconds) * LIST_PERIOD_WEIGHT;
         self.listed_at = Some(now);
@@ -105,7 +121,8 @@
 /// `arrivals` what it gets until the next figures show. The latest difference is evened out over these
 /// arrivals, no more, or all nodes would herd; what lasts is learned in small steps.
 fn adjust_weights(weights: &mut FeedbackWeights, queue: f64, mean: f64, arrivals: f64) {
-    let feedback_weight = (1.0 + (mean - queue) / arrivals).clamp(MIN_FEEDBACK_WEIGHT, MAX_FEEDBACK_WEIGHT);
+    let feedback_weight =
+        (1.0 + (mean - queue) / arrivals).clamp(MIN_FEEDBACK_WEIGHT, MAX_FEEDBACK_WEIGHT);
     let step = LEARNING_STEP * (mean - queue) / (mean + 1.0).max(queue);
     let learned_weight =
         (weights.learned_weight() * step.exp()).clamp(MIN_LEARNED_WEIGHT, MAX_LEARNED_WEIGHT);
--- a/balancer/src/outlier_detection/transitions.rs
+++ b/balancer/src/outlier_detection/transitions.rs
@@ -63,7 +63,12 @@
     }
 
     /// Counts the end of one attempt.
-    pub(crate) fn record(&mut self, now: Nanos, outcome: Outcome, is_large_fleet: bool) -> OutcomeEffect {
+    pub(crate) fn record(
+        &mut self,
+        now: Nanos,
+        outcome: Outcome,
+        is_large_fleet: bool,
+    ) -> OutcomeEffect {
         if matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
             return OutcomeEffect::None;
         }
@@ -84,7 +89,11 @@
             return self.record_success();
         }
         // A connection may break between two healthy ends; a refused one tells more.
-        self.consecutive_failures += if outcome == Outcome::ConnectFailed { 2 } else { 1 };
+        self.consecutive_failures += if outcome == Outcome::ConnectFailed {
+            2
+        } else {
+            1
+        };
         OutcomeEffect::Failed
     }
 
@@ -120,8 +129,8 @@
         fleet: &FleetFailures,
     ) -> Option<Nanos> {
         let rate_limit = FAILURE_RATE_MULTIPLE * fleet.mean_failure_rate.min(MAX_MEAN_FAILURE_RATE);
-        let is_outlier =
-            self.consecutive_failures >= EJECTION_FAILURES && self.failure_rate.value() > rate_limit;
+        let is_outlier = self.consecutive_failures >= EJECTION_FAILURES
+            && self.failure_rate.value() > rate_limit;
         let trial_failed =
             outcome != Outcome::InvalidResponse && matches!(self.health, Health::HalfOpen { .. });
         let may_eject = fleet.ejected + 1.0 <= fleet.in_service * MAX_EJECTED_FRACTION;
@@ -131,7 +140,9 @@
         let duration = EJECTION_BASE << self.ejections.min(EJECTION_MAX_DOUBLINGS);
         self.ejections += 1;
         self.consecutive_failures = 0;
-        self.health = Health::Ejected { until: now + duration };
+        self.health = Health::Ejected {
+            until: now + duration,
+        };
         Some(duration)
     }
 }
--- a/balancer/src/random.rs
+++ b/balancer/src/random.rs
@@ -42,7 +42,10 @@
 impl Random {
     /// Starts the stream of the given seed.
     pub(crate) fn new(seed: u64) -> Self {
-        Self { seed, state: seed ^ GOLDEN_GAMMA }
+        Self {
+            seed,
+            state: seed ^ GOLDEN_GAMMA,
+        }
     }
 
     /// The next number of the stream, at least 0 and below 1.
@@ -57,7 +60,11 @@
     }
 
     /// An index below `len` that is fixed for one request and salt; `len` itself only for a draw of 1.
-    #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a draw is from 0 to 1")]
+    #[expect(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "a draw is from 0 to 1"
+    )]
     pub(crate) fn request_index(&self, request: RequestId, salt: u64, len: usize) -> usize {
         (self.request_draw(request, salt) * len as f64) as usize
     }
@@ -69,7 +76,9 @@
 
     /// Starts the jitter sequence of one pick; it leaves the stream where it is.
     pub(crate) fn jitter(&self, request: RequestId) -> JitterSequence {
-        JitterSequence { state: self.state ^ request.0.wrapping_mul(ID_MULTIPLIER) }
+        JitterSequence {
+            state: self.state ^ request.0.wrapping_mul(ID_MULTIPLIER),
+        }
     }
 }
 
@@ -81,7 +90,10 @@
 impl JitterSequence {
     /// The next number of the sequence, at least 0 and below 1.
     pub(crate) fn draw(&mut self) -> f64 {
-        self.state = self.state.wrapping_mul(LCG_MULTIPLIER).wrapping_add(LCG_INCREMENT);
+        self.state = self
+            .state
+            .wrapping_mul(LCG_MULTIPLIER)
+            .wrapping_add(LCG_INCREMENT);
         (self.state >> 40) as f64 / (1u64 << 24) as f64
     }
 }
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -47,7 +47,10 @@
 
     /// Whether it has ended without reaching its backend.
     pub(crate) fn has_missed_backend(&self) -> bool {
-        matches!(self.outcome, Some(Outcome::ConnectFailed | Outcome::NotSent))
+        matches!(
+            self.outcome,
+            Some(Outcome::ConnectFailed | Outcome::NotSent)
+        )
     }
 }
 
@@ -103,13 +106,20 @@
 
     /// Whether an attempt was sent to this backend.
     pub(crate) fn has_tried(&self, backend: BackendId) -> bool {
-        self.attempts.iter().any(|attempt| attempt.backend == backend)
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.backend == backend)
     }
 
     /// Whether its only attempt in flight is in this zone.
     pub(crate) fn waits_only_for(&self, zone: ZoneId) -> bool {
-        let mut in_flight = self.attempts.iter().filter(|attempt| attempt.is_in_flight());
-        let is_there = in_flight.next().is_some_and(|attempt| attempt.placement.zone == zone);
+        let mut in_flight = self
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.is_in_flight());
+        let is_there = in_flight
+            .next()
+            .is_some_and(|attempt| attempt.placement.zone == zone);
         is_there && in_flight.next().is_none()
     }
 }
--- a/balancer/src/request_table.rs
+++ b/balancer/src/request_table.rs
@@ -45,7 +45,11 @@
 
     /// Queues an open request; one in another phase stays as it is.
     pub(crate) fn enqueue(&mut self, id: RequestId) {
-        if let Some(request) = self.requests.get_mut(&id).filter(|request| request.phase == Phase::Open) {
+        if let Some(request) = self
+            .requests
+            .get_mut(&id)
+            .filter(|request| request.phase == Phase::Open)
+        {
             request.phase = Phase::Queued;
             self.queue.push(id);
         }
@@ -54,7 +58,11 @@
     /// Drops from the queue what is no longer queued.
     pub(crate) fn prune_queue(&mut self) {
         let requests = &self.requests;
-        self.queue.retain(|id| requests.get(id).is_some_and(|request| request.phase == Phase::Queued));
+        self.queue.retain(|id| {
+            requests
+                .get(id)
+                .is_some_and(|request| request.phase == Phase::Queued)
+        });
     }
 
     /// Notes that some of a request's body can't be sent again.
@@ -66,14 +74,20 @@
 
     /// Notes that the answer of a request has begun.
     pub(crate) fn mark_streaming(&mut self, id: RequestId) {
-        if let Some(request) = self.requests.get_mut(&id).filter(|request| request.phase != Phase::Ended) {
+        if let Some(request) = self
+            .requests
+            .get_mut(&id)
+            .filter(|request| request.phase != Phase::Ended)
+        {
             request.phase = Phase::Streaming;
         }
     }
 
     /// Marks a request as ended; it is dropped once its last attempt has ended.
     pub(crate) fn finish(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.phase = Phase::Ended;
         if !request.has_attempt_in_flight() {
             self.requests.remove(&id);
--- a/balancer/src/retry_budget.rs
+++ b/balancer/src/retry_budget.rs
@@ -19,7 +19,10 @@
     /// A budget whose bound follows the fleet's size: many nodes together must not save a storm.
     pub(crate) fn new(settings: &Settings) -> Self {
         let max_tokens = (MAX_SAVED_RETRIES / settings.nodes_per_zone()).max(1.0);
-        Self { tokens: INITIAL_TOKENS, max_tokens }
+        Self {
+            tokens: INITIAL_TOKENS,
+            max_tokens,
+        }
     }
 
     /// Fills the budget, as the node starts.
--- a/balancer/src/retry_safety.rs
+++ b/balancer/src/retry_safety.rs
@@ -10,7 +10,10 @@
 /// Whether this request may be sent to this backend now. Every send is checked by it.
 pub(crate) fn is_eligible(fleet: &Fleet, request: &Request, backend: &Backend) -> bool {
     let entry = backend.entry();
-    let placement = Placement { zone: entry.zone, cell: entry.cell };
+    let placement = Placement {
+        zone: entry.zone,
+        cell: entry.cell,
+    };
     // A draining backend gets nothing new: a wanted margin to the drain grace.
     entry.state == EndpointState::InService
         && may_be_sent_again(fleet, request)
@@ -21,7 +24,8 @@
 /// Whether a request may have a further attempt, wherever it goes.
 fn may_be_sent_again(fleet: &Fleet, request: &Request) -> bool {
     let limits = &fleet.settings.limits;
-    let is_pending = matches!(request.phase, Phase::Open | Phase::Queued) && fleet.now < request.expires_at;
+    let is_pending =
+        matches!(request.phase, Phase::Open | Phase::Queued) && fleet.now < request.expires_at;
     let has_attempts_left = request.attempts.len() < limits.max_attempts as usize;
     let may_overlap = limits.hedging || !request.has_attempt_in_flight();
     !request.is_body_consumed && is_pending && has_attempts_left && may_overlap
@@ -36,8 +40,15 @@
     target: Placement,
     at: Nanos,
 ) -> bool {
-    let others = request.attempts.iter().enumerate().filter(|(number, _)| excluded != Some(*number));
-    let mut ran = others.map(|(_, attempt)| attempt).filter(|attempt| attempt.may_have_run()).peekable();
+    let others = request
+        .attempts
+        .iter()
+        .enumerate()
+        .filter(|(number, _)| excluded != Some(*number));
+    let mut ran = others
+        .map(|(_, attempt)| attempt)
+        .filter(|attempt| attempt.may_have_run())
+        .peekable();
     if ran.peek().is_none() {
         return true;
     }
@@ -45,7 +56,8 @@
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
         Idempotency::Keyed { scope, window } => ran.all(|other| {
-            let is_remembered = at + settings.timer_resolution < other.sent_at.saturating_add(window);
+            let is_remembered =
+                at + settings.timer_resolution < other.sent_at.saturating_add(window);
             is_remembered && shares_keys(scope, other.placement, target)
         }),
     }
@@ -66,14 +78,21 @@
     if request.phase == Phase::Ended {
         return false;
     }
-    let own = request.attempts.get(attempt).filter(|own| own.is_in_flight());
+    let own = request
+        .attempts
+        .get(attempt)
+        .filter(|own| own.is_in_flight());
     own.is_some_and(|own| is_retry_safe(settings, request, Some(attempt), own.placement, at))
 }
 
 /// Whether a request may be answered by a rejection, which tells the client that trying again does no harm.
 pub(crate) fn may_reject(settings: &Settings, request: &Request) -> bool {
     match settings.class(request.class).idempotency {
-        Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. } => true,
+        Idempotency::Idempotent
+        | Idempotency::Keyed {
+            scope: DedupScope::All,
+            ..
+        } => true,
         Idempotency::Keyed { .. } | Idempotency::NonIdempotent => !request.may_have_run(),
     }
 }
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -21,13 +21,15 @@
         return false;
     }
     let window = settings.rules.overload_window;
-    let spent =
-        backend.warming_sends().work_since(fleet.now.saturating_sub(window + settings.timer_resolution));
+    let spent = backend
+        .warming_sends()
+        .work_since(fleet.now.saturating_sub(window + settings.timer_resolution));
     let budget = budget(fleet, backend);
     // A budget under one request is spent by chance, or many nodes' first sends would exceed it together; one
     // of a zone's nodes or so always tries, as no figure may come from elsewhere.
     let draw = epoch_draw(backend.subset_rank(), fleet.now / window.max(1));
-    spent + work <= budget || (spent == 0.0 && draw <= (budget / work).max(1.0 / settings.nodes_per_zone()))
+    spent + work <= budget
+        || (spent == 0.0 && draw <= (budget / work).max(1.0 / settings.nodes_per_zone()))
 }
 
 /// This node's share of a warming backend's budget for one window, in nanoseconds of work.
@@ -36,9 +38,16 @@
     let zone = fleet.zones.get(backend.zone());
     let window_seconds = rules.overload_window as f64 / SECOND as f64;
     let subsets = (zone.endpoint_count() / SUBSET_SIZE as f64).max(1.0);
-    let share = if fleet.settings.is_large_fleet() { subsets } else { 1.0 };
+    let share = if fleet.settings.is_large_fleet() {
+        subsets
+    } else {
+        1.0
+    };
     let warm_up_fraction = backend.warm_up_fraction(fleet.now, rules);
-    let capacity =
-        BUDGET_FRACTION * rules.overload_multiple * warm_up_fraction * backend.size() * zone.capacity();
+    let capacity = BUDGET_FRACTION
+        * rules.overload_multiple
+        * warm_up_fraction
+        * backend.size()
+        * zone.capacity();
     capacity * window_seconds * share
 }
--- a/balancer/src/warming_sends.rs
+++ b/balancer/src/warming_sends.rs
@@ -24,6 +24,11 @@
 
     /// Work sent since that time, in nanoseconds on a standard core.
     pub(crate) fn work_since(&self, since: Nanos) -> f64 {
-        self.sends.iter().rev().take_while(|send| send.sent_at >= since).map(|send| send.work).sum()
+        self.sends
+            .iter()
+            .rev()
+            .take_while(|send| send.sent_at >= since)
+            .map(|send| send.work)
+            .sum()
     }
 }
--- a/balancer/src/zone.rs
+++ b/balancer/src/zone.rs
@@ -39,7 +39,10 @@
 impl Zone {
     /// A zone of which nothing is known yet, and which takes requests.
     pub(crate) fn new() -> Self {
-        Self { share: 1.0, ..Self::default() }
+        Self {
+            share: 1.0,
+            ..Self::default()
+        }
     }
 
     /// Own attempts in flight there.
@@ -66,8 +69,13 @@
 
     /// Changes the attempts in flight; the smoothed figure is fed with what was in flight until now.
     fn change_in_flight(&mut self, now: Nanos, change: f64) {
-        let sample = if self.smoothed_in_flight.has_samples() { self.in_flight } else { change };
-        self.smoothed_in_flight.update(now, sample, UTILIZATION_TIME_CONSTANT, 0.0);
+        let sample = if self.smoothed_in_flight.has_samples() {
+            self.in_flight
+        } else {
+            change
+        };
+        self.smoothed_in_flight
+            .update(now, sample, UTILIZATION_TIME_CONSTANT, 0.0);
         self.in_flight = (self.in_flight + change).max(0.0);
     }
 
@@ -106,7 +114,12 @@
     /// Moves the measured capacity towards a new measurement.
     pub(crate) fn update_capacity(&mut self, measured: f64) {
         let change = measured - self.capacity;
-        self.capacity += change * if change > 0.0 { CAPACITY_RISE } else { CAPACITY_FALL };
+        self.capacity += change
+            * if change > 0.0 {
+                CAPACITY_RISE
+            } else {
+                CAPACITY_FALL
+            };
     }
 
     /// The least response time seen there lately, in nanoseconds.
@@ -131,7 +144,11 @@
 
     /// Sets the share that it may take; a share that is not finite counts as 1.
     pub(crate) fn set_share(&mut self, share: f64) -> ShareChange {
-        let bounded = if share.is_finite() { share.clamp(0.0, 1.0) } else { 1.0 };
+        let bounded = if share.is_finite() {
+            share.clamp(0.0, 1.0)
+        } else {
+            1.0
+        };
         let change = match (self.share > 0.0, bounded > 0.0) {
             (true, false) => ShareChange::Closed,
             (false, true) => ShareChange::Reopened,
--- a/balancer/src/zone_routing.rs
+++ b/balancer/src/zone_routing.rs
@@ -25,7 +25,12 @@
 impl ZoneRouting {
     /// No zone scored yet; the first scoring is due now.
     pub(crate) fn new(now: Nanos) -> Self {
-        Self { overflow: Vec::new(), qualified: 0, is_spilling: false, next_scoring_at: now }
+        Self {
+            overflow: Vec::new(),
+            qualified: 0,
+            is_spilling: false,
+            next_scoring_at: now,
+        }
     }
 
     /// Whether the zones are to be scored again.
@@ -35,6 +40,9 @@
 
     /// The best-scored other zone, if it is under the threshold.
     pub(crate) fn best_target(&self) -> Option<ZoneId> {
-        self.overflow.first().copied().filter(|_| self.qualified > 0)
+        self.overflow
+            .first()
+            .copied()
+            .filter(|_| self.qualified > 0)
     }
 }
--- a/balancer/src/zone_routing/decisions.rs
+++ b/balancer/src/zone_routing/decisions.rs
@@ -35,12 +35,19 @@
 
     /// Scores the other zones. Those under the threshold come first, by score.
     pub(crate) fn score_zones(&mut self, fleet: &Fleet) {
-        let latencies = fleet.remote_zones().filter_map(|zone| fleet.zones.get(zone).min_latency());
+        let latencies = fleet
+            .remote_zones()
+            .filter_map(|zone| fleet.zones.get(zone).min_latency());
         let farthest = latencies.fold(1.0, f64::max);
-        let mut scored: Vec<ScoredZone> =
-            fleet.remote_zones().map(|zone| score_zone(fleet, zone, farthest)).collect();
+        let mut scored: Vec<ScoredZone> = fleet
+            .remote_zones()
+            .map(|zone| score_zone(fleet, zone, farthest))
+            .collect();
         scored.sort_by(|a, b| {
-            let by_score = b.qualifies.cmp(&a.qualifies).then(b.score.total_cmp(&a.score));
+            let by_score = b
+                .qualifies
+                .cmp(&a.qualifies)
+                .then(b.score.total_cmp(&a.score));
             by_score.then(a.zone.cmp(&b.zone))
         });
         self.qualified = scored.iter().filter(|scored| scored.qualifies).count();
@@ -50,13 +57,17 @@
     /// Takes in whether home spills now; a change is for the log.
     pub(crate) fn update_spilling(&mut self, fleet: &Fleet) -> Option<LogEvent> {
         let home = fleet.local_zone();
-        let is_spilling = utilization(fleet, home).is_some_and(|used| used >= spill_threshold(fleet));
+        let is_spilling =
+            utilization(fleet, home).is_some_and(|used| used >= spill_threshold(fleet));
         if self.is_spilling == is_spilling {
             return None;
         }
         self.is_spilling = is_spilling;
         let to = self.overflow.first().copied().unwrap_or(home);
-        Some(LogEvent::ZoneSpill { active: is_spilling, to })
+        Some(LogEvent::ZoneSpill {
+            active: is_spilling,
+            to,
+        })
     }
 
     /// The backend for a request, or none if it is better queued. `prefers_home` is [`prefers_home`]'s
@@ -78,7 +89,8 @@
         }
         // Exception: what a closed zone does not take would push the one best zone over; it is divided.
         let target = if is_home_open {
-            self.best_target().filter(|&zone| selection.fleet.zones.share(zone) > 0.0)
+            self.best_target()
+                .filter(|&zone| selection.fleet.zones.share(zone) > 0.0)
         } else {
             divide_by_share(selection, id)
         };
@@ -92,8 +104,13 @@
             return Some(backend);
         }
         // Exception: home can take nothing in time (full, ejected, cold or empty): any zone that can.
-        let open_zones = self.overflow.iter().filter(|&&zone| selection.fleet.zones.share(zone) > 0.0);
-        open_zones.copied().find_map(|zone| selection.pick(id, request, zone))
+        let open_zones = self
+            .overflow
+            .iter()
+            .filter(|&&zone| selection.fleet.zones.share(zone) > 0.0);
+        open_zones
+            .copied()
+            .find_map(|zone| selection.pick(id, request, zone))
     }
 }
 
@@ -108,7 +125,11 @@
 
 /// Utilization from which on a zone spills.
 fn spill_threshold(fleet: &Fleet) -> f64 {
-    if fleet.settings.is_large_fleet() { LARGE_FLEET_SPILL_THRESHOLD } else { SPILL_THRESHOLD }
+    if fleet.settings.is_large_fleet() {
+        LARGE_FLEET_SPILL_THRESHOLD
+    } else {
+        SPILL_THRESHOLD
+    }
 }
 
 /// A zone's utilization: smoothed reports, raised by the own sends since they were made. Never lowered: a
@@ -117,7 +138,11 @@
     let (mut used, mut size) = (0.0, 0.0);
     for (_, backend) in fleet.backends.in_zone(zone) {
         let is_available = backend.outlier.is_available(fleet.now, backend.in_flight());
-        if is_available && backend.utilization().is_younger_than(fleet.now, UTILIZATION_MAX_AGE) {
+        if is_available
+            && backend
+                .utilization()
+                .is_younger_than(fleet.now, UTILIZATION_MAX_AGE)
+        {
             used += backend.utilization().value() * backend.size();
             size += backend.size();
         }
@@ -133,13 +158,21 @@
 /// Scores a zone against the one that is farthest away, by its least response time in nanoseconds.
 fn score_zone(fleet: &Fleet, zone: ZoneId, farthest: f64) -> ScoredZone {
     let Some(used) = utilization(fleet, zone) else {
-        return ScoredZone { zone, qualifies: true, score: UNSEEN_SCORE };
+        return ScoredZone {
+            zone,
+            qualifies: true,
+            score: UNSEEN_SCORE,
+        };
     };
     let headroom = 1.0 - used;
     let latency = fleet.zones.get(zone).min_latency();
     let saved = (farthest - latency.unwrap_or(farthest)) / farthest;
     let score = HEADROOM_WEIGHT * headroom + LATENCY_WEIGHT * saved;
-    ScoredZone { zone, qualifies: used < spill_threshold(fleet), score }
+    ScoredZone {
+        zone,
+        qualifies: used < spill_threshold(fleet),
+        score,
+    }
 }
 
 /// Whether a zone's share covers this request, whenever it asks.
@@ -151,10 +184,16 @@
 /// The zone for a request that home's share does not cover: one of the others by their shares.
 fn divide_by_share(selection: &EndpointSelection, id: RequestId) -> Option<ZoneId> {
     let fleet = selection.fleet;
-    let total: f64 = fleet.remote_zones().map(|zone| fleet.zones.share(zone)).sum();
+    let total: f64 = fleet
+        .remote_zones()
+        .map(|zone| fleet.zones.share(zone))
+        .sum();
     let mut left = selection.random.request_draw(id, DIVISION_SALT) * total;
-    fleet.remote_zones().filter(|&zone| fleet.zones.share(zone) > 0.0).find(|&zone| {
-        left -= fleet.zones.share(zone);
-        left <= 0.0
-    })
+    fleet
+        .remote_zones()
+        .filter(|&zone| fleet.zones.share(zone) > 0.0)
+        .find(|&zone| {
+            left -= fleet.zones.share(zone);
+            left <= 0.0
+        })
 }
--- a/balancer/src/zones.rs
+++ b/balancer/src/zones.rs
@@ -30,7 +30,9 @@
 impl Zones {
     /// So many zones of which nothing is known.
     pub(crate) fn new(count: u32) -> Self {
-        Self { zones: vec![Zone::new(); count as usize] }
+        Self {
+            zones: vec![Zone::new(); count as usize],
+        }
     }
 
     /// A zone; one that is not in the settings has no capacity and no share.
--- a/balancer/tests/any_sequence.rs
+++ b/balancer/tests/any_sequence.rs
@@ -1,6 +1,11 @@
 //! Arbitrary legal sequences of events, with fixed seeds; the four rules are checked over the actions.
 //! Nothing is modelled: outcomes are drawn, not computed.
-#![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "test code")]
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    reason = "test code"
+)]
 
 mod common;
 use badgerpost_balancer::*;
@@ -11,7 +16,10 @@
 
 impl Draw {
     fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % bound
     }
 }
@@ -52,20 +60,35 @@
     fn check(&mut self, actions: &[Action]) {
         for action in actions {
             match *action {
-                Action::Send { request, backend, .. } => self.check_send(request, backend),
+                Action::Send {
+                    request, backend, ..
+                } => self.check_send(request, backend),
                 Action::Reject { request, .. } => {
                     let tracked = self.requests.get_mut(&request).expect("a known request");
-                    let ran = tracked.attempts.iter().any(|a| a.2.is_none_or(Outcome::may_have_run));
+                    let ran = tracked
+                        .attempts
+                        .iter()
+                        .any(|a| a.2.is_none_or(Outcome::may_have_run));
                     let free = matches!(
                         self.effects[tracked.effect],
-                        Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
+                        Idempotency::Idempotent
+                            | Idempotency::Keyed {
+                                scope: DedupScope::All,
+                                ..
+                            }
                     );
                     assert!(free || !ran, "refused what may have run");
-                    assert!(!std::mem::replace(&mut tracked.ended, true), "two final answers");
+                    assert!(
+                        !std::mem::replace(&mut tracked.ended, true),
+                        "two final answers"
+                    );
                 }
                 Action::Fail { request } => {
                     let tracked = self.requests.get_mut(&request).expect("a known request");
-                    assert!(!std::mem::replace(&mut tracked.ended, true), "two final answers");
+                    assert!(
+                        !std::mem::replace(&mut tracked.ended, true),
+                        "two final answers"
+                    );
                 }
                 _ => {}
             }
@@ -79,14 +102,28 @@
         assert!(!tracked.spent, "sent though its body can't be had again");
         assert!(tracked.attempts.len() < self.cap, "past the cap");
         let member = self.listed[&backend];
-        assert_eq!(member.state, EndpointState::InService, "sent to a drained backend");
-        assert!(self.copies || tracked.attempts.iter().all(|a| a.2.is_some()), "two copies");
-        let ran: Vec<_> = tracked.attempts.iter().filter(|a| a.2.is_none_or(Outcome::may_have_run)).collect();
+        assert_eq!(
+            member.state,
+            EndpointState::InService,
+            "sent to a drained backend"
+        );
+        assert!(
+            self.copies || tracked.attempts.iter().all(|a| a.2.is_some()),
+            "two copies"
+        );
+        let ran: Vec<_> = tracked
+            .attempts
+            .iter()
+            .filter(|a| a.2.is_none_or(Outcome::may_have_run))
+            .collect();
         if let Some(&&(first, at, _)) = ran.first() {
             match self.effects[tracked.effect] {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => panic!("an unsafe request was sent again"),
-                Idempotency::Keyed { scope: group, window } => {
+                Idempotency::Keyed {
+                    scope: group,
+                    window,
+                } => {
                     assert!(self.now <= at + window, "past the window");
                     let first = self.listed[&first];
                     assert!(match group {
@@ -101,26 +138,48 @@
     }
 }
 
-#[expect(clippy::too_many_lines, reason = "one scenario, read from top to bottom")]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario, read from top to bottom"
+)]
 fn drive(seed: u64) {
     let mut draw = Draw(seed);
     let window = (1 + draw.below(400)) * MS;
     let effects = vec![
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
-        Idempotency::Keyed { scope: DedupScope::All, window },
-        Idempotency::Keyed { scope: DedupScope::Zone, window },
-        Idempotency::Keyed { scope: DedupScope::Cell, window },
+        Idempotency::Keyed {
+            scope: DedupScope::All,
+            window,
+        },
+        Idempotency::Keyed {
+            scope: DedupScope::Zone,
+            window,
+        },
+        Idempotency::Keyed {
+            scope: DedupScope::Cell,
+            window,
+        },
     ];
     let mut given = Settings::new(ZoneId(0), 1 + draw.below(3) as u32);
-    given.classes = effects.iter().map(|&effect| class(50 + draw.below(500), 600, effect)).collect();
+    given.classes = effects
+        .iter()
+        .map(|&effect| class(50 + draw.below(500), 600, effect))
+        .collect();
     given.node_count = [1, 3, 1000][draw.below(3) as usize];
-    given.weight_source =
-        if draw.below(2) == 0 { WeightSource::LoadAdjusted } else { WeightSource::Registered };
+    given.weight_source = if draw.below(2) == 0 {
+        WeightSource::LoadAdjusted
+    } else {
+        WeightSource::Registered
+    };
     given.limits.max_attempts = 1 + draw.below(4) as u32;
     given.limits.hedging = draw.below(2) == 0;
     given.limits.cancellation = draw.below(2) == 0;
-    given.discovery = if draw.below(2) == 0 { Discovery::Polled } else { Discovery::Pushed };
+    given.discovery = if draw.below(2) == 0 {
+        Discovery::Polled
+    } else {
+        Discovery::Pushed
+    };
     let mut run = Run {
         now: SECOND,
         effects,
@@ -138,7 +197,15 @@
                 let effect = draw.below(5) as usize;
                 let uploading = draw.below(3) == 0;
                 let not_after = run.now + draw.below(if uploading { 1500 } else { 900 }) * MS;
-                run.requests.insert(request, Tracked { effect, not_after, uploading, ..Tracked::default() });
+                run.requests.insert(
+                    request,
+                    Tracked {
+                        effect,
+                        not_after,
+                        uploading,
+                        ..Tracked::default()
+                    },
+                );
                 let hint = (draw.below(2) == 0).then(|| draw.below(90) * MS);
                 let arrival = RequestArrival {
                     request,
@@ -149,7 +216,11 @@
                     tenant: None,
                     expires_at: not_after,
                 };
-                if uploading { Event::UploadStarted(arrival) } else { Event::RequestArrived(arrival) }
+                if uploading {
+                    Event::UploadStarted(arrival)
+                } else {
+                    Event::RequestArrived(arrival)
+                }
             }
             // The body of an upload comes to its end, or some of it goes out; also of one that is none, or is over.
             12 | 13 => {
@@ -162,16 +233,25 @@
                     } else if std::mem::take(&mut tracked.uploading) && !tracked.ended {
                         tracked.not_after = not_after;
                         // The server has it from now on, and remembers its key from now on.
-                        tracked.attempts.iter_mut().filter(|a| a.2.is_none()).for_each(|a| a.1 = now);
+                        tracked
+                            .attempts
+                            .iter_mut()
+                            .filter(|a| a.2.is_none())
+                            .for_each(|a| a.1 = now);
                     }
                 }
                 if whole {
-                    Event::UploadComplete { request, expires_at: not_after }
+                    Event::UploadComplete {
+                        request,
+                        expires_at: not_after,
+                    }
                 } else {
                     Event::BodyConsumed { request }
                 }
             }
-            14 => Event::ResponseAborted { backend: BackendId(draw.below(12) as u32) },
+            14 => Event::ResponseAborted {
+                backend: BackendId(draw.below(12) as u32),
+            },
             4..=7 => {
                 let out: Vec<(RequestId, usize)> = run
                     .requests
@@ -221,11 +301,21 @@
                     .collect();
                 let full = draw.below(3) == 0;
                 if full {
-                    run.listed.values_mut().for_each(|member| member.state = EndpointState::Removed);
+                    run.listed
+                        .values_mut()
+                        .for_each(|member| member.state = EndpointState::Removed);
+                }
+                run.listed
+                    .extend(members.iter().map(|member| (member.backend, *member)));
+                let scope = if full {
+                    EndpointUpdate::Snapshot
+                } else {
+                    EndpointUpdate::Delta
+                };
+                Event::EndpointsUpdated {
+                    update: scope,
+                    endpoints: members,
                 }
-                run.listed.extend(members.iter().map(|member| (member.backend, *member)));
-                let scope = if full { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
-                Event::EndpointsUpdated { update: scope, endpoints: members }
             }
             9 => match draw.below(4) {
                 0 => Event::DiscoveryFailed,
@@ -257,11 +347,17 @@
             },
             _ => {
                 run.now += draw.below(20) * MS;
-                Event::TimerFired { token: draw.below(3) }
+                Event::TimerFired {
+                    token: draw.below(3),
+                }
             }
         };
         // The module's clock may be shown an earlier time; it must stand still, not fail.
-        node.now = if draw.below(50) == 0 { run.now / 2 } else { run.now };
+        node.now = if draw.below(50) == 0 {
+            run.now / 2
+        } else {
+            run.now
+        };
         let actions = node.tell(event);
         run.check(&actions);
     }
@@ -274,7 +370,12 @@
         let due: Vec<(RequestId, usize)> = run
             .requests
             .iter()
-            .flat_map(|(&id, t)| t.attempts.iter().enumerate().map(move |(n, a)| (id, n, a.2, t.not_after)))
+            .flat_map(|(&id, t)| {
+                t.attempts
+                    .iter()
+                    .enumerate()
+                    .map(move |(n, a)| (id, n, a.2, t.not_after))
+            })
             .filter(|(_, _, outcome, end)| outcome.is_none() && *end <= run.now)
             .map(|(id, n, _, _)| (id, n))
             .collect();
@@ -295,9 +396,17 @@
             run.check(&actions);
         }
     }
-    let open = run.requests.values().filter(|tracked| !tracked.ended).count();
+    let open = run
+        .requests
+        .values()
+        .filter(|tracked| !tracked.ended)
+        .count();
     assert_eq!(open, 0, "seed {seed}: requests without a final answer");
-    assert_eq!(node.balancer.open_requests(), 0, "seed {seed}: ended requests are kept");
+    assert_eq!(
+        node.balancer.open_requests(),
+        0,
+        "seed {seed}: ended requests are kept"
+    );
 }
 
 #[test]
@@ -310,8 +419,10 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut node =
-            Node::new(settings(Idempotency::Idempotent), (0..9).map(|b| member(b, b % 3)).collect());
+        let mut node = Node::new(
+            settings(Idempotency::Idempotent),
+            (0..9).map(|b| member(b, b % 3)).collect(),
+        );
         node.serve(300, |to| util(0.3 + 0.08 * f64::from(to.0)))
     };
     assert_eq!(run(), run());
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,5 +1,10 @@
 //! A node under test and the words for feeding it.
-#![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "test code")]
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    reason = "test code"
+)]
 #![allow(dead_code)]
 
 use badgerpost_balancer::*;
@@ -23,7 +28,11 @@
 }
 
 pub fn settings(effect: Idempotency) -> Settings {
-    Settings { classes: vec![class(400, 1000, effect)], node_count: 2, ..Settings::new(ZoneId(0), 3) }
+    Settings {
+        classes: vec![class(400, 1000, effect)],
+        node_count: 2,
+        ..Settings::new(ZoneId(0), 3)
+    }
 }
 
 pub fn member(backend: u32, zone: u32) -> Endpoint {
@@ -37,7 +46,10 @@
 }
 
 pub fn util(util: f64) -> LoadReport {
-    LoadReport { utilization: Some(util), ..LoadReport::default() }
+    LoadReport {
+        utilization: Some(util),
+        ..LoadReport::default()
+    }
 }
 
 impl Node {
@@ -47,9 +59,16 @@
 
     pub fn seeded(seed: u64, settings: Settings, members: Vec<Endpoint>) -> Self {
         let balancer = Balancer::new(settings, seed, SECOND).expect("usable settings");
-        let mut node = Self { balancer, now: SECOND, next: 0 };
+        let mut node = Self {
+            balancer,
+            now: SECOND,
+            next: 0,
+        };
         node.tell(Event::Start);
-        node.tell(Event::EndpointsUpdated { update: EndpointUpdate::Cached, endpoints: members });
+        node.tell(Event::EndpointsUpdated {
+            update: EndpointUpdate::Cached,
+            endpoints: members,
+        });
         node
     }
 
@@ -60,7 +79,10 @@
     }
 
     pub fn list(&mut self, scope: EndpointUpdate, members: Vec<Endpoint>) -> Vec<Action> {
-        self.tell(Event::EndpointsUpdated { update: scope, endpoints: members })
+        self.tell(Event::EndpointsUpdated {
+            update: scope,
+            endpoints: members,
+        })
     }
 
     /// A request of class 0 that its client gives up after `wait`.
@@ -130,20 +152,39 @@
     }
 
     /// Asks `count` times, one in 10 ms; every send is served after 40 ms with the report of its backend.
-    pub fn serve(&mut self, count: usize, report: impl Fn(BackendId) -> LoadReport) -> Vec<BackendId> {
+    pub fn serve(
+        &mut self,
+        count: usize,
+        report: impl Fn(BackendId) -> LoadReport,
+    ) -> Vec<BackendId> {
         let mut used = Vec::new();
         let mut out: Vec<(RequestId, u32, BackendId, Nanos)> = Vec::new();
         for turn in 0..count + 40 {
-            let mut actions = if turn < count { self.ask(SECOND).1 } else { Vec::new() };
+            let mut actions = if turn < count {
+                self.ask(SECOND).1
+            } else {
+                Vec::new()
+            };
             actions.extend(self.pass(10 * MS));
-            let (due, rest) = out.into_iter().partition(|send| self.now >= send.3 + 40 * MS);
+            let (due, rest) = out
+                .into_iter()
+                .partition(|send| self.now >= send.3 + 40 * MS);
             out = rest;
             for (request, attempt, to, _) in Vec::from_iter::<Vec<_>>(due) {
                 used.push(to);
-                actions.extend(self.settle_after(request, attempt, Outcome::Success, 40 * MS, report(to)));
+                actions.extend(self.settle_after(
+                    request,
+                    attempt,
+                    Outcome::Success,
+                    40 * MS,
+                    report(to),
+                ));
             }
             for action in actions {
-                if let Action::Send { request, backend, .. } = action {
+                if let Action::Send {
+                    request, backend, ..
+                } = action
+                {
                     let attempt = out.iter().filter(|send| send.0 == request).count() as u32;
                     out.push((request, attempt, backend, self.now));
                 }
@@ -166,9 +207,13 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Fail { .. }))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Fail { .. }))
 }
--- a/balancer/tests/contract.rs
+++ b/balancer/tests/contract.rs
@@ -4,12 +4,20 @@
 use badgerpost_balancer::*;
 use common::*;
 
-const RAN: [Outcome; 5] =
-    [Outcome::Error, Outcome::InvalidResponse, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled];
+const RAN: [Outcome; 5] = [
+    Outcome::Error,
+    Outcome::InvalidResponse,
+    Outcome::TimedOut,
+    Outcome::Reset,
+    Outcome::Cancelled,
+];
 const NOT_RAN: [Outcome; 3] = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
 
 fn keyed(group: DedupScope) -> Idempotency {
-    Idempotency::Keyed { scope: group, window: 200 * MS }
+    Idempotency::Keyed {
+        scope: group,
+        window: 200 * MS,
+    }
 }
 
 fn three_zones() -> Vec<Endpoint> {
@@ -20,7 +28,10 @@
 fn a_request_without_any_backend_is_rejected_in_time() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), vec![]);
     let (_, actions) = node.ask(300 * MS);
-    assert!(sent(&actions).is_none() && !refused(&actions) && !failed(&actions), "held at first");
+    assert!(
+        sent(&actions).is_none() && !refused(&actions) && !failed(&actions),
+        "held at first"
+    );
     assert!(refused(&node.pass(300 * MS)));
 }
 
@@ -37,7 +48,12 @@
     let (request, actions) = node.ask(100 * MS);
     assert!(sent(&actions).is_some());
     node.now += 100 * MS;
-    assert!(failed(&node.settle(request, 0, Outcome::TimedOut, LoadReport::default())));
+    assert!(failed(&node.settle(
+        request,
+        0,
+        Outcome::TimedOut,
+        LoadReport::default()
+    )));
 }
 
 #[test]
@@ -45,7 +61,10 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), three_zones());
     let (request, _) = node.ask(SECOND);
     node.settle(request, 0, Outcome::Success, util(0.1));
-    assert!(node.settle(request, 0, Outcome::Error, util(0.1)).is_empty());
+    assert!(
+        node.settle(request, 0, Outcome::Error, util(0.1))
+            .is_empty()
+    );
     assert!(node.tell(Event::ClientDisconnected { request }).is_empty());
     let (gone, _) = node.ask(SECOND);
     node.tell(Event::ClientDisconnected { request: gone });
@@ -58,13 +77,19 @@
     for outcome in NOT_RAN {
         let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
         let (request, _) = node.ask(SECOND);
-        assert!(sent(&node.settle(request, 0, outcome, LoadReport::default())).is_some(), "{outcome:?}");
+        assert!(
+            sent(&node.settle(request, 0, outcome, LoadReport::default())).is_some(),
+            "{outcome:?}"
+        );
     }
     for outcome in RAN {
         let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
         let (request, _) = node.ask(SECOND);
         let actions = node.settle(request, 0, outcome, LoadReport::default());
-        assert!(sent(&actions).is_none() && failed(&actions) && !refused(&actions), "{outcome:?}");
+        assert!(
+            sent(&actions).is_none() && failed(&actions) && !refused(&actions),
+            "{outcome:?}"
+        );
     }
 }
 
@@ -75,21 +100,39 @@
         let mut node = Node::new(settings(keyed(DedupScope::Zone)), three_zones());
         let (request, _) = node.ask(SECOND);
         let first = node.now;
-        assert!(node.balancer.may_write(first + 300 * MS, request, 0), "nothing has run before it");
+        assert!(
+            node.balancer.may_write(first + 300 * MS, request, 0),
+            "nothing has run before it"
+        );
         node.now += 150 * MS;
         assert!(sent(&node.settle(request, 0, outcome, LoadReport::default())).is_some());
-        assert!(!node.balancer.may_write(node.now, request, 0), "that one has ended");
-        assert!(node.balancer.may_write(first + 190 * MS, request, 1), "{outcome:?}");
-        assert!(!node.balancer.may_write(first + 200 * MS, request, 1), "{outcome:?}");
+        assert!(
+            !node.balancer.may_write(node.now, request, 0),
+            "that one has ended"
+        );
+        assert!(
+            node.balancer.may_write(first + 190 * MS, request, 1),
+            "{outcome:?}"
+        );
+        assert!(
+            !node.balancer.may_write(first + 200 * MS, request, 1),
+            "{outcome:?}"
+        );
         node.tell(Event::ClientDisconnected { request });
-        assert!(!node.balancer.may_write(node.now, request, 1), "nobody waits for it");
+        assert!(
+            !node.balancer.may_write(node.now, request, 1),
+            "nobody waits for it"
+        );
     }
     for outcome in NOT_RAN {
         let mut node = Node::new(settings(keyed(DedupScope::Zone)), three_zones());
         let (request, _) = node.ask(SECOND);
         let first = node.now;
         node.settle(request, 0, outcome, LoadReport::default());
-        assert!(node.balancer.may_write(first + 900 * MS, request, 1), "{outcome:?}");
+        assert!(
+            node.balancer.may_write(first + 900 * MS, request, 1),
+            "{outcome:?}"
+        );
     }
 }
 
@@ -100,7 +143,10 @@
         let (request, first) = node.ask(SECOND);
         let again = sent(&node.settle(request, 0, outcome, LoadReport::default()));
         assert_ne!(again, None, "{outcome:?}");
-        assert!(again.is_none_or(|to| to.0 < 2), "left its zone after {first:?}");
+        assert!(
+            again.is_none_or(|to| to.0 < 2),
+            "left its zone after {first:?}"
+        );
 
         let mut single = settings(keyed(DedupScope::Zone));
         single.limits.hedging = false;
@@ -108,18 +154,33 @@
         let (request, _) = node.ask(SECOND);
         node.pass(200 * MS);
         let late = node.settle(request, 0, outcome, LoadReport::default());
-        assert!(sent(&late).is_none() && failed(&late), "sent past the window after {outcome:?}");
+        assert!(
+            sent(&late).is_none() && failed(&late),
+            "sent past the window after {outcome:?}"
+        );
     }
 }
 
 #[test]
 fn a_request_keyed_by_cell_does_not_leave_the_cell() {
-    let members = vec![Endpoint { cell: 1, ..member(0, 0) }, Endpoint { cell: 2, ..member(1, 0) }];
+    let members = vec![
+        Endpoint {
+            cell: 1,
+            ..member(0, 0)
+        },
+        Endpoint {
+            cell: 2,
+            ..member(1, 0)
+        },
+    ];
     let mut node = Node::new(settings(keyed(DedupScope::Cell)), members);
     let (request, first) = node.ask(SECOND);
     node.list(
         EndpointUpdate::Delta,
-        vec![Endpoint { state: EndpointState::Draining, ..member(sent(&first).unwrap().0, 0) }],
+        vec![Endpoint {
+            state: EndpointState::Draining,
+            ..member(sent(&first).unwrap().0, 0)
+        }],
     );
     let actions = node.settle(request, 0, Outcome::Reset, LoadReport::default());
     assert!(sent(&actions).is_none() && failed(&actions));
@@ -129,8 +190,19 @@
 fn a_request_keyed_for_all_may_be_rejected_after_it_ran() {
     let mut node = Node::new(settings(keyed(DedupScope::All)), vec![member(0, 0)]);
     let (request, _) = node.ask(SECOND);
-    node.list(EndpointUpdate::Delta, vec![Endpoint { state: EndpointState::Removed, ..member(0, 0) }]);
-    assert!(refused(&node.settle(request, 0, Outcome::Reset, LoadReport::default())));
+    node.list(
+        EndpointUpdate::Delta,
+        vec![Endpoint {
+            state: EndpointState::Removed,
+            ..member(0, 0)
+        }],
+    );
+    assert!(refused(&node.settle(
+        request,
+        0,
+        Outcome::Reset,
+        LoadReport::default()
+    )));
 }
 
 #[test]
@@ -139,21 +211,39 @@
     limits.limits.max_attempts = 2;
     let mut node = Node::new(limits, three_zones());
     let (request, _) = node.ask(SECOND);
-    assert!(sent(&node.settle(request, 0, Outcome::ConnectFailed, LoadReport::default())).is_some());
-    assert!(sent(&node.settle(request, 1, Outcome::ConnectFailed, LoadReport::default())).is_none());
+    assert!(
+        sent(&node.settle(request, 0, Outcome::ConnectFailed, LoadReport::default())).is_some()
+    );
+    assert!(
+        sent(&node.settle(request, 1, Outcome::ConnectFailed, LoadReport::default())).is_none()
+    );
 }
 
 #[test]
 fn nothing_is_sent_to_a_backend_listed_as_draining_or_removed() {
     let two = vec![member(0, 0), member(1, 1)];
-    let changes = |stage| (EndpointUpdate::Delta, vec![Endpoint { state: stage, ..member(0, 0) }]);
+    let changes = |stage| {
+        (
+            EndpointUpdate::Delta,
+            vec![Endpoint {
+                state: stage,
+                ..member(0, 0)
+            }],
+        )
+    };
     let lists = [
         changes(EndpointState::Draining),
         changes(EndpointState::Removed),
         (EndpointUpdate::Snapshot, vec![member(1, 1)]),
         (
             EndpointUpdate::Cached,
-            vec![Endpoint { state: EndpointState::Draining, ..member(0, 0) }, member(1, 1)],
+            vec![
+                Endpoint {
+                    state: EndpointState::Draining,
+                    ..member(0, 0)
+                },
+                member(1, 1),
+            ],
         ),
     ];
     for (scope, members) in lists {
@@ -173,16 +263,28 @@
     for _ in 0..8 {
         node.tell(Event::DiscoveryFailed);
         let actions = node.pass(8 * SECOND);
-        assert_eq!(actions.iter().filter(|action| **action == Action::WatchEndpoints).count(), 1);
+        assert_eq!(
+            actions
+                .iter()
+                .filter(|action| **action == Action::WatchEndpoints)
+                .count(),
+            1
+        );
     }
 }
 
 /// Work of about 30 ms each, all backends half used: a cold one must get a small share of it.
 #[test]
 fn a_warming_backend_gets_its_slow_start_budget_and_no_more() {
-    let mut node = Node::new(settings(Idempotency::Idempotent), vec![member(0, 0), member(1, 0)]);
+    let mut node = Node::new(
+        settings(Idempotency::Idempotent),
+        vec![member(0, 0), member(1, 0)],
+    );
     node.serve(200, |_| util(0.5));
-    let cold = Endpoint { started_at: Some(node.now), ..member(9, 0) };
+    let cold = Endpoint {
+        started_at: Some(node.now),
+        ..member(9, 0)
+    };
     node.list(EndpointUpdate::Delta, vec![cold]);
     let mut to_cold = 0;
     for _ in 0..40 {
@@ -197,9 +299,20 @@
 fn a_restarted_backend_warms_up_again() {
     let mut node = Node::new(settings(Idempotency::Idempotent), vec![member(0, 0)]);
     node.serve(50, |_| util(0.5));
-    node.list(EndpointUpdate::Delta, vec![Endpoint { started_at: Some(node.now), ..member(0, 0) }]);
-    let burst: usize = (0..30).filter(|_| sent(&node.ask(SECOND).1).is_some()).count();
-    assert!((1..=4).contains(&burst), "{burst} at once to a restarted backend");
+    node.list(
+        EndpointUpdate::Delta,
+        vec![Endpoint {
+            started_at: Some(node.now),
+            ..member(0, 0)
+        }],
+    );
+    let burst: usize = (0..30)
+        .filter(|_| sent(&node.ask(SECOND).1).is_some())
+        .count();
+    assert!(
+        (1..=4).contains(&burst),
+        "{burst} at once to a restarted backend"
+    );
 }
 
 /// Incident i911ba9: only requests with low hints fitted into the cold budget, and hints are rough, so the
@@ -235,11 +348,15 @@
     }
     node.list(
         EndpointUpdate::Delta,
-        vec![Endpoint { started_at: Some(node.now - 8 * SECOND), ..member(9, 0) }],
+        vec![Endpoint {
+            started_at: Some(node.now - 8 * SECOND),
+            ..member(9, 0)
+        }],
     );
     let cold = |actions: Vec<Action>| usize::from(sent(&actions) == Some(BackendId(9)));
-    let taken: usize =
-        (0..500).map(|turn| cold(ask(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1)).sum();
+    let taken: usize = (0..500)
+        .map(|turn| cold(ask(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1))
+        .sum();
     // One warm backend does a second's work a second at half use, so the share is 0.4 x 2 x 0.34 x 2: in 2 s
     // that is room for 1.07 s of work, 18 pairs counted as 20 and 39 ms.
     assert!((1..=40).contains(&taken), "{taken} to the cold backend");
--- a/balancer/tests/endpoint_selection.rs
+++ b/balancer/tests/endpoint_selection.rs
@@ -16,11 +16,17 @@
 fn taught(utils: [f64; 3]) -> Node {
     let mut node = Node::new(settings(Idempotency::Idempotent), zones());
     for remote in [1, 2, 0] {
-        let only = zones().into_iter().filter(|member| member.zone == ZoneId(remote)).collect();
+        let only = zones()
+            .into_iter()
+            .filter(|member| member.zone == ZoneId(remote))
+            .collect();
         node.list(EndpointUpdate::Snapshot, only);
         node.list(
             EndpointUpdate::Snapshot,
-            zones().into_iter().filter(|m| m.zone == ZoneId(remote)).collect(),
+            zones()
+                .into_iter()
+                .filter(|m| m.zone == ZoneId(remote))
+                .collect(),
         );
         node.serve(10, |to| util(utils[zone(to) as usize]));
     }
@@ -49,7 +55,12 @@
     let used = node.serve(200, |to| util(load[zone(to) as usize]));
     let late = &used[50..];
     let count = |z| late.iter().filter(|&&to| zone(to) == z).count();
-    assert!(count(2) > 3 * count(1).max(1), "{} to zone 1, {} to zone 2", count(1), count(2));
+    assert!(
+        count(2) > 3 * count(1).max(1),
+        "{} to zone 1, {} to zone 2",
+        count(1),
+        count(2)
+    );
 }
 
 #[test]
@@ -63,7 +74,13 @@
 #[test]
 fn a_home_zone_without_usable_backends_is_left() {
     let mut node = taught([0.1, 0.2, 0.3]);
-    node.list(EndpointUpdate::Snapshot, zones().into_iter().filter(|m| m.zone != ZoneId(0)).collect());
+    node.list(
+        EndpointUpdate::Snapshot,
+        zones()
+            .into_iter()
+            .filter(|m| m.zone != ZoneId(0))
+            .collect(),
+    );
     assert!(sent(&node.ask(SECOND).1).is_some_and(|to| zone(to) != 0));
 }
 
@@ -72,9 +89,15 @@
     let mut node = taught([0.6, 0.1, 0.1]);
     node.list(EndpointUpdate::Snapshot, zones());
     node.serve(20, |to| util(if zone(to) == 0 { 0.6 } else { 0.1 }));
-    let used: Vec<u32> = (0..12).filter_map(|_| sent(&node.ask(SECOND).1)).map(zone).collect();
+    let used: Vec<u32> = (0..12)
+        .filter_map(|_| sent(&node.ask(SECOND).1))
+        .map(zone)
+        .collect();
     assert_eq!(used[0], 0);
-    assert!(used.iter().any(|&z| z != 0), "a burst stayed home on an old figure: {used:?}");
+    assert!(
+        used.iter().any(|&z| z != 0),
+        "a burst stayed home on an old figure: {used:?}"
+    );
 }
 
 #[test]
--- a/balancer/tests/faults.rs
+++ b/balancer/tests/faults.rs
@@ -64,7 +64,9 @@
             node.settle_after(request, 0, Outcome::Success, 900 * MS, util(1.0));
         }
     }
-    let taken = (0..20).filter(|_| sent(&node.ask(SECOND).1).is_some()).count();
+    let taken = (0..20)
+        .filter(|_| sent(&node.ask(SECOND).1).is_some())
+        .count();
     assert!(taken <= 1, "{taken} sent into a jam");
 }
 
@@ -72,9 +74,17 @@
 #[test]
 fn the_class_of_higher_value_has_precedence() {
     let mut given = settings(Idempotency::Idempotent);
-    let wide = ClassSettings { latency_objective: 800 * MS, ..class(800, 2000, Idempotency::Idempotent) };
-    given.classes =
-        vec![wide, ClassSettings { priority_weight: 5.0, ..class(500, 2000, Idempotency::Idempotent) }];
+    let wide = ClassSettings {
+        latency_objective: 800 * MS,
+        ..class(800, 2000, Idempotency::Idempotent)
+    };
+    given.classes = vec![
+        wide,
+        ClassSettings {
+            priority_weight: 5.0,
+            ..class(500, 2000, Idempotency::Idempotent)
+        },
+    ];
     let mut node = Node::new(given, fleet(2));
     let mut taken = [0, 0];
     let mut out = Vec::new();
@@ -121,7 +131,13 @@
         let (request, actions) = node.ask(SECOND);
         let (mut to, mut attempt) = (sent(&actions), 0);
         while to.is_some() {
-            to = sent(&node.settle_after(request, attempt, Outcome::Error, 5 * MS, LoadReport::default()));
+            to = sent(&node.settle_after(
+                request,
+                attempt,
+                Outcome::Error,
+                5 * MS,
+                LoadReport::default(),
+            ));
             extra += usize::from(to.is_some());
             attempt += 1;
         }
@@ -139,7 +155,13 @@
         let (mut to, mut attempt) = (sent(&actions), 0);
         sent_late += usize::from(turn > 200 && to.is_some());
         while to.is_some() {
-            to = sent(&node.settle_after(request, attempt, Outcome::Reset, 5 * MS, LoadReport::default()));
+            to = sent(&node.settle_after(
+                request,
+                attempt,
+                Outcome::Reset,
+                5 * MS,
+                LoadReport::default(),
+            ));
             attempt += 1;
         }
         node.pass(20 * MS);
@@ -151,13 +173,21 @@
 #[test]
 fn nodes_that_share_a_zone_leave_capacity_for_each_other() {
     let taken = |nodes| {
-        let given = Settings { node_count: nodes, ..settings(Idempotency::Idempotent) };
+        let given = Settings {
+            node_count: nodes,
+            ..settings(Idempotency::Idempotent)
+        };
         let mut node = Node::new(given, fleet(2));
         node.serve(200, |_| util(0.5));
-        (0..60).filter(|_| sent(&node.ask(SECOND).1).is_some()).count()
+        (0..60)
+            .filter(|_| sent(&node.ask(SECOND).1).is_some())
+            .count()
     };
     let (alone, crowded) = (taken(3), taken(12));
-    assert!(crowded < alone, "{alone} alone, {crowded} among four a zone");
+    assert!(
+        crowded < alone,
+        "{alone} alone, {crowded} among four a zone"
+    );
 }
 
 /// Incidents idbcff6 and i9be87d: a timer that always ran on every node cost more than all requests.
@@ -166,10 +196,18 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
     let (request, actions) = node.ask(SECOND);
     assert_eq!(sends(&actions).len(), 1);
-    let timer = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::SetTimer { .. }));
+    let timer = |actions: &[Action]| {
+        actions
+            .iter()
+            .any(|action| matches!(action, Action::SetTimer { .. }))
+    };
     assert!(!timer(&actions) && !timer(&node.settle(request, 0, Outcome::Success, util(0.1))));
     assert!(
-        timer(&Node::new(settings(Idempotency::Idempotent), vec![]).ask(SECOND).1),
+        timer(
+            &Node::new(settings(Idempotency::Idempotent), vec![])
+                .ask(SECOND)
+                .1
+        ),
         "what is held needs one"
     );
 }
@@ -178,13 +216,18 @@
 /// of the client's time, which is more than its first try had.
 #[test]
 fn a_first_attempt_shorter_than_retries_is_admitted() {
-    let marked =
-        |repeats_marked| Settings { retries_marked: repeats_marked, ..settings(Idempotency::Idempotent) };
+    let marked = |repeats_marked| Settings {
+        retries_marked: repeats_marked,
+        ..settings(Idempotency::Idempotent)
+    };
     for (repeats_marked, taken) in [(true, true), (false, false)] {
         let mut node = Node::new(marked(repeats_marked), vec![member(1, 0)]);
         node.ask_again(950 * MS);
         let (_, actions) = node.ask(400 * MS);
-        assert_eq!((sent(&actions).is_some(), refused(&actions)), (taken, !taken));
+        assert_eq!(
+            (sent(&actions).is_some(), refused(&actions)),
+            (taken, !taken)
+        );
     }
 }
 
@@ -196,7 +239,11 @@
     assert!(sent(&actions).is_some());
     let actions = node.settle_after(request, 0, Outcome::Rejected, 2 * MS, LoadReport::default());
     assert!(!refused(&actions) && !failed(&actions) && sent(&actions).is_none());
-    assert_eq!(sent(&node.pass(150 * MS)), Some(BackendId(0)), "sent once the backend takes work again");
+    assert_eq!(
+        sent(&node.pass(150 * MS)),
+        Some(BackendId(0)),
+        "sent once the backend takes work again"
+    );
 }
 
 /// Each day began with refusals: against the first guess of the base time every backend looked slow.
@@ -213,7 +260,10 @@
         assert!(to.is_some());
         node.settle_after(request, 0, Outcome::Success, 200 * MS, util(0.1));
     }
-    assert!(sent(&node.ask(SECOND).1).is_some(), "idle backends take the next one");
+    assert!(
+        sent(&node.ask(SECOND).1).is_some(),
+        "idle backends take the next one"
+    );
 }
 
 /// What was never sent is refused while the client has half of its time for another try.
@@ -233,7 +283,10 @@
 /// A wide day: most clients had less time than a request takes. Their time-outs put good backends out.
 #[test]
 fn clients_with_little_time_eject_no_backend() {
-    let marked = Settings { retries_marked: true, ..settings(Idempotency::Idempotent) };
+    let marked = Settings {
+        retries_marked: true,
+        ..settings(Idempotency::Idempotent)
+    };
     let mut node = Node::new(marked, fleet(3));
     node.serve(200, |_| util(0.3));
     let mut tried = 0;
@@ -241,7 +294,13 @@
         let (request, actions) = node.ask(20 * MS);
         tried += usize::from(sent(&actions).is_some());
         node.pass(20 * MS);
-        let actions = node.settle_after(request, 0, Outcome::TimedOut, 20 * MS, LoadReport::default());
+        let actions = node.settle_after(
+            request,
+            0,
+            Outcome::TimedOut,
+            20 * MS,
+            LoadReport::default(),
+        );
         let ejects = |action: &Action| matches!(action, Action::Log(LogEvent::Ejected { .. }));
         assert!(!actions.iter().any(ejects));
     }
@@ -251,9 +310,15 @@
 /// Where reports show room, what may be late costs nobody else: half of such requests were held in vain.
 #[test]
 fn a_request_with_little_time_is_sent_where_reports_show_capacity() {
-    let wide = Endpoint { size: 2.0, ..member(1, 0) };
+    let wide = Endpoint {
+        size: 2.0,
+        ..member(1, 0)
+    };
     for (used, taken) in [(0.6, true), (0.9, false)] {
-        let given = Settings { retries_marked: true, ..settings(Idempotency::Idempotent) };
+        let given = Settings {
+            retries_marked: true,
+            ..settings(Idempotency::Idempotent)
+        };
         let mut node = Node::new(given, vec![wide]);
         node.serve(100, |_| util(used));
         assert!(sent(&node.ask(SECOND).1).is_some());
@@ -266,12 +331,18 @@
 fn connections_that_break_by_chance_eject_nobody() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
     node.serve(100, |_| util(0.3));
-    let open: Vec<(RequestId, Option<BackendId>)> =
-        (0..6).map(|_| node.ask(SECOND)).map(|(request, actions)| (request, sent(&actions))).collect();
-    let broken: Vec<_> = open.iter().filter(|(_, to)| *to == Some(BackendId(0))).collect();
+    let open: Vec<(RequestId, Option<BackendId>)> = (0..6)
+        .map(|_| node.ask(SECOND))
+        .map(|(request, actions)| (request, sent(&actions)))
+        .collect();
+    let broken: Vec<_> = open
+        .iter()
+        .filter(|(_, to)| *to == Some(BackendId(0)))
+        .collect();
     assert!(broken.len() >= 3, "{open:?}");
     for (request, _) in broken {
-        let actions = node.settle_after(*request, 0, Outcome::Reset, 10 * MS, LoadReport::default());
+        let actions =
+            node.settle_after(*request, 0, Outcome::Reset, 10 * MS, LoadReport::default());
         let ejects = |action: &Action| matches!(action, Action::Log(LogEvent::Ejected { .. }));
         assert!(!actions.iter().any(ejects));
         node.now += 2 * SECOND;
@@ -287,7 +358,8 @@
         let (request, actions) = node.ask(SECOND);
         assert!(sent(&actions).is_some());
         if turn % 6 == 0 {
-            let actions = node.settle_after(request, 0, Outcome::Reset, 10 * MS, LoadReport::default());
+            let actions =
+                node.settle_after(request, 0, Outcome::Reset, 10 * MS, LoadReport::default());
             assert!(sent(&actions).is_some(), "turn {turn}");
             node.settle(request, 1, Outcome::Success, util(0.3));
         } else {
--- a/balancer/tests/large_fleet.rs
+++ b/balancer/tests/large_fleet.rs
@@ -18,7 +18,12 @@
 /// A list of ten backends a zone, each holding what `held` says for its zone.
 fn listed(held: [f64; 3]) -> Vec<Endpoint> {
     let weight = |zone: u32| 1.0 / (1.0 + held[zone as usize]);
-    (0..30).map(|b| Endpoint { size: weight(b / 10), ..member(b, b / 10) }).collect()
+    (0..30)
+        .map(|b| Endpoint {
+            size: weight(b / 10),
+            ..member(b, b / 10)
+        })
+        .collect()
 }
 
 fn node(seed: u64, given: Settings, members: Vec<Endpoint>) -> Node {
@@ -54,12 +59,23 @@
 #[test]
 fn load_adjusted_weights_show_the_utilization() {
     let mut calm = node(1, many(), listed([1.0; 3]));
-    assert!(serve(&mut calm, 30, [1.0, 0.2, 0.2], 50 * MS).iter().all(|to| zone(to) == 0));
+    assert!(
+        serve(&mut calm, 30, [1.0, 0.2, 0.2], 50 * MS)
+            .iter()
+            .all(|to| zone(to) == 0)
+    );
     let mut full = node(1, many(), listed([9.0, 0.2, 3.5]));
     let used = serve(&mut full, 30, [9.0, 0.2, 3.5], 50 * MS);
     let spilled = used.iter().filter(|to| zone(to) == 1).count();
-    assert!(spilled > used.len() / 3, "{spilled} of {} left a full home", used.len());
-    assert!(used.iter().all(|to| zone(to) != 2), "only the best zone takes the overflow");
+    assert!(
+        spilled > used.len() / 3,
+        "{spilled} of {} left a full home",
+        used.len()
+    );
+    assert!(
+        used.iter().all(|to| zone(to) != 2),
+        "only the best zone takes the overflow"
+    );
 }
 
 /// Nodes with the same view all left home at once and piled onto the next zone.
@@ -67,7 +83,9 @@
 fn nodes_do_not_spill_as_one() {
     let first_spill = |seed| {
         let mut node = node(seed, many(), listed([5.0, 0.2, 0.2]));
-        serve(&mut node, 20, [5.0, 0.2, 0.2], 50 * MS).iter().position(|to| zone(to) == 1)
+        serve(&mut node, 20, [5.0, 0.2, 0.2], 50 * MS)
+            .iter()
+            .position(|to| zone(to) == 1)
     };
     let mut times: Vec<Option<usize>> = (0..12).map(first_spill).collect();
     times.sort_unstable();
@@ -78,14 +96,21 @@
 /// The busiest server had 13 times the mean: every node took the few that a late list showed as free.
 #[test]
 fn nodes_do_not_herd_onto_what_a_late_list_shows_as_free() {
-    let members: Vec<Endpoint> =
-        (0..30).map(|b| Endpoint { size: if b == 3 { 1.0 } else { 0.25 }, ..member(b, b / 10) }).collect();
+    let members: Vec<Endpoint> = (0..30)
+        .map(|b| Endpoint {
+            size: if b == 3 { 1.0 } else { 0.25 },
+            ..member(b, b / 10)
+        })
+        .collect();
     let to_free = (0..200).filter(|&seed| {
         let mut node = node(seed, many(), members.clone());
         sent(&node.ask(SECOND).1) == Some(BackendId(3))
     });
     let to_free = to_free.count();
-    assert!((10..60).contains(&to_free), "{to_free} of 200 nodes chose the free one of ten");
+    assert!(
+        (10..60).contains(&to_free),
+        "{to_free} of 200 nodes chose the free one of ten"
+    );
 }
 
 /// Portal at full size: 2,000 refused connections in 5 s, as every node opened one to every server.
@@ -107,7 +132,11 @@
         let (mut to, mut attempt) = (sent(&actions), 0);
         while let Some(tried) = to {
             widened |= !subset.contains(&tried.0);
-            let failed = if subset.contains(&tried.0) { Outcome::ConnectFailed } else { Outcome::Success };
+            let failed = if subset.contains(&tried.0) {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Success
+            };
             to = sent(&node.settle_after(request, attempt, failed, MS, LoadReport::default()));
             attempt += 1;
         }
@@ -122,9 +151,17 @@
     let mut logs = 0;
     for _ in 0..40 {
         let (request, _) = node.ask(SECOND);
-        let actions = node.settle_after(request, 0, Outcome::ConnectFailed, MS, LoadReport::default());
-        logs +=
-            actions.iter().filter(|action| matches!(action, Action::Log(LogEvent::Ejected { .. }))).count();
+        let actions = node.settle_after(
+            request,
+            0,
+            Outcome::ConnectFailed,
+            MS,
+            LoadReport::default(),
+        );
+        logs += actions
+            .iter()
+            .filter(|action| matches!(action, Action::Log(LogEvent::Ejected { .. })))
+            .count();
         node.now += SECOND;
     }
     assert_eq!(logs, 0);
@@ -158,7 +195,9 @@
 #[test]
 fn a_class_without_recent_arrivals_is_admitted() {
     let mut given = many();
-    given.classes.push(class(400, 1000, Idempotency::Idempotent));
+    given
+        .classes
+        .push(class(400, 1000, Idempotency::Idempotent));
     let mut node = node(3, given, listed([0.5; 3]));
     serve(&mut node, 10, [0.5; 3], 50 * MS);
     let (request, class) = (RequestId(9_999), ClassId(1));
@@ -206,7 +245,10 @@
 #[test]
 fn attempts_end_at_the_objective_only_in_a_large_fleet() {
     let timeout = |nodes| {
-        let given = Settings { node_count: nodes, ..many() };
+        let given = Settings {
+            node_count: nodes,
+            ..many()
+        };
         let mut node = node(3, given, listed([0.5; 3]));
         node.ask(SECOND).1.iter().find_map(|action| match action {
             Action::Send { timeout, .. } => Some(*timeout),
@@ -224,7 +266,10 @@
     for seed in 0..u64::from(NODES / 3) {
         let mut node = node(seed, many(), listed([0.5; 3]));
         serve(&mut node, 10, [0.5; 3], 50 * MS);
-        let cold = Endpoint { started_at: Some(node.now), ..member(3, 0) };
+        let cold = Endpoint {
+            started_at: Some(node.now),
+            ..member(3, 0)
+        };
         node.list(EndpointUpdate::Delta, vec![cold]);
         for _ in 0..4 {
             to_cold += usize::from(sent(&node.ask(SECOND).1) == Some(BackendId(3)));
@@ -258,7 +303,11 @@
 fn a_flooding_tenant_is_rejected_first() {
     // Five requests a second come to each node; three a second of tenant 0 are within its part.
     let quota = 3.0 * f64::from(NODES);
-    let given = Settings { tenant_quotas: vec![quota, quota], over_quota_value: 0.1, ..many() };
+    let given = Settings {
+        tenant_quotas: vec![quota, quota],
+        over_quota_value: 0.1,
+        ..many()
+    };
     let mut node = node(3, given, listed([9.0; 3]));
     let mut taken = [0, 0];
     let mut asked = [0, 0];
@@ -294,7 +343,10 @@
 /// Incident i58b577: in a jam nearly nothing was served, so that new servers, the way out, got nearly nothing.
 #[test]
 fn a_jam_does_not_take_the_budget_of_new_servers() {
-    let given = Settings { node_count: 3, ..settings(Idempotency::Idempotent) };
+    let given = Settings {
+        node_count: 3,
+        ..settings(Idempotency::Idempotent)
+    };
     let mut node = Node::new(given, (0..3).map(|b| member(b, 0)).collect());
     node.now += 60 * SECOND;
     node.serve(300, |_| util(0.5));
@@ -307,8 +359,13 @@
     }
     node.list(
         EndpointUpdate::Delta,
-        vec![Endpoint { started_at: Some(node.now - 15 * SECOND), ..member(9, 0) }],
+        vec![Endpoint {
+            started_at: Some(node.now - 15 * SECOND),
+            ..member(9, 0)
+        }],
     );
-    let to_new = (0..40).filter(|_| sent(&node.ask(SECOND).1) == Some(BackendId(9))).count();
+    let to_new = (0..40)
+        .filter(|_| sent(&node.ask(SECOND).1) == Some(BackendId(9)))
+        .count();
     assert!(to_new >= 3, "{to_new} to the new server");
 }
--- a/balancer/tests/overload.rs
+++ b/balancer/tests/overload.rs
@@ -11,11 +11,20 @@
 /// Five zones of three servers, a wide aim, `nodes` nodes.
 fn wide(nodes: u32) -> Settings {
     let class = class(WIDE, 3000, Idempotency::NonIdempotent);
-    Settings { classes: vec![class], node_count: nodes, ..Settings::new(ZoneId(0), 5) }
+    Settings {
+        classes: vec![class],
+        node_count: nodes,
+        ..Settings::new(ZoneId(0), 5)
+    }
 }
 
 fn fifteen() -> Vec<Endpoint> {
-    (0..15).map(|b| Endpoint { name_hash: u64::from(b) * 0x9e37_79b9, ..member(b, b / 3) }).collect()
+    (0..15)
+        .map(|b| Endpoint {
+            name_hash: u64::from(b) * 0x9e37_79b9,
+            ..member(b, b / 3)
+        })
+        .collect()
 }
 
 /// How many are in flight at each server once `count` have come at one moment and none was answered.
@@ -34,7 +43,10 @@
 fn a_flood_waits_at_the_node_not_at_the_servers() {
     let mut node = Node::new(wide(5), fifteen());
     let held = flood(&mut node, 400);
-    assert!(held[..3].iter().all(|&at| (2..=3).contains(&at)), "home: {held:?}");
+    assert!(
+        held[..3].iter().all(|&at| (2..=3).contains(&at)),
+        "home: {held:?}"
+    );
     assert!(held[3..].iter().all(|&at| at == 1), "elsewhere: {held:?}");
 }
 
@@ -43,7 +55,10 @@
 fn zones_without_nodes_of_their_own_are_used_in_full() {
     let mut node = Node::new(wide(2), fifteen());
     let held = flood(&mut node, 400);
-    assert!(held[3..].iter().all(|&at| (2..=3).contains(&at)), "elsewhere: {held:?}");
+    assert!(
+        held[3..].iter().all(|&at| (2..=3).contains(&at)),
+        "elsewhere: {held:?}"
+    );
 }
 
 /// Guards against a bound that shuts slow servers out: an idle one can always take one.
@@ -53,7 +68,9 @@
     let (mut out, mut slow) = (Vec::new(), [false; 15]);
     let launched = |actions: &[Action]| -> Vec<(RequestId, BackendId)> {
         let to = |action: &Action| match action {
-            Action::Send { request, backend, .. } => Some((*request, *backend)),
+            Action::Send {
+                request, backend, ..
+            } => Some((*request, *backend)),
             _ => None,
         };
         actions.iter().filter_map(to).collect()
@@ -122,11 +139,21 @@
         node.now += SECOND / rate;
         let mut asked = probed(&actions);
         if sent(&actions).is_some() {
-            asked.extend(probed(&node.settle(request, 0, Outcome::Success, LoadReport::default())));
+            asked.extend(probed(&node.settle(
+                request,
+                0,
+                Outcome::Success,
+                LoadReport::default(),
+            )));
         }
         for &backend in &asked {
             let (outcome, elapsed, report) = (Outcome::Success, MS, util(0.3));
-            node.tell(Event::HealthCheckEnded { backend, outcome, elapsed, report });
+            node.tell(Event::HealthCheckEnded {
+                backend,
+                outcome,
+                elapsed,
+                report,
+            });
         }
         all.extend(asked);
     }
@@ -137,12 +164,23 @@
 fn health_checks_reach_every_server_and_are_paid_for_by_traffic() {
     let all = probes(by_probe(true), 60, fifteen());
     for backend in 0..15 {
-        assert!(all.contains(&BackendId(backend)), "{backend} was never asked");
+        assert!(
+            all.contains(&BackendId(backend)),
+            "{backend} was never asked"
+        );
     }
     let quiet = probes(by_probe(true), 20, fifteen());
-    assert!(quiet.len() <= 200 / 5 + 4, "{} probes for 200 requests", quiet.len());
+    assert!(
+        quiet.len() <= 200 / 5 + 4,
+        "{} probes for 200 requests",
+        quiet.len()
+    );
     let home = all.iter().filter(|to| to.0 < 3).count();
-    assert!(home > all.len() / 3, "a fifth of the servers, at home, got {home} of {}", all.len());
+    assert!(
+        home > all.len() / 3,
+        "a fifth of the servers, at home, got {home} of {}",
+        all.len()
+    );
     // However much comes, no server is asked more often than reports are made anew.
     let busy = probes(by_probe(true), 2000, fifteen());
     assert!(busy.len() <= 15 * 13, "{} probes", busy.len());
@@ -171,7 +209,12 @@
         for backend in 0..15 {
             let report = util(if backend < 3 { used } else { 0.2 });
             let (backend, outcome) = (BackendId(backend), Outcome::Success);
-            node.tell(Event::HealthCheckEnded { backend, outcome, elapsed: MS, report });
+            node.tell(Event::HealthCheckEnded {
+                backend,
+                outcome,
+                elapsed: MS,
+                report,
+            });
         }
         node.now += 200 * MS;
         sent(&node.ask(3 * SECOND).1).is_some_and(|to| to.0 >= 3)
@@ -181,7 +224,10 @@
 }
 
 fn warm() -> Settings {
-    Settings { key_affinity: true, ..wide(5) }
+    Settings {
+        key_affinity: true,
+        ..wide(5)
+    }
 }
 
 fn ask_for(node: &mut Node, key: u64) -> (RequestId, Vec<Action>) {
@@ -209,7 +255,10 @@
     for key in 0..60u64 {
         let (request, actions) = ask_for(&mut node, key * 0x1234_5678_9abc);
         let to = sent(&actions);
-        at.push(to.and_then(|to| tags.iter().find(|tag| tag.0 == to)).map(|tag| tag.1));
+        at.push(
+            to.and_then(|to| tags.iter().find(|tag| tag.0 == to))
+                .map(|tag| tag.1),
+        );
         node.now += 20 * MS;
         node.settle(request, 0, Outcome::Success, LoadReport::default());
     }
@@ -219,12 +268,18 @@
 #[test]
 fn a_key_has_the_same_server_at_every_node_whatever_their_numbers() {
     let mut renumbered = fifteen();
-    renumbered.iter_mut().for_each(|m| m.backend = BackendId(14 - m.backend.0));
+    renumbered
+        .iter_mut()
+        .for_each(|m| m.backend = BackendId(14 - m.backend.0));
     let here = servers_of(warm(), 1, fifteen());
     assert_eq!(here, servers_of(warm(), 2, renumbered));
     let used: std::collections::BTreeSet<_> = here.iter().collect();
     assert_eq!(used.len(), 3, "the keys are spread over the zone");
-    assert_ne!(here, servers_of(wide(5), 1, fifteen()), "where keys stay cold they count for nothing");
+    assert_ne!(
+        here,
+        servers_of(wide(5), 1, fifteen()),
+        "where keys stay cold they count for nothing"
+    );
 }
 
 /// A hot key must not jam the one server that knows it.
@@ -266,7 +321,10 @@
         }
         node.now += 30 * MS;
         for action in node.settle(out[0], 0, Outcome::Success, LoadReport::default()) {
-            if let Action::Send { request, backend, .. } = action {
+            if let Action::Send {
+                request, backend, ..
+            } = action
+            {
                 served += 1;
                 known += usize::from(server_of[&keys[&request]] == Some(backend));
             }
--- a/balancer/tests/size.rs
+++ b/balancer/tests/size.rs
@@ -1,5 +1,10 @@
 //! The decision module as its users see it: where decisions stand, and what the deploy file names.
-#![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "test code")]
+#![allow(
+    clippy::unwrap_used,
+    clippy::expect_used,
+    clippy::panic,
+    reason = "test code"
+)]
 
 fn read(path: &str) -> String {
     std::fs::read_to_string(format!("{}/../{path}", env!("CARGO_MANIFEST_DIR"))).unwrap()
@@ -8,8 +13,15 @@
 /// The files that the deploy file names as the policy.
 fn policy() -> Vec<String> {
     let deploy = read("deploy/balancer.toml");
-    let line = deploy.lines().find(|line| line.starts_with("policy = ")).expect("a policy");
-    line.split('"').skip(1).step_by(2).map(str::to_owned).collect()
+    let line = deploy
+        .lines()
+        .find(|line| line.starts_with("policy = "))
+        .expect("a policy");
+    line.split('"')
+        .skip(1)
+        .step_by(2)
+        .map(str::to_owned)
+        .collect()
 }
 
 /// Source files that decide nothing: the interface, state with its accessors, measurements, event dispatch, and helpers.
@@ -54,7 +66,11 @@
         for entry in std::fs::read_dir(format!("{workspace}/{folder}")).unwrap() {
             let entry = entry.unwrap();
             let path = format!("{folder}/{}", entry.file_name().to_str().unwrap());
-            if entry.path().is_dir() { folders.push(path) } else { files.push(path) }
+            if entry.path().is_dir() {
+                folders.push(path);
+            } else {
+                files.push(path);
+            }
         }
     }
     files.sort();
@@ -64,10 +80,20 @@
 #[test]
 fn every_file_that_decides_is_named_in_the_policy_and_none_is_long() {
     let policy = policy();
-    assert!(policy.contains(&"balancer/src/endpoint_selection.rs".to_owned()), "{policy:?}");
+    assert!(
+        policy.contains(&"balancer/src/endpoint_selection.rs".to_owned()),
+        "{policy:?}"
+    );
     let files = source_files();
-    for named in policy.iter().map(String::as_str).chain(FILES_WITHOUT_DECISIONS) {
-        assert!(files.iter().any(|file| file == named), "there is no {named}");
+    for named in policy
+        .iter()
+        .map(String::as_str)
+        .chain(FILES_WITHOUT_DECISIONS)
+    {
+        assert!(
+            files.iter().any(|file| file == named),
+            "there is no {named}"
+        );
     }
     for file in &files {
         let decides = policy.contains(file);
@@ -84,30 +110,57 @@
 #[test]
 fn the_deploy_file_names_the_programs() {
     let text = read("deploy/balancer.toml");
-    assert!(text.lines().any(|line| line.ends_with(r#"target/release/badgerpost""#)), "{text}");
-    assert!(text.lines().any(|line| line.ends_with(r#"target/release/badgerpost-wirehost""#)), "{text}");
+    assert!(
+        text.lines()
+            .any(|line| line.ends_with(r#"target/release/badgerpost""#)),
+        "{text}"
+    );
+    assert!(
+        text.lines()
+            .any(|line| line.ends_with(r#"target/release/badgerpost-wirehost""#)),
+        "{text}"
+    );
 }
 
 /// Standing terms of the fleet trial: one process, by exec, and nothing that is refused there.
 #[test]
 fn the_program_keeps_to_the_terms_of_the_fleet_trial() {
     let text = read("deploy/balancer.toml");
-    let line = |name: &str| text.lines().find(|line| line.starts_with(name)).unwrap_or_default().to_owned();
+    let line = |name: &str| {
+        text.lines()
+            .find(|line| line.starts_with(name))
+            .unwrap_or_default()
+            .to_owned()
+    };
     assert_eq!(line("build = "), r#"build = "cargo build --release""#);
     assert_eq!(line("run = "), r#"run = "exec target/release/badgerpost""#);
-    let folders: Vec<String> = line("node = ").split('"').skip(1).step_by(2).map(str::to_owned).collect();
+    let folders: Vec<String> = line("node = ")
+        .split('"')
+        .skip(1)
+        .step_by(2)
+        .map(str::to_owned)
+        .collect();
     let mut seen = 0;
-    let mut left: Vec<_> =
-        folders.iter().map(|folder| format!("{}/../{folder}", env!("CARGO_MANIFEST_DIR"))).collect();
+    let mut left: Vec<_> = folders
+        .iter()
+        .map(|folder| format!("{}/../{folder}", env!("CARGO_MANIFEST_DIR")))
+        .collect();
     while let Some(folder) = left.pop() {
-        for entry in std::fs::read_dir(&folder).unwrap_or_else(|error| panic!("{folder}: {error}")) {
+        for entry in std::fs::read_dir(&folder).unwrap_or_else(|error| panic!("{folder}: {error}"))
+        {
             let path = entry.unwrap().path();
             if path.is_dir() {
                 left.push(path.display().to_string());
                 continue;
             }
             let text = std::fs::read_to_string(&path).unwrap();
-            for refused in ["process::Command", "fork(", "io_uring", "splice(", "sendfile"] {
+            for refused in [
+                "process::Command",
+                "fork(",
+                "io_uring",
+                "splice(",
+                "sendfile",
+            ] {
                 assert!(!text.contains(refused), "{}: {refused}", path.display());
             }
             seen += 1;
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -40,13 +40,19 @@
 
 impl Draws {
     fn next(&mut self) -> f64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         ((self.0 >> 33) as f64 + 0.5) / (1u64 << 31) as f64
     }
 }
 
 fn given(case: Case) -> Settings {
-    let mut given = Settings { node_count: case.nodes, ..settings(Idempotency::Idempotent) };
+    let mut given = Settings {
+        node_count: case.nodes,
+        ..settings(Idempotency::Idempotent)
+    };
     given.rules.slow_start_capacity = 0.15;
     given.rules.slow_start_duration = 20 * SECOND;
     given.rules.overload_multiple = 2.5;
@@ -60,31 +66,50 @@
 
 /// What the worst span got beyond its budget, against what chance may add to that; and the part of the budget that was
 /// used over the ramp.
-#[expect(clippy::too_many_lines, reason = "one scenario, read from top to bottom")]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one scenario, read from top to bottom"
+)]
 fn play(case: Case) -> (f64, f64) {
     let mut draws = Draws(case.seed * 2 + 1);
     let members = |cold: bool| -> Vec<Endpoint> {
         let online = |b| (b == 0).then_some(STARTS + SECOND);
         let all = (0..case.servers).filter(|&b| cold || b > 0);
-        all.map(|b| Endpoint { started_at: online(b), ..member(b, b % 3) }).collect()
+        all.map(|b| Endpoint {
+            started_at: online(b),
+            ..member(b, b % 3)
+        })
+        .collect()
     };
     let start = |seed: u64, now: Nanos, cold: bool, home: u32| {
-        let given = Settings { local_zone: ZoneId(home), ..given(case) };
+        let given = Settings {
+            local_zone: ZoneId(home),
+            ..given(case)
+        };
         let mut node = Node::seeded(seed, given, members(cold));
         node.now = now;
         node
     };
     let count = case.nodes as usize;
-    let mut nodes: Vec<Node> =
-        (0..count).map(|n| start(case.seed * 1000 + n as u64, SECOND, false, n as u32 % 3)).collect();
+    let mut nodes: Vec<Node> = (0..count)
+        .map(|n| start(case.seed * 1000 + n as u64, SECOND, false, n as u32 % 3))
+        .collect();
     // Some see several times what others do.
-    let parts: Vec<f64> = (0..count).map(|_| 0.25 + 3.0 * draws.next().powi(3)).collect();
+    let parts: Vec<f64> = (0..count)
+        .map(|_| 0.25 + 3.0 * draws.next().powi(3))
+        .collect();
     let mut alive: Vec<bool> = vec![true; count];
     let mut told: Vec<bool> = vec![false; count];
-    let told_at: Vec<Nanos> =
-        (0..count).map(|_| STARTS + SECOND + (draws.next() * case.told as f64) as Nanos).collect();
-    let mut servers: Vec<Server> =
-        (0..case.servers).map(|_| Server { ends: VecDeque::new(), free_at: 0.0, util: 0.5 }).collect();
+    let told_at: Vec<Nanos> = (0..count)
+        .map(|_| STARTS + SECOND + (draws.next() * case.told as f64) as Nanos)
+        .collect();
+    let mut servers: Vec<Server> = (0..case.servers)
+        .map(|_| Server {
+            ends: VecDeque::new(),
+            free_at: 0.0,
+            util: 0.5,
+        })
+        .collect();
     // Ends of attempts: when, whose, which, at whom.
     let mut ends: BTreeMap<(Nanos, u64), (usize, RequestId, u32, BackendId)> = BTreeMap::new();
     let mut arrivals: Vec<Nanos> = Vec::new();
@@ -112,9 +137,17 @@
             nodes[n].now = now;
             let report = util(server.util);
             let elapsed = WORK;
-            actions.push((n, nodes[n].settle_after(request, attempt, Outcome::Success, elapsed, report)));
+            actions.push((
+                n,
+                nodes[n].settle_after(request, attempt, Outcome::Success, elapsed, report),
+            ));
         }
-        let shares: f64 = parts.iter().zip(&alive).filter(|(_, alive)| **alive).map(|(part, _)| part).sum();
+        let shares: f64 = parts
+            .iter()
+            .zip(&alive)
+            .filter(|(_, alive)| **alive)
+            .map(|(part, _)| part)
+            .sum();
         for n in 0..count {
             if !alive[n] {
                 continue;
@@ -122,7 +155,10 @@
             nodes[n].now = now;
             if !told[n] && now >= told_at[n] {
                 told[n] = true;
-                let started = members(true).into_iter().filter(|m| m.backend == COLD).collect();
+                let started = members(true)
+                    .into_iter()
+                    .filter(|m| m.backend == COLD)
+                    .collect();
                 actions.push((n, nodes[n].list(EndpointUpdate::Delta, started)));
             }
             let expected = rate * parts[n] / shares * STEP as f64 / SECOND as f64;
@@ -135,7 +171,12 @@
         }
         for (n, actions) in actions {
             for action in actions {
-                let Action::Send { request, backend, .. } = action else { continue };
+                let Action::Send {
+                    request, backend, ..
+                } = action
+                else {
+                    continue;
+                };
                 let server = &mut servers[backend.0 as usize];
                 let capacity = if backend == COLD { ramp(now) } else { 1.0 };
                 let free = server.free_at.max(now as f64) + SECOND as f64 / (RATE * capacity);
@@ -158,28 +199,73 @@
     let span = 1500 * MS;
     let (mut worst, mut used, mut budget) = (f64::MIN, 0.0, 0.0);
     for (first, &at) in arrivals.iter().enumerate() {
-        let got = arrivals[first..].iter().take_while(|&&other| other < at + span).count() as f64;
+        let got = arrivals[first..]
+            .iter()
+            .take_while(|&&other| other < at + span)
+            .count() as f64;
         let most = 2.5 * ramp(at) * RATE * 1.5;
         worst = worst.max((got - most) / (2.0 * most.sqrt() + 2.0));
     }
     for second in 1..20 {
         let (from, to) = (STARTS + second * SECOND, STARTS + (second + 1) * SECOND);
-        used += arrivals.iter().filter(|&&at| (from..to).contains(&at)).count() as f64;
+        used += arrivals
+            .iter()
+            .filter(|&&at| (from..to).contains(&at))
+            .count() as f64;
         budget += 2.5 * ramp(from) * RATE;
     }
     (worst, used / budget)
 }
 
 fn cases(nodes: u32, servers: u32) -> Vec<(&'static str, Case)> {
-    let plain = Case { nodes, servers, load: 0.6, told: 0, restart: None, killed: None, seed: 1 };
+    let plain = Case {
+        nodes,
+        servers,
+        load: 0.6,
+        told: 0,
+        restart: None,
+        killed: None,
+        seed: 1,
+    };
     let ramp = STARTS + 6 * SECOND;
     vec![
         ("plain", plain),
-        ("the only one with room", Case { load: 1.15, ..plain }),
-        ("told over 3 s", Case { told: 3 * SECOND, ..plain }),
-        ("half start anew", Case { restart: Some(ramp), ..plain }),
-        ("half start anew, no room", Case { restart: Some(ramp), load: 1.15, ..plain }),
-        ("half are killed", Case { killed: Some(ramp), ..plain }),
+        (
+            "the only one with room",
+            Case {
+                load: 1.15,
+                ..plain
+            },
+        ),
+        (
+            "told over 3 s",
+            Case {
+                told: 3 * SECOND,
+                ..plain
+            },
+        ),
+        (
+            "half start anew",
+            Case {
+                restart: Some(ramp),
+                ..plain
+            },
+        ),
+        (
+            "half start anew, no room",
+            Case {
+                restart: Some(ramp),
+                load: 1.15,
+                ..plain
+            },
+        ),
+        (
+            "half are killed",
+            Case {
+                killed: Some(ramp),
+                ..plain
+            },
+        ),
     ]
 }
 
@@ -191,7 +277,10 @@
                 "{nodes} nodes, {what}, seed {seed}: {worst:.2} of chance, {:.0}% of the budget used",
                 used * 100.0
             );
-            assert!(worst <= 1.0, "{nodes} nodes, {what}, seed {seed}: {worst:.2} times what chance may add");
+            assert!(
+                worst <= 1.0,
+                "{nodes} nodes, {what}, seed {seed}: {worst:.2} times what chance may add"
+            );
         }
     }
 }
--- a/balancer/tests/uploads.rs
+++ b/balancer/tests/uploads.rs
@@ -37,21 +37,32 @@
 
 #[test]
 fn a_partly_consumed_upload_is_rejected_if_it_never_ran_and_fails_otherwise() {
-    for (outcome, harmless) in
-        [(Outcome::ConnectFailed, true), (Outcome::Rejected, true), (Outcome::Reset, false)]
-    {
+    for (outcome, harmless) in [
+        (Outcome::ConnectFailed, true),
+        (Outcome::Rejected, true),
+        (Outcome::Reset, false),
+    ] {
         let mut node = two(Idempotency::NonIdempotent);
         let (request, _) = upload(&mut node);
         node.tell(Event::BodyConsumed { request });
         let end = node.settle(request, 0, outcome, LoadReport::default());
         assert_eq!(sent(&end), None, "{outcome:?}");
-        assert_eq!((refused(&end), failed(&end)), (harmless, !harmless), "{outcome:?}");
+        assert_eq!(
+            (refused(&end), failed(&end)),
+            (harmless, !harmless),
+            "{outcome:?}"
+        );
     }
     // Safe to repeat, but there is nothing to repeat it with.
     let mut node = two(Idempotency::Idempotent);
     let (request, _) = upload(&mut node);
     node.tell(Event::BodyConsumed { request });
-    assert!(refused(&node.settle(request, 0, Outcome::Error, LoadReport::default())));
+    assert!(refused(&node.settle(
+        request,
+        0,
+        Outcome::Error,
+        LoadReport::default()
+    )));
 }
 
 /// Guards against refusing others for the sake of bodies that trickle in: no server works on these yet.
@@ -63,7 +74,10 @@
             let (request, _) = upload(&mut node);
             if whole {
                 let not_after = node.now + SECOND;
-                node.tell(Event::UploadComplete { request, expires_at: not_after });
+                node.tell(Event::UploadComplete {
+                    request,
+                    expires_at: not_after,
+                });
             }
         }
         sent(&node.ask(SECOND).1)
@@ -80,7 +94,10 @@
     let slow = node.pass(20 * SECOND);
     assert!(!refused(&slow) && !failed(&slow), "it is on its way");
     let not_after = node.now + SECOND;
-    node.tell(Event::UploadComplete { request, expires_at: not_after });
+    node.tell(Event::UploadComplete {
+        request,
+        expires_at: not_after,
+    });
     let again = node.settle(request, 0, Outcome::Rejected, LoadReport::default());
     assert!(sent(&again).is_some(), "all of its time is left");
 }
@@ -91,7 +108,10 @@
     let mut node = Node::new(settings(Idempotency::NonIdempotent), vec![]);
     let (_, actions) = upload(&mut node);
     assert_eq!(sent(&actions), None);
-    assert!(refused(&node.pass(510 * MS)), "half of the class's deadline");
+    assert!(
+        refused(&node.pass(510 * MS)),
+        "half of the class's deadline"
+    );
 }
 
 /// A server whose answers break off in their midst is an outlier as one that resets.
@@ -100,9 +120,21 @@
     let members = (0..3).map(|backend| member(backend, 0)).collect();
     let mut node = Node::new(settings(Idempotency::Idempotent), members);
     node.serve(60, |_| util(0.3));
-    let told: Vec<Action> =
-        (0..8).flat_map(|_| node.tell(Event::ResponseAborted { backend: BackendId(0) })).collect();
-    let ejected =
-        |action: &Action| matches!(action, Action::Log(LogEvent::Ejected { backend: BackendId(0), .. }));
+    let told: Vec<Action> = (0..8)
+        .flat_map(|_| {
+            node.tell(Event::ResponseAborted {
+                backend: BackendId(0),
+            })
+        })
+        .collect();
+    let ejected = |action: &Action| {
+        matches!(
+            action,
+            Action::Log(LogEvent::Ejected {
+                backend: BackendId(0),
+                ..
+            })
+        )
+    };
     assert!(told.iter().any(ejected), "{told:?}");
 }
