--- a/balancer/src/admission/class_values.rs
+++ b/balancer/src/admission/class_values.rs
@@ -2,8 +2,8 @@
 
 use super::{Admission, ClassRates, class_rates};
 use crate::fleet::Fleet;
+use crate::tuning::MIN_DIVISOR;
 use crate::tuning::{MIN_ARRIVAL_RATE, OBJECTIVE_FRACTION};
-use crate::units::MIN_DIVISOR;
 
 /// A class of lower value leaves this fraction of the delay allowed to the next one at least.
 const PRECEDENCE: f64 = 0.8;
--- a/balancer/src/admission/overload.rs
+++ b/balancer/src/admission/overload.rs
@@ -5,10 +5,10 @@
 use crate::fleet::Fleet;
 use crate::load_feedback::LoadFeedback;
 use crate::random::Random;
+use crate::tuning::MIN_DIVISOR;
 use crate::tuning::{
     FEEDBACK_DELAY_PERIODS, IDLE_LOAD, LARGE_FLEET_SPILL_THRESHOLD, MIN_ARRIVAL_RATE,
 };
-use crate::units::MIN_DIVISOR;
 
 /// Queue per core of a zone at the spill threshold.
 const SPILL_QUEUE: f64 = LARGE_FLEET_SPILL_THRESHOLD / (1.0 - LARGE_FLEET_SPILL_THRESHOLD);
--- a/balancer/src/api/actions.rs
+++ b/balancer/src/api/actions.rs
@@ -2,6 +2,8 @@
 
 use std::fmt;
 
+use badgerpost_time::MILLISECOND;
+
 use super::events::Outcome;
 use super::ids::{BackendId, Nanos, RequestId, ZoneId};
 
@@ -98,7 +100,7 @@
                     f,
                     "backend {} ejected for {} ms: {}",
                     backend.0,
-                    duration / 1_000_000,
+                    duration / MILLISECOND,
                     outcome.log_name()
                 )
             }
--- a/balancer/src/api/ids.rs
+++ b/balancer/src/api/ids.rs
@@ -2,8 +2,7 @@
 //!
 //! Ids are integers, so no name can influence a decision. Times are nanoseconds on the embedder's clock.
 
-/// A point in time on the embedder's clock, or a duration, in nanoseconds.
-pub type Nanos = u64;
+pub use badgerpost_time::Nanos;
 
 /// A backend, numbered by the embedder; the number stays the same when its process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/balancer/src/backend.rs
+++ b/balancer/src/backend.rs
@@ -6,8 +6,8 @@
 use crate::ewma::{DecayingRate, Ewma, UTILIZATION_TIME_CONSTANT};
 use crate::feedback_weights::FeedbackWeights;
 use crate::outlier_detection::OutlierState;
-use crate::units::SECOND;
 use crate::warming_sends::WarmingSends;
+use badgerpost_time::SECOND;
 
 /// Largest utilization that is believed: all cores in use, and some measuring noise.
 const MAX_UTILIZATION: f64 = 1.5;
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -24,9 +24,9 @@
 use crate::retry_budget::RetryBudget;
 use crate::retry_safety;
 use crate::tuning::SUBSET_SIZE;
-use crate::units::{MILLISECOND, SECOND};
 use crate::zone::ShareChange;
 use crate::zone_routing::{ZoneRouting, utilization};
+use badgerpost_time::{MILLISECOND, SECOND};
 
 /// Period of the checks on queued requests: fine enough against latency objectives of tens of milliseconds,
 /// coarse enough to cost no CPU.
--- a/balancer/src/deadlines.rs
+++ b/balancer/src/deadlines.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Fleet;
 use crate::request::{Attempt, Phase, Request};
 use crate::tuning::IDLE_LOAD;
-use crate::units::to_nanos;
+use badgerpost_time::nanos_from_f64;
 
 /// A try shorter than the longest one by more than this part of it is a repeat: arrivals jitter.
 const SHORTER_TRY_DIVISOR: u64 = 8;
@@ -64,7 +64,7 @@
 /// Whether a queued request is better ended now than at the next check, a period from now.
 pub(crate) fn is_expired(fleet: &Fleet, request: &Request, period: Nanos) -> bool {
     let base_time = fleet.classes.get(request.class).base_time();
-    let least_time = to_nanos(base_time * IDLE_LOAD * MIN_WORK_FRACTION) + period;
+    let least_time = nanos_from_f64(base_time * IDLE_LOAD * MIN_WORK_FRACTION) + period;
     let was_never_sent = request.attempts.iter().all(Attempt::has_missed_backend);
     let end = if was_never_sent {
         request.half_time
--- a/balancer/src/discovery_polling.rs
+++ b/balancer/src/discovery_polling.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Nanos;
 use crate::random::Random;
-use crate::units::{MILLISECOND, to_nanos};
+use badgerpost_time::{MILLISECOND, nanos_from_f64};
 
 /// First wait after a failed call to discovery; doubled each time. A change counts as known 6 s after
 /// discovery can be reached again, and the call itself takes its turn too.
@@ -31,7 +31,7 @@
         let backoff = BACKOFF_BASE << self.failures.min(BACKOFF_MAX_DOUBLINGS);
         let wait = backoff as f64 * (BACKOFF_MIN_FACTOR + BACKOFF_JITTER * random.draw());
         self.failures += 1;
-        self.next_poll_at = Some(now + to_nanos(wait));
+        self.next_poll_at = Some(now + nanos_from_f64(wait));
     }
 
     /// When the next call is due, if one is.
--- a/balancer/src/ewma.rs
+++ b/balancer/src/ewma.rs
@@ -1,7 +1,7 @@
 //! Exponential smoothing of measured values and rates over irregular time steps.
 
 use crate::api::Nanos;
-use crate::units::{MILLISECOND, SECOND};
+use badgerpost_time::{MILLISECOND, SECOND};
 
 /// Time constant of [`DecayingRate`]: some requests at each of many nodes, yet short against a fault.
 const RATE_TIME_CONSTANT: Nanos = 3 * SECOND;
--- a/balancer/src/health_checks.rs
+++ b/balancer/src/health_checks.rs
@@ -4,7 +4,7 @@
 use crate::api::{Action, BackendId, Nanos};
 use crate::backend::Backend;
 use crate::fleet::Fleet;
-use crate::units::MILLISECOND;
+use badgerpost_time::MILLISECOND;
 
 /// Checks that each arrival pays for: checking must not grow with nodes times backends.
 const CHECKS_PER_ARRIVAL: f64 = 0.2;
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -30,7 +30,6 @@
 mod retry_safety;
 mod slow_start;
 mod tuning;
-mod units;
 mod warming_sends;
 mod zone;
 mod zone_routing;
--- a/balancer/src/load_feedback.rs
+++ b/balancer/src/load_feedback.rs
@@ -3,8 +3,9 @@
 use crate::api::{Nanos, Settings, WeightSource};
 use crate::feedback_weights::FeedbackWeights;
 use crate::fleet::Fleet;
+use crate::tuning::MIN_DIVISOR;
 use crate::tuning::{FEEDBACK_DELAY_PERIODS, UTILIZATION_MAX_AGE};
-use crate::units::{MIN_DIVISOR, SECOND};
+use badgerpost_time::SECOND;
 
 /// Period of the lists until it is measured, in seconds.
 const INITIAL_LIST_PERIOD: f64 = 1.0;
--- a/balancer/src/outlier_detection/transitions.rs
+++ b/balancer/src/outlier_detection/transitions.rs
@@ -7,7 +7,7 @@
 
 use super::{FleetFailures, Health, OutcomeEffect, OutlierState};
 use crate::api::{EndpointState, Nanos, Outcome};
-use crate::units::{MILLISECOND, SECOND};
+use badgerpost_time::{MILLISECOND, SECOND};
 
 /// Failures in a row that make an outlier; a refused connection counts double.
 const EJECTION_FAILURES: u32 = 6;
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Fleet;
 use crate::random::epoch_draw;
 use crate::tuning::SUBSET_SIZE;
-use crate::units::SECOND;
+use badgerpost_time::SECOND;
 
 /// Part of the budget that nodes together use; the rest is for chance and for late figures.
 const BUDGET_FRACTION: f64 = 0.4;
--- a/balancer/src/tuning.rs
+++ b/balancer/src/tuning.rs
@@ -1,7 +1,7 @@
 //! Constants that several concerns share, and the fleet size from which on nodes rely on shared figures.
 
 use crate::api::{Nanos, Settings};
-use crate::units::SECOND;
+use badgerpost_time::SECOND;
 
 /// A utilization older than this says nothing; a zone without a younger one counts as unseen.
 pub(crate) const UTILIZATION_MAX_AGE: Nanos = 4 * SECOND;
@@ -15,6 +15,8 @@
 pub(crate) const SUBSET_SIZE: usize = 4;
 /// A zone at or over this utilization spills in a large fleet, where figures come late.
 pub(crate) const LARGE_FLEET_SPILL_THRESHOLD: f64 = 0.75;
+/// Smallest divisor where a total may be 0.
+pub(crate) const MIN_DIVISOR: f64 = 1e-9;
 /// Arrivals per second from which on a class counts as in use.
 pub(crate) const MIN_ARRIVAL_RATE: f64 = 0.1;
 /// Arrivals until a load-adjusted weight shows them, in list periods: one to be made, one to be read.
--- a/balancer/src/zone_routing/decisions.rs
+++ b/balancer/src/zone_routing/decisions.rs
@@ -8,7 +8,7 @@
 use crate::random::Random;
 use crate::request::Request;
 use crate::tuning::{LARGE_FLEET_SPILL_THRESHOLD, UTILIZATION_MAX_AGE};
-use crate::units::{MILLISECOND, to_nanos};
+use badgerpost_time::{MILLISECOND, nanos_from_f64};
 
 /// Period of the other zones' scoring: about the time that a send needs to show in a report.
 const SCORING_PERIOD: Nanos = 100 * MILLISECOND;
@@ -29,7 +29,7 @@
 impl ZoneRouting {
     /// Sets the time of the next scoring.
     pub(crate) fn schedule_scoring(&mut self, now: Nanos, random: &mut Random) {
-        let jitter = to_nanos(random.draw() * SCORING_PERIOD as f64 * SCORING_JITTER);
+        let jitter = nanos_from_f64(random.draw() * SCORING_PERIOD as f64 * SCORING_JITTER);
         self.next_scoring_at = now + SCORING_PERIOD + jitter;
     }
 
--- a/balancer/tests/any_sequence.rs
+++ b/balancer/tests/any_sequence.rs
@@ -144,7 +144,7 @@
 )]
 fn drive(seed: u64) {
     let mut draw = Draw(seed);
-    let window = (1 + draw.below(400)) * MS;
+    let window = (1 + draw.below(400)) * MILLISECOND;
     let effects = vec![
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
@@ -196,7 +196,8 @@
                 let request = RequestId(step);
                 let effect = draw.below(5) as usize;
                 let uploading = draw.below(3) == 0;
-                let not_after = run.now + draw.below(if uploading { 1500 } else { 900 }) * MS;
+                let not_after =
+                    run.now + draw.below(if uploading { 1500 } else { 900 }) * MILLISECOND;
                 run.requests.insert(
                     request,
                     Tracked {
@@ -206,7 +207,7 @@
                         ..Tracked::default()
                     },
                 );
-                let hint = (draw.below(2) == 0).then(|| draw.below(90) * MS);
+                let hint = (draw.below(2) == 0).then(|| draw.below(90) * MILLISECOND);
                 let arrival = RequestArrival {
                     request,
                     class: ClassId(effect as u32),
@@ -225,7 +226,8 @@
             // The body of an upload comes to its end, or some of it goes out; also of one that is none, or is over.
             12 | 13 => {
                 let request = RequestId(draw.below(step + 1));
-                let (whole, not_after) = (draw.below(2) == 0, run.now + draw.below(900) * MS);
+                let (whole, not_after) =
+                    (draw.below(2) == 0, run.now + draw.below(900) * MILLISECOND);
                 let now = run.now;
                 if let Some(tracked) = run.requests.get_mut(&request) {
                     if !whole {
@@ -341,12 +343,12 @@
                 _ => Event::HealthCheckEnded {
                     backend: BackendId(draw.below(12) as u32),
                     outcome: Outcome::Success,
-                    elapsed: MS,
+                    elapsed: MILLISECOND,
                     report: util(0.2),
                 },
             },
             _ => {
-                run.now += draw.below(20) * MS;
+                run.now += draw.below(20) * MILLISECOND;
                 Event::TimerFired {
                     token: draw.below(3),
                 }
@@ -363,7 +365,7 @@
     }
     // Let everything come to its end: every attempt times out, then all must have been answered.
     for _ in 0..200 {
-        run.now += 10 * MS;
+        run.now += 10 * MILLISECOND;
         node.now = run.now;
         let actions = node.tell(Event::TimerFired { token: 0 });
         run.check(&actions);
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -8,9 +8,7 @@
 #![allow(dead_code)]
 
 use badgerpost_balancer::*;
-
-pub const MS: Nanos = 1_000_000;
-pub const SECOND: Nanos = 1000 * MS;
+pub use badgerpost_time::{MILLISECOND, SECOND};
 
 pub struct Node {
     pub balancer: Balancer,
@@ -20,8 +18,8 @@
 
 pub fn class(aim_ms: u64, deadline_ms: u64, effect: Idempotency) -> ClassSettings {
     ClassSettings {
-        latency_objective: aim_ms * MS,
-        deadline: deadline_ms * MS,
+        latency_objective: aim_ms * MILLISECOND,
+        deadline: deadline_ms * MILLISECOND,
         idempotency: effect,
         ..ClassSettings::default()
     }
@@ -118,7 +116,7 @@
         outcome: Outcome,
         report: LoadReport,
     ) -> Vec<Action> {
-        self.settle_after(request, attempt, outcome, 30 * MS, report)
+        self.settle_after(request, attempt, outcome, 30 * MILLISECOND, report)
     }
 
     pub fn settle_after(
@@ -145,7 +143,7 @@
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
-            self.now = (self.now + 10 * MS).min(end);
+            self.now = (self.now + 10 * MILLISECOND).min(end);
             actions.extend(self.tell(Event::TimerFired { token: 0 }));
         }
         actions
@@ -165,10 +163,10 @@
             } else {
                 Vec::new()
             };
-            actions.extend(self.pass(10 * MS));
+            actions.extend(self.pass(10 * MILLISECOND));
             let (due, rest) = out
                 .into_iter()
-                .partition(|send| self.now >= send.3 + 40 * MS);
+                .partition(|send| self.now >= send.3 + 40 * MILLISECOND);
             out = rest;
             for (request, attempt, to, _) in Vec::from_iter::<Vec<_>>(due) {
                 used.push(to);
@@ -176,7 +174,7 @@
                     request,
                     attempt,
                     Outcome::Success,
-                    40 * MS,
+                    40 * MILLISECOND,
                     report(to),
                 ));
             }
--- a/balancer/tests/contract.rs
+++ b/balancer/tests/contract.rs
@@ -16,7 +16,7 @@
 fn keyed(group: DedupScope) -> Idempotency {
     Idempotency::Keyed {
         scope: group,
-        window: 200 * MS,
+        window: 200 * MILLISECOND,
     }
 }
 
@@ -27,27 +27,27 @@
 #[test]
 fn a_request_without_any_backend_is_rejected_in_time() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), vec![]);
-    let (_, actions) = node.ask(300 * MS);
+    let (_, actions) = node.ask(300 * MILLISECOND);
     assert!(
         sent(&actions).is_none() && !refused(&actions) && !failed(&actions),
         "held at first"
     );
-    assert!(refused(&node.pass(300 * MS)));
+    assert!(refused(&node.pass(300 * MILLISECOND)));
 }
 
 #[test]
 fn the_request_deadline_binds_and_not_the_class_deadline() {
     let mut node = Node::new(settings(Idempotency::Idempotent), vec![]);
-    node.ask(50 * MS);
-    assert!(refused(&node.pass(60 * MS)));
+    node.ask(50 * MILLISECOND);
+    assert!(refused(&node.pass(60 * MILLISECOND)));
 }
 
 #[test]
 fn a_time_out_at_the_deadline_gets_a_final_answer() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
-    let (request, actions) = node.ask(100 * MS);
+    let (request, actions) = node.ask(100 * MILLISECOND);
     assert!(sent(&actions).is_some());
-    node.now += 100 * MS;
+    node.now += 100 * MILLISECOND;
     assert!(failed(&node.settle(
         request,
         0,
@@ -101,21 +101,25 @@
         let (request, _) = node.ask(SECOND);
         let first = node.now;
         assert!(
-            node.balancer.may_write(first + 300 * MS, request, 0),
+            node.balancer
+                .may_write(first + 300 * MILLISECOND, request, 0),
             "nothing has run before it"
         );
-        node.now += 150 * MS;
+        node.now += 150 * MILLISECOND;
         assert!(sent(&node.settle(request, 0, outcome, LoadReport::default())).is_some());
         assert!(
             !node.balancer.may_write(node.now, request, 0),
             "that one has ended"
         );
         assert!(
-            node.balancer.may_write(first + 190 * MS, request, 1),
+            node.balancer
+                .may_write(first + 190 * MILLISECOND, request, 1),
             "{outcome:?}"
         );
         assert!(
-            !node.balancer.may_write(first + 200 * MS, request, 1),
+            !node
+                .balancer
+                .may_write(first + 200 * MILLISECOND, request, 1),
             "{outcome:?}"
         );
         node.tell(Event::ClientDisconnected { request });
@@ -130,7 +134,8 @@
         let first = node.now;
         node.settle(request, 0, outcome, LoadReport::default());
         assert!(
-            node.balancer.may_write(first + 900 * MS, request, 1),
+            node.balancer
+                .may_write(first + 900 * MILLISECOND, request, 1),
             "{outcome:?}"
         );
     }
@@ -152,7 +157,7 @@
         single.limits.hedging = false;
         let mut node = Node::new(single, three_zones());
         let (request, _) = node.ask(SECOND);
-        node.pass(200 * MS);
+        node.pass(200 * MILLISECOND);
         let late = node.settle(request, 0, outcome, LoadReport::default());
         assert!(
             sent(&late).is_none() && failed(&late),
@@ -342,8 +347,8 @@
         )
     };
     for _ in 0..600 {
-        let (request, _) = ask(&mut node, Some(20 * MS));
-        node.pass(20 * MS);
+        let (request, _) = ask(&mut node, Some(20 * MILLISECOND));
+        node.pass(20 * MILLISECOND);
         node.settle(request, 0, Outcome::Success, util(0.5));
     }
     node.list(
@@ -355,7 +360,19 @@
     );
     let cold = |actions: Vec<Action>| usize::from(sent(&actions) == Some(BackendId(9)));
     let taken: usize = (0..500)
-        .map(|turn| cold(ask(&mut node, Some(if turn % 2 == 0 { MS } else { 39 * MS })).1))
+        .map(|turn| {
+            cold(
+                ask(
+                    &mut node,
+                    Some(if turn % 2 == 0 {
+                        MILLISECOND
+                    } else {
+                        39 * MILLISECOND
+                    }),
+                )
+                .1,
+            )
+        })
         .sum();
     // One warm backend does a second's work a second at half use, so the share is 0.4 x 2 x 0.34 x 2: in 2 s
     // that is room for 1.07 s of work, 18 pairs counted as 20 and 39 ms.
--- a/balancer/tests/faults.rs
+++ b/balancer/tests/faults.rs
@@ -18,10 +18,16 @@
         let (mut to, mut attempt) = (sent(&actions), 0);
         while to == Some(BackendId(0)) {
             away += 1;
-            to = sent(&node.settle_after(request, attempt, Outcome::Rejected, 2 * MS, util(0.0)));
+            to = sent(&node.settle_after(
+                request,
+                attempt,
+                Outcome::Rejected,
+                2 * MILLISECOND,
+                util(0.0),
+            ));
             attempt += 1;
         }
-        node.pass(30 * MS);
+        node.pass(30 * MILLISECOND);
         node.settle(request, attempt, Outcome::Success, util(0.4));
     }
     assert!(away < 20, "{away} sends to the backend that is full");
@@ -38,11 +44,17 @@
             let (mut to, mut attempt) = (sent(&actions), 0);
             while to == Some(BackendId(0)) && broken {
                 bad += 1;
-                to = sent(&node.settle_after(request, attempt, Outcome::Error, MS, util(0.0)));
+                to = sent(&node.settle_after(
+                    request,
+                    attempt,
+                    Outcome::Error,
+                    MILLISECOND,
+                    util(0.0),
+                ));
                 attempt += 1;
             }
             bad += usize::from(to == Some(BackendId(0)));
-            node.pass(30 * MS);
+            node.pass(30 * MILLISECOND);
             node.settle(request, attempt, Outcome::Success, util(0.4));
         }
         bad
@@ -59,9 +71,9 @@
     node.serve(100, |_| util(0.5));
     for _ in 0..40 {
         let (request, actions) = node.ask(SECOND);
-        node.pass(200 * MS);
+        node.pass(200 * MILLISECOND);
         if sent(&actions).is_some() {
-            node.settle_after(request, 0, Outcome::Success, 900 * MS, util(1.0));
+            node.settle_after(request, 0, Outcome::Success, 900 * MILLISECOND, util(1.0));
         }
     }
     let taken = (0..20)
@@ -75,7 +87,7 @@
 fn the_class_of_higher_value_has_precedence() {
     let mut given = settings(Idempotency::Idempotent);
     let wide = ClassSettings {
-        latency_objective: 800 * MS,
+        latency_objective: 800 * MILLISECOND,
         ..class(800, 2000, Idempotency::Idempotent)
     };
     given.classes = vec![
@@ -106,11 +118,11 @@
                 out.push(request);
             }
         }
-        node.now += 5 * MS;
+        node.now += 5 * MILLISECOND;
         // The fleet serves one request in 15 ms, in turn.
         if turn % 3 == 0 && !out.is_empty() {
             let request = out.remove(0);
-            let elapsed = 15 * MS * (out.len() as u64 + 1);
+            let elapsed = 15 * MILLISECOND * (out.len() as u64 + 1);
             for action in node.settle_after(request, 0, Outcome::Success, elapsed, util(0.99)) {
                 if let Action::Send { request, .. } = action {
                     taken[(request.0 % 2) as usize] += 1;
@@ -135,13 +147,13 @@
                 request,
                 attempt,
                 Outcome::Error,
-                5 * MS,
+                5 * MILLISECOND,
                 LoadReport::default(),
             ));
             extra += usize::from(to.is_some());
             attempt += 1;
         }
-        node.pass(10 * MS);
+        node.pass(10 * MILLISECOND);
     }
     assert!(extra <= 500 / 5 + 11, "{extra} retries of 500 requests");
 }
@@ -159,12 +171,12 @@
                 request,
                 attempt,
                 Outcome::Reset,
-                5 * MS,
+                5 * MILLISECOND,
                 LoadReport::default(),
             ));
             attempt += 1;
         }
-        node.pass(20 * MS);
+        node.pass(20 * MILLISECOND);
     }
     assert!(sent_late > 50, "{sent_late} of 99 were sent at all");
 }
@@ -222,8 +234,8 @@
     };
     for (repeats_marked, taken) in [(true, true), (false, false)] {
         let mut node = Node::new(marked(repeats_marked), vec![member(1, 0)]);
-        node.ask_again(950 * MS);
-        let (_, actions) = node.ask(400 * MS);
+        node.ask_again(950 * MILLISECOND);
+        let (_, actions) = node.ask(400 * MILLISECOND);
         assert_eq!(
             (sent(&actions).is_some(), refused(&actions)),
             (taken, !taken)
@@ -237,10 +249,16 @@
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(1));
     let (request, actions) = node.ask(SECOND);
     assert!(sent(&actions).is_some());
-    let actions = node.settle_after(request, 0, Outcome::Rejected, 2 * MS, LoadReport::default());
+    let actions = node.settle_after(
+        request,
+        0,
+        Outcome::Rejected,
+        2 * MILLISECOND,
+        LoadReport::default(),
+    );
     assert!(!refused(&actions) && !failed(&actions) && sent(&actions).is_none());
     assert_eq!(
-        sent(&node.pass(150 * MS)),
+        sent(&node.pass(150 * MILLISECOND)),
         Some(BackendId(0)),
         "sent once the backend takes work again"
     );
@@ -255,10 +273,10 @@
         let (request, actions) = node.ask(SECOND);
         open.push((request, sent(&actions)));
     }
-    node.pass(200 * MS);
+    node.pass(200 * MILLISECOND);
     for (request, to) in open {
         assert!(to.is_some());
-        node.settle_after(request, 0, Outcome::Success, 200 * MS, util(0.1));
+        node.settle_after(request, 0, Outcome::Success, 200 * MILLISECOND, util(0.1));
     }
     assert!(
         sent(&node.ask(SECOND).1).is_some(),
@@ -270,12 +288,12 @@
 #[test]
 fn a_request_never_sent_is_rejected_by_half_of_its_time() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), Vec::new());
-    for wait in [100 * MS, 300 * MS, SECOND] {
+    for wait in [100 * MILLISECOND, 300 * MILLISECOND, SECOND] {
         let came = node.now;
         let (_, mut actions) = node.ask(wait);
         while !refused(&actions) {
             assert!(node.now < came + wait / 2, "{wait}");
-            actions = node.pass(10 * MS);
+            actions = node.pass(10 * MILLISECOND);
         }
     }
 }
@@ -291,14 +309,14 @@
     node.serve(200, |_| util(0.3));
     let mut tried = 0;
     for _ in 0..60 {
-        let (request, actions) = node.ask(20 * MS);
+        let (request, actions) = node.ask(20 * MILLISECOND);
         tried += usize::from(sent(&actions).is_some());
-        node.pass(20 * MS);
+        node.pass(20 * MILLISECOND);
         let actions = node.settle_after(
             request,
             0,
             Outcome::TimedOut,
-            20 * MS,
+            20 * MILLISECOND,
             LoadReport::default(),
         );
         let ejects = |action: &Action| matches!(action, Action::Log(LogEvent::Ejected { .. }));
@@ -322,7 +340,11 @@
         let mut node = Node::new(given, vec![wide]);
         node.serve(100, |_| util(used));
         assert!(sent(&node.ask(SECOND).1).is_some());
-        assert_eq!(sent(&node.ask(20 * MS).1).is_some(), taken, "{used}");
+        assert_eq!(
+            sent(&node.ask(20 * MILLISECOND).1).is_some(),
+            taken,
+            "{used}"
+        );
     }
 }
 
@@ -341,8 +363,13 @@
         .collect();
     assert!(broken.len() >= 3, "{open:?}");
     for (request, _) in broken {
-        let actions =
-            node.settle_after(*request, 0, Outcome::Reset, 10 * MS, LoadReport::default());
+        let actions = node.settle_after(
+            *request,
+            0,
+            Outcome::Reset,
+            10 * MILLISECOND,
+            LoadReport::default(),
+        );
         let ejects = |action: &Action| matches!(action, Action::Log(LogEvent::Ejected { .. }));
         assert!(!actions.iter().any(ejects));
         node.now += 2 * SECOND;
@@ -358,13 +385,18 @@
         let (request, actions) = node.ask(SECOND);
         assert!(sent(&actions).is_some());
         if turn % 6 == 0 {
-            let actions =
-                node.settle_after(request, 0, Outcome::Reset, 10 * MS, LoadReport::default());
+            let actions = node.settle_after(
+                request,
+                0,
+                Outcome::Reset,
+                10 * MILLISECOND,
+                LoadReport::default(),
+            );
             assert!(sent(&actions).is_some(), "turn {turn}");
             node.settle(request, 1, Outcome::Success, util(0.3));
         } else {
             node.settle(request, 0, Outcome::Success, util(0.3));
         }
-        node.now += 50 * MS;
+        node.now += 50 * MILLISECOND;
     }
 }
--- a/balancer/tests/large_fleet.rs
+++ b/balancer/tests/large_fleet.rs
@@ -60,12 +60,12 @@
 fn load_adjusted_weights_show_the_utilization() {
     let mut calm = node(1, many(), listed([1.0; 3]));
     assert!(
-        serve(&mut calm, 30, [1.0, 0.2, 0.2], 50 * MS)
+        serve(&mut calm, 30, [1.0, 0.2, 0.2], 50 * MILLISECOND)
             .iter()
             .all(|to| zone(to) == 0)
     );
     let mut full = node(1, many(), listed([9.0, 0.2, 3.5]));
-    let used = serve(&mut full, 30, [9.0, 0.2, 3.5], 50 * MS);
+    let used = serve(&mut full, 30, [9.0, 0.2, 3.5], 50 * MILLISECOND);
     let spilled = used.iter().filter(|to| zone(to) == 1).count();
     assert!(
         spilled > used.len() / 3,
@@ -83,7 +83,7 @@
 fn nodes_do_not_spill_as_one() {
     let first_spill = |seed| {
         let mut node = node(seed, many(), listed([5.0, 0.2, 0.2]));
-        serve(&mut node, 20, [5.0, 0.2, 0.2], 50 * MS)
+        serve(&mut node, 20, [5.0, 0.2, 0.2], 50 * MILLISECOND)
             .iter()
             .position(|to| zone(to) == 1)
     };
@@ -123,7 +123,7 @@
         seen
     };
     let mut node = node(5, many(), listed([0.5; 3]));
-    let subset = distinct(&serve(&mut node, 60, [0.5; 3], 50 * MS));
+    let subset = distinct(&serve(&mut node, 60, [0.5; 3], 50 * MILLISECOND));
     assert_eq!(subset.len(), 4);
     // None of the subset takes a connection: the request still finds a backend, once each has been tried.
     let mut widened = false;
@@ -137,7 +137,13 @@
             } else {
                 Outcome::Success
             };
-            to = sent(&node.settle_after(request, attempt, failed, MS, LoadReport::default()));
+            to = sent(&node.settle_after(
+                request,
+                attempt,
+                failed,
+                MILLISECOND,
+                LoadReport::default(),
+            ));
             attempt += 1;
         }
     }
@@ -155,7 +161,7 @@
             request,
             0,
             Outcome::ConnectFailed,
-            MS,
+            MILLISECOND,
             LoadReport::default(),
         );
         logs += actions
@@ -172,11 +178,17 @@
 fn an_attempt_a_little_shorter_than_others_is_admitted() {
     let mut node = node(3, many(), listed([0.5; 3]));
     for turn in 0..40 {
-        let (request, actions) = node.ask(500 * MS - (turn % 7) * MS);
+        let (request, actions) = node.ask(500 * MILLISECOND - (turn % 7) * MILLISECOND);
         assert!(sent(&actions).is_some(), "turn {turn}");
-        node.now += 50 * MS;
-        node.settle_after(request, 0, Outcome::Success, 50 * MS, LoadReport::default());
-        node.now += 400 * MS;
+        node.now += 50 * MILLISECOND;
+        node.settle_after(
+            request,
+            0,
+            Outcome::Success,
+            50 * MILLISECOND,
+            LoadReport::default(),
+        );
+        node.now += 400 * MILLISECOND;
     }
 }
 
@@ -184,10 +196,10 @@
 #[test]
 fn a_retry_past_its_objective_is_rejected_where_late_answers_have_no_value() {
     let mut node = node(3, many(), listed([0.5; 3]));
-    let (request, _) = node.ask(800 * MS);
+    let (request, _) = node.ask(800 * MILLISECOND);
     node.settle(request, 0, Outcome::Success, LoadReport::default());
     // The deadline is 1 s and the aim 400 ms: a try with 300 ms left began 700 ms ago.
-    let (_, actions) = node.ask(300 * MS);
+    let (_, actions) = node.ask(300 * MILLISECOND);
     assert!(sent(&actions).is_none() && refused(&actions));
 }
 
@@ -199,7 +211,7 @@
         .classes
         .push(class(400, 1000, Idempotency::Idempotent));
     let mut node = node(3, given, listed([0.5; 3]));
-    serve(&mut node, 10, [0.5; 3], 50 * MS);
+    serve(&mut node, 10, [0.5; 3], 50 * MILLISECOND);
     let (request, class) = (RequestId(9_999), ClassId(1));
     let not_after = node.now + SECOND;
     let actions = node.tell(Event::RequestArrived(RequestArrival {
@@ -222,12 +234,18 @@
         let mut taken = 0;
         for _ in 0..count {
             let (request, actions) = node.ask(SECOND);
-            node.now += 100 * MS;
+            node.now += 100 * MILLISECOND;
             if sent(&actions).is_some() {
                 taken += 1;
-                node.settle_after(request, 0, outcome, 100 * MS, LoadReport::default());
+                node.settle_after(
+                    request,
+                    0,
+                    outcome,
+                    100 * MILLISECOND,
+                    LoadReport::default(),
+                );
             }
-            node.now += 100 * MS;
+            node.now += 100 * MILLISECOND;
         }
         taken
     };
@@ -255,7 +273,7 @@
             _ => None,
         })
     };
-    assert_eq!(timeout(NODES), Some(Some(400 * MS)));
+    assert_eq!(timeout(NODES), Some(Some(400 * MILLISECOND)));
     assert_eq!(timeout(2), Some(None));
 }
 
@@ -265,7 +283,7 @@
     let mut to_cold = 0;
     for seed in 0..u64::from(NODES / 3) {
         let mut node = node(seed, many(), listed([0.5; 3]));
-        serve(&mut node, 10, [0.5; 3], 50 * MS);
+        serve(&mut node, 10, [0.5; 3], 50 * MILLISECOND);
         let cold = Endpoint {
             started_at: Some(node.now),
             ..member(3, 0)
@@ -287,11 +305,17 @@
     let taken = (0..100).filter(|&seed| {
         let mut node = node(seed, many(), listed([6.0; 3]));
         let (request, _) = node.ask(SECOND);
-        node.now += 50 * MS;
-        node.settle_after(request, 0, Outcome::Success, 50 * MS, LoadReport::default());
-        node.now += 100 * MS;
+        node.now += 50 * MILLISECOND;
+        node.settle_after(
+            request,
+            0,
+            Outcome::Success,
+            50 * MILLISECOND,
+            LoadReport::default(),
+        );
+        node.now += 100 * MILLISECOND;
         node.ask(SECOND);
-        node.now += 200 * MS;
+        node.now += 200 * MILLISECOND;
         sent(&node.ask(SECOND).1).is_some()
     });
     let taken = taken.count();
@@ -329,12 +353,18 @@
         };
         let actions = node.tell(Event::RequestArrived(arrival));
         asked[tenant as usize] += 1;
-        node.now += 50 * MS;
+        node.now += 50 * MILLISECOND;
         if sent(&actions).is_some() {
             taken[tenant as usize] += 1;
-            node.settle_after(request, 0, Outcome::Success, 50 * MS, LoadReport::default());
+            node.settle_after(
+                request,
+                0,
+                Outcome::Success,
+                50 * MILLISECOND,
+                LoadReport::default(),
+            );
         }
-        node.now += 50 * MS;
+        node.now += 50 * MILLISECOND;
     }
     let part = |tenant: usize| f64::from(taken[tenant]) / f64::from(asked[tenant]);
     assert!(part(1) > 1.5 * part(0), "{taken:?} of {asked:?}");
@@ -352,9 +382,9 @@
     node.serve(300, |_| util(0.5));
     for _ in 0..60 {
         let (request, actions) = node.ask(SECOND);
-        node.pass(100 * MS);
+        node.pass(100 * MILLISECOND);
         if sent(&actions).is_some() {
-            node.settle_after(request, 0, Outcome::TimedOut, 100 * MS, util(1.0));
+            node.settle_after(request, 0, Outcome::TimedOut, 100 * MILLISECOND, util(1.0));
         }
     }
     node.list(
--- a/balancer/tests/overload.rs
+++ b/balancer/tests/overload.rs
@@ -80,9 +80,13 @@
             out.extend(launched(&node.ask(3 * SECOND).1));
         }
         while !out.is_empty() {
-            node.now += 10 * MS;
+            node.now += 10 * MILLISECOND;
             for (request, to) in std::mem::take(&mut out) {
-                let elapsed = if to.0 % 2 == 1 { 60 * MS } else { 180 * MS };
+                let elapsed = if to.0 % 2 == 1 {
+                    60 * MILLISECOND
+                } else {
+                    180 * MILLISECOND
+                };
                 slow[to.0 as usize] |= to.0 % 2 == 0;
                 out.extend(launched(&node.settle_after(
                     request,
@@ -93,7 +97,7 @@
                 )));
             }
         }
-        node.now += 200 * MS;
+        node.now += 200 * MILLISECOND;
     }
     assert!(slow[4..].iter().step_by(2).all(|&used| used), "{slow:?}");
     let held = flood(&mut node, 400);
@@ -106,9 +110,13 @@
     let mut node = Node::new(wide(5), fifteen());
     for _ in 0..300 {
         let (request, actions) = node.ask(3 * SECOND);
-        node.now += 10 * MS;
+        node.now += 10 * MILLISECOND;
         let Some(to) = sent(&actions) else { continue };
-        let elapsed = if to.0 == 1 { 10 * MS } else { 80 * MS };
+        let elapsed = if to.0 == 1 {
+            10 * MILLISECOND
+        } else {
+            80 * MILLISECOND
+        };
         node.settle_after(request, 0, Outcome::Success, elapsed, LoadReport::default());
     }
     let held = flood(&mut node, 400);
@@ -147,7 +155,7 @@
             )));
         }
         for &backend in &asked {
-            let (outcome, elapsed, report) = (Outcome::Success, MS, util(0.3));
+            let (outcome, elapsed, report) = (Outcome::Success, MILLISECOND, util(0.3));
             node.tell(Event::HealthCheckEnded {
                 backend,
                 outcome,
@@ -212,11 +220,11 @@
             node.tell(Event::HealthCheckEnded {
                 backend,
                 outcome,
-                elapsed: MS,
+                elapsed: MILLISECOND,
                 report,
             });
         }
-        node.now += 200 * MS;
+        node.now += 200 * MILLISECOND;
         sent(&node.ask(3 * SECOND).1).is_some_and(|to| to.0 >= 3)
     };
     assert!(spills(0.95));
@@ -259,7 +267,7 @@
             to.and_then(|to| tags.iter().find(|tag| tag.0 == to))
                 .map(|tag| tag.1),
         );
-        node.now += 20 * MS;
+        node.now += 20 * MILLISECOND;
         node.settle(request, 0, Outcome::Success, LoadReport::default());
     }
     at
@@ -309,7 +317,7 @@
         for key in 0..12u64 {
             let (request, actions) = ask_for(&mut node, key);
             server_of.insert(key, sent(&actions));
-            node.now += 20 * MS;
+            node.now += 20 * MILLISECOND;
             node.settle(request, 0, Outcome::Success, LoadReport::default());
         }
         let mut out = Vec::new();
@@ -319,7 +327,7 @@
             keys.insert(request, turn % 12);
             out.extend(sent(&actions).map(|_| request));
         }
-        node.now += 30 * MS;
+        node.now += 30 * MILLISECOND;
         for action in node.settle(out[0], 0, Outcome::Success, LoadReport::default()) {
             if let Action::Send {
                 request, backend, ..
--- a/balancer/tests/size.rs
+++ b/balancer/tests/size.rs
@@ -25,7 +25,7 @@
 }
 
 /// Source files that decide nothing: the interface, state with its accessors, measurements, event dispatch, and helpers.
-const FILES_WITHOUT_DECISIONS: [&str; 26] = [
+const FILES_WITHOUT_DECISIONS: [&str; 25] = [
     "balancer/src/admission.rs",
     "balancer/src/api.rs",
     "balancer/src/api/actions.rs",
@@ -47,7 +47,6 @@
     "balancer/src/random.rs",
     "balancer/src/request.rs",
     "balancer/src/request_table.rs",
-    "balancer/src/units.rs",
     "balancer/src/warming_sends.rs",
     "balancer/src/zone.rs",
     "balancer/src/zone_routing.rs",
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -7,10 +7,10 @@
 use badgerpost_balancer::*;
 use common::*;
 
-const STEP: Nanos = 5 * MS;
+const STEP: Nanos = 5 * MILLISECOND;
 /// Requests a second that a server does when it is warm, and the work of one.
 const RATE: f64 = 60.0;
-const WORK: Nanos = 30 * MS;
+const WORK: Nanos = 30 * MILLISECOND;
 const COLD: BackendId = BackendId(0);
 const STARTS: Nanos = 20 * SECOND;
 
@@ -56,7 +56,7 @@
     given.rules.slow_start_capacity = 0.15;
     given.rules.slow_start_duration = 20 * SECOND;
     given.rules.overload_multiple = 2.5;
-    given.rules.overload_window = 1500 * MS;
+    given.rules.overload_window = 1500 * MILLISECOND;
     given
 }
 
@@ -165,7 +165,7 @@
             if draws.next() < expected {
                 actions.push((n, nodes[n].ask(SECOND).1));
             }
-            if now.is_multiple_of(20 * MS) {
+            if now.is_multiple_of(20 * MILLISECOND) {
                 actions.push((n, nodes[n].tell(Event::TimerFired { token: 0 })));
             }
         }
@@ -196,7 +196,7 @@
             server.util += (busy - server.util) * 0.02;
         }
     }
-    let span = 1500 * MS;
+    let span = 1500 * MILLISECOND;
     let (mut worst, mut used, mut budget) = (f64::MIN, 0.0, 0.0);
     for (first, &at) in arrivals.iter().enumerate() {
         let got = arrivals[first..]
--- a/balancer/tests/uploads.rs
+++ b/balancer/tests/uploads.rs
@@ -109,7 +109,7 @@
     let (_, actions) = upload(&mut node);
     assert_eq!(sent(&actions), None);
     assert!(
-        refused(&node.pass(510 * MS)),
+        refused(&node.pass(510 * MILLISECOND)),
         "half of the class's deadline"
     );
 }
--- a/core/membership/src/api.rs
+++ b/core/membership/src/api.rs
@@ -6,7 +6,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::datagram_auth::Key;
-use crate::time::Nanos;
+use badgerpost_time::Nanos;
 
 /// Longest body of a gossip item, in bytes: dozens of items have to fit into one datagram.
 pub const MAX_ITEM_LENGTH: usize = 64;
--- a/core/membership/src/broadcast_schedule.rs
+++ b/core/membership/src/broadcast_schedule.rs
@@ -1,6 +1,6 @@
 //! When gossip is sent besides the periodic rounds: at once, with a minimum interval.
 
-use crate::time::{MILLISECOND, Nanos};
+use badgerpost_time::{MILLISECOND, Nanos};
 
 /// Least time between two broadcasts.
 const MIN_BROADCAST_INTERVAL: Nanos = 20 * MILLISECOND;
--- a/core/membership/src/gossip_store.rs
+++ b/core/membership/src/gossip_store.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::{MAX_ITEM_LENGTH, MemberId, Topic};
-use crate::time::Nanos;
+use badgerpost_time::Nanos;
 
 /// Most items stored: sixteen topics of two thousand members. Items beyond that are ignored; only what their members
 /// publish is then missing on this node.
--- a/core/membership/src/lib.rs
+++ b/core/membership/src/lib.rs
@@ -16,11 +16,10 @@
 mod membership;
 mod swim_config;
 mod swim_output;
-mod time;
 mod timer_queue;
 
 pub use api::{Action, DropReason, Event, MAX_ITEM_LENGTH, MemberId, Settings, Topic};
+pub use badgerpost_time::Nanos;
 pub use datagram_auth::{Key, KeyError, MAX_DATAGRAM_LENGTH};
 pub use gossip_store::{GossipItem, GossipKey, GossipStore, GossipVersion};
 pub use membership::Membership;
-pub use time::Nanos;
--- a/core/membership/src/member_identity.rs
+++ b/core/membership/src/member_identity.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::MemberId;
-use crate::time::Nanos;
+use badgerpost_time::Nanos;
 
 /// One incarnation of a member. The order of the fields is that of their bytes in a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/core/membership/src/membership.rs
+++ b/core/membership/src/membership.rs
@@ -14,8 +14,8 @@
 use crate::member_identity::MemberIdentity;
 use crate::swim_config::swim_config;
 use crate::swim_output::{MemberChange, Packet, SwimOutput, TimerRequest};
-use crate::time::{Nanos, SECOND};
 use crate::timer_queue::TimerQueue;
+use badgerpost_time::{Nanos, SECOND};
 
 /// Time between two requests to the seeds, while no other member is known.
 const JOIN_RETRY_INTERVAL: Nanos = SECOND;
--- a/core/membership/src/timer_queue.rs
+++ b/core/membership/src/timer_queue.rs
@@ -5,7 +5,7 @@
 use foca::Timer;
 
 use crate::member_identity::MemberIdentity;
-use crate::time::Nanos;
+use badgerpost_time::Nanos;
 
 /// Order of timers: by time, and for equal times in the order of their requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/core/membership/tests/fleet.rs
+++ b/core/membership/tests/fleet.rs
@@ -12,9 +12,8 @@
 use std::net::SocketAddr;
 
 use badgerpost_membership::{Action, Event, Key, MemberId, Membership, Settings, Topic};
+use badgerpost_time::{MILLISECOND, SECOND};
 
-const MILLISECOND: u64 = 1_000_000;
-const SECOND: u64 = 1000 * MILLISECOND;
 /// Time of the start, as Unix time.
 const START: u64 = 1_700_000_000 * SECOND;
 
--- a/core/zone-health/src/action.rs
+++ b/core/zone-health/src/action.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{GossipZone, ZoneIndex};
 use crate::observation::ZoneObservation;
-use crate::time::Nanos;
+use badgerpost_time::Nanos;
 
 /// Why a zone gets the share that it gets.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/core/zone-health/src/assessment.rs
+++ b/core/zone-health/src/assessment.rs
@@ -2,7 +2,7 @@
 
 use crate::action::ZoneStateReason;
 use crate::peer_summary::PeerSummary;
-use crate::time::Nanos;
+use badgerpost_time::Nanos;
 
 /// Evidence at which a healthy zone is suspected, as a log-likelihood. A zone that is as bad as the silence test
 /// allows for (responses twice as slow as usual) reaches it by chance once in 150 cases.
--- a/core/zone-health/src/attempt_tracker.rs
+++ b/core/zone-health/src/attempt_tracker.rs
@@ -5,7 +5,7 @@
 use crate::evidence::{OutstandingAttempt, SilenceTest};
 use crate::ids::{AttemptKey, ClassIndex, ZoneIndex};
 use crate::latency_histogram::LatencyHistogram;
-use crate::time::{MILLISECOND, Nanos, SECOND};
+use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// Outstanding attempts that are tracked; the caller has no more connections than that for its requests.
 const MAXIMUM_OUTSTANDING_ATTEMPTS: usize = 65_536;
--- a/core/zone-health/src/clock.rs
+++ b/core/zone-health/src/clock.rs
@@ -1,6 +1,9 @@
 //! The monitor's clock: the caller's time, the time during which this process was awake, and the pending timer.
+//!
+//! Public instants are on the caller's clock. Instants named `awake_..`, and all instants inside a zone's state and
+//! evidence, are on the awake clock, which stands still while this process is suspended.
 
-use crate::time::{MILLISECOND, Nanos};
+use badgerpost_time::{MILLISECOND, Nanos};
 
 /// A timer that fires later than this means that the process was suspended: nothing that happened meanwhile, or
 /// rather did not happen, is evidence about other processes.
--- a/core/zone-health/src/decaying_cusum.rs
+++ b/core/zone-health/src/decaying_cusum.rs
@@ -1,6 +1,6 @@
 //! A CUSUM statistic that decays with time, and the decay that all evidence shares.
 
-use crate::time::{Nanos, SECOND};
+use badgerpost_time::{Nanos, SECOND};
 
 /// Time constant of the exponential decay of evidence.
 const DECAY_TIME: Nanos = 2 * SECOND;
--- a/core/zone-health/src/event.rs
+++ b/core/zone-health/src/event.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{AttemptKey, ClassIndex, GossipZone, MemberId, ServerId, ZoneIndex};
 use crate::observation::ZoneObservation;
-use crate::time::Nanos;
+use badgerpost_time::Nanos;
 
 /// Settings of one monitor, fixed from its start.
 #[derive(Clone, Copy, Debug)]
--- a/core/zone-health/src/evidence.rs
+++ b/core/zone-health/src/evidence.rs
@@ -8,7 +8,7 @@
 use crate::decaying_cusum::{DecayingCusum, decay_factor};
 use crate::ids::{ClassIndex, ServerId, ZoneIndex};
 use crate::latency_histogram::LatencyHistogram;
-use crate::time::Nanos;
+use badgerpost_time::Nanos;
 
 /// Failure rate assumed for a failing zone, at the least.
 const MINIMUM_FAULTY_FAILURE_RATE: f64 = 0.3;
--- a/core/zone-health/src/latency_histogram.rs
+++ b/core/zone-health/src/latency_histogram.rs
@@ -1,7 +1,7 @@
 //! Response times of one request class: a histogram with logarithmic buckets, which tells how likely a response is
 //! still to come after a given wait.
 
-use crate::time::{MILLISECOND, Nanos, nanos_from_f64};
+use badgerpost_time::{MILLISECOND, Nanos, nanos_from_f64};
 
 /// Buckets for each doubling of the response time.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
--- a/core/zone-health/src/lib.rs
+++ b/core/zone-health/src/lib.rs
@@ -26,15 +26,14 @@
 mod random;
 mod recovery_probes;
 mod share_publisher;
-mod time;
 mod traffic_division;
 mod zone_entry;
 mod zone_state;
 mod zone_table;
 
 pub use action::{Action, ZoneStateReason};
+pub use badgerpost_time::Nanos;
 pub use event::{AttemptSignal, Event, ListedServer, OverrideMode, Settings, ZoneOverride};
 pub use ids::{AttemptKey, ClassIndex, GossipZone, MemberId, ServerId, ZoneIndex};
 pub use monitor::ZoneMonitor;
 pub use observation::{ObservedState, ZoneObservation};
-pub use time::Nanos;
--- a/core/zone-health/src/monitor.rs
+++ b/core/zone-health/src/monitor.rs
@@ -14,10 +14,10 @@
 use crate::peer_summary::{OwnObservation, PeerSummary};
 use crate::random::LinearCongruentialGenerator;
 use crate::recovery_probes::ProbeContext;
-use crate::time::{MILLISECOND, Nanos};
 use crate::zone_entry::ZoneEntry;
 use crate::zone_state::{SLOWDOWN_TOLERANCE, ZoneState};
 use crate::zone_table::ZoneTable;
+use badgerpost_time::{MILLISECOND, Nanos};
 
 /// How often the zones are assessed while attempts are outstanding.
 const ASSESSMENT_INTERVAL: Nanos = 25 * MILLISECOND;
--- a/core/zone-health/src/monitor/tests.rs
+++ b/core/zone-health/src/monitor/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::event::{ListedServer, ZoneOverride};
 use crate::ids::{ClassIndex, ServerId};
-use crate::time::SECOND;
+use badgerpost_time::SECOND;
 
 /// How a zone's servers respond.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/core/zone-health/src/observation_publisher.rs
+++ b/core/zone-health/src/observation_publisher.rs
@@ -1,7 +1,7 @@
 //! Decides when the other nodes are sent this node's observation of a zone, and how coarse its evidence is.
 
 use crate::observation::{ObservedState, ZoneObservation, evidence_to_units};
-use crate::time::{MILLISECOND, Nanos};
+use badgerpost_time::{MILLISECOND, Nanos};
 
 /// Evidence that is worth sending, in the units of an observation.
 const MINIMUM_SENT_EVIDENCE: u16 = 100;
--- a/core/zone-health/src/peer_observations.rs
+++ b/core/zone-health/src/peer_observations.rs
@@ -6,7 +6,7 @@
 use crate::ids::{GossipZone, MemberId};
 use crate::observation::ZoneObservation;
 use crate::peer_summary::{OwnObservation, PeerSummary, ReceivedObservation, SummaryBuilder};
-use crate::time::{MILLISECOND, Nanos, SECOND};
+use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// Members whose observations are kept; fleets are smaller.
 const MAXIMUM_MEMBERS: usize = 4096;
--- a/core/zone-health/src/peer_summary.rs
+++ b/core/zone-health/src/peer_summary.rs
@@ -1,7 +1,7 @@
 //! Summary of the other nodes' observations of one zone: adds up bounded evidence, and forms a quorum over states.
 
 use crate::observation::{ObservedState, ZoneObservation, evidence_from_units};
-use crate::time::{MILLISECOND, Nanos};
+use badgerpost_time::{MILLISECOND, Nanos};
 
 /// Upper bound of the evidence from another node: that of one attempt.
 const MAXIMUM_PEER_EVIDENCE: f64 = 2.5;
--- a/core/zone-health/src/recovery_probes.rs
+++ b/core/zone-health/src/recovery_probes.rs
@@ -5,7 +5,7 @@
 use crate::action::ZoneStateReason;
 use crate::observation::ObservedState;
 use crate::peer_summary::PeerSummary;
-use crate::time::{MILLISECOND, Nanos, SECOND, nanos_from_f64};
+use badgerpost_time::{MILLISECOND, Nanos, SECOND, nanos_from_f64};
 
 /// How long a zone is ejected at the least; doubled for each ejection before.
 const EJECTION_BASE: Nanos = 500 * MILLISECOND;
--- a/core/zone-health/src/zone_entry.rs
+++ b/core/zone-health/src/zone_entry.rs
@@ -5,9 +5,9 @@
 use crate::observation_publisher::ObservationPublisher;
 use crate::recovery_probes::ProbeContext;
 use crate::share_publisher::SharePublisher;
-use crate::time::{MILLISECOND, Nanos, SECOND};
 use crate::traffic_division::ZoneCapacity;
 use crate::zone_state::ZoneState;
+use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// How long a reported utilization is used.
 const UTILIZATION_LIFETIME: Nanos = 4 * SECOND;
--- a/core/zone-health/src/zone_state.rs
+++ b/core/zone-health/src/zone_state.rs
@@ -24,7 +24,7 @@
 use crate::observation::ObservedState;
 use crate::peer_summary::PeerSummary;
 use crate::recovery_probes::{Ejection, ProbeContext, ProbeProgress};
-use crate::time::{MILLISECOND, Nanos, SECOND};
+use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// A suspicion of silence that peers alone caused is withdrawn below this evidence.
 const WITHDRAWAL_THRESHOLD: f64 = SUSPECT_THRESHOLD / 2.0;
--- a/core/zone-health/src/zone_table.rs
+++ b/core/zone-health/src/zone_table.rs
@@ -7,9 +7,9 @@
 use crate::evidence::{AttemptCounts, USUAL_FAILURE_RATE};
 use crate::ids::{ClassIndex, ServerId, ZoneIndex};
 use crate::share_publisher::ZoneShare;
-use crate::time::Nanos;
 use crate::traffic_division::{ZoneCapacity, divide_traffic};
 use crate::zone_entry::ZoneEntry;
+use badgerpost_time::Nanos;
 
 /// Pseudo-attempts, failing at the usual rate, that steady the failure rate in other zones.
 const PSEUDO_ATTEMPTS_ELSEWHERE: f64 = 5.0;
--- a/engine/src/clock.rs
+++ b/engine/src/clock.rs
@@ -11,9 +11,6 @@
 
 use badgerpost_balancer::Nanos;
 
-/// Nanoseconds in a millisecond.
-pub(crate) const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
-
 /// A monotonic clock. It counts nanoseconds from the Unix time at its start, so that times sent by other machines
 /// compare with it. Cheap to clone; clones are the same clock.
 #[derive(Clone)]
--- a/engine/src/clock/tests.rs
+++ b/engine/src/clock/tests.rs
@@ -1,6 +1,6 @@
-use super::*;
+use badgerpost_time::MILLISECOND;
 
-const MILLISECOND: Nanos = 1_000_000;
+use super::*;
 
 fn is_ready(sleep: &mut Pin<Box<Sleep>>) -> bool {
     sleep
--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -5,6 +5,7 @@
 use std::task::{Context, Poll, Waker};
 
 use badgerpost_balancer::{ClassId, EndpointState};
+use badgerpost_time::SECOND;
 
 use super::*;
 use crate::client_request_ids::MAX_RECENT_IDS;
@@ -13,8 +14,6 @@
 
 mod any_order;
 
-const SECOND: Nanos = 1_000_000_000;
-
 struct TestProtocol;
 
 impl Protocol for TestProtocol {
--- a/engine/src/engine/tests/any_order.rs
+++ b/engine/src/engine/tests/any_order.rs
@@ -2,13 +2,13 @@
 //! endpoint updates: one outcome for each client that stayed, nothing written for one that disconnected or to a backend
 //! past its drain grace, no request that is not idempotent run twice, and nothing left at the end.
 
+use badgerpost_time::MILLISECOND;
 use proptest::prelude::*;
 use tokio::sync::oneshot::error::TryRecvError;
 
 use super::*;
 use crate::clock::VirtualClock;
 
-const MILLISECOND: Nanos = 1_000_000;
 const DRAIN_GRACE: Nanos = 200 * MILLISECOND;
 const KEY_WINDOW: Nanos = 300 * MILLISECOND;
 
--- a/engine/src/event_log.rs
+++ b/engine/src/event_log.rs
@@ -4,8 +4,8 @@
 use badgerpost_settings::NameTable;
 
 use crate::backends::Backends;
-use crate::clock::NANOS_PER_MILLISECOND;
 use crate::zone_monitoring::ZoneChange;
+use badgerpost_time::MILLISECOND;
 
 /// The target of all messages. Operators may filter by it, so it does not follow the module that logs.
 const LOG_TARGET: &str = "badgerpost_engine::driver";
@@ -45,7 +45,7 @@
             outcome,
         } => {
             let BackendNames { server, zone } = BackendNames::of(*backend, backends);
-            let for_ms = duration / NANOS_PER_MILLISECOND;
+            let for_ms = duration / MILLISECOND;
             let reason = outcome.log_name();
             tracing::info!(target: LOG_TARGET, server, zone, for_ms, reason, "server ejected");
         }
--- a/engine/src/start_times.rs
+++ b/engine/src/start_times.rs
@@ -18,7 +18,7 @@
 
 use badgerpost_balancer::Nanos;
 
-use crate::clock::NANOS_PER_MILLISECOND;
+use badgerpost_time::MILLISECOND;
 
 const SECOND: i64 = 1_000_000_000;
 const HOUR: i64 = 3600 * SECOND;
@@ -213,7 +213,7 @@
 }
 
 fn unix_time(milliseconds: u64) -> Signed {
-    signed(milliseconds.saturating_mul(NANOS_PER_MILLISECOND))
+    signed(milliseconds.saturating_mul(MILLISECOND))
 }
 
 #[cfg(test)]
--- a/testkit/fakes/src/client.rs
+++ b/testkit/fakes/src/client.rs
@@ -1,7 +1,7 @@
 //! What a client says to a node and how it reads the answer. It does no I/O.
 
 use crate::message::{self, Message};
-use crate::server::Nanos;
+use badgerpost_time::Nanos;
 
 /// Whether a request may take effect twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/testkit/fakes/src/discovery.rs
+++ b/testkit/fakes/src/discovery.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::server::Nanos;
+use badgerpost_time::Nanos;
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
--- a/testkit/fakes/src/server.rs
+++ b/testkit/fakes/src/server.rs
@@ -3,8 +3,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// A time or a span, in nanoseconds.
-pub type Nanos = u64;
+use badgerpost_time::Nanos;
 
 /// What a server is like.
 #[derive(Clone, Copy, Debug)]
--- a/testkit/scenarios/src/fleet.rs
+++ b/testkit/scenarios/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::plan::Plan;
 use crate::run::Played;
 use crate::scene::{Planned, Whom};
-use crate::{MS, Nanos, SECOND};
+use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// A node counts as one of a zone's if it sent there at least this share of its requests before the trouble.
 const OF_THE_ZONE: f64 = 0.2;
@@ -189,15 +189,17 @@
         if (begin..from).contains(&one.start) {
             before += 1.0;
         } else if one.start >= until {
-            *counts.entry((one.start - until) / (100 * MS)).or_default() += 1.0;
+            *counts
+                .entry((one.start - until) / (100 * MILLISECOND))
+                .or_default() += 1.0;
         }
     }
-    let mean = before * (100 * MS) as f64 / (from - begin).max(1) as f64;
+    let mean = before * (100 * MILLISECOND) as f64 / (from - begin).max(1) as f64;
     let reaches = |part: f64| {
         counts
             .iter()
             .find(|(_, count)| **count >= part * mean)
-            .map(|(step, _)| step * 100 * MS)
+            .map(|(step, _)| step * 100 * MILLISECOND)
     };
     (reaches(0.5), reaches(0.9))
 }
@@ -255,7 +257,7 @@
 /// The troubles of whole zones in a plan.
 pub fn troubles(plan: &Plan) -> Vec<Trouble> {
     let zones = plan.scene.scene.zones();
-    let end = plan.scene.scene.length_ms.get_ref() * MS;
+    let end = plan.scene.scene.length_ms.get_ref() * MILLISECOND;
     plan.faults
         .iter()
         .filter_map(|fault| Trouble::of(fault, &zones, end))
@@ -322,12 +324,12 @@
         let zone = &trouble.zone;
         if let Some(most) = expect.left_ms {
             let last = seen.left_after.last().copied().unwrap_or(0);
-            let good = seen.stayed == 0 && last <= most * MS;
+            let good = seen.stayed == 0 && last <= most * MILLISECOND;
             need(
                 good,
                 format!(
                     "zone {zone} left after {} ms, {} never; wanted {most}",
-                    last / MS,
+                    last / MILLISECOND,
                     seen.stayed
                 ),
             );
@@ -348,10 +350,12 @@
             );
         }
         if let Some(most) = expect.full_back_ms {
-            let back = seen
+            let back = seen.full_back.map_or("never".to_owned(), |span| {
+                format!("after {} ms", span / MILLISECOND)
+            });
+            let good = seen
                 .full_back
-                .map_or("never".to_owned(), |span| format!("after {} ms", span / MS));
-            let good = seen.full_back.is_some_and(|span| span <= most * MS);
+                .is_some_and(|span| span <= most * MILLISECOND);
             need(
                 good,
                 format!("zone {zone} had its load back {back}, wanted {most}"),
@@ -390,7 +394,9 @@
 impl std::fmt::Display for Conduct {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let ms = |span: Option<Nanos>| {
-            span.map_or("never".to_owned(), |span| format!("{} ms", span / MS))
+            span.map_or("never".to_owned(), |span| {
+                format!("{} ms", span / MILLISECOND)
+            })
         };
         let of = |spans: &[Nanos]| {
             let [half, most, all] = [0.5, 0.9, 1.0].map(|share| ms(at_share(spans, share)));
--- a/testkit/scenarios/src/fleet/tests.rs
+++ b/testkit/scenarios/src/fleet/tests.rs
@@ -4,22 +4,34 @@
     pattern
         .chars()
         .zip(1..)
-        .map(|(one, at)| (at * MS, one == 'z'))
+        .map(|(one, at)| (at * MILLISECOND, one == 'z'))
         .collect()
 }
 
 #[test]
 fn a_node_has_left_at_its_last_send_but_for_trials() {
-    assert_eq!(left(&sent("zzz-----------------"), 0), Some(3 * MS));
-    assert_eq!(left(&sent("zzz-----------z------------"), 0), Some(3 * MS));
+    assert_eq!(
+        left(&sent("zzz-----------------"), 0),
+        Some(3 * MILLISECOND)
+    );
+    assert_eq!(
+        left(&sent("zzz-----------z------------"), 0),
+        Some(3 * MILLISECOND)
+    );
     assert_eq!(left(&sent("--------"), 0), Some(0));
-    assert_eq!(left(&sent("z-z-z-z-z-z-z---------"), 0), Some(11 * MS));
+    assert_eq!(
+        left(&sent("z-z-z-z-z-z-z---------"), 0),
+        Some(11 * MILLISECOND)
+    );
     assert_eq!(left(&sent("zzzz"), 0), None);
 }
 
 #[test]
 fn a_node_is_back_once_it_goes_on_sending() {
-    assert_eq!(back(&sent("---z----------zzzzzzzz"), 1.0), Some(15 * MS));
+    assert_eq!(
+        back(&sent("---z----------zzzzzzzz"), 1.0),
+        Some(15 * MILLISECOND)
+    );
     assert_eq!(back(&sent("--------------"), 1.0), None);
 }
 
--- a/testkit/scenarios/src/lib.rs
+++ b/testkit/scenarios/src/lib.rs
@@ -16,10 +16,7 @@
 pub mod sweep;
 mod world;
 
-/// A time or a span, in nanoseconds.
-pub type Nanos = u64;
+use badgerpost_time::{MILLISECOND, Nanos};
 
-const MS: Nanos = 1_000_000;
 /// By the letter of the pages an answer this long after its client's time earns nothing; a later one is lost.
-const LATE_ANSWER: Nanos = 500 * MS;
-const SECOND: Nanos = 1000 * MS;
+const LATE_ANSWER: Nanos = 500 * MILLISECOND;
--- a/testkit/scenarios/src/outcome.rs
+++ b/testkit/scenarios/src/outcome.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Nanos;
+use badgerpost_time::Nanos;
 
 /// Whether a request may take effect twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/testkit/scenarios/src/plan.rs
+++ b/testkit/scenarios/src/plan.rs
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::scene::{self, Checked, Far, Planned, Trouble, Whom};
-use crate::{MS, Nanos, SECOND};
+use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// Clients begin to ask after this: the nodes have the list by then.
-const FIRST: Nanos = 200 * MS;
+const FIRST: Nanos = 200 * MILLISECOND;
 /// No run plays more requests: its log has to fit into memory.
 pub const MOST_REQUESTS: usize = 1_000_000;
 
@@ -72,7 +72,7 @@
     pub fn draw(scene: Checked, seed: u64) -> Self {
         let mut random = Random::new(seed, "arrivals");
         let mean = SECOND as f64 / scene.scene.clients.rate.get_ref().max(1e-9);
-        let end = scene.scene.length_ms.get_ref() * MS;
+        let end = scene.scene.length_ms.get_ref() * MILLISECOND;
         let shares: f64 = scene
             .scene
             .class
@@ -94,7 +94,7 @@
             let class = chosen.unwrap_or(0);
             let (least, most) = *scene.scene.class[class].work_ms.get_ref();
             let node = random.between(0, scene.scene.node.len() as u64 - 1) as usize;
-            let work = random.between(least * MS, most * MS);
+            let work = random.between(least * MILLISECOND, most * MILLISECOND);
             arrivals.push(Arrival {
                 number: arrivals.len() as u64,
                 at: at as Nanos,
@@ -116,7 +116,7 @@
     /// The same with its faults at other times, of other lengths and at other servers or nodes, by the seed.
     pub fn vary(mut self) -> Self {
         let mut random = Random::new(self.seed, "faults");
-        let end = self.scene.scene.length_ms.get_ref() * MS;
+        let end = self.scene.scene.length_ms.get_ref() * MILLISECOND;
         for fault in &mut self.faults {
             fault.at = random.between(FIRST, end.max(FIRST));
             fault.lasts = fault
--- a/testkit/scenarios/src/plot.rs
+++ b/testkit/scenarios/src/plot.rs
@@ -9,12 +9,12 @@
 use crate::fleet;
 use crate::outcome::{Request, Told};
 use crate::plan::Plan;
-use crate::{MS, Nanos};
+use badgerpost_time::{MILLISECOND, Nanos};
 
 /// With more servers than this their zones are drawn.
 const MANY: usize = 12;
 /// The width of a bar.
-const STEP: Nanos = 250 * MS;
+const STEP: Nanos = 250 * MILLISECOND;
 
 fn seconds(at: Nanos) -> f64 {
     at as f64 / 1e9
--- a/testkit/scenarios/src/process.rs
+++ b/testkit/scenarios/src/process.rs
@@ -16,8 +16,9 @@
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 
+use crate::outcome;
 use crate::scene::Checked;
-use crate::{MS, Nanos, outcome};
+use badgerpost_time::{MILLISECOND, Nanos};
 
 /// Nothing that a node does at its start, or between two steps, takes longer, on a busy machine either.
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -427,18 +428,18 @@
                 outcome::Effect::Unsafe => "once",
             };
             json!({"name": class.name.get_ref(), "effect": effect, "key-scope": class.scope,
-                "window-ns": class.window_ms * MS, "on-time-ns": class.aim_ms * MS,
-                "deadline-ns": class.deadline_ms.get_ref() * MS})
+                "window-ns": class.window_ms * MILLISECOND, "on-time-ns": class.aim_ms * MILLISECOND,
+                "deadline-ns": class.deadline_ms.get_ref() * MILLISECOND})
         })
         .collect();
     let by_probe = scene.reports == crate::scene::Reports::Probes;
     let settings = json!({"report": {"how": if by_probe { "pull" } else { "piggyback" }}, "az": own.zone, "zones": zones, "n-instances": scene.node.len(),
         "discovery": "pushed", "classes": classes, "goal": {}, "callers": {"marks-retry": true},
         "policy-limits": {"attempts-cap": rules.attempts, "may-cancel": true, "second-copies": true, "peers": true,
-            "probes": by_probe, "retry-after": true, "max-retry-after-ns": 1000 * MS},
-        "rules": {"answer-slack-ns": rules.answer_slack_ms * MS, "drain-grace-ns": rules.drain_grace_ms * MS,
-            "fall-ns": rules.fall_ms * MS, "start-capacity": rules.start_share,
-            "tip-multiple": rules.tip_multiple, "warm-after-ns": rules.warm_ms * MS}});
+            "probes": by_probe, "retry-after": true, "max-retry-after-ns": 1000 * MILLISECOND},
+        "rules": {"answer-slack-ns": rules.answer_slack_ms * MILLISECOND, "drain-grace-ns": rules.drain_grace_ms * MILLISECOND,
+            "fall-ns": rules.fall_ms * MILLISECOND, "start-capacity": rules.start_share,
+            "tip-multiple": rules.tip_multiple, "warm-after-ns": rules.warm_ms * MILLISECOND}});
     json!({"name": own.name.get_ref(), "listen": listen.to_string(), "discovery": discovery.to_string(),
         "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": own.sockets},
         "known": known, "settings": settings})
--- a/testkit/scenarios/src/rules.rs
+++ b/testkit/scenarios/src/rules.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-use crate::Nanos;
 use crate::outcome::{Attempt, Effect, Request, Scope, Told};
+use badgerpost_time::Nanos;
 
 /// One of the four rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -241,7 +241,7 @@
 }
 
 fn ms(span: Nanos) -> Nanos {
-    span / crate::MS
+    span / badgerpost_time::MILLISECOND
 }
 
 #[cfg(test)]
--- a/testkit/scenarios/src/rules/tests.rs
+++ b/testkit/scenarios/src/rules/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::outcome::{Answer, Ended};
-use crate::{MS, SECOND};
+use badgerpost_time::{MILLISECOND, SECOND};
 
 const FIGURES: Figures = Figures {
-    answer_slack: 70 * MS,
-    drain_grace: 550 * MS,
-    leave_slack: 150 * MS,
-    deadline_slack: 200 * MS,
+    answer_slack: 70 * MILLISECOND,
+    drain_grace: 550 * MILLISECOND,
+    leave_slack: 150 * MILLISECOND,
+    deadline_slack: 200 * MILLISECOND,
 };
 
 fn attempt(server: &str, start: Nanos, ended: Ended) -> Attempt {
@@ -15,7 +15,7 @@
         zone: server[..1].to_owned(),
         cell: 0,
         start,
-        end: Some(start + MS),
+        end: Some(start + MILLISECOND),
         ended,
         ran: true,
         told_for: None,
@@ -34,10 +34,10 @@
         dedup: (effect == Effect::Keyed).then_some((Scope::Zone, 2 * SECOND)),
         node: "n".to_owned(),
         arrival: 0,
-        budget: 500 * MS,
+        budget: 500 * MILLISECOND,
         attempts,
         answer: told.map(|told| Answer {
-            at: 100 * MS,
+            at: 100 * MILLISECOND,
             told,
             status: 200,
             own: true,
@@ -59,7 +59,7 @@
 fn one_answer_in_time_and_nothing_behind_it() {
     let good = request(
         Effect::Safe,
-        vec![attempt("a1", MS, Ended::Served)],
+        vec![attempt("a1", MILLISECOND, Ended::Served)],
         Some(Told::Served),
     );
     assert_eq!(broken(&good), []);
@@ -72,11 +72,11 @@
     assert_eq!(with(&|r| r.answer = None), one);
     assert_eq!(with(&|r| r.surplus = 3), one);
     assert_eq!(
-        with(&|r| r.answer.iter_mut().for_each(|a| a.at = 571 * MS)),
+        with(&|r| r.answer.iter_mut().for_each(|a| a.at = 571 * MILLISECOND)),
         one
     );
     assert_eq!(
-        with(&|r| r.answer.iter_mut().for_each(|a| a.at = 570 * MS)),
+        with(&|r| r.answer.iter_mut().for_each(|a| a.at = 570 * MILLISECOND)),
         []
     );
     assert_eq!(
@@ -84,7 +84,9 @@
         one
     );
     assert_eq!(
-        with(&|r| r.attempts.push(attempt("a2", 101 * MS, Ended::Served))),
+        with(&|r| r
+            .attempts
+            .push(attempt("a2", 101 * MILLISECOND, Ended::Served))),
         one
     );
     // A node that was killed owes nothing; what came behind an answer is wrong all the same.
@@ -117,8 +119,16 @@
         Ended::Abandoned,
         Ended::Open,
     ] {
-        assert_eq!(again(Effect::Unsafe, first, "a2", MS), two, "{first:?}");
-        assert_eq!(again(Effect::Keyed, first, "b1", MS), two, "{first:?}");
+        assert_eq!(
+            again(Effect::Unsafe, first, "a2", MILLISECOND),
+            two,
+            "{first:?}"
+        );
+        assert_eq!(
+            again(Effect::Keyed, first, "b1", MILLISECOND),
+            two,
+            "{first:?}"
+        );
         assert_eq!(
             again(Effect::Keyed, first, "a2", 2 * SECOND),
             two,
@@ -135,7 +145,10 @@
             "{first:?}"
         );
     }
-    assert_eq!(again(Effect::Unsafe, Ended::TurnedAway, "b1", MS), []);
+    assert_eq!(
+        again(Effect::Unsafe, Ended::TurnedAway, "b1", MILLISECOND),
+        []
+    );
     assert_eq!(
         again(Effect::Keyed, Ended::TurnedAway, "b1", 3 * SECOND),
         []
@@ -164,16 +177,16 @@
 
 #[test]
 fn drains_and_cold_servers() {
-    let mut late = attempt("a1", MS, Ended::Served);
-    late.told_for = Some(550 * MS);
+    let mut late = attempt("a1", MILLISECOND, Ended::Served);
+    late.told_for = Some(550 * MILLISECOND);
     let in_time = request(Effect::Safe, vec![late.clone()], Some(Told::Served));
     assert_eq!(broken(&in_time), []);
-    late.told_for = Some(551 * MS);
+    late.told_for = Some(551 * MILLISECOND);
     assert_eq!(
         broken(&request(Effect::Safe, vec![late], Some(Told::Served))),
         [Rule::DrainsKept]
     );
-    let mut last = attempt("a1", MS, Ended::Reset);
+    let mut last = attempt("a1", MILLISECOND, Ended::Reset);
     last.felled = true;
     assert_eq!(
         broken(&request(Effect::Safe, vec![last], Some(Told::Served))),
@@ -204,19 +217,26 @@
         request.left = Some(left);
         broken(&request)
     };
-    assert_eq!(with(100 * MS, 50 * MS), [], "and it is owed nothing");
-    assert_eq!(with(100 * MS, 250 * MS), []);
-    assert_eq!(with(100 * MS, 251 * MS), [Rule::OneAnswer]);
+    assert_eq!(
+        with(100 * MILLISECOND, 50 * MILLISECOND),
+        [],
+        "and it is owed nothing"
+    );
+    assert_eq!(with(100 * MILLISECOND, 250 * MILLISECOND), []);
+    assert_eq!(
+        with(100 * MILLISECOND, 251 * MILLISECOND),
+        [Rule::OneAnswer]
+    );
 }
 
 #[test]
 fn a_server_is_told_of_what_the_client_has_left_at_most() {
     let with = |over: Option<Nanos>| {
-        let mut attempt = attempt("a1", MS, Ended::Served);
+        let mut attempt = attempt("a1", MILLISECOND, Ended::Served);
         attempt.overstated = over;
         broken(&request(Effect::Safe, vec![attempt], Some(Told::Served)))
     };
     assert_eq!(with(None), []);
-    assert_eq!(with(Some(200 * MS)), []);
-    assert_eq!(with(Some(201 * MS)), [Rule::OneAnswer]);
+    assert_eq!(with(Some(200 * MILLISECOND)), []);
+    assert_eq!(with(Some(201 * MILLISECOND)), [Rule::OneAnswer]);
 }
--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -12,13 +12,14 @@
 use badgerpost_fakes::random::Random;
 use badgerpost_fakes::system_faults::{SystemFaults, WallClock};
 
+use crate::LATE_ANSWER;
 use crate::one_core::OneCore;
 use crate::outcome::{Counts, Request};
 use crate::plan::Plan;
 use crate::process::{self, Process, ProcessError, Start};
 use crate::rules::{self, Breach};
 use crate::world::{Fired, PEERS_KEY, SOCKETS, World};
-use crate::{LATE_ANSWER, MS, Nanos, SECOND};
+use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// Unix time at which stepped scenes begin: any would do, as long as it is always the same.
 const STEPPED_BASE: Nanos = 1_700_000_000 * SECOND;
@@ -30,13 +31,13 @@
 const MOST_STEPS: u64 = 200_000_000;
 /// In real time: the longest wait for sockets, and how often the nodes' processes are looked at.
 const WAIT: Duration = Duration::from_millis(20);
-const LOOK_AT_NODES: Nanos = 100 * MS;
+const LOOK_AT_NODES: Nanos = 100 * MILLISECOND;
 /// An attempt may begin this long after its client has left.
-const LEAVE_SLACK: Nanos = 100 * MS;
+const LEAVE_SLACK: Nanos = 100 * MILLISECOND;
 /// A system call that is held begins this late.
-const HOLD: Nanos = 150 * MS;
+const HOLD: Nanos = 150 * MILLISECOND;
 /// The deadline that a server is told may be this much beyond what the client has left.
-const DEADLINE_SLACK: Nanos = 150 * MS;
+const DEADLINE_SLACK: Nanos = 150 * MILLISECOND;
 
 /// How to play.
 #[derive(Clone)]
@@ -109,7 +110,7 @@
     #[error(transparent)]
     Process(#[from] ProcessError),
     /// It crashed.
-    #[error("node {name} crashed ({status}) {} ms into the scene; its log:\n{log}", at / MS)]
+    #[error("node {name} crashed ({status}) {} ms into the scene; its log:\n{log}", at / MILLISECOND)]
     Crashed {
         /// The node.
         name: String,
@@ -152,7 +153,7 @@
     let sha256 = process::sha256(&options.program)?;
     let began = Instant::now();
     let mut stage = Stage::set(plan, options)?;
-    let length = plan.scene.scene.length_ms.get_ref() * MS;
+    let length = plan.scene.scene.length_ms.get_ref() * MILLISECOND;
     let mut said = 0;
     while !stage.world.is_done() {
         if options.real_time {
@@ -197,9 +198,9 @@
     let figures = rules::Figures {
         answer_slack: match plan.behaviour.strict {
             true => LATE_ANSWER,
-            false => scene.answer_slack_ms * MS + SOCKETS,
+            false => scene.answer_slack_ms * MILLISECOND + SOCKETS,
         },
-        drain_grace: scene.drain_grace_ms * MS + SOCKETS,
+        drain_grace: scene.drain_grace_ms * MILLISECOND + SOCKETS,
         leave_slack: LEAVE_SLACK + SOCKETS,
         deadline_slack: DEADLINE_SLACK + SOCKETS + held(options),
     };
@@ -484,10 +485,10 @@
             .next()
             .map_or(Nanos::MAX, |next| next.saturating_sub(now(self.began)));
         // The system's wait has milliseconds: less than one is waited for awake.
-        let wait = if left < 2 * MS {
+        let wait = if left < 2 * MILLISECOND {
             Duration::ZERO
         } else {
-            WAIT.min(Duration::from_nanos(left - MS))
+            WAIT.min(Duration::from_nanos(left - MILLISECOND))
         };
         let mut told = std::mem::take(&mut self.told);
         self.world.poll(wait, &mut told)?;
--- a/testkit/scenarios/src/run/processes.rs
+++ b/testkit/scenarios/src/run/processes.rs
@@ -3,8 +3,8 @@
 use rustix::process::Signal;
 
 use super::{RunError, Stage};
-use crate::Nanos;
 use crate::world::{Order, StopSignal};
+use badgerpost_time::Nanos;
 
 impl Stage {
     pub(super) fn carry_out(&mut self, order: Order) -> Result<(), RunError> {
--- a/testkit/scenarios/src/scene.rs
+++ b/testkit/scenarios/src/scene.rs
@@ -11,8 +11,8 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::MS;
 use crate::outcome::{Effect, Scope};
+use badgerpost_time::MILLISECOND;
 pub use groups::{NodeGroup, ServerGroup};
 use trouble::About;
 pub use trouble::{Far, Group, LinkTrouble, LinkWhat, Planned, Trouble, Whom};
@@ -527,7 +527,7 @@
         };
         let at = &fault.at_ms;
         within(at.span(), *at.get_ref() <= MOST_MS, "from 0 to 3600000")?;
-        let lasts = fault.for_ms.map(|span| span.min(MOST_MS) * MS);
+        let lasts = fault.for_ms.map(|span| span.min(MOST_MS) * MILLISECOND);
         let times = |key: &Option<Spanned<u64>>| match key {
             Some(value) if !(1..=MOST_TIMES).contains(value.get_ref()) => {
                 Err(source.error_at(value.span(), format!("from 1 to {MOST_TIMES}")))
@@ -535,7 +535,7 @@
             value => Ok(value.as_ref().map_or(1, |value| *value.get_ref())),
         };
         let (waves, repeats) = (times(&fault.waves)?, times(&fault.repeat)?);
-        let every = fault.every_ms.unwrap_or(0).min(MOST_MS) * MS;
+        let every = fault.every_ms.unwrap_or(0).min(MOST_MS) * MILLISECOND;
         let chance = fault
             .chance
             .as_ref()
@@ -543,7 +543,7 @@
         for (repeat, wave) in
             (0..repeats).flat_map(|repeat| (0..waves).map(move |wave| (repeat, wave)))
         {
-            let at = at.get_ref() * MS + every.saturating_mul(repeat * waves + wave);
+            let at = at.get_ref() * MILLISECOND + every.saturating_mul(repeat * waves + wave);
             let whom = whom.part(wave, waves);
             faults.push(Planned {
                 at,
--- a/testkit/scenarios/src/scene/trouble.rs
+++ b/testkit/scenarios/src/scene/trouble.rs
@@ -6,7 +6,7 @@
 use toml::Spanned;
 
 use super::{Fault, MOST_MS, Scene};
-use crate::{MS, Nanos};
+use badgerpost_time::{MILLISECOND, Nanos};
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -298,7 +298,7 @@
         };
         let figure =
             |value: &Option<Spanned<u64>>| value.as_ref().map_or(0, |value| *value.get_ref());
-        let by = figure(&fault.by_ms).min(MOST_MS) * MS;
+        let by = figure(&fault.by_ms).min(MOST_MS) * MILLISECOND;
         within(&fault.chance, 0.0, 1.0)?;
         match &mut trouble {
             Self::Reset { after } => *after = figure(&fault.after_bytes),
--- a/testkit/scenarios/src/soak.rs
+++ b/testkit/scenarios/src/soak.rs
@@ -12,7 +12,7 @@
 use crate::plan::{Behaviour, Plan};
 use crate::run::{self, Options, Played, RunError};
 use crate::scene;
-use crate::{MS, SECOND};
+use badgerpost_time::{MILLISECOND, SECOND};
 
 /// How long clients ask, in milliseconds.
 const LENGTH_MS: u64 = 9000;
@@ -139,7 +139,7 @@
             silent_clients: self.one_of(&[0, 0, 0, 150]),
             polled_list: self.random.chance(0.3),
             clocks_ahead_ms: (self.clock_error(), self.clock_error()),
-            clocks_step_at: self.random.between(SECOND, LENGTH_MS * MS),
+            clocks_step_at: self.random.between(SECOND, LENGTH_MS * MILLISECOND),
             strict: true,
         }
     }
--- a/testkit/scenarios/src/sweep.rs
+++ b/testkit/scenarios/src/sweep.rs
@@ -3,11 +3,11 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use crate::MS;
 use crate::fleet::{self, Conduct};
 use crate::plan::Plan;
 use crate::run::{self, Options, RunError};
 use crate::scene;
+use badgerpost_time::MILLISECOND;
 
 /// What one seed showed.
 #[derive(Clone, Debug)]
@@ -86,9 +86,9 @@
             .map(|seen| &seen.left_after);
         spans
             .and_then(|spans| fleet::at_share(spans, share))
-            .map(|span| (span / MS) as f64)
+            .map(|span| (span / MILLISECOND) as f64)
     };
-    let ms = |span: Option<u64>| span.map(|span| (span / MS) as f64);
+    let ms = |span: Option<u64>| span.map(|span| (span / MILLISECOND) as f64);
     [
         Some(row.served),
         left(0.5),
--- a/testkit/scenarios/src/world.rs
+++ b/testkit/scenarios/src/world.rs
@@ -24,14 +24,14 @@
 use crate::outcome::Ended;
 use crate::plan::Plan;
 use crate::scene::{Planned, Scene};
-use crate::{MS, Nanos};
+use badgerpost_time::{MILLISECOND, Nanos};
 use misbehaviour::Misbehaviour;
 pub use peers::PEERS_KEY;
 pub use stage::{Fired, Order, SOCKETS, StopSignal, World};
 use stage::{NodeSide, Peer, Place, Site, Talk, Todo, entry};
 
 /// How often servers refresh their load report.
-const REPORT_PERIOD: Nanos = 100 * MS;
+const REPORT_PERIOD: Nanos = 100 * MILLISECOND;
 
 /// The mean work of a scene's requests.
 fn mean_work(scene: &Scene) -> Nanos {
@@ -41,7 +41,7 @@
         total += class.share.get_ref() * (least + most) as f64 / 2.0;
         shares += class.share.get_ref();
     }
-    (total / shares * MS as f64) as Nanos
+    (total / shares * MILLISECOND as f64) as Nanos
 }
 
 impl World {
@@ -64,16 +64,16 @@
                 queue: server.queue,
                 speed: *server.speed.get_ref(),
                 cold_share: rules.start_share,
-                warm_after: rules.warm_ms * MS,
+                warm_after: rules.warm_ms * MILLISECOND,
                 tip_multiple: rules.tip_multiple,
-                fall_span: rules.fall_ms * MS,
+                fall_span: rules.fall_ms * MILLISECOND,
                 report_period: REPORT_PERIOD,
                 mean_work: plan.behaviour.strict.then(|| mean_work(&scene.scene)),
                 choke: server.choke.as_ref().map(|choke| Choke {
                     waiting: choke.waiting,
-                    over: choke.over_ms.get_ref() * MS,
+                    over: choke.over_ms.get_ref() * MILLISECOND,
                     slower: *choke.slower.get_ref(),
-                    rest: choke.rest_ms.get_ref() * MS,
+                    rest: choke.rest_ms.get_ref() * MILLISECOND,
                 }),
             };
             let up = server.starts_ms.is_none();
@@ -175,7 +175,7 @@
             server
                 .starts_ms
                 .into_iter()
-                .for_each(|at| world.at(at * MS, Todo::Starts(number)));
+                .for_each(|at| world.at(at * MILLISECOND, Todo::Starts(number)));
         }
         Ok(world)
     }
--- a/testkit/scenarios/src/world/clients.rs
+++ b/testkit/scenarios/src/world/clients.rs
@@ -8,11 +8,12 @@
 
 use super::links::Carried;
 use super::stage::{Open, Peer, SOCKETS, Todo, World, body};
+use crate::LATE_ANSWER;
 use crate::outcome::{Answer, Effect, Ended, Request, Told};
-use crate::{LATE_ANSWER, MS, Nanos};
+use badgerpost_time::{MILLISECOND, Nanos};
 
 /// Clients listen for this long past the time that an answer still counts: what comes too late is to be seen.
-const LISTENS_ON: Nanos = 30 * MS;
+const LISTENS_ON: Nanos = 30 * MILLISECOND;
 
 impl World {
     /// A try comes to a node: the first one of an arrival, or one more after another.
@@ -24,7 +25,8 @@
             0 => format!("{:016x}", plan.number),
             tries => format!("{:016x}-{tries}", plan.number),
         };
-        let dedup = (class.effect == Effect::Keyed).then_some((class.scope, class.window_ms * MS));
+        let dedup =
+            (class.effect == Effect::Keyed).then_some((class.scope, class.window_ms * MILLISECOND));
         // The system before the nodes has noticed by now which of them are down.
         let count = self.nodes.len();
         let up = (0..count)
@@ -39,7 +41,7 @@
             dedup,
             node: self.nodes[node].name.clone(),
             arrival: self.now,
-            budget: class.deadline_ms.get_ref() * MS,
+            budget: class.deadline_ms.get_ref() * MILLISECOND,
             attempts: Vec::new(),
             answer: None,
             left: None,
@@ -52,7 +54,7 @@
         let rules = &self.plan.scene.scene.rules;
         let slack = match self.plan.behaviour.strict {
             true => LATE_ANSWER,
-            false => rules.answer_slack_ms * MS + SOCKETS,
+            false => rules.answer_slack_ms * MILLISECOND + SOCKETS,
         };
         let due = self.now + log.budget + slack + LISTENS_ON;
         self.requests.push(Open {
@@ -296,7 +298,7 @@
             .is_some_and(|answer| answer.told == Told::Refused);
         let harmless = refused || open.log.effect != Effect::Unsafe;
         if open.tries < clients.retries && harmless {
-            let wait = pause.max(clients.backoff_ms * MS).max(MS);
+            let wait = pause.max(clients.backoff_ms * MILLISECOND).max(MILLISECOND);
             self.pending += 1;
             self.at(self.now + wait, Todo::Retry(request));
         }
--- a/testkit/scenarios/src/world/faults.rs
+++ b/testkit/scenarios/src/world/faults.rs
@@ -6,8 +6,8 @@
 
 use super::links::BadLink;
 use super::stage::{Fired, Order, Todo, World};
-use crate::MS;
 use crate::scene::{LinkTrouble, LinkWhat, Trouble};
+use badgerpost_time::MILLISECOND;
 
 impl World {
     pub(super) fn fault(&mut self, number: usize, begins: bool) -> io::Result<Fired> {
@@ -57,7 +57,7 @@
         begins: bool,
     ) -> io::Result<Option<Order>> {
         let order = |order| Ok(Some(order));
-        let notice = self.now + self.plan.scene.scene.discovery.notice_ms * MS;
+        let notice = self.now + self.plan.scene.scene.discovery.notice_ms * MILLISECOND;
         match (trouble, begins) {
             (Trouble::Drain | Trouble::Gone, _) => {
                 let state = match trouble {
--- a/testkit/scenarios/src/world/links.rs
+++ b/testkit/scenarios/src/world/links.rs
@@ -7,11 +7,11 @@
 
 use super::stage::{Job, Peer, Sending, Todo, World};
 use crate::scene::{Far, LinkTrouble, LinkWhat};
-use crate::{MS, Nanos};
+use badgerpost_time::{MILLISECOND, Nanos};
 
 /// What a connection has lost is sent again after this long, and after twice as long when that is lost too, as TCP
 /// does.
-const SENT_AGAIN: Nanos = 200 * MS;
+const SENT_AGAIN: Nanos = 200 * MILLISECOND;
 /// Given up after so many losses in a row, long after anybody still waits.
 const MOST_LOSSES: u32 = 8;
 
--- a/testkit/scenarios/src/world/misbehaviour.rs
+++ b/testkit/scenarios/src/world/misbehaviour.rs
@@ -5,28 +5,28 @@
 use badgerpost_fakes::random::Random;
 
 use super::stage::{Fired, Order, Peer, StopSignal, Todo, World};
-use crate::{MS, Nanos, SECOND};
+use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// Half a head, of which no more comes.
 const HALF_HEAD: &[u8] = b"GET /api HTTP/1.1\r\nX-Ca";
 /// Clients that stop half way, or say nothing, are owed an error or a close within this.
 const OWED_WITHIN: Nanos = 3 * SECOND;
 /// How much later a busy machine may bring it.
-const OWED_SLACK: Nanos = 300 * MS;
+const OWED_SLACK: Nanos = 300 * MILLISECOND;
 /// How often the silent clients of a node are made up to their number.
-const SILENT_PERIOD: Nanos = 100 * MS;
+const SILENT_PERIOD: Nanos = 100 * MILLISECOND;
 /// So many of them connect at a time.
 const SILENT_AT_ONCE: usize = 40;
 /// Requests on one connection, at most.
 const MOST_PIPELINED: usize = 6;
 /// New connections go on coming to a node for so long after SIGTERM.
-const NEW_CONNECTIONS: Nanos = 300 * MS;
+const NEW_CONNECTIONS: Nanos = 300 * MILLISECOND;
 /// A longest deadline counts as this at most behind SIGTERM ...
 const LONGEST_COUNTED: Nanos = 3 * SECOND;
 /// ... and SIGKILL comes so much later, at the earliest.
-const KILLED_AFTER: Nanos = 700 * MS;
+const KILLED_AFTER: Nanos = 700 * MILLISECOND;
 /// A request that was written this long ago, of which the node can hold no more than a few, has been read.
-const SURELY_READ: Nanos = 400 * MS;
+const SURELY_READ: Nanos = 400 * MILLISECOND;
 
 /// What clients do beyond asking and waiting, and what they have missed.
 pub(super) struct Misbehaviour {
@@ -124,7 +124,10 @@
             return;
         }
         let budget = self.requests[request].log.budget;
-        let after = self.misbehaviour.random.between(MS, budget * 3 / 4);
+        let after = self
+            .misbehaviour
+            .random
+            .between(MILLISECOND, budget * 3 / 4);
         self.at(self.now + after, Todo::Leave(request));
     }
 
@@ -178,7 +181,7 @@
             self.adopt(conn, Peer::Silent { node, since });
             self.at(since + OWED_WITHIN + OWED_SLACK, Todo::Owed(conn));
         }
-        if self.now < self.plan.scene.scene.length_ms.get_ref() * MS {
+        if self.now < self.plan.scene.scene.length_ms.get_ref() * MILLISECOND {
             self.at(self.now + SILENT_PERIOD, Todo::Silent(node));
         }
         None
@@ -225,7 +228,7 @@
         let since = self.now;
         self.nodes[node].stopping = Some(since);
         let deadlines = self.plan.scene.scene.class.iter();
-        let longest = deadlines.map(|class| class.deadline_ms.get_ref() * MS);
+        let longest = deadlines.map(|class| class.deadline_ms.get_ref() * MILLISECOND);
         let longest = longest.max().unwrap_or(0).min(LONGEST_COUNTED);
         let series = [
             StopSignal::Hangup,
@@ -233,7 +236,7 @@
             StopSignal::Interrupt,
         ];
         for signal in series {
-            let after = self.misbehaviour.random.between(MS, longest);
+            let after = self.misbehaviour.random.between(MILLISECOND, longest);
             self.at(since + after, Todo::Signal(node, since, signal));
         }
         let kill = Todo::Signal(node, since, StopSignal::Kill);
--- a/testkit/scenarios/src/world/servers.rs
+++ b/testkit/scenarios/src/world/servers.rs
@@ -12,12 +12,12 @@
 use super::stage::{ConnectionFate, Job, Open, Peer, Sending, Todo, World, body};
 use crate::outcome::{Attempt, Ended, Scope};
 use crate::scene::{Reports, Trouble};
-use crate::{MS, Nanos, SECOND};
+use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// A change of the list counts as told this long after discovery had it and could be reached.
 const COUNTS_WITHIN: Nanos = 6 * SECOND;
 /// A deadline that is this much beyond what the client has left is noted.
-const SEEN_OVER: Nanos = 100 * MS;
+const SEEN_OVER: Nanos = 100 * MILLISECOND;
 /// What a server answers where it is spoilt.
 const NOISE: &[u8] = b"HTTP/1.1 2x0 \x01\x02\r\n\r\n";
 
@@ -61,7 +61,9 @@
             let deadline = message
                 .value("x-budget-ms")
                 .and_then(|text| text.parse().ok());
-            let over = deadline.map_or(0, |deadline: u64| (deadline * MS).saturating_sub(left));
+            let over = deadline.map_or(0, |deadline: u64| {
+                (deadline * MILLISECOND).saturating_sub(left)
+            });
             open.log.attempts.push(Attempt {
                 server: site.name.clone(),
                 zone: site.zone.clone(),
@@ -152,7 +154,7 @@
             return;
         }
         let work = request.map_or(
-            self.plan.scene.scene.class[0].work_ms.get_ref().0 * MS,
+            self.plan.scene.scene.class[0].work_ms.get_ref().0 * MILLISECOND,
             |request| self.plan.arrivals[self.requests[request].arrival].work,
         );
         let site = &mut self.sites[server];
@@ -160,12 +162,12 @@
         site.next_job += 1;
         let is_told = request.is_some_and(|request| {
             let node = &self.nodes[self.requests[request].node];
-            let start = site.booted.map(|booted| (self.base + booted) / MS);
+            let start = site.booted.map(|booted| (self.base + booted) / MILLISECOND);
             node.told_starts.get(&server).copied() == start
         });
         let offer = site.model.offer(now, ticket, work);
         site.cold_sends.push_back((now, is_told));
-        let window = self.plan.scene.scene.rules.fall_ms * MS;
+        let window = self.plan.scene.scene.rules.fall_ms * MILLISECOND;
         while site
             .cold_sends
             .front()
@@ -349,7 +351,7 @@
         if self.sites[server].paused() || *current != attempt {
             if self.sites[server].paused() {
                 self.at(
-                    self.now + MS,
+                    self.now + MILLISECOND,
                     Todo::Answer(Box::new(Sending {
                         conn,
                         attempt,
@@ -443,7 +445,7 @@
         (site.up, site.booted, site.wake) = (true, Some(now), None);
         site.jobs.clear();
         self.net.accept_again(site.listener)?;
-        let notice = self.plan.scene.scene.discovery.notice_ms * MS;
+        let notice = self.plan.scene.scene.discovery.notice_ms * MILLISECOND;
         self.at(now + notice, Todo::List(server, State::Ready, true));
         Ok(())
     }
--- a/testkit/scenarios/src/world/stage.rs
+++ b/testkit/scenarios/src/world/stage.rs
@@ -18,10 +18,10 @@
 use crate::plan::Plan;
 use crate::rules::{self, Breach};
 use crate::scene::Trouble;
-use crate::{MS, Nanos, SECOND};
+use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// On sockets each time limit is this much longer.
-pub const SOCKETS: Nanos = 50 * MS;
+pub const SOCKETS: Nanos = 50 * MILLISECOND;
 /// With fewer answers without a length their share says nothing.
 const LEAST_WITHOUT_LENGTH: usize = 10;
 /// A run ends this long after its last arrival at the latest.
@@ -355,7 +355,8 @@
 
     /// Whether all clients have had their answers, or given up.
     pub fn is_done(&self) -> bool {
-        self.pending == 0 || self.now > self.plan.scene.scene.length_ms.get_ref() * MS + ENDS_AFTER
+        self.pending == 0
+            || self.now > self.plan.scene.scene.length_ms.get_ref() * MILLISECOND + ENDS_AFTER
     }
 
     /// Bytes read from all nodes so far.
@@ -532,6 +533,8 @@
         pod_group: site.cell,
         state,
         capacity_hint: 1.0,
-        boot_ms: site.booted.map_or(0, |booted| (base + booted) / MS),
+        boot_ms: site
+            .booted
+            .map_or(0, |booted| (base + booted) / MILLISECOND),
     }
 }
