--- a/core/postgres-session/src/message_tags.rs
+++ b/core/postgres-session/src/message_tags.rs
@@ -22,6 +22,8 @@
     pub const FUNCTION_CALL: u8 = b'F';
     /// `Parse`.
     pub const PARSE: u8 = b'P';
+    /// `PasswordMessage`, `SASLInitialResponse` and `SASLResponse`.
+    pub const PASSWORD: u8 = b'p';
     /// `Query`.
     pub const QUERY: u8 = b'Q';
     /// `Sync`.
@@ -32,6 +34,10 @@
 
 /// Messages that a server sends.
 pub mod backend {
+    /// `AuthenticationOk` and all requests for authentication; see [`super::authentication`].
+    pub const AUTHENTICATION: u8 = b'R';
+    /// `BackendKeyData`.
+    pub const BACKEND_KEY_DATA: u8 = b'K';
     /// `BindComplete`.
     pub const BIND_COMPLETE: u8 = b'2';
     /// `CloseComplete`.
@@ -48,8 +54,12 @@
     pub const EMPTY_QUERY_RESPONSE: u8 = b'I';
     /// `ErrorResponse`.
     pub const ERROR_RESPONSE: u8 = b'E';
+    /// `NegotiateProtocolVersion`.
+    pub const NEGOTIATE_PROTOCOL_VERSION: u8 = b'v';
     /// `NoData`.
     pub const NO_DATA: u8 = b'n';
+    /// `NoticeResponse`.
+    pub const NOTICE_RESPONSE: u8 = b'N';
     /// `NotificationResponse`.
     pub const NOTIFICATION_RESPONSE: u8 = b'A';
     /// `ParameterDescription`.
@@ -65,3 +75,19 @@
     /// `RowDescription`.
     pub const ROW_DESCRIPTION: u8 = b'T';
 }
+
+/// Codes that the body of an authentication message begins with.
+pub mod authentication {
+    /// `AuthenticationOk`.
+    pub const OK: u32 = 0;
+    /// `AuthenticationCleartextPassword`.
+    pub const CLEARTEXT_PASSWORD: u32 = 3;
+    /// `AuthenticationMD5Password`.
+    pub const MD5_PASSWORD: u32 = 5;
+    /// `AuthenticationSASL`.
+    pub const SASL: u32 = 10;
+    /// `AuthenticationSASLContinue`.
+    pub const SASL_CONTINUE: u32 = 11;
+    /// `AuthenticationSASLFinal`.
+    pub const SASL_FINAL: u32 = 12;
+}
--- a/core/postgres-session/src/server_messages.rs
+++ b/core/postgres-session/src/server_messages.rs
@@ -8,7 +8,7 @@
 use bytes::{BufMut, BytesMut};
 
 use crate::frame::Frame;
-use crate::message_tags::backend;
+use crate::message_tags::{authentication, backend};
 
 /// Why a client gets an error of this process's own instead of a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -156,6 +156,31 @@
     Frame::new(backend::ERROR_RESPONSE, body.freeze())
 }
 
+/// A server's `ErrorResponse`, as far as this process reads it. Bytes that are no UTF-8 are replaced.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ServerError {
+    /// Its SQLSTATE; empty if there is none.
+    pub code: String,
+    /// Its message; empty if there is none.
+    pub message: String,
+}
+
+impl ServerError {
+    /// Reads an `ErrorResponse`.
+    #[must_use]
+    pub fn read(error: &Frame) -> Self {
+        let field = |wanted: u8| {
+            let mut fields = error.body.split(|byte| *byte == 0);
+            let text = fields.find_map(|field| field.strip_prefix(&[wanted]));
+            String::from_utf8_lossy(text.unwrap_or_default()).into_owned()
+        };
+        Self {
+            code: field(error_field::CODE),
+            message: field(error_field::MESSAGE),
+        }
+    }
+}
+
 /// A server's `ErrorResponse` with the severity of one that ends the session.
 #[must_use]
 pub fn with_fatal_severity(error: &Frame) -> Frame {
@@ -240,6 +265,30 @@
     }
 }
 
+/// `AuthenticationOk`.
+#[must_use]
+pub fn authentication_ok() -> Frame {
+    authentication_request(authentication::OK, &[])
+}
+
+/// An authentication message with this code; see [`authentication`].
+#[must_use]
+pub fn authentication_request(code: u32, data: &[u8]) -> Frame {
+    Frame::new(
+        backend::AUTHENTICATION,
+        [&code.to_be_bytes(), data].concat(),
+    )
+}
+
+/// `BackendKeyData` with the key by which a client cancels what runs in its session.
+#[must_use]
+pub fn backend_key_data(process_id: u32, secret_key: [u8; 4]) -> Frame {
+    Frame::new(
+        backend::BACKEND_KEY_DATA,
+        [process_id.to_be_bytes(), secret_key].concat(),
+    )
+}
+
 /// `CommandComplete` with this command tag.
 #[must_use]
 pub fn command_complete(command_tag: &str) -> Frame {
@@ -270,6 +319,13 @@
             value: strings.next()?,
         })
     }
+
+    /// The message that reports this value.
+    #[must_use]
+    pub fn to_frame(&self) -> Frame {
+        let body = format!("{}\0{}\0", self.name, self.value).into_bytes();
+        Frame::new(backend::PARAMETER_STATUS, body)
+    }
 }
 
 #[cfg(test)]
--- a/core/postgres-session/src/server_messages/tests.rs
+++ b/core/postgres-session/src/server_messages/tests.rs
@@ -63,3 +63,54 @@
         None
     );
 }
+
+#[test]
+fn a_server_error_holds_the_code_and_the_message() {
+    let error = Frame::new(
+        b'E',
+        &b"SFATAL\0C53300\0Msorry, too many clients already\0\0"[..],
+    );
+    let ServerError { code, message } = ServerError::read(&error);
+    assert_eq!(
+        (code.as_str(), message.as_str()),
+        ("53300", "sorry, too many clients already")
+    );
+    let empty = ServerError::read(&Frame::new(b'E', &b"\0"[..]));
+    assert_eq!((empty.code.as_str(), empty.message.as_str()), ("", ""));
+}
+
+#[test]
+fn a_written_parameter_status_is_read_again() {
+    let written = ParameterStatus {
+        name: "TimeZone".into(),
+        value: "UTC".into(),
+    };
+    assert_eq!(
+        ParameterStatus::read(&written.to_frame()).as_ref(),
+        Some(&written)
+    );
+}
+
+#[test]
+fn authentication_and_cancel_key_are_read_by_an_independent_parser() {
+    let parse = |frame: &Frame| {
+        let mut wire = BytesMut::new();
+        frame.write(&mut wire);
+        Message::parse(&mut wire).expect("valid").expect("complete")
+    };
+    assert!(matches!(
+        parse(&authentication_ok()),
+        Message::AuthenticationOk
+    ));
+    assert!(matches!(
+        parse(&authentication_request(
+            authentication::SASL,
+            b"SCRAM-SHA-256\0\0"
+        )),
+        Message::AuthenticationSasl(_)
+    ));
+    let Message::BackendKeyData(key) = parse(&backend_key_data(7, 9_u32.to_be_bytes())) else {
+        panic!("no BackendKeyData")
+    };
+    assert_eq!((key.process_id(), key.secret_key()), (7, 9));
+}
