--- a/adapters/postgres/src/access.rs
+++ b/adapters/postgres/src/access.rs
@@ -1,167 +1,133 @@
-//! Who may come to which database, from where, and as whom the node goes on to the servers for them: the first rule that
-//! fits counts, as in a server's `pg_hba.conf`.
+//! Access rules: which user may come to which database from which address. The first rule that matches counts, as in a
+//! server's `pg_hba.conf`.
 
-use std::net::{IpAddr, SocketAddr};
-use std::path::PathBuf;
+use std::net::IpAddr;
 use std::str::FromStr;
 
 use serde::Deserialize;
 
-use crate::config::ConfigError;
+/// Bits of an address.
+const IPV4_BITS: u8 = 32;
+const IPV6_BITS: u8 = 128;
 
-/// A rule of who may come.
+/// An access rule. It matches a client that fits all conditions that are set.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Allow {
-    /// This user; any if left out, and so on.
+pub struct AccessRule {
+    /// The user.
     pub user: Option<String>,
-    /// To this database.
+    /// The database.
     pub database: Option<String>,
-    /// From this range of addresses, as `10.0.0.0/8`.
-    pub address: Option<Range>,
-    /// With TLS, or without.
-    pub tls: Option<bool>,
-    /// Those who fit are turned away.
-    #[serde(default)]
-    pub refuse: bool,
+    /// The range that the client's address lies in, as `10.0.0.0/8`.
+    pub address: Option<AddressRange>,
+    /// Whether the client's connection is in TLS.
+    #[serde(rename = "tls")]
+    pub is_tls: Option<bool>,
+    /// Whether clients that match are rejected.
+    #[serde(rename = "refuse", default)]
+    pub rejects: bool,
 }
 
-/// A range of addresses.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(try_from = "String")]
-pub struct Range {
-    base: IpAddr,
-    bits: u8,
+/// What a client asks for, as far as the rules look at it.
+#[derive(Clone, Copy, Debug)]
+pub struct AccessRequest<'a> {
+    /// The user.
+    pub user: &'a str,
+    /// The database.
+    pub database: &'a str,
+    /// The client's address.
+    pub address: IpAddr,
+    /// Whether its connection is in TLS.
+    pub is_tls: bool,
 }
 
-impl TryFrom<String> for Range {
-    type Error = String;
-
-    fn try_from(text: String) -> Result<Self, String> {
-        text.parse()
+impl AccessRule {
+    fn matches(&self, request: &AccessRequest<'_>) -> bool {
+        let user = self.user.as_deref();
+        let database = self.database.as_deref();
+        user.is_none_or(|user| user == request.user)
+            && database.is_none_or(|database| database == request.database)
+            && self
+                .address
+                .is_none_or(|range| range.contains(request.address))
+            && self.is_tls.is_none_or(|is_tls| is_tls == request.is_tls)
     }
 }
 
-impl FromStr for Range {
-    type Err = String;
-
-    fn from_str(text: &str) -> Result<Self, String> {
-        let wrong = || format!("{text:?} is no range of addresses like 10.0.0.0/8");
-        let (base, bits) = text
-            .split_once('/')
-            .map_or((text, None), |(base, bits)| (base, Some(bits)));
-        let base: IpAddr = base.parse().map_err(|_| wrong())?;
-        let most = if base.is_ipv4() { 32 } else { 128 };
-        let bits = bits.map_or(Ok(most), |bits| bits.parse().map_err(|_| wrong()))?;
-        if bits > most {
-            Err(wrong())
-        } else {
-            Ok(Self { base, bits })
-        }
+/// Whether the rules allow a request. Without rules every authenticated user may come; with rules, none that no rule
+/// matches.
+pub fn is_allowed(rules: &[AccessRule], request: &AccessRequest<'_>) -> bool {
+    if rules.is_empty() {
+        return true;
     }
+    let first_match = rules.iter().find(|rule| rule.matches(request));
+    first_match.is_some_and(|rule| !rule.rejects)
 }
 
-impl Range {
-    /// Whether an address lies in it. One of IPv4 that came over IPv6 counts as what it is.
-    pub fn contains(&self, address: IpAddr) -> bool {
-        let same = |a: u128, b: u128, width: u32| {
-            let shift = width - u32::from(self.bits);
-            shift >= 128 || a >> shift == b >> shift
-        };
-        match (self.base, address.to_canonical()) {
-            (IpAddr::V4(a), IpAddr::V4(b)) => same(u32::from(a).into(), u32::from(b).into(), 32),
-            (IpAddr::V6(a), IpAddr::V6(b)) => same(a.into(), b.into(), 128),
-            _ => false,
-        }
-    }
+/// A range of addresses (CIDR).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+#[serde(try_from = "String")]
+pub struct AddressRange {
+    base: IpAddr,
+    prefix_length: u8,
 }
 
-impl Allow {
-    fn fits(&self, user: &str, database: &str, from: SocketAddr, tls: bool) -> bool {
-        self.user.as_deref().is_none_or(|wanted| wanted == user)
-            && self
-                .database
-                .as_deref()
-                .is_none_or(|wanted| wanted == database)
-            && self.address.is_none_or(|range| range.contains(from.ip()))
-            && self.tls.is_none_or(|wanted| wanted == tls)
-    }
-}
+/// A text that is no range of addresses.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0:?} is no range of addresses like 10.0.0.0/8")]
+pub struct AddressRangeError(String);
 
-/// Whether a client may come. With no rules at all every user that shows who it is may.
-pub fn may_come(rules: &[Allow], user: &str, database: &str, from: SocketAddr, tls: bool) -> bool {
-    rules.is_empty()
-        || rules
-            .iter()
-            .find(|rule| rule.fits(user, database, from, tls))
-            .is_some_and(|rule| !rule.refuse)
-}
+impl TryFrom<String> for AddressRange {
+    type Error = AddressRangeError;
 
-/// Who the node is to the servers.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Login {
-    /// Its user there.
-    pub user: String,
-    /// A file that holds its password and nothing else, if it has one. Nobody else may read it.
-    pub password_file: Option<PathBuf>,
-    /// The clients for which it is; left out, for all that no other login names.
-    pub clients: Option<Vec<String>>,
+    fn try_from(text: String) -> Result<Self, AddressRangeError> {
+        text.parse()
+    }
 }
 
-/// A login with its password.
-#[derive(Clone)]
-pub struct Identity {
-    /// The user.
-    pub user: String,
-    /// Its password.
-    pub password: Option<String>,
-}
+impl FromStr for AddressRange {
+    type Err = AddressRangeError;
 
-/// All logins, by number.
-pub struct Logins {
-    identities: Vec<Identity>,
-    clients: Vec<Option<Vec<String>>>,
+    fn from_str(text: &str) -> Result<Self, AddressRangeError> {
+        Self::parse(text).ok_or_else(|| AddressRangeError(text.to_owned()))
+    }
 }
 
-impl Logins {
-    /// Reads the passwords.
-    pub fn read(logins: &[Login]) -> Result<Self, ConfigError> {
-        let mut all = Self {
-            identities: Vec::new(),
-            clients: Vec::new(),
+impl AddressRange {
+    fn parse(text: &str) -> Option<Self> {
+        let (base, prefix_length) = match text.split_once('/') {
+            Some((base, prefix_length)) => (base, Some(prefix_length)),
+            None => (text, None),
         };
-        for login in logins {
-            let read = |path: &PathBuf| {
-                crate::config::secret(path)
-                    .map(|text| text.trim_end_matches(['\r', '\n']).to_owned())
-            };
-            let password = login.password_file.as_ref().map(read).transpose()?;
-            all.identities.push(Identity {
-                user: login.user.clone(),
-                password,
-            });
-            all.clients.push(login.clients.clone());
-        }
-        Ok(all)
+        let base: IpAddr = base.parse().ok()?;
+        let max_length = if base.is_ipv4() { IPV4_BITS } else { IPV6_BITS };
+        let prefix_length = match prefix_length {
+            Some(prefix_length) => prefix_length.parse().ok()?,
+            None => max_length,
+        };
+        (prefix_length <= max_length).then_some(Self {
+            base,
+            prefix_length,
+        })
     }
 
-    /// The number of the login for a client: one that names it, else the one for all.
-    pub fn for_client(&self, user: &str) -> Option<usize> {
-        let names = |clients: &Option<Vec<String>>| {
-            clients
-                .as_ref()
-                .is_some_and(|clients| clients.iter().any(|known| known == user))
-        };
-        self.clients
-            .iter()
-            .position(names)
-            .or_else(|| self.clients.iter().position(Option::is_none))
+    /// Whether an address lies in the range. An IPv4 address that came over IPv6 (`::ffff:10.0.0.1`) counts as IPv4.
+    pub fn contains(&self, address: IpAddr) -> bool {
+        match (self.base, address.to_canonical()) {
+            (IpAddr::V4(base), IpAddr::V4(address)) => {
+                self.has_same_prefix(u32::from(base).into(), u32::from(address).into(), IPV4_BITS)
+            }
+            (IpAddr::V6(base), IpAddr::V6(address)) => {
+                self.has_same_prefix(base.into(), address.into(), IPV6_BITS)
+            }
+            _ => false,
+        }
     }
 
-    /// A login by its number.
-    pub fn get(&self, number: usize) -> Option<&Identity> {
-        self.identities.get(number)
+    fn has_same_prefix(&self, base: u128, address: u128, address_bits: u8) -> bool {
+        let host_bits = u32::from(address_bits - self.prefix_length);
+        // A prefix of no bits fits all addresses; a shift by all of the 128 bits would overflow.
+        host_bits >= u128::BITS || base >> host_bits == address >> host_bits
     }
 }
 
--- a/adapters/postgres/src/config.rs
+++ b/adapters/postgres/src/config.rs
@@ -1,22 +1,26 @@
-//! The section `[postgres]` of the operators' own file.
+//! The section `[postgres]` of the operators' file: its keys, and what other modules make of them.
+
+mod balancer_settings;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::time::Duration;
 
 use badgerpost_balancer::EndpointState;
 use badgerpost_engine::DiscoveredEndpoint;
 use badgerpost_postgres_session::scram::Verifier;
-use badgerpost_settings::Site;
-use badgerpost_settings::private_file::{self, PrivateFileError};
 use serde::Deserialize;
-use serde_json::{Value, json};
 
-use crate::access::{Allow, Login, Logins};
+use crate::access::AccessRule;
+use crate::config_error::read_private;
+use crate::logins::{Login, Logins};
 use crate::tls::{ClientTls, ServerTls};
 
-/// What the front is told.
+pub use self::balancer_settings::idempotent_class_name;
+pub use crate::config_error::{ConfigError, TlsFileError, UserLineError};
+
+/// The section `[postgres]`. Field names follow its keys, or a key is given where they differ.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
@@ -24,50 +28,54 @@
     pub listen: SocketAddr,
     /// The node's own zone.
     pub zone: String,
-    /// Users and their SCRAM verifiers, a line each: `name SCRAM-SHA-256$...`. Nobody else may read the file.
+    /// A file with a line for each user, of its name and its SCRAM verifier: `name SCRAM-SHA-256$...`. Only its owner
+    /// may access it.
     pub users: PathBuf,
-    /// Clients that may have a session together.
-    #[serde(default = "clients")]
-    pub clients: usize,
-    /// Clients that may be connected without having shown who they are; of more, the longest silent go.
-    #[serde(default = "unidentified")]
-    pub unidentified: usize,
-    /// Whether a server connection is leased for a transaction or for a session.
+    /// Most clients that have a session.
+    #[serde(rename = "clients", default = "default_max_clients")]
+    pub max_clients: usize,
+    /// Most clients that are connected and not authenticated; with more, the one that is silent longest is evicted.
+    #[serde(
+        rename = "unidentified",
+        default = "default_max_unauthenticated_clients"
+    )]
+    pub max_unauthenticated_clients: usize,
+    /// For how long a server connection is leased.
     #[serde(default)]
     pub pooling: Pooling,
-    /// Connections to one server, at most.
-    #[serde(default = "per_server")]
-    pub per_server: usize,
-    /// Logins to one server that may be under way together.
-    #[serde(default = "logins")]
-    pub logins: usize,
-    /// Idle connections that are kept ready at each server, for each database and login in use.
+    /// Most connections to one server.
+    #[serde(rename = "per_server", default = "default_max_connections_per_server")]
+    pub max_connections_per_server: usize,
+    /// Most logins in progress at one server.
+    #[serde(rename = "logins", default = "default_max_concurrent_logins")]
+    pub max_concurrent_logins: usize,
+    /// Idle connections kept ready at each server, for each database and login in use.
     #[serde(default)]
     pub min_idle: usize,
-    /// An idle connection is closed after this.
-    #[serde(default = "idle_close_ms")]
-    pub idle_close_ms: u64,
-    /// A connection is closed after this, a quarter more or less.
-    #[serde(default = "lifetime_ms")]
-    pub lifetime_ms: u64,
-    /// Who the node is to the servers: a login for each client, or one for all that no other names.
+    /// A connection that has been idle for this time is closed.
+    #[serde(rename = "idle_close_ms", default = "default_idle_timeout_ms")]
+    pub idle_timeout_ms: u64,
+    /// A connection is closed at this age, a quarter more or less.
+    #[serde(rename = "lifetime_ms", default = "default_max_lifetime_ms")]
+    pub max_lifetime_ms: u64,
+    /// The node's logins at the servers.
     pub login: Vec<Login>,
-    /// Who may come to which database from where; all users if there is no rule.
-    #[serde(default)]
-    pub allow: Vec<Allow>,
-    /// TLS towards clients; without it a request for TLS is answered no.
+    /// Who may come to which database from where; without rules, all users.
+    #[serde(rename = "allow", default)]
+    pub access_rules: Vec<AccessRule>,
+    /// TLS towards clients; without it, a client's request for TLS is refused.
     pub tls: Option<ClientTls>,
-    /// TLS towards servers; without it they are reached in the clear.
+    /// TLS towards servers; without it, connections to them are not encrypted.
     pub server_tls: Option<ServerTls>,
-    /// Users who may use the console: the database `badgerpost`.
-    #[serde(default)]
-    pub console: Vec<String>,
-    /// Where a list of servers is, in the platform's form; its entries join those of `server`.
+    /// Users who may use the console, which is the database `badgerpost`.
+    #[serde(rename = "console", default)]
+    pub console_users: Vec<String>,
+    /// Where an endpoint list with further servers is, in the platform's form.
     pub discovery: Option<SocketAddr>,
     /// The servers.
     #[serde(default)]
     pub server: Vec<Server>,
-    /// The classes; the first one that fits counts. What fits none is of the last one.
+    /// The classes of transactions; the first one that matches counts, and the last one where none does.
     pub class: Vec<Class>,
 }
 
@@ -78,47 +86,23 @@
     /// For a transaction.
     #[default]
     Transaction,
-    /// From a session's first transaction to its end.
+    /// From a session's first transaction to the session's end.
     Session,
 }
 
-/// The pool's bounds.
+/// The pool's limits.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Connections to one server.
-    pub per_server: usize,
-    /// Logins to one server under way.
-    pub logins: usize,
-    /// Idle connections kept ready.
+pub struct PoolLimits {
+    /// Most connections to one server, at least one.
+    pub max_connections_per_server: usize,
+    /// Most logins in progress at one server, at least one.
+    pub max_concurrent_logins: usize,
+    /// Idle connections kept ready at each server, for each database and login in use.
     pub min_idle: usize,
-    /// An idle one is closed after this.
-    pub idle_close: Duration,
-    /// Any one is closed after this, a quarter more or less.
-    pub lifetime: Duration,
-}
-
-fn clients() -> usize {
-    1000
-}
-
-fn unidentified() -> usize {
-    256
-}
-
-fn per_server() -> usize {
-    20
-}
-
-fn logins() -> usize {
-    4
-}
-
-fn idle_close_ms() -> u64 {
-    600_000
-}
-
-fn lifetime_ms() -> u64 {
-    3_600_000
+    /// A connection that has been idle for this time is closed.
+    pub idle_timeout: Duration,
+    /// A connection is closed at this age, a quarter more or less.
+    pub max_lifetime: Duration,
 }
 
 /// A server.
@@ -133,117 +117,97 @@
     pub zone: String,
 }
 
-/// A class of transactions.
+/// A class of transactions. It matches clients that fit all conditions that are set.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// Of this user; any if left out, and so on.
+    /// The client's user.
     pub user: Option<String>,
-    /// In this database.
+    /// The client's database.
     pub database: Option<String>,
-    /// By an application of this name.
+    /// The client's `application_name`.
     pub application: Option<String>,
-    /// An answer within this time is of full worth.
-    pub aim_ms: u64,
-    /// A transaction is given up after this.
+    /// A response within this time has its full value.
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: u64,
+    /// A transaction that takes longer is given up.
     pub deadline_ms: u64,
-    /// Its worth against other classes'.
-    #[serde(default = "worth")]
-    pub worth: f64,
-    /// A statement that stands alone may be sent again though it may have run.
-    #[serde(default)]
-    pub repeatable: bool,
+    /// The value of its transactions, compared with those of other classes.
+    #[serde(rename = "worth", default = "default_priority_weight")]
+    pub priority_weight: f64,
+    /// Whether a single statement may run twice, and so be retried though it may have run.
+    #[serde(rename = "repeatable", default)]
+    pub has_idempotent_statements: bool,
 }
 
-fn worth() -> f64 {
-    1.0
+fn default_max_clients() -> usize {
+    1000
 }
 
-/// Why the section can't be used.
-#[derive(Debug, thiserror::Error)]
-pub enum ConfigError {
-    /// A file that it names can't be read.
-    #[error("postgres: {}: {source}", path.display())]
-    Unread {
-        /// The file.
-        path: PathBuf,
-        /// What happened.
-        source: std::io::Error,
-    },
-    /// A file with secrets that others may read.
-    #[error("postgres: {}: others may read it; its mode must be 0600", .0.display())]
-    Open(PathBuf),
-    /// A line of the users' file.
-    #[error("postgres: {}:{line}: {problem}", path.display())]
-    Users {
-        /// The file.
-        path: PathBuf,
-        /// The line, from 1.
-        line: usize,
-        /// What is wrong. Never the line itself.
-        problem: &'static str,
-    },
-    /// Something else.
-    #[error("postgres: {0}")]
-    Wrong(String),
+fn default_max_unauthenticated_clients() -> usize {
+    256
 }
 
-/// Reads a file that only its owner may read.
-pub(crate) fn secret(path: &Path) -> Result<String, ConfigError> {
-    private_file::read(path).map_err(|error| not_private(path, error))
+fn default_max_connections_per_server() -> usize {
+    20
 }
 
-/// Whether only its owner may read a file.
-pub(crate) fn check_private(path: &Path) -> Result<(), ConfigError> {
-    private_file::check(path).map_err(|error| not_private(path, error))
+fn default_max_concurrent_logins() -> usize {
+    4
 }
 
-fn not_private(path: &Path, error: PrivateFileError) -> ConfigError {
-    let path = path.to_owned();
-    match error {
-        PrivateFileError::Unreadable(source) => ConfigError::Unread { path, source },
-        PrivateFileError::AccessibleByOthers => ConfigError::Open(path),
-    }
+fn default_idle_timeout_ms() -> u64 {
+    600_000
+}
+
+fn default_max_lifetime_ms() -> u64 {
+    3_600_000
+}
+
+fn default_priority_weight() -> f64 {
+    1.0
 }
 
 impl Config {
-    /// The users.
+    /// Reads the users and their verifiers.
+    ///
+    /// # Errors
+    /// [`ConfigError`] if the file can't be read, others than its owner may access it, or a line is malformed.
     pub fn read_users(&self) -> Result<BTreeMap<String, Verifier>, ConfigError> {
+        let text = read_private(&self.users)?;
         let mut users = BTreeMap::new();
-        for (number, line) in secret(&self.users)?.lines().enumerate() {
+        for (index, line) in text.lines().enumerate() {
             let line = line.trim();
             if line.is_empty() || line.starts_with('#') {
                 continue;
             }
-            let wrong = |problem| ConfigError::Users {
+            let (name, verifier) = parse_user(line).map_err(|problem| ConfigError::Users {
                 path: self.users.clone(),
-                line: number + 1,
+                line: index + 1,
                 problem,
-            };
-            let (name, verifier_text) = line
-                .split_once(' ')
-                .ok_or_else(|| wrong("a name and a verifier"))?;
-            let verifier = Verifier::parse(verifier_text).map_err(|_| {
-                wrong("only SCRAM-SHA-256 verifiers are taken, no passwords, no md5")
             })?;
             users.insert(name.to_owned(), verifier);
         }
         Ok(users)
     }
 
-    /// The logins, with their passwords.
+    /// Reads the logins' passwords.
+    ///
+    /// # Errors
+    /// [`ConfigError`] if there is no login, or a password's file can't be used.
     pub fn read_logins(&self) -> Result<Logins, ConfigError> {
         if self.login.is_empty() {
-            return Err(ConfigError::Wrong(
-                "there must be a [[postgres.login]]".to_owned(),
-            ));
+            return Err(ConfigError::NoLogin);
         }
         Logins::read(&self.login)
     }
 
-    /// Reads all files that the section names, and says what is wrong with them.
+    /// Reads all files that the section names, to check them.
+    ///
+    /// # Errors
+    /// [`ConfigError`] for the first that can't be used.
     pub fn check(&self) -> Result<(), ConfigError> {
         self.site()?;
         self.read_users()?;
@@ -256,92 +220,60 @@
         Ok(())
     }
 
-    /// The pool's bounds.
-    pub fn limits(&self) -> Limits {
-        Limits {
-            per_server: self.per_server.max(1),
-            logins: self.logins.max(1),
+    /// The pool's limits.
+    pub fn limits(&self) -> PoolLimits {
+        PoolLimits {
+            max_connections_per_server: self.max_connections_per_server.max(1),
+            max_concurrent_logins: self.max_concurrent_logins.max(1),
             min_idle: self.min_idle,
-            idle_close: Duration::from_millis(self.idle_close_ms),
-            lifetime: Duration::from_millis(self.lifetime_ms),
+            idle_timeout: Duration::from_millis(self.idle_timeout_ms),
+            max_lifetime: Duration::from_millis(self.max_lifetime_ms),
         }
     }
 
-    /// The settings of the decision module for this fleet. Each class stands there once as it is and, where its
-    /// statements may be repeated, a second time for those.
-    pub fn site(&self) -> Result<Site, ConfigError> {
-        if self.class.is_empty() || (self.server.is_empty() && self.discovery.is_none()) {
-            return Err(ConfigError::Wrong(
-                "there must be a [[postgres.class]], and a [[postgres.server]] or discovery"
-                    .to_owned(),
-            ));
-        }
-        let mut zones = vec![self.zone.clone()];
-        for server in &self.server {
-            if !zones.contains(&server.zone) {
-                zones.push(server.zone.clone());
-            }
-        }
-        let class = |class: &Class| {
-            let of = |name: String, effect: &str| {
-                json!({"name": name, "effect": effect, "on-time-ns": class.aim_ms * 1_000_000,
-                    "deadline-ns": class.deadline_ms * 1_000_000, "importance": class.worth})
-            };
-            let mut all = vec![of(class.name.clone(), "once")];
-            all.extend(
-                class
-                    .repeatable
-                    .then(|| of(repeatable(&class.name), "repeatable")),
-            );
-            all
-        };
-        let classes: Vec<Value> = self.class.iter().flat_map(class).collect();
-        let settings = json!({"az": self.zone, "zones": zones, "discovery": "pushed", "classes": classes,
-            "goal": {}, "policy-limits": {"attempts-cap": 3, "may-cancel": true, "second-copies": false,
-                "probes": false, "retry-after": true, "max-retry-after-ns": 1_000_000_000_u64},
-            "rules": {"answer-slack-ns": 20_000_000, "drain-grace-ns": 500_000_000, "fall-ns": 1_500_000_000,
-                "start-capacity": 0.1, "tip-multiple": 2.5, "warm-after-ns": 20_000_000_000_u64}});
-        let mut site = badgerpost_settings::read(&settings)
-            .map_err(|error| ConfigError::Wrong(error.to_string()))?;
-        // A server works on as many transactions as it has connections; so few more wait for one of these that
-        // the module, not the pool, has the order of those that wait.
-        site.settings.max_queue_per_size = self.per_server.max(1) as f64 * 1.25;
-        site.settings
-            .validate()
-            .map_err(|error| ConfigError::Wrong(error.to_string()))?;
-        Ok(site)
+    /// The class of a client's transactions: the first one that matches, otherwise the last one.
+    pub fn class_of(&self, user: &str, database: &str, application: &str) -> Option<&Class> {
+        self.class
+            .iter()
+            .find(|class| class.matches(user, database, application))
+            .or(self.class.last())
     }
 
-    /// The class of a client's transactions.
-    pub fn class_of(&self, user: &str, database: &str, application: &str) -> Option<&Class> {
-        let fits = |class: &&Class| {
-            let same = |wanted: &Option<String>, is: &str| {
-                wanted.as_deref().is_none_or(|wanted| wanted == is)
-            };
-            same(&class.user, user)
-                && same(&class.database, database)
-                && same(&class.application, application)
-        };
-        self.class.iter().find(fits).or(self.class.last())
+    /// The servers of the section, as entries of an endpoint list.
+    pub fn endpoints(&self) -> Vec<DiscoveredEndpoint> {
+        self.server.iter().map(Server::endpoint).collect()
     }
+}
 
-    /// The servers as the engine is told of them.
-    pub fn listed(&self) -> Vec<DiscoveredEndpoint> {
-        let listed = |server: &Server| DiscoveredEndpoint {
-            name: server.name.clone(),
-            address: server.address,
-            zone: server.zone.clone(),
+impl Server {
+    fn endpoint(&self) -> DiscoveredEndpoint {
+        DiscoveredEndpoint {
+            name: self.name.clone(),
+            address: self.address,
+            zone: self.zone.clone(),
             machine_kind: "postgres".to_owned(),
             cell: 0,
             state: EndpointState::InService,
             size: 1.0,
             started_at_ms: 0,
+        }
+    }
+}
+
+impl Class {
+    fn matches(&self, user: &str, database: &str, application: &str) -> bool {
+        let is_any_or = |condition: &Option<String>, value: &str| {
+            condition.as_deref().is_none_or(|wanted| wanted == value)
         };
-        self.server.iter().map(listed).collect()
+        is_any_or(&self.user, user)
+            && is_any_or(&self.database, database)
+            && is_any_or(&self.application, application)
     }
 }
 
-/// The name of a class's repeatable half.
-pub fn repeatable(name: &str) -> String {
-    format!("{name}, repeatable")
+/// Reads a line of the users' file.
+fn parse_user(line: &str) -> Result<(&str, Verifier), UserLineError> {
+    let (name, verifier) = line.split_once(' ').ok_or(UserLineError::NoVerifier)?;
+    let verifier = Verifier::parse(verifier).map_err(|_| UserLineError::UnsupportedVerifier)?;
+    Ok((name, verifier))
 }
--- a/adapters/postgres/src/console.rs
+++ b/adapters/postgres/src/console.rs
@@ -56,7 +56,6 @@
 }
 
 /// Serves the console until the client goes.
-#[expect(clippy::cognitive_complexity, reason = "to be split with the module")]
 #[expect(clippy::too_many_lines, reason = "to be split with the module")]
 pub async fn serve(
     front: &PostgresServer,
@@ -340,20 +339,23 @@
     let rows = [
         texts([&"listen", &config.listen]),
         texts([&"zone", &config.zone]),
-        texts([&"clients", &config.clients]),
-        texts([&"unidentified", &config.unidentified]),
+        texts([&"clients", &config.max_clients]),
+        texts([&"unidentified", &config.max_unauthenticated_clients]),
         texts([&"pooling", &format!("{:?}", config.pooling).to_lowercase()]),
-        texts([&"per_server", &config.per_server]),
-        texts([&"logins", &config.logins]),
+        texts([&"per_server", &config.max_connections_per_server]),
+        texts([&"logins", &config.max_concurrent_logins]),
         texts([&"min_idle", &config.min_idle]),
-        texts([&"idle_close_ms", &config.idle_close_ms]),
-        texts([&"lifetime_ms", &config.lifetime_ms]),
+        texts([&"idle_close_ms", &config.idle_timeout_ms]),
+        texts([&"lifetime_ms", &config.max_lifetime_ms]),
         texts([
             &"tls",
-            &config.tls.as_ref().map_or(
-                "off",
-                |tls| if tls.required { "required" } else { "offered" },
-            ),
+            &config.tls.as_ref().map_or("off", |tls| {
+                if tls.is_required {
+                    "required"
+                } else {
+                    "offered"
+                }
+            }),
         ]),
         texts([
             &"server_tls",
--- a/adapters/postgres/src/lib.rs
+++ b/adapters/postgres/src/lib.rs
@@ -8,10 +8,12 @@
 mod client;
 mod clients;
 pub mod config;
+mod config_error;
 mod console;
 mod identity;
 mod lease_slot;
 mod login;
+pub mod logins;
 pub mod pool;
 mod relay;
 pub mod server;
@@ -44,8 +46,8 @@
 pub struct LeaseRequest {
     /// The database to be connected to.
     pub database: String,
-    /// The number of the login.
-    pub login: usize,
+    /// The login.
+    pub login: logins::LoginId,
     /// Those of a lower one go first where connections are short.
     pub rank: u64,
     /// The transaction's number in its session, from 1.
--- a/adapters/postgres/src/login.rs
+++ b/adapters/postgres/src/login.rs
@@ -15,7 +15,7 @@
 use postgres_protocol::message::frontend;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-use crate::access::Identity;
+use crate::logins::Credentials;
 use crate::stream::Stream;
 use crate::tls::{self, Connector};
 
@@ -103,7 +103,7 @@
 pub async fn log_in(
     endpoint: SocketAddr,
     tls: Option<&Connector>,
-    identity: &Identity,
+    identity: &Credentials,
     database: &str,
 ) -> Result<NewConnection, ConnectError> {
     let socket = TcpStream::connect(endpoint).await?;
@@ -183,11 +183,14 @@
     let Stream::Plain(socket) = stream else {
         return Err(ConnectError::NoTls);
     };
-    let encrypted = tls.tls.connect(tls.name.clone(), socket).await?;
+    let encrypted = tls
+        .connector
+        .connect(tls.server_name.clone(), socket)
+        .await?;
     let certificates = encrypted.get_ref().1.peer_certificates();
     let binding = certificates
         .and_then(|all| all.first())
-        .map(|first| tls::end_point(first));
+        .map(|first| tls::tls_server_end_point(first));
     Ok((Stream::Tls(Box::new(encrypted.into())), binding))
 }
 
@@ -196,7 +199,7 @@
     link: &mut NewConnection,
     frame: Frame,
     scram: &mut Option<ScramSha256>,
-    identity: &Identity,
+    identity: &Credentials,
     binding: Option<&[u8]>,
 ) -> Result<(), ConnectError> {
     let mut body = frame.body;
--- a/adapters/postgres/src/pool.rs
+++ b/adapters/postgres/src/pool.rs
@@ -17,9 +17,9 @@
 use tokio::sync::{Notify, oneshot};
 
 use crate::PostgresEngine;
-use crate::access::Logins;
-use crate::config::Limits;
+use crate::config::PoolLimits;
 use crate::login::{ConnectError, log_in};
+use crate::logins::{LoginId, Logins};
 use crate::stream::Stream;
 use crate::tls::Connector;
 
@@ -47,7 +47,7 @@
     /// The database.
     pub database: String,
     /// The login.
-    pub login: usize,
+    pub login: LoginId,
 }
 
 /// A connection to a server, logged in and with nothing on it.
@@ -189,14 +189,14 @@
     clock: Clock,
     logins: Logins,
     tls: Option<Connector>,
-    limits: Limits,
+    limits: PoolLimits,
     idle: IdlePool<PoolKey, ServerConnection>,
     servers: RefCell<BTreeMap<ServerAddress, Rc<Server>>>,
     /// The settings that each server reports, and what they came to together when any was known last.
     reports: RefCell<BTreeMap<ServerAddress, BTreeMap<String, String>>>,
     greeting: RefCell<BTreeMap<String, String>>,
     /// Databases and logins in use, and when they were last.
-    warm: RefCell<BTreeMap<(String, usize), Nanos>>,
+    warm: RefCell<BTreeMap<(String, LoginId), Nanos>>,
     /// Connections of an earlier one are not used again.
     epoch: Cell<u64>,
     made: Cell<u64>,
@@ -207,7 +207,12 @@
 
 impl Pool {
     /// An empty pool.
-    pub fn new(clock: Clock, logins: Logins, tls: Option<Connector>, limits: Limits) -> Rc<Self> {
+    pub fn new(
+        clock: Clock,
+        logins: Logins,
+        tls: Option<Connector>,
+        limits: PoolLimits,
+    ) -> Rc<Self> {
         Rc::new(Self {
             clock,
             logins,
@@ -227,7 +232,7 @@
     }
 
     /// The login for a client.
-    pub fn login_for(&self, user: &str) -> Option<usize> {
+    pub fn login_for(&self, user: &str) -> Option<LoginId> {
         self.logins.for_client(user)
     }
 
@@ -293,15 +298,15 @@
                 }
             }
             if !behind
-                && server.open.get() < self.limits.per_server
-                && server.logging_in.get() < self.limits.logins
+                && server.open.get() < self.limits.max_connections_per_server
+                && server.logging_in.get() < self.limits.max_concurrent_logins
             {
                 // Others need not wait for this login.
                 drop(promise.take());
                 return self.log_in(key, &server).await;
             }
             if !behind
-                && server.open.get() >= self.limits.per_server
+                && server.open.get() >= self.limits.max_connections_per_server
                 && self.idle.drop_oldest(|other| other.place == key.place)
             {
                 // An idle one of another database or login has made room.
@@ -311,10 +316,14 @@
                 let waiting = server.waiting.borrow();
                 (waiting.range(..(rank, turn)).count(), waiting.len())
             };
-            let each = server.hold.get() / self.limits.per_server.max(1) as f64;
+            let each = server.hold.get() / self.limits.max_connections_per_server.max(1) as f64;
             let expected = (each * (ahead + 1) as f64) as Nanos;
             if now.saturating_add(expected) >= give_up
-                || all >= self.limits.per_server.saturating_mul(WAITING_EACH)
+                || all
+                    >= self
+                        .limits
+                        .max_connections_per_server
+                        .saturating_mul(WAITING_EACH)
             {
                 return Err(ConnectError::Full(
                     "all of the node's connections to it are in use".to_owned(),
@@ -361,7 +370,7 @@
         let made = self.made.get();
         self.made.set(made + 1);
         let part = made.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
-        let lifetime = nanos(self.limits.lifetime) / 100 * (75 + part % 51);
+        let lifetime = nanos(self.limits.max_lifetime) / 100 * (75 + part % 51);
         Ok(ServerConnection {
             stream: fresh.stream,
             cutter: fresh.cutter,
@@ -405,7 +414,7 @@
         &self,
         fleet: &PostgresEngine,
         database: &str,
-        login: usize,
+        login: LoginId,
     ) -> Option<BTreeMap<String, String>> {
         let last = self.clock.now().saturating_add(nanos(CONNECT));
         while self.greeting.borrow().is_empty() && self.clock.now() < last {
@@ -440,14 +449,14 @@
         loop {
             self.clock.sleep(SWEEP).await;
             let now = self.clock.now();
-            let (most, epoch) = (nanos(self.limits.idle_close), self.epoch.get());
+            let (most, epoch) = (nanos(self.limits.idle_timeout), self.epoch.get());
             self.idle.retain(now, |_, link, idle| {
                 idle < most && now < link.until && link.epoch == epoch && link.is_idle()
             });
             if self.limits.min_idle == 0 || self.paused.get() {
                 continue;
             }
-            let warm: Vec<(String, usize)> = {
+            let warm: Vec<(String, LoginId)> = {
                 let mut warm = self.warm.borrow_mut();
                 warm.retain(|_, used| now.saturating_sub(*used) < most);
                 warm.keys().cloned().collect()
@@ -461,8 +470,8 @@
                         login: *login,
                     };
                     let server = self.server(place);
-                    let room = server.open.get() < self.limits.per_server
-                        && server.logging_in.get() < self.limits.logins;
+                    let room = server.open.get() < self.limits.max_connections_per_server
+                        && server.logging_in.get() < self.limits.max_concurrent_logins;
                     if room
                         && self.idle.count(|other| *other == key) < self.limits.min_idle
                         && let Ok(link) = self.log_in(&key, &server).await
--- a/adapters/postgres/src/relay.rs
+++ b/adapters/postgres/src/relay.rs
@@ -21,6 +21,7 @@
 use crate::PostgresEngine;
 use crate::clients::RegisteredClient;
 use crate::lease_slot::LeaseSlot;
+use crate::logins::LoginId;
 use crate::pool::{Pool, ServerConnection};
 use crate::stream::Stream;
 
@@ -74,7 +75,7 @@
     /// Its database.
     pub database: String,
     /// The login at the servers.
-    pub login: usize,
+    pub login: LoginId,
     /// It keeps its server connection from its first transaction to its end.
     pub session_pooling: bool,
 }
--- a/adapters/postgres/src/relay/transactions.rs
+++ b/adapters/postgres/src/relay/transactions.rs
@@ -8,7 +8,7 @@
 use badgerpost_postgres_session::session::Event;
 
 use super::{LeasedConnection, PausedTransaction, Relay, RelayProgress, Waits};
-use crate::config::repeatable;
+use crate::config::idempotent_class_name;
 use crate::{LeaseRequest, Postgres, ServerLease};
 
 impl Relay {
@@ -137,7 +137,7 @@
     pub(super) fn submit(&mut self, alone: bool) {
         let (class_name, may_repeat) = &self.terms.class;
         let name = if alone && *may_repeat {
-            repeatable(class_name)
+            idempotent_class_name(class_name)
         } else {
             class_name.clone()
         };
--- a/adapters/postgres/src/server.rs
+++ b/adapters/postgres/src/server.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 
 use crate::PostgresEngine;
-use crate::access::may_come;
+use crate::access::{AccessRequest, is_allowed};
 use crate::admission::{PendingClient, UnauthenticatedClients};
 use crate::cancel::CancelKeys;
 use crate::client::{Client, ClientError};
@@ -27,6 +27,7 @@
 use crate::config::{Config, ConfigError, Pooling};
 use crate::console;
 use crate::identity::Users;
+use crate::logins::LoginId;
 use crate::pool::Pool;
 use crate::relay::{Relay, SessionTerms};
 use crate::stream::Stream;
@@ -59,7 +60,7 @@
     startup: StartupMessage,
     settings: ClientSettings,
     greeting: BTreeMap<String, String>,
-    login: usize,
+    login: LoginId,
     opened: ConnectionGuard,
 }
 
@@ -76,8 +77,8 @@
             .as_ref()
             .map(crate::tls::ClientTls::acceptor)
             .transpose()?;
-        let users = Users::new(users).map_err(|error| ConfigError::Wrong(error.to_string()))?;
-        let unidentified = UnauthenticatedClients::new(config.unidentified);
+        let users = Users::new(users).map_err(|_| ConfigError::Random)?;
+        let unidentified = UnauthenticatedClients::new(config.max_unauthenticated_clients);
         let (clients, sessions, cancels) = (
             Rc::default(),
             ConnectionCounter::default(),
@@ -213,7 +214,7 @@
                     let Stream::Plain(socket) = client.stream else {
                         return Ok(None);
                     };
-                    let stream = tls.tls.accept(socket).await?;
+                    let stream = tls.acceptor.accept(socket).await?;
                     client.stream = Stream::Tls(Box::new(stream.into()));
                 }
                 (StartupPacket::Tls | StartupPacket::Gss, _) => client.write(b"N").await?,
@@ -229,7 +230,7 @@
             client.send(&[Frame::new(b'v', body.clone())]).await?;
         }
         let encrypted = client.stream.is_tls();
-        if self.tls.as_ref().is_some_and(|tls| tls.required) && !encrypted {
+        if self.tls.as_ref().is_some_and(|tls| tls.is_required) && !encrypted {
             return self
                 .refuse(
                     client,
@@ -242,7 +243,7 @@
             .tls
             .as_ref()
             .filter(|_| encrypted)
-            .map(|tls| tls.binding.as_slice());
+            .map(|tls| tls.channel_binding.as_slice());
         match self.users.prove(&mut client, &message.user, binding).await {
             Err(ClientError::Identity(why)) => {
                 client
@@ -253,17 +254,17 @@
             Err(other) => return Err(other),
             Ok(()) => pending.heard(),
         }
-        if message.database == CONSOLE && self.config.console.contains(&message.user) {
+        if message.database == CONSOLE && self.config.console_users.contains(&message.user) {
             console::serve(self, client, message.user).await?;
             return Ok(None);
         }
-        if !may_come(
-            &self.config.allow,
-            &message.user,
-            &message.database,
-            from,
-            encrypted,
-        ) {
+        let request = AccessRequest {
+            user: &message.user,
+            database: &message.database,
+            address: from.ip(),
+            is_tls: encrypted,
+        };
+        if !is_allowed(&self.config.access_rules, &request) {
             return self
                 .refuse(
                     client,
@@ -281,7 +282,7 @@
                 )
                 .await;
         };
-        if self.sessions.get() >= self.config.clients {
+        if self.sessions.get() >= self.config.max_clients {
             let detail = "all of the node's client connections are in use";
             return self
                 .refuse(client, ErrorReason::TooManyClients, detail)
@@ -353,7 +354,12 @@
             .config
             .class_of(&startup.user, &startup.database, startup.application());
         let (class, worth) = class
-            .map(|class| ((class.name.clone(), class.repeatable), class.worth))
+            .map(|class| {
+                (
+                    (class.name.clone(), class.has_idempotent_statements),
+                    class.priority_weight,
+                )
+            })
             .unwrap_or_default();
         let terms = SessionTerms {
             fleet: self.fleet.clone(),
--- a/adapters/postgres/src/tls.rs
+++ b/adapters/postgres/src/tls.rs
@@ -1,10 +1,11 @@
-//! TLS on both sides, by rustls: the node's certificate for clients, and what it asks of servers.
+//! TLS towards clients and servers, by rustls: certificates, keys and roots from the operators' files.
 //!
 //! Source: PostgreSQL documentation, "SSL Session Encryption"; channel binding: RFC 5929, `tls-server-end-point`.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
+use rustls::crypto::{CryptoProvider, ring};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
 use rustls::{ClientConfig, RootCertStore, ServerConfig};
@@ -12,125 +13,130 @@
 use sha2::{Digest, Sha256, Sha384, Sha512};
 use tokio_rustls::{TlsAcceptor, TlsConnector};
 
-use crate::config::ConfigError;
+use crate::config_error::{ConfigError, TlsFileError, check_private};
 
 /// TLS towards clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientTls {
-    /// The node's certificate and those up to the root, in PEM.
+    /// The node's certificate and those between it and the root, in PEM.
     pub certificate: PathBuf,
-    /// Its key, in PEM. Nobody else may read the file.
+    /// The certificate's key, in PEM. Only its owner may access the file.
     pub key: PathBuf,
-    /// Clients that don't ask for TLS are turned away.
-    #[serde(default)]
-    pub required: bool,
+    /// Whether clients without TLS are rejected.
+    #[serde(rename = "required", default)]
+    pub is_required: bool,
 }
 
-/// TLS towards servers: always required where it is set.
+/// TLS towards servers. Where it is set, it is required.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerTls {
-    /// The roots that the servers' certificates lead to, in PEM.
+    /// The roots of the servers' certificates, in PEM.
     pub roots: PathBuf,
     /// The name that their certificates are for.
     pub name: String,
 }
 
-fn wrong(path: &Path, problem: impl std::fmt::Display) -> ConfigError {
-    ConfigError::Wrong(format!("{}: {problem}", path.display()))
-}
-
-fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, ConfigError> {
-    let read = CertificateDer::pem_file_iter(path).map_err(|error| wrong(path, error))?;
-    let all = read
-        .collect::<Result<Vec<_>, _>>()
-        .map_err(|error| wrong(path, error))?;
-    if all.is_empty() {
-        Err(wrong(path, "no certificate in it"))
-    } else {
-        Ok(all)
-    }
-}
-
-/// What clients are offered.
+/// Accepts TLS connections of clients.
 #[derive(Clone)]
 pub struct Acceptor {
-    /// The handshake.
-    pub tls: TlsAcceptor,
-    /// The channel's binding.
-    pub binding: Vec<u8>,
-    /// Clients must ask for it.
-    pub required: bool,
+    /// Performs the handshake.
+    pub acceptor: TlsAcceptor,
+    /// `tls-server-end-point` of the node's certificate.
+    pub channel_binding: Vec<u8>,
+    /// Whether clients without TLS are rejected.
+    pub is_required: bool,
 }
 
 impl ClientTls {
     /// Reads the certificate and the key.
+    ///
+    /// # Errors
+    /// [`ConfigError`] if a file can't be used, or others than its owner may access the key.
     pub fn acceptor(&self) -> Result<Acceptor, ConfigError> {
-        let chain = certificates(&self.certificate)?;
-        crate::config::check_private(&self.key)?;
-        let key =
-            PrivateKeyDer::from_pem_file(&self.key).map_err(|error| wrong(&self.key, error))?;
-        let binding = end_point(&chain[0]);
-        let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let config = ServerConfig::builder_with_provider(provider)
+        let chain = read_certificates(&self.certificate)?;
+        check_private(&self.key)?;
+        let key = PrivateKeyDer::from_pem_file(&self.key)
+            .map_err(|error| TlsFileError::from(error).at(&self.key))?;
+        let channel_binding = tls_server_end_point(&chain[0]);
+        let config = ServerConfig::builder_with_provider(crypto_provider())
             .with_safe_default_protocol_versions()
             .and_then(|config| config.with_no_client_auth().with_single_cert(chain, key))
-            .map_err(|error| wrong(&self.certificate, error))?;
+            .map_err(|error| TlsFileError::from(error).at(&self.certificate))?;
         Ok(Acceptor {
-            tls: TlsAcceptor::from(Arc::new(config)),
-            binding,
-            required: self.required,
+            acceptor: TlsAcceptor::from(Arc::new(config)),
+            channel_binding,
+            is_required: self.is_required,
         })
     }
 }
 
-/// How servers are reached.
+/// Opens TLS connections to servers.
 #[derive(Clone)]
 pub struct Connector {
-    /// The handshake.
-    pub tls: TlsConnector,
-    /// The name that their certificates are for.
-    pub name: ServerName<'static>,
+    /// Performs the handshake.
+    pub connector: TlsConnector,
+    /// The name that the servers' certificates are for.
+    pub server_name: ServerName<'static>,
 }
 
 impl ServerTls {
     /// Reads the roots.
+    ///
+    /// # Errors
+    /// [`ConfigError`] if the file can't be used, or the name is no host name.
     pub fn connector(&self) -> Result<Connector, ConfigError> {
+        let at_roots = |error: rustls::Error| TlsFileError::from(error).at(&self.roots);
         let mut roots = RootCertStore::empty();
-        for certificate in certificates(&self.roots)? {
-            roots
-                .add(certificate)
-                .map_err(|error| wrong(&self.roots, error))?;
+        for certificate in read_certificates(&self.roots)? {
+            roots.add(certificate).map_err(at_roots)?;
         }
-        let name = ServerName::try_from(self.name.clone());
-        let name = name.map_err(|error| ConfigError::Wrong(format!("server_tls.name: {error}")))?;
-        let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let config = ClientConfig::builder_with_provider(provider)
+        let server_name = ServerName::try_from(self.name.clone())?;
+        let config = ClientConfig::builder_with_provider(crypto_provider())
             .with_safe_default_protocol_versions()
-            .map_err(|error| wrong(&self.roots, error))?
+            .map_err(at_roots)?
             .with_root_certificates(roots)
             .with_no_client_auth();
         Ok(Connector {
-            tls: TlsConnector::from(Arc::new(config)),
-            name,
+            connector: TlsConnector::from(Arc::new(config)),
+            server_name,
         })
     }
 }
 
-/// The binding of a channel to its server's certificate: its hash, by the function of its signature or, where that is a
-/// weaker one, by SHA-256.
-pub fn end_point(certificate: &[u8]) -> Vec<u8> {
-    const RSA_384: &[u8] = &[0x2a, 0x86, 0x48, 0x86, 0xf7, 0x0d, 0x01, 0x01, 0x0c];
-    const RSA_512: &[u8] = &[0x2a, 0x86, 0x48, 0x86, 0xf7, 0x0d, 0x01, 0x01, 0x0d];
-    const ECDSA_384: &[u8] = &[0x2a, 0x86, 0x48, 0xce, 0x3d, 0x04, 0x03, 0x03];
-    const ECDSA_512: &[u8] = &[0x2a, 0x86, 0x48, 0xce, 0x3d, 0x04, 0x03, 0x04];
-    let signed_by = |oid: &[u8]| certificate.windows(oid.len()).any(|window| window == oid);
-    if signed_by(RSA_384) || signed_by(ECDSA_384) {
+fn crypto_provider() -> Arc<CryptoProvider> {
+    Arc::new(ring::default_provider())
+}
+
+/// The certificates of a file, at least one.
+fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, ConfigError> {
+    let certificates = CertificateDer::pem_file_iter(path)
+        .and_then(Iterator::collect::<Result<Vec<_>, _>>)
+        .map_err(|error| TlsFileError::from(error).at(path))?;
+    if certificates.is_empty() {
+        return Err(TlsFileError::NoCertificate.at(path));
+    }
+    Ok(certificates)
+}
+
+/// The channel binding `tls-server-end-point` (RFC 5929): the hash of the server's certificate by the hash function of
+/// the certificate's signature or, where that is a weaker one, by SHA-256.
+pub fn tls_server_end_point(certificate: &[u8]) -> Vec<u8> {
+    let is_signed_by = |oid: &[u8]| certificate.windows(oid.len()).any(|window| window == oid);
+    if is_signed_by(signature_oid::RSA_SHA384) || is_signed_by(signature_oid::ECDSA_SHA384) {
         Sha384::digest(certificate).to_vec()
-    } else if signed_by(RSA_512) || signed_by(ECDSA_512) {
+    } else if is_signed_by(signature_oid::RSA_SHA512) || is_signed_by(signature_oid::ECDSA_SHA512) {
         Sha512::digest(certificate).to_vec()
     } else {
         Sha256::digest(certificate).to_vec()
     }
 }
+
+/// Object identifiers of signature algorithms (RFC 8017, RFC 5758), in DER.
+mod signature_oid {
+    pub(super) const RSA_SHA384: &[u8] = &[0x2a, 0x86, 0x48, 0x86, 0xf7, 0x0d, 0x01, 0x01, 0x0c];
+    pub(super) const RSA_SHA512: &[u8] = &[0x2a, 0x86, 0x48, 0x86, 0xf7, 0x0d, 0x01, 0x01, 0x0d];
+    pub(super) const ECDSA_SHA384: &[u8] = &[0x2a, 0x86, 0x48, 0xce, 0x3d, 0x04, 0x03, 0x03];
+    pub(super) const ECDSA_SHA512: &[u8] = &[0x2a, 0x86, 0x48, 0xce, 0x3d, 0x04, 0x03, 0x04];
+}
--- a/adapters/postgres/tests/common/mod.rs
+++ b/adapters/postgres/tests/common/mod.rs
@@ -92,7 +92,7 @@
         let launcher = Rc::new(PostgresTransport(pool.clone()));
         let fleet =
             PostgresEngine::new(site.settings, site.names, 7, clock, launcher).expect("a fleet");
-        fleet.endpoints_updated(EndpointUpdate::Snapshot, &config.listed());
+        fleet.endpoints_updated(EndpointUpdate::Snapshot, &config.endpoints());
         let timers = fleet.clone();
         spawn(async move { timers.run_timers().await });
         let user = |name: &str| {
--- a/adapters/postgres/tests/sessions.rs
+++ b/adapters/postgres/tests/sessions.rs
@@ -12,7 +12,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use badgerpost_postgres::access::{Allow, Login};
+use badgerpost_postgres::access::AccessRule;
+use badgerpost_postgres::logins::Login;
 use badgerpost_postgres::tls::{ClientTls, ServerTls};
 use common::*;
 use tokio_postgres::config::ChannelBinding;
@@ -46,11 +47,10 @@
             .unwrap_or(60);
         let database = database();
         let node = Node::start(&[&database], |config| {
-            (config.clients, config.per_server) = (count + 10, 10);
-            config
-                .class
-                .iter_mut()
-                .for_each(|class| (class.aim_ms, class.deadline_ms) = (20_000, 30_000));
+            (config.max_clients, config.max_connections_per_server) = (count + 10, 10);
+            config.class.iter_mut().for_each(|class| {
+                (class.latency_objective_ms, class.deadline_ms) = (20_000, 30_000);
+            });
         })
         .await;
         let mut tasks = Vec::new();
@@ -202,19 +202,19 @@
                 login("shared", "shared", Some(vec!["ann".to_owned()])),
                 login("eve_at_db", "eve", Some(vec!["eve".to_owned()])),
             ];
-            let refuse = Allow {
+            let refuse = AccessRule {
                 user: Some("eve".to_owned()),
                 database: Some("secrets".to_owned()),
                 address: None,
-                tls: None,
-                refuse: true,
+                is_tls: None,
+                rejects: true,
             };
-            config.allow = vec![
+            config.access_rules = vec![
                 refuse.clone(),
-                Allow {
+                AccessRule {
                     user: None,
                     database: None,
-                    refuse: false,
+                    rejects: false,
                     ..refuse
                 },
             ];
@@ -276,12 +276,12 @@
         let tls = ClientTls {
             certificate: pem.clone(),
             key,
-            required: true,
+            is_required: true,
         };
         let behind = Node::start(&[&database], |config| config.tls = Some(tls.clone())).await;
         let front = Node::start(&[&database], |config| {
             config.tls = Some(ClientTls {
-                required: false,
+                is_required: false,
                 ..tls.clone()
             });
             config.server_tls = Some(ServerTls {
@@ -368,7 +368,10 @@
 fn silent_connections_make_room() {
     test(async {
         let database = database();
-        let node = Node::start(&[&database], |config| config.unidentified = 20).await;
+        let node = Node::start(&[&database], |config| {
+            config.max_unauthenticated_clients = 20;
+        })
+        .await;
         let mut silent = Vec::new();
         for _ in 0..200 {
             silent.push(
@@ -435,7 +438,7 @@
 fn transactions_wait_for_a_connection_or_are_refused_early() {
     test(async {
         let database = database();
-        let node = Node::start(&[&database], |config| config.per_server = 2).await;
+        let node = Node::start(&[&database], |config| config.max_connections_per_server = 2).await;
         let mut tasks = Vec::new();
         for _ in 0..20 {
             let client = node.connect().await;
--- a/adapters/postgres/tests/transactions.rs
+++ b/adapters/postgres/tests/transactions.rs
@@ -314,7 +314,7 @@
             client.batch_execute("select 1").await.expect("served");
             clients.push(client);
         }
-        let mut list = node.config.listed();
+        let mut list = node.config.endpoints();
         list[0].state = badgerpost_balancer::EndpointState::Draining;
         node.fleet
             .endpoints_updated(EndpointUpdate::Snapshot, &list);
@@ -339,7 +339,7 @@
     test(async {
         use tokio::io::{AsyncReadExt, AsyncWriteExt};
         let database = database();
-        let node = Node::start(&[&database], |config| config.clients = 3).await;
+        let node = Node::start(&[&database], |config| config.max_clients = 3).await;
         let said = |bytes: &'static [u8]| {
             let at = node.at;
             async move {
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -372,7 +372,7 @@
         } else {
             EndpointUpdate::Snapshot
         },
-        &config.listed(),
+        &config.endpoints(),
     );
     let timers = fleet.clone();
     spawn(async move { timers.run_timers().await });
