--- a/adapters/postgres/src/login.rs
+++ b/adapters/postgres/src/login.rs
@@ -1,70 +1,81 @@
-//! Logging in to a server: TLS, the start-up packet, and the proof of the node's identity.
+//! Connects to a server and logs the node in: TLS, `StartupMessage`, authentication, and what the server reports until
+//! it is ready for a query.
 //!
-//! Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol", "Start-up"; SCRAM: RFC 5802.
+//! Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol", "Start-up" and "SSL Session Encryption".
+
+mod authentication;
+mod error;
 
-use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 
 use badgerpost_engine::TcpStream;
 use badgerpost_postgres_session::frame::{DecodeResult, Frame, FrameDecoder};
-use badgerpost_postgres_session::scram;
+use badgerpost_postgres_session::message_tags::backend;
+use badgerpost_postgres_session::server_messages::{ParameterStatus, ServerError};
 use badgerpost_postgres_session::session::ServerState;
 use bytes::{Buf, BytesMut};
-use postgres_protocol::authentication::sasl::{ChannelBinding, ScramSha256};
 use postgres_protocol::message::frontend;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
+use self::authentication::Authentication;
 use crate::logins::Credentials;
-use crate::stream::Stream;
-use crate::tls::{self, Connector};
+use crate::pool::Parameters;
+use crate::stream::{CountedStream, Stream};
+use crate::tls::{Connector, tls_server_end_point};
+
+pub use self::error::{ConnectError, ProtocolViolation};
 
-const READ_AT_ONCE: usize = 8 * 1024;
+/// Most bytes that are read at once.
+const READ_BUFFER_SIZE: usize = 8 * 1024;
+/// Bytes of the process number and the secret key of a `BackendKeyData`.
+const BACKEND_KEY_LENGTH: usize = 8;
+/// The answer to an `SSLRequest` of a server that goes on in TLS.
+const TLS_ACCEPTED: &[u8; 1] = b"S";
+/// The node's `application_name` at servers.
+const APPLICATION_NAME: &str = "badgerpost";
 
-/// Why there is no connection.
-#[derive(Debug, thiserror::Error)]
-pub enum ConnectError {
-    /// The socket.
-    #[error("{0}")]
-    Socket(#[from] io::Error),
-    /// Too slow.
-    #[error("no answer in time")]
-    Late,
-    /// No more connections there, now.
-    #[error("no room: {0}")]
-    Full(String),
-    /// Turned away.
-    #[error("the node is turned away: {0}")]
-    Refused(String),
-    /// TLS is wanted and not to be had.
-    #[error("server_tls is set, and it does not speak TLS")]
-    NoTls,
-    /// A method that is not spoken.
-    #[error("it wants {0}; only SCRAM-SHA-256 is spoken")]
-    Method(&'static str),
-    /// A password is wanted.
-    #[error("it wants a password, and the login has no password_file")]
-    NoPassword,
-    /// Something else than the protocol.
-    #[error("not the PostgreSQL protocol: {0}")]
-    Broken(String),
+/// SQLSTATE codes of a server that accepts no connection now.
+mod sqlstate {
+    pub(super) const TOO_MANY_CONNECTIONS: &str = "53300";
+    /// The server is starting or shutting down.
+    pub(super) const CANNOT_CONNECT_NOW: &str = "57P03";
 }
 
-/// A connection that has just logged in.
+/// A server's own key to a connection, from `BackendKeyData`: a cancel request needs it.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct BackendKey {
+    /// The number of the server's process.
+    pub process_id: i32,
+    /// The secret.
+    pub secret_key: i32,
+}
+
+/// A connection that is logged in.
 pub struct NewConnection {
-    /// Its bytes.
+    /// The bytes in both directions.
     pub stream: Stream,
-    /// What has come and was not looked at.
-    pub cutter: FrameDecoder,
-    /// What is known of it.
+    /// Bytes that were received and not handled yet.
+    pub decoder: FrameDecoder,
+    /// Prepared statements and settings of the connection.
     pub state: ServerState,
-    /// By which a statement on it is cancelled.
-    pub cancel: (i32, i32),
-    /// The settings that it reported, by their usual names.
-    pub reports: BTreeMap<String, String>,
+    /// The key that a cancel request for this connection needs.
+    pub cancel_key: BackendKey,
+    /// The parameters that the server reported, by the names that it gives them.
+    pub parameters: Parameters,
 }
 
 impl NewConnection {
+    fn new(stream: Stream) -> Self {
+        Self {
+            stream,
+            decoder: FrameDecoder::default(),
+            state: ServerState::default(),
+            cancel_key: BackendKey::default(),
+            parameters: Parameters::new(),
+        }
+    }
+
     async fn send(
         &mut self,
         write: impl FnOnce(&mut BytesMut) -> io::Result<()>,
@@ -75,198 +86,134 @@
         Ok(self.stream.flush().await?)
     }
 
-    async fn frame(&mut self) -> Result<Frame, ConnectError> {
-        let mut buffer = vec![0; READ_AT_ONCE];
+    async fn next_frame(&mut self) -> Result<Frame, ConnectError> {
+        let mut buffer = vec![0; READ_BUFFER_SIZE];
         loop {
             match self
-                .cutter
+                .decoder
                 .next_from_server()
-                .map_err(|error| ConnectError::Broken(error.to_string()))?
+                .map_err(ProtocolViolation::Frame)?
             {
                 Some(DecodeResult::Frame(frame)) => return Ok(frame),
                 Some(DecodeResult::Chunk { .. }) => {
-                    return Err(ConnectError::Broken("a row before it is ready".to_owned()));
+                    return Err(ProtocolViolation::UnexpectedRow.into());
                 }
                 None => {}
             }
             let read = self.stream.read(&mut buffer).await?;
             if read == 0 {
-                return Err(ConnectError::Broken("it closed the connection".to_owned()));
+                return Err(ProtocolViolation::Closed.into());
+            }
+            self.decoder.push(&buffer[..read]);
+        }
+    }
+
+    fn record_parameter(&mut self, frame: &Frame) {
+        if let Some(ParameterStatus { name, value }) = ParameterStatus::read(frame) {
+            self.state.settings.reported(&name, &value);
+            self.parameters
+                .insert(name.into_owned(), value.into_owned());
+        }
+    }
+
+    /// Handles messages until the server is ready for a query.
+    async fn complete_login(
+        mut self,
+        mut authentication: Authentication<'_>,
+    ) -> Result<Self, ConnectError> {
+        loop {
+            let mut frame = self.next_frame().await?;
+            match frame.tag {
+                backend::AUTHENTICATION => authentication.handle(&mut self, frame).await?,
+                backend::BACKEND_KEY_DATA if frame.body.len() >= BACKEND_KEY_LENGTH => {
+                    self.cancel_key = BackendKey {
+                        process_id: frame.body.get_i32(),
+                        secret_key: frame.body.get_i32(),
+                    };
+                }
+                backend::PARAMETER_STATUS => self.record_parameter(&frame),
+                backend::READY_FOR_QUERY => return Ok(self),
+                backend::ERROR_RESPONSE => return Err(rejection(&frame)),
+                backend::NOTICE_RESPONSE | backend::NEGOTIATE_PROTOCOL_VERSION => {}
+                tag => return Err(ProtocolViolation::UnexpectedMessage(char::from(tag)).into()),
             }
-            self.cutter.push(&buffer[..read]);
         }
     }
 }
 
-/// Connects and logs in.
-#[expect(clippy::too_many_lines, reason = "to be split with the module")]
+/// Connects to a server and logs in.
+///
+/// # Errors
+/// [`ConnectError`] if the server can't be reached, rejects the login, or does not follow the protocol.
 pub async fn log_in(
     endpoint: SocketAddr,
     tls: Option<&Connector>,
-    identity: &Credentials,
+    credentials: &Credentials,
     database: &str,
 ) -> Result<NewConnection, ConnectError> {
     let socket = TcpStream::connect(endpoint).await?;
     socket.set_nodelay(true)?;
-    let mut stream = Stream::plain(socket);
-    let mut binding = None;
-    if let Some(tls) = tls {
-        (stream, binding) = encrypt(stream, tls).await?;
-    }
-    let (cutter, state) = (FrameDecoder::default(), ServerState::default());
-    let mut link = NewConnection {
-        stream,
-        cutter,
-        state,
-        cancel: (0, 0),
-        reports: BTreeMap::new(),
+    let (stream, channel_binding) = match tls {
+        Some(tls) => {
+            let encrypted = encrypt(CountedStream::new(socket), tls).await?;
+            (encrypted.stream, encrypted.channel_binding)
+        }
+        None => (Stream::plain(socket), None),
     };
-    let words = [
-        ("user", identity.user.as_str()),
+    let mut connection = NewConnection::new(stream);
+    let parameters = [
+        ("user", credentials.user.as_str()),
         ("database", database),
-        ("application_name", "badgerpost"),
+        ("application_name", APPLICATION_NAME),
         ("client_encoding", "UTF8"),
     ];
-    link.send(|out| frontend::startup_message(words, out))
+    connection
+        .send(|out| frontend::startup_message(parameters, out))
         .await?;
-    let mut scram: Option<ScramSha256> = None;
-    loop {
-        let frame = link.frame().await?;
-        match frame.tag {
-            b'R' => prove(&mut link, frame, &mut scram, identity, binding.as_deref()).await?,
-            b'K' if frame.body.len() >= 8 => {
-                let mut body = frame.body;
-                link.cancel = (body.get_i32(), body.get_i32());
-            }
-            b'S' => {
-                let mut strings = frame
-                    .body
-                    .split(|byte| *byte == 0)
-                    .map(String::from_utf8_lossy);
-                if let (Some(name), Some(value)) = (strings.next(), strings.next()) {
-                    link.state.settings.reported(&name, &value);
-                    link.reports.insert(name.into_owned(), value.into_owned());
-                }
-            }
-            b'Z' => return Ok(link),
-            b'E' => {
-                let (code, message) = error_fields(&frame);
-                // Too many connections, or it is starting or stopping.
-                return Err(match code.as_str() {
-                    "53300" | "57P03" => ConnectError::Full(message),
-                    _ => ConnectError::Refused(format!("{code} {message}")),
-                });
-            }
-            b'N' | b'v' => {}
-            tag => {
-                return Err(ConnectError::Broken(format!(
-                    "message {:?} before it is ready",
-                    char::from(tag)
-                )));
-            }
-        }
-    }
+    let authentication = Authentication::new(credentials, channel_binding);
+    connection.complete_login(authentication).await
+}
+
+/// A connection in TLS.
+struct EncryptedStream {
+    stream: Stream,
+    /// `tls-server-end-point` of the server's certificate.
+    channel_binding: Option<Vec<u8>>,
 }
 
 async fn encrypt(
-    mut stream: Stream,
+    mut socket: CountedStream,
     tls: &Connector,
-) -> Result<(Stream, Option<Vec<u8>>), ConnectError> {
+) -> Result<EncryptedStream, ConnectError> {
     let mut out = BytesMut::new();
     frontend::ssl_request(&mut out);
-    stream.write_all(&out).await?;
-    let mut answer = [0; 1];
-    stream.read_exact(&mut answer).await?;
-    if answer != *b"S" {
+    socket.write_all(&out).await?;
+    let mut answer = [0; TLS_ACCEPTED.len()];
+    socket.read_exact(&mut answer).await?;
+    if answer != *TLS_ACCEPTED {
         return Err(ConnectError::NoTls);
     }
-    let Stream::Plain(socket) = stream else {
-        return Err(ConnectError::NoTls);
-    };
     let encrypted = tls
         .connector
         .connect(tls.server_name.clone(), socket)
         .await?;
     let certificates = encrypted.get_ref().1.peer_certificates();
-    let binding = certificates
-        .and_then(|all| all.first())
-        .map(|first| tls::tls_server_end_point(first));
-    Ok((Stream::Tls(Box::new(encrypted.into())), binding))
+    let channel_binding = certificates
+        .and_then(<[_]>::first)
+        .map(|certificate| tls_server_end_point(certificate));
+    Ok(EncryptedStream {
+        stream: Stream::Tls(Box::new(encrypted.into())),
+        channel_binding,
+    })
 }
 
-/// Proves the node's identity, a message of it.
-async fn prove(
-    link: &mut NewConnection,
-    frame: Frame,
-    scram: &mut Option<ScramSha256>,
-    identity: &Credentials,
-    binding: Option<&[u8]>,
-) -> Result<(), ConnectError> {
-    let mut body = frame.body;
-    if body.len() < 4 {
-        return Err(ConnectError::Broken(
-            "a short authentication request".to_owned(),
-        ));
-    }
-    match (body.get_i32(), scram) {
-        // A server that was asked for its proof and never gave it is not the one that it seems to be.
-        (0, Some(_)) => Err(ConnectError::Broken(
-            "logged in without the server's own proof".to_owned(),
-        )),
-        (0, None) => Ok(()),
-        (3, _) => Err(ConnectError::Method("a password in clear text")),
-        (5, _) => Err(ConnectError::Method("an md5 password")),
-        (10, scram) => {
-            let offers = |wanted: &str| {
-                body.split(|byte| *byte == 0)
-                    .any(|name| name == wanted.as_bytes())
-            };
-            let (mechanism, channel) = match binding {
-                Some(binding) if offers(scram::MECHANISM_WITH_BINDING) => (
-                    scram::MECHANISM_WITH_BINDING,
-                    ChannelBinding::tls_server_end_point(binding.to_vec()),
-                ),
-                Some(_) if offers(scram::MECHANISM) => {
-                    (scram::MECHANISM, ChannelBinding::unrequested())
-                }
-                None if offers(scram::MECHANISM) => {
-                    (scram::MECHANISM, ChannelBinding::unsupported())
-                }
-                _ => return Err(ConnectError::Method("an unknown SASL mechanism")),
-            };
-            let password = identity.password.as_ref().ok_or(ConnectError::NoPassword)?;
-            let client = ScramSha256::new(password.as_bytes(), channel);
-            link.send(|out| frontend::sasl_initial_response(mechanism, client.message(), out))
-                .await?;
-            *scram = Some(client);
-            Ok(())
+/// What an `ErrorResponse` during a login means.
+fn rejection(response: &Frame) -> ConnectError {
+    let ServerError { code, message } = ServerError::read(response);
+    match code.as_str() {
+        sqlstate::TOO_MANY_CONNECTIONS | sqlstate::CANNOT_CONNECT_NOW => {
+            ConnectError::ServerFull(message)
         }
-        (11, Some(client)) => {
-            client.update(&body)?;
-            link.send(|out| frontend::sasl_response(client.message(), out))
-                .await
-        }
-        (12, scram @ Some(_)) => {
-            if let Some(mut client) = scram.take() {
-                client.finish(&body)?;
-            }
-            Ok(())
-        }
-        _ => Err(ConnectError::Method(
-            "an authentication that is not spoken here",
-        )),
+        _ => ConnectError::Rejected { code, message },
     }
 }
-
-/// The code and the message of an error.
-fn error_fields(frame: &Frame) -> (String, String) {
-    let field = |of: u8| {
-        let text = frame
-            .body
-            .split(|byte| *byte == 0)
-            .find(|field| field.first() == Some(&of));
-        String::from_utf8_lossy(text.and_then(|text| text.get(1..)).unwrap_or_default())
-            .into_owned()
-    };
-    (field(b'C'), field(b'M'))
-}
--- a/adapters/postgres/src/pool.rs
+++ b/adapters/postgres/src/pool.rs
@@ -1,187 +1,82 @@
-//! Connections to servers, kept for the next transaction: by server, database and login. A connection goes back only
-//! when nothing is left on it; all others are dropped, and with them what was not committed.
+//! The pool of connections to servers, by server, database and login. A connection returns to the pool only outside a
+//! transaction; any other is closed, and its uncommitted work with it.
+//!
+//! - `connection`: a pooled connection and its key
+//! - `server_slots`: limits of one server, and who waits for a connection to it
+//! - `server_parameters`: what servers report of themselves, for clients
+//! - `maintenance`: closing old connections, opening new ones ahead of need
+
+mod connection;
+mod maintenance;
+mod server_parameters;
+mod server_slots;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
+use std::fmt;
 use std::rc::Rc;
 use std::time::Duration;
 
 use badgerpost_balancer::{BackendId, Nanos};
-use badgerpost_engine::{Clock, IdleCheck, IdlePool, TcpStream, nanos};
-use badgerpost_postgres_session::frame::FrameDecoder;
-use badgerpost_postgres_session::session::ServerState;
-use bytes::BytesMut;
-use postgres_protocol::message::frontend;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::sync::{Notify, oneshot};
+use badgerpost_engine::{Clock, IdleCheck, IdlePool, nanos};
+use tokio::sync::Notify;
 
+use self::maintenance::RecentTargets;
+use self::server_parameters::ServerParameters;
+use self::server_slots::{QueuePosition, ServerSlots, Turn};
 use crate::PostgresEngine;
 use crate::config::PoolLimits;
 use crate::login::{ConnectError, log_in};
 use crate::logins::{LoginId, Logins};
-use crate::stream::Stream;
 use crate::tls::Connector;
 
-/// A server takes a connection and logs the node in within this time.
-const CONNECT: Duration = Duration::from_secs(2);
-/// Wait before servers are asked again for a first greeting.
-const FIRST_AGAIN: Duration = Duration::from_millis(50);
-/// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_secs(1);
-/// Pairs of database and login that connections are opened ahead for; the one used longest ago makes room.
-const MOST_WARM: usize = 64;
-/// So many transactions wait for each connection of a server at most: with more, the wait would outlast any deadline.
-const WAITING_EACH: usize = 64;
-/// Weight of one transaction in what is known of how long they hold a connection.
-const HOLD_SMOOTHING: f64 = 0.05;
+pub use self::connection::{ConnectionTarget, PoolKey, ServerAddress, ServerConnection};
+pub use self::server_parameters::Parameters;
 
-/// A server, and where it listens.
-pub type ServerAddress = (BackendId, SocketAddr);
-
-/// What a connection is for: the server, the database, the number of the login.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct PoolKey {
-    /// The server.
-    pub place: ServerAddress,
-    /// The database.
-    pub database: String,
-    /// The login.
-    pub login: LoginId,
-}
-
-/// A connection to a server, logged in and with nothing on it.
-pub struct ServerConnection {
-    /// Its bytes.
-    pub stream: Stream,
-    /// What has come and was not looked at.
-    pub cutter: FrameDecoder,
-    /// What is known of it.
-    pub state: ServerState,
-    /// By which a statement on it is cancelled.
-    pub cancel: (i32, i32),
-    key: PoolKey,
-    /// It is closed after this.
-    until: Nanos,
-    epoch: u64,
-    leased: Nanos,
-    opened: Opened,
-}
-
-impl IdleCheck for ServerConnection {
-    fn is_idle(&mut self) -> bool {
-        // One that was closed meanwhile, or on which something has come that nobody asked for, is of no use.
-        self.cutter.buffered_len() == 0 && self.stream.is_quiet()
-    }
-}
-
-/// Transactions that wait for a connection of a server, the worthiest first.
-type Waiting = BTreeMap<(u64, u64), oneshot::Sender<Promise>>;
-
-/// What is known of one server.
-#[derive(Default)]
-struct Server {
-    open: Cell<usize>,
-    logging_in: Cell<usize>,
-    waiting: RefCell<Waiting>,
-    /// Waiting transactions that were woken and have not looked yet: what is free is theirs first.
-    promised: Cell<usize>,
-    /// How long a transaction holds a connection, smoothed, in nanoseconds.
-    hold: Cell<f64>,
-    served: Cell<u64>,
-}
-
-impl Server {
-    /// There may be something for the first that waits.
-    fn wake(self: &Rc<Self>) {
-        loop {
-            let first = self.waiting.borrow_mut().pop_first();
-            let Some((_, first)) = first else { return };
-            self.promised.set(self.promised.get() + 1);
-            match first.send(Promise(Some(self.clone()))) {
-                Ok(()) => return,
-                // One that has given up meanwhile leaves its turn to the next.
-                Err(promise) => promise.void(),
-            }
-        }
-    }
-
-    /// Whether others come before a transaction that has not waited yet. Without this whoever comes as a
-    /// connection is put back takes it, and those that wait starve.
-    fn others_first(&self, place: (u64, u64)) -> bool {
-        self.promised.get() > 0 || self.waiting.borrow().range(..place).next().is_some()
-    }
-}
-
-/// The first look of a woken transaction at what has come free. Dropped, used or not, it wakes the next one.
-struct Promise(Option<Rc<Server>>);
-
-impl Promise {
-    fn settle(&mut self) -> Option<Rc<Server>> {
-        let server = self.0.take()?;
-        server.promised.set(server.promised.get().saturating_sub(1));
-        Some(server)
-    }
-
-    /// There was nothing: nobody else need look.
-    fn void(mut self) {
-        self.settle();
-    }
-}
-
-impl Drop for Promise {
-    fn drop(&mut self) {
-        if let Some(server) = self.settle() {
-            server.wake();
-        }
-    }
-}
-
-/// A connection's part in the count of its server's.
-struct Opened(Rc<Server>);
-
-impl Opened {
-    fn new(server: &Rc<Server>) -> Self {
-        server.open.set(server.open.get() + 1);
-        Self(server.clone())
-    }
-}
-
-impl Drop for Opened {
-    fn drop(&mut self) {
-        self.0.open.set(self.0.open.get().saturating_sub(1));
-        self.0.wake();
-    }
-}
-
-struct LoggingIn(Rc<Server>);
-
-impl Drop for LoggingIn {
-    fn drop(&mut self) {
-        self.0
-            .logging_in
-            .set(self.0.logging_in.get().saturating_sub(1));
-        self.0.wake();
-    }
-}
+/// Limit on the time in which a server accepts a connection and logs the node in.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Servers with figures before those that have left and have no connections are forgotten.
+const SERVERS_BEFORE_CLEANUP: usize = 256;
+/// Shortest lifetime of a connection, in percent of the configured one.
+const MIN_LIFETIME_PERCENT: u64 = 75;
+/// Number of different lifetimes, one percent apart: from 75% to 125% of the configured one.
+const LIFETIME_STEPS: u64 = 51;
 
 /// What one server's connections are doing, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServerFigures {
+pub struct ServerStats {
     /// The server.
-    pub place: ServerAddress,
-    /// Connections that stand.
+    pub address: ServerAddress,
+    /// Open connections.
     pub open: usize,
-    /// Those with nothing on them.
+    /// Those that are idle.
     pub idle: usize,
-    /// Logins under way.
+    /// Logins in progress.
     pub logging_in: usize,
-    /// Transactions that wait for one.
+    /// Transactions that wait for a connection.
     pub waiting: usize,
-    /// Transactions that had one so far.
-    pub served: u64,
-    /// How long one is held, smoothed, in microseconds.
-    pub hold_us: u64,
+    /// Transactions that had a connection so far.
+    pub transactions: u64,
+    /// Smoothed time for which a transaction has a connection, in microseconds.
+    pub mean_lease_us: u64,
+}
+
+/// Whether transactions may start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PoolState {
+    /// Transactions start.
+    Active,
+    /// New transactions wait, those that have a connection go on.
+    Paused,
+}
+
+impl fmt::Display for PoolState {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Active => "active",
+            Self::Paused => "paused",
+        })
+    }
 }
 
 /// Connections to all servers.
@@ -191,17 +86,14 @@
     tls: Option<Connector>,
     limits: PoolLimits,
     idle: IdlePool<PoolKey, ServerConnection>,
-    servers: RefCell<BTreeMap<ServerAddress, Rc<Server>>>,
-    /// The settings that each server reports, and what they came to together when any was known last.
-    reports: RefCell<BTreeMap<ServerAddress, BTreeMap<String, String>>>,
-    greeting: RefCell<BTreeMap<String, String>>,
-    /// Databases and logins in use, and when they were last.
-    warm: RefCell<BTreeMap<(String, LoginId), Nanos>>,
-    /// Connections of an earlier one are not used again.
-    epoch: Cell<u64>,
-    made: Cell<u64>,
-    turns: Cell<u64>,
-    paused: Cell<bool>,
+    servers: RefCell<BTreeMap<ServerAddress, Rc<ServerSlots>>>,
+    parameters: ServerParameters,
+    recent_targets: RecentTargets,
+    /// Connections of an earlier generation are not used again.
+    generation: Cell<u64>,
+    connections_opened: Cell<u64>,
+    arrivals: Cell<u64>,
+    state: Cell<PoolState>,
     resumed: Notify,
 }
 
@@ -220,341 +112,234 @@
             limits,
             idle: IdlePool::default(),
             servers: RefCell::default(),
-            reports: RefCell::default(),
-            greeting: RefCell::default(),
-            warm: RefCell::default(),
-            epoch: Cell::new(0),
-            made: Cell::new(0),
-            turns: Cell::new(0),
-            paused: Cell::new(false),
+            parameters: ServerParameters::default(),
+            recent_targets: RecentTargets::default(),
+            generation: Cell::new(0),
+            connections_opened: Cell::new(0),
+            arrivals: Cell::new(0),
+            state: Cell::new(PoolState::Active),
             resumed: Notify::new(),
         })
     }
 
-    /// The login for a client.
+    /// The login that a client's transactions use at the servers.
     pub fn login_for(&self, user: &str) -> Option<LoginId> {
         self.logins.for_client(user)
     }
 
-    fn server(&self, place: ServerAddress) -> Rc<Server> {
-        let mut servers = self.servers.borrow_mut();
-        // Servers that nobody is connected to any more and that have left are forgotten with their figures.
-        if servers.len() > 256 {
-            servers.retain(|known, server| *known == place || Rc::strong_count(server) > 1);
-        }
-        servers.entry(place).or_default().clone()
-    }
-
-    /// Takes a connection back on which nothing is left.
-    pub fn keep(&self, fleet: &PostgresEngine, mut link: ServerConnection) {
-        let now = self.clock.now();
-        let server = link.opened.0.clone();
-        let held = now.saturating_sub(link.leased) as f64;
-        let before = server.hold.get();
-        server.hold.set(if before == 0.0 {
-            held
-        } else {
-            before + (held - before) * HOLD_SMOOTHING
-        });
-        server.served.set(server.served.get() + 1);
-        let (backend, endpoint) = link.key.place;
-        let current = link.epoch == self.epoch.get() && now < link.until;
-        if current && fleet.is_in_service_at(backend, endpoint) && link.is_idle() {
-            self.idle.put(link.key.clone(), link, now);
-            server.wake();
-        }
-    }
-
-    /// Drops the idle connections to a server that has left, moved or started anew.
-    pub fn retire(&self, backend: BackendId) {
-        self.idle
-            .retain(self.clock.now(), |key, _, _| key.place.0 != backend);
-        self.reports
-            .borrow_mut()
-            .retain(|place, _| place.0 != backend);
-    }
-
-    /// A connection for a transaction: an idle one, a new one, or the first that comes free before `give_up`; those of
-    /// lower `rank` go first. Who could not have one in time is told so at once.
-    pub async fn link(
+    /// A connection for a transaction: an idle one, a new one, or the first that comes free before `deadline`. Where
+    /// several wait, those of lower `rank` go first.
+    ///
+    /// # Errors
+    /// [`ConnectError`] if the login fails, or if no connection will come free in time; that is known at once where the
+    /// queue is too long.
+    pub async fn acquire(
         &self,
         key: &PoolKey,
         rank: u64,
-        give_up: Nanos,
+        deadline: Nanos,
     ) -> Result<ServerConnection, ConnectError> {
-        let server = self.server(key.place);
-        let turn = self.turns.get();
-        self.turns.set(turn + 1);
-        self.note_warm(key);
-        let mut promise: Option<Promise> = None;
+        let slots = self.server_slots(key.address);
+        let position = QueuePosition {
+            rank,
+            arrival: count_up(&self.arrivals),
+        };
+        self.recent_targets.record(&key.target, self.clock.now());
+        let mut turn: Option<Turn> = None;
         loop {
             let now = self.clock.now();
-            let behind = promise.is_none() && server.others_first((rank, turn));
-            while !behind && let Some(taken) = self.idle.take(key, now, 0) {
-                let mut link = taken.connection;
-                if link.epoch == self.epoch.get() && now < link.until {
-                    link.leased = now;
-                    return Ok(link);
+            if turn.is_some() || !slots.has_earlier_waiter(position) {
+                if let Some(connection) = self.take_idle(key, now) {
+                    return Ok(connection);
+                }
+                if slots.can_log_in(&self.limits) {
+                    // Others need not wait for this login.
+                    drop(turn.take());
+                    return self.log_in(key, &slots).await;
+                }
+                if slots.is_full(&self.limits) && self.close_idle_for_other_target(key.address) {
+                    continue;
                 }
             }
-            if !behind
-                && server.open.get() < self.limits.max_connections_per_server
-                && server.logging_in.get() < self.limits.max_concurrent_logins
-            {
-                // Others need not wait for this login.
-                drop(promise.take());
-                return self.log_in(key, &server).await;
-            }
-            if !behind
-                && server.open.get() >= self.limits.max_connections_per_server
-                && self.idle.drop_oldest(|other| other.place == key.place)
-            {
-                // An idle one of another database or login has made room.
-                continue;
+            slots.check_expected_wait(position, &self.limits, now, deadline)?;
+            if let Some(turn) = turn.take() {
+                turn.end_unused();
             }
-            let (ahead, all) = {
-                let waiting = server.waiting.borrow();
-                (waiting.range(..(rank, turn)).count(), waiting.len())
-            };
-            let each = server.hold.get() / self.limits.max_connections_per_server.max(1) as f64;
-            let expected = (each * (ahead + 1) as f64) as Nanos;
-            if now.saturating_add(expected) >= give_up
-                || all
-                    >= self
-                        .limits
-                        .max_connections_per_server
-                        .saturating_mul(WAITING_EACH)
-            {
-                return Err(ConnectError::Full(
-                    "all of the node's connections to it are in use".to_owned(),
-                ));
+            turn = self.wait_for_turn(&slots, position, deadline).await?;
+        }
+    }
+
+    /// Waits until something may have come free for this position.
+    async fn wait_for_turn(
+        &self,
+        slots: &ServerSlots,
+        position: QueuePosition,
+        deadline: Nanos,
+    ) -> Result<Option<Turn>, ConnectError> {
+        let woken = slots.enqueue(position);
+        tokio::select! {
+            biased;
+            turn = woken => Ok(turn.ok()),
+            () = self.clock.sleep_until(deadline) => {
+                slots.dequeue(position);
+                Err(ConnectError::WaitTimedOut)
             }
-            let (free, freed) = oneshot::channel();
-            promise.take().into_iter().for_each(Promise::void);
-            server.waiting.borrow_mut().insert((rank, turn), free);
-            tokio::select! {
-                biased;
-                woken = freed => promise = woken.ok(),
-                () = self.clock.sleep_until(give_up) => {
-                    server.waiting.borrow_mut().remove(&(rank, turn));
-                    return Err(ConnectError::Full("none of its connections came free in time".to_owned()));
-                }
+        }
+    }
+
+    /// Takes an idle connection; those that may not be used any more are closed.
+    fn take_idle(&self, key: &PoolKey, now: Nanos) -> Option<ServerConnection> {
+        while let Some(taken) = self.idle.take(key, now, 0) {
+            let mut connection = taken.connection;
+            if connection.is_current(self.generation.get(), now) {
+                connection.leased_at = now;
+                return Some(connection);
             }
         }
+        None
+    }
+
+    /// Closes an idle connection of another database or login, so that a new one can be opened. Returns whether there
+    /// was one.
+    fn close_idle_for_other_target(&self, address: ServerAddress) -> bool {
+        self.idle.drop_oldest(|other| other.address == address)
     }
 
     async fn log_in(
         &self,
         key: &PoolKey,
-        server: &Rc<Server>,
+        slots: &Rc<ServerSlots>,
     ) -> Result<ServerConnection, ConnectError> {
-        let endpoint = key.place.1;
+        let endpoint = key.address.endpoint;
         if self.clock.is_controlled() && !endpoint.ip().is_loopback() {
-            return Err(ConnectError::Refused(
-                "a rehearsal reaches loopback addresses only".to_owned(),
-            ));
+            return Err(ConnectError::NotLoopback);
         }
-        let identity = self.logins.get(key.login).ok_or(ConnectError::NoPassword)?;
-        server.logging_in.set(server.logging_in.get() + 1);
-        let _logging_in = LoggingIn(server.clone());
-        let opened = Opened::new(server);
-        let login = log_in(endpoint, self.tls.as_ref(), identity, &key.database);
-        let fresh = self
+        let credentials = self
+            .logins
+            .get(key.target.login)
+            .ok_or(ConnectError::NoPassword)?;
+        let _login = slots.start_login();
+        let slot = slots.open_connection();
+        let login = log_in(
+            endpoint,
+            self.tls.as_ref(),
+            credentials,
+            &key.target.database,
+        );
+        let new = self
             .clock
-            .timeout(CONNECT, login)
+            .timeout(CONNECT_TIMEOUT, login)
             .await
-            .map_err(|_| ConnectError::Late)??;
-        self.note_reports(key.place, fresh.reports);
+            .map_err(|_| ConnectError::TimedOut)??;
+        self.parameters.record(key.address, new.parameters);
         let now = self.clock.now();
-        // Spread, so that those opened together are not closed together: a quarter less or more, by turns.
-        let made = self.made.get();
-        self.made.set(made + 1);
-        let part = made.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
-        let lifetime = nanos(self.limits.max_lifetime) / 100 * (75 + part % 51);
+        let lifetime = spread_lifetime(
+            nanos(self.limits.max_lifetime),
+            count_up(&self.connections_opened),
+        );
         Ok(ServerConnection {
-            stream: fresh.stream,
-            cutter: fresh.cutter,
-            state: fresh.state,
-            cancel: fresh.cancel,
+            stream: new.stream,
+            decoder: new.decoder,
+            state: new.state,
+            cancel_key: new.cancel_key,
             key: key.clone(),
-            until: now.saturating_add(lifetime),
-            epoch: self.epoch.get(),
-            leased: now,
-            opened,
+            expires_at: now.saturating_add(lifetime),
+            generation: self.generation.get(),
+            leased_at: now,
+            slot,
         })
     }
 
-    fn note_warm(&self, key: &PoolKey) {
-        let mut warm = self.warm.borrow_mut();
-        let pair = (key.database.clone(), key.login);
-        if warm.len() >= MOST_WARM && !warm.contains_key(&pair) {
-            let oldest = warm
-                .iter()
-                .min_by_key(|(_, used)| **used)
-                .map(|(oldest, _)| oldest.clone());
-            oldest.iter().for_each(|oldest| {
-                warm.remove(oldest);
-            });
+    /// Returns a connection that is in no transaction. It is closed if it may not be used any more.
+    pub fn release(&self, fleet: &PostgresEngine, mut connection: ServerConnection) {
+        let now = self.clock.now();
+        let slots = connection.slot.server_slots().clone();
+        slots.record_lease(now.saturating_sub(connection.leased_at));
+        let ServerAddress { backend, endpoint } = connection.key.address;
+        let is_current = connection.is_current(self.generation.get(), now);
+        if is_current && fleet.is_in_service_at(backend, endpoint) && connection.is_idle() {
+            self.idle.put(connection.key.clone(), connection, now);
+            slots.wake_next();
         }
-        warm.insert(pair, self.clock.now());
     }
 
-    fn note_reports(&self, place: ServerAddress, reports: BTreeMap<String, String>) {
-        let mut all = self.reports.borrow_mut();
-        if all.get(&place) == Some(&reports) {
-            return;
-        }
-        all.insert(place, reports);
-        *self.greeting.borrow_mut() = lowest(all.values());
+    /// Closes the idle connections to a server that has left, moved or restarted.
+    pub fn close_idle_connections(&self, backend: BackendId) {
+        self.idle
+            .retain(self.clock.now(), |key, _, _| key.address.backend != backend);
+        self.parameters.forget(backend);
     }
 
-    /// What clients are told of the servers: the lowest of what they report, or what that was last. Where no server has
-    /// ever been asked, one is now, for this database and login. None if no server can be reached.
-    pub async fn greeting(
-        &self,
-        fleet: &PostgresEngine,
-        database: &str,
-        login: LoginId,
-    ) -> Option<BTreeMap<String, String>> {
-        let last = self.clock.now().saturating_add(nanos(CONNECT));
-        while self.greeting.borrow().is_empty() && self.clock.now() < last {
-            for listed in fleet.endpoints_in_service() {
-                let place = (listed.backend, listed.address);
-                let key = PoolKey {
-                    place,
-                    database: database.to_owned(),
-                    login,
-                };
-                match self.link(&key, 0, last).await {
-                    Ok(link) => {
-                        self.keep(fleet, link);
-                        break;
-                    }
-                    Err(error) => {
-                        tracing::warn!(endpoint = %place.1, %error, "no first connection to a PostgreSQL server");
-                    }
-                }
-            }
-            if self.greeting.borrow().is_empty() {
-                // The list of servers may not be here yet.
-                self.clock.sleep(FIRST_AGAIN).await;
-            }
-        }
-        let greeting = self.greeting.borrow().clone();
-        (!greeting.is_empty()).then_some(greeting)
+    /// Holds new transactions back.
+    pub fn pause(&self) {
+        self.state.set(PoolState::Paused);
     }
 
-    /// Closes what has been idle for too long or stood too long, and opens connections ahead of need; never ends.
-    pub async fn maintain(self: Rc<Self>, fleet: PostgresEngine) {
-        loop {
-            self.clock.sleep(SWEEP).await;
-            let now = self.clock.now();
-            let (most, epoch) = (nanos(self.limits.idle_timeout), self.epoch.get());
-            self.idle.retain(now, |_, link, idle| {
-                idle < most && now < link.until && link.epoch == epoch && link.is_idle()
-            });
-            if self.limits.min_idle == 0 || self.paused.get() {
-                continue;
-            }
-            let warm: Vec<(String, LoginId)> = {
-                let mut warm = self.warm.borrow_mut();
-                warm.retain(|_, used| now.saturating_sub(*used) < most);
-                warm.keys().cloned().collect()
-            };
-            for listed in fleet.endpoints_in_service() {
-                let place = (listed.backend, listed.address);
-                for (database, login) in &warm {
-                    let key = PoolKey {
-                        place,
-                        database: database.clone(),
-                        login: *login,
-                    };
-                    let server = self.server(place);
-                    let room = server.open.get() < self.limits.max_connections_per_server
-                        && server.logging_in.get() < self.limits.max_concurrent_logins;
-                    if room
-                        && self.idle.count(|other| *other == key) < self.limits.min_idle
-                        && let Ok(link) = self.log_in(&key, &server).await
-                    {
-                        self.idle.put(key, link, self.clock.now());
-                        server.wake();
-                    }
-                }
-            }
-        }
-    }
-
-    /// Has a server cancel what runs on a connection. Returns once the server has closed the request's own
-    /// connection, and so has heard.
-    pub async fn cancel(&self, endpoint: SocketAddr, (process, secret): (i32, i32)) {
-        let ask = async {
-            let mut stream = Stream::plain(TcpStream::connect(endpoint).await?);
-            let mut out = BytesMut::new();
-            frontend::cancel_request(process, secret, &mut out);
-            stream.write_all(&out).await?;
-            stream.read(&mut [0; 1]).await
-        };
-        let _ = self.clock.timeout(CONNECT, ask).await;
+    /// Lets new transactions start again.
+    pub fn resume(&self) {
+        self.state.set(PoolState::Active);
+        self.resumed.notify_waiters();
     }
 
-    /// New transactions wait, or go on.
-    pub fn set_paused(&self, paused: bool) {
-        self.paused.set(paused);
-        if !paused {
-            self.resumed.notify_waiters();
-        }
+    /// Whether new transactions may start.
+    pub fn state(&self) -> PoolState {
+        self.state.get()
     }
 
-    /// Whether new transactions wait.
+    /// Whether new transactions are held back.
     pub fn is_paused(&self) -> bool {
-        self.paused.get()
+        self.state.get() == PoolState::Paused
     }
 
-    /// Waits until new transactions go on.
+    /// Waits until new transactions may start.
     pub async fn resumed(&self) {
-        while self.paused.get() {
+        while self.is_paused() {
             self.resumed.notified().await;
         }
     }
 
-    /// Each connection is closed once it is idle, and opened anew when it is needed.
+    /// Closes each connection once it is idle; new ones are opened when they are needed.
     pub fn reconnect(&self) {
-        self.epoch.set(self.epoch.get() + 1);
+        count_up(&self.generation);
         self.idle.retain(self.clock.now(), |_, _, _| false);
     }
 
     /// What the connections to each server are doing.
-    pub fn figures(&self) -> Vec<ServerFigures> {
+    pub fn stats(&self) -> Vec<ServerStats> {
         let servers = self.servers.borrow();
-        let figures = servers.iter().map(|(place, server)| ServerFigures {
-            place: *place,
-            open: server.open.get(),
-            idle: self.idle.count(|key| key.place == *place),
-            logging_in: server.logging_in.get(),
-            waiting: server.waiting.borrow().len(),
-            served: server.served.get(),
-            hold_us: (server.hold.get() / 1000.0) as u64,
+        let stats = servers.iter().map(|(address, slots)| ServerStats {
+            address: *address,
+            open: slots.open(),
+            idle: self.idle.count(|key| key.address == *address),
+            logging_in: slots.logging_in(),
+            waiting: slots.waiting(),
+            transactions: slots.transactions(),
+            mean_lease_us: (slots.mean_lease_time() / 1000.0) as u64,
         });
-        figures.collect()
+        stats.collect()
     }
-}
 
-/// For each setting the lowest value that any server reports; versions by their numbers.
-fn lowest<'a>(all: impl Iterator<Item = &'a BTreeMap<String, String>>) -> BTreeMap<String, String> {
-    let version = |text: &str| -> Vec<u64> {
-        text.split(|sign: char| !sign.is_ascii_digit())
-            .filter_map(|part| part.parse().ok())
-            .collect()
-    };
-    let mut lowest: BTreeMap<String, String> = BTreeMap::new();
-    for (name, value) in all.flatten() {
-        match lowest.get(name) {
-            Some(known) if (version(known), known) <= (version(value), value) => {}
-            _ => drop(lowest.insert(name.clone(), value.clone())),
+    fn server_slots(&self, address: ServerAddress) -> Rc<ServerSlots> {
+        let mut servers = self.servers.borrow_mut();
+        if servers.len() > SERVERS_BEFORE_CLEANUP {
+            servers.retain(|known, slots| *known == address || Rc::strong_count(slots) > 1);
         }
+        servers.entry(address).or_default().clone()
     }
-    lowest
 }
 
-#[cfg(test)]
-mod tests;
+/// The value before it is increased by one.
+fn count_up(counter: &Cell<u64>) -> u64 {
+    let before = counter.get();
+    counter.set(before + 1);
+    before
+}
+
+/// The lifetime of the n-th connection: the configured one, up to a quarter shorter or longer. Connections that were
+/// opened together are so not closed together.
+fn spread_lifetime(lifetime: Nanos, opened_before: u64) -> Nanos {
+    /// 2^64 divided by the golden ratio: multiples of it are spread evenly (Fibonacci hashing).
+    const FIBONACCI_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+    let hash = opened_before.wrapping_mul(FIBONACCI_MULTIPLIER) >> 33;
+    lifetime / 100 * (MIN_LIFETIME_PERCENT + hash % LIFETIME_STEPS)
+}
--- a/adapters/postgres/src/relay.rs
+++ b/adapters/postgres/src/relay.rs
@@ -1,438 +1,354 @@
-//! One session between its sockets and the engine: its client's bytes, those of the server connection that it has at
-//! the moment, and what the session core makes of them. No more is read from either side than the other takes.
+//! One session between its sockets and the engine: moves bytes between the client and the server connection that the
+//! session has at the moment, and carries out what the session core decides. No more is read from one side than the
+//! other takes.
+//!
+//! - `streams`: reading and writing the sockets
+//! - `transactions`: server connections from the engine, and the ends of attempts
+
+mod streams;
+mod transactions;
 
-use std::cell::RefCell;
 use std::future::Future;
-use std::net::SocketAddr;
+use std::ops::BitOrAssign;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
-use std::time::Duration;
 
-use badgerpost_balancer::{BackendId, Nanos, Outcome};
+use badgerpost_balancer::{Nanos, Outcome};
 use badgerpost_engine::{AttemptEnd, AttemptId, RequestOutcome, Sleep};
 use badgerpost_postgres_session::frame::FrameDecoder;
-use badgerpost_postgres_session::server_messages::{self, ErrorReason};
-use badgerpost_postgres_session::session::{Action, Event, Session};
-use bytes::{Buf, BytesMut};
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use badgerpost_postgres_session::server_messages::{ErrorReason, error_response};
+use badgerpost_postgres_session::session::{Action, Event, ServerState, Session};
+use bytes::BytesMut;
 use tokio::sync::{oneshot, watch};
 
+use self::streams::MAX_UNSENT_BYTES;
 use crate::PostgresEngine;
-use crate::clients::RegisteredClient;
-use crate::lease_slot::LeaseSlot;
-use crate::logins::LoginId;
-use crate::pool::{Pool, ServerConnection};
+use crate::cancellation::CancelTarget;
+use crate::client::Client;
+use crate::client_registry::{RegisteredClient, SessionActivity};
+use crate::config::Class;
+use crate::lease::LeaseSlot;
+use crate::pool::{ConnectionTarget, Pool, ServerAddress, ServerConnection};
 use crate::stream::Stream;
 
-/// What waits to be written to a side is no more than this and one reading; then the other is not read.
-const UNSENT: usize = 64 * 1024;
-const READ_AT_ONCE: usize = 16 * 1024;
-/// A buffer that has grown beyond this is given back once it is empty: most sessions are idle most of the time.
-const KEEPS: usize = 4 * 1024;
-/// A client takes its last words in within this time.
-const LAST_WORDS: Duration = Duration::from_secs(1);
+type OutcomeFuture = Pin<Box<dyn Future<Output = RequestOutcome<()>>>>;
+type Notification = Pin<Box<dyn Future<Output = ()>>>;
 
-mod transactions;
+/// The class of a session's transactions.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct SessionClass {
+    /// Its name.
+    pub name: String,
+    /// Whether a single statement may run twice.
+    pub has_idempotent_statements: bool,
+    /// Where connections are scarce, transactions of a higher weight go first.
+    pub priority_weight: f64,
+}
 
-thread_local! {
-    /// What is read from any socket of this thread: it is cut into messages before anything else is read.
-    static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_AT_ONCE]);
+impl From<&Class> for SessionClass {
+    fn from(class: &Class) -> Self {
+        Self {
+            name: class.name.clone(),
+            has_idempotent_statements: class.has_idempotent_statements,
+            priority_weight: class.priority_weight,
+        }
+    }
 }
 
-type Answer = Pin<Box<dyn Future<Output = RequestOutcome<()>>>>;
-type Waits = Pin<Box<dyn Future<Output = ()>>>;
+/// What a session works with.
+pub struct SessionContext {
+    /// The engine that chooses a server for each transaction.
+    pub fleet: PostgresEngine,
+    /// Connections to the servers.
+    pub pool: Rc<Pool>,
+    /// The class of its transactions.
+    pub class: SessionClass,
+    /// Its database, and its login at the servers.
+    pub target: ConnectionTarget,
+    /// Whether it keeps its server connection from its first transaction to its end.
+    pub has_session_pooling: bool,
+}
 
-/// A server connection that the session has.
+/// The server connection that a session has.
 struct LeasedConnection {
-    link: ServerConnection,
-    backend: BackendId,
-    endpoint: SocketAddr,
+    connection: ServerConnection,
+    address: ServerAddress,
     /// The attempt that it was leased for, until that has ended.
-    ticket: Option<AttemptId>,
-    give_up: Nanos,
-    withdrawn: oneshot::Receiver<()>,
-    timer: Option<Pin<Box<Sleep>>>,
+    attempt: Option<AttemptId>,
+    deadline: Nanos,
+    cancelled: oneshot::Receiver<()>,
+    /// Started when the attempt is first waited for.
+    timeout: Option<Pin<Box<Sleep>>>,
 }
 
 /// A transaction that is held back while the pool is paused.
 struct PausedTransaction {
-    alone: bool,
-    resumed: Waits,
-    late: Pin<Box<Sleep>>,
+    is_single_statement: bool,
+    resumed: Notification,
+    timeout: Pin<Box<Sleep>>,
 }
 
-/// What a session is and may.
-pub struct SessionTerms {
-    /// The fleet that it goes to.
-    pub fleet: PostgresEngine,
-    /// Its connections.
-    pub pool: Rc<Pool>,
-    /// Its class, and whether what stands alone may be repeated.
-    pub class: (String, bool),
-    /// The class's worth: who has more goes first where connections are short.
-    pub worth: f64,
-    /// Its database.
-    pub database: String,
-    /// The login at the servers.
-    pub login: LoginId,
-    /// It keeps its server connection from its first transaction to its end.
-    pub session_pooling: bool,
+/// Whether a step could do anything.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Progress {
+    Stalled,
+    Advanced,
+}
+
+impl BitOrAssign for Progress {
+    fn bitor_assign(&mut self, other: Self) {
+        if other == Self::Advanced {
+            *self = Self::Advanced;
+        }
+    }
 }
 
-/// One client's session.
+/// One client's session on its sockets.
 pub struct Relay {
-    terms: SessionTerms,
+    context: SessionContext,
     session: Session,
     client: Stream,
-    cutter: FrameDecoder,
+    client_decoder: FrameDecoder,
     registered: RegisteredClient,
-    asked: u64,
-    slot: Rc<LeaseSlot>,
-    held: Option<Box<LeasedConnection>>,
-    waiting: Option<Answer>,
-    held_back: Option<Box<PausedTransaction>>,
+    /// Transactions requested from the engine so far.
+    transactions: u64,
+    lease_slot: Rc<LeaseSlot>,
+    server: Option<Box<LeasedConnection>>,
+    /// The outcome of the transaction that was requested from the engine, while it is awaited.
+    pending_outcome: Option<OutcomeFuture>,
+    paused_transaction: Option<Box<PausedTransaction>>,
     to_client: BytesMut,
     to_server: BytesMut,
-    unflushed: bool,
+    client_needs_flush: bool,
     ended: bool,
 }
 
-/// How far one direction came.
-#[derive(PartialEq, Eq)]
-enum RelayProgress {
-    Stalled,
-    Advanced,
-}
-
 impl Relay {
-    /// A session of a client that has shown who it is, from its greeting on.
+    /// The session of an authenticated client, which is sent `greeting` first.
     pub fn new(
-        terms: SessionTerms,
+        context: SessionContext,
         session: Session,
-        client: Stream,
-        cutter: FrameDecoder,
+        client: Client,
         registered: RegisteredClient,
         greeting: BytesMut,
     ) -> Self {
         Self {
-            terms,
+            context,
             session,
-            client,
-            cutter,
+            client: client.stream,
+            client_decoder: client.decoder,
             registered,
-            asked: 0,
-            slot: Rc::default(),
-            held: None,
-            waiting: None,
-            held_back: None,
+            transactions: 0,
+            lease_slot: Rc::default(),
+            server: None,
+            pending_outcome: None,
+            paused_transaction: None,
             to_client: greeting,
             to_server: BytesMut::new(),
-            unflushed: false,
+            client_needs_flush: false,
             ended: false,
         }
     }
 
-    /// Serves the session until either side ends it. Once `stopping` says so it ends between two transactions.
+    /// Runs the session until either side ends it. Once `stopping` is true, it ends between two transactions.
     pub async fn run(mut self, mut stopping: watch::Receiver<bool>) {
-        let clock = self.terms.fleet.clock().clone();
         let registered = self.registered.clone();
         // Boxed, so that what waits for it is small in each idle session.
-        let mut stopped: Waits = Box::pin(async move {
+        let mut stop_requested: Notification = Box::pin(async move {
             tokio::select! {
                 biased;
                 _ = stopping.wait_for(|stopping| *stopping) => {}
                 () = registered.disconnected() => {}
             }
         });
-        let mut stops = false;
+        let mut is_stopping = false;
         std::future::poll_fn(|cx| {
-            if !stops && stopped.as_mut().poll(cx).is_ready() {
-                stops = true;
+            if !is_stopping && stop_requested.as_mut().poll(cx).is_ready() {
+                is_stopping = true;
             }
-            self.poll(cx, stops)
+            self.poll(cx, is_stopping)
         })
         .await;
-        // Last words, to a client that still listens.
-        let last = std::future::poll_fn(|cx| {
-            let Self {
-                client, to_client, ..
-            } = &mut self;
-            while !to_client.is_empty() {
-                match Pin::new(&mut *client).poll_write(cx, to_client) {
-                    Poll::Ready(Ok(count)) if count > 0 => to_client.advance(count),
-                    Poll::Ready(_) => return Poll::Ready(()),
-                    Poll::Pending => return Poll::Pending,
-                }
-            }
-            Pin::new(client).poll_shutdown(cx).map(drop)
-        });
-        let _ = clock.timeout(LAST_WORDS, last).await;
+        self.close_client().await;
     }
 
-    /// All that can be done now; ready once the session is over.
-    fn poll(&mut self, cx: &mut Context<'_>, stops: bool) -> Poll<()> {
+    /// Does all that can be done now; ready once the session has ended.
+    fn poll(&mut self, cx: &mut Context<'_>, is_stopping: bool) -> Poll<()> {
         loop {
-            let mut went = self.process();
-            if stops && !self.ended && self.session.is_idle() && self.waiting.is_none() {
-                server_messages::error_response(ErrorReason::Stopping, None)
-                    .write(&mut self.to_client);
-                self.handle(Event::ClientDisconnected);
-            }
-            for step in [Self::write_server, Self::write_client] {
-                went |= step(self, cx) == RelayProgress::Advanced;
+            let mut progress = self.process_buffered();
+            if is_stopping
+                && !self.ended
+                && self.session.is_idle()
+                && self.pending_outcome.is_none()
+            {
+                self.end_session(ErrorReason::Stopping, None);
             }
+            progress |= self.write_server(cx);
+            progress |= self.write_client(cx);
             if self.ended {
                 return Poll::Ready(());
             }
             for step in [
-                Self::poll_held,
+                Self::poll_attempt,
                 Self::read_server,
                 Self::poll_engine,
                 Self::read_client,
             ] {
-                went |= step(self, cx) == RelayProgress::Advanced;
+                progress |= step(self, cx);
                 if self.ended {
                     return Poll::Ready(());
                 }
             }
-            if !went {
-                self.give_back();
+            if progress == Progress::Stalled {
+                self.release_buffers();
                 return Poll::Pending;
             }
         }
     }
 
-    /// Buffers that are empty and large go: the session may be idle for an hour now.
-    fn give_back(&mut self) {
-        for buffer in [&mut self.to_client, &mut self.to_server] {
-            if buffer.is_empty() && buffer.capacity() > KEEPS {
-                *buffer = BytesMut::new();
-            }
-        }
-        self.cutter.release_buffer();
-    }
-
-    fn write_client(&mut self, cx: &mut Context<'_>) -> RelayProgress {
-        let mut went = RelayProgress::Stalled;
-        while !self.to_client.is_empty() {
-            match Pin::new(&mut self.client).poll_write(cx, &self.to_client) {
-                Poll::Ready(Ok(count)) if count > 0 => {
-                    self.to_client.advance(count);
-                    (went, self.unflushed) = (RelayProgress::Advanced, true);
-                }
-                Poll::Ready(_) => {
-                    self.to_client.clear();
-                    self.handle(Event::ClientDisconnected);
-                    return RelayProgress::Advanced;
-                }
-                Poll::Pending => return went,
-            }
-        }
-        if self.unflushed {
-            self.unflushed = Pin::new(&mut self.client).poll_flush(cx).is_pending();
-        }
-        went
-    }
-
-    fn write_server(&mut self, cx: &mut Context<'_>) -> RelayProgress {
-        let mut went = RelayProgress::Stalled;
-        while let (Some(held), false) = (&mut self.held, self.to_server.is_empty()) {
-            match Pin::new(&mut held.link.stream).poll_write(cx, &self.to_server) {
-                Poll::Ready(Ok(count)) if count > 0 => {
-                    self.to_server.advance(count);
-                    let _ = Pin::new(&mut held.link.stream).poll_flush(cx);
-                    went = RelayProgress::Advanced;
-                }
-                Poll::Ready(_) => {
-                    self.lost(Outcome::Reset);
-                    return RelayProgress::Advanced;
-                }
-                Poll::Pending => return went,
-            }
+    /// Handles all messages that were received completely, as far as the other side takes what follows from them.
+    fn process_buffered(&mut self) -> Progress {
+        let mut progress = Progress::Stalled;
+        while !self.ended
+            && (self.process_server_message() == Progress::Advanced
+                || self.process_client_message() == Progress::Advanced)
+        {
+            progress = Progress::Advanced;
         }
-        went
+        progress
     }
 
-    fn read_server(&mut self, cx: &mut Context<'_>) -> RelayProgress {
-        let Some(held) = self.held.as_mut().filter(|_| self.to_client.len() < UNSENT) else {
-            return RelayProgress::Stalled;
+    fn process_server_message(&mut self) -> Progress {
+        let Some(server) = &mut self.server else {
+            return Progress::Stalled;
         };
-        match read(&mut held.link.stream, &mut held.link.cutter, cx) {
-            Poll::Ready(true) => RelayProgress::Advanced,
-            Poll::Ready(false) => {
-                self.lost(Outcome::Reset);
-                RelayProgress::Advanced
+        if self.to_client.len() >= MAX_UNSENT_BYTES {
+            return Progress::Stalled;
+        }
+        match server.connection.decoder.next_from_server() {
+            Ok(Some(message)) => self.handle(Event::Server(message)),
+            Ok(None) => return Progress::Stalled,
+            Err(error) => {
+                let ServerAddress { backend, endpoint } = server.address;
+                let name = self.context.fleet.endpoint_name(backend);
+                tracing::warn!(server = name, %endpoint, %error, "server does not speak PostgreSQL");
+                self.lose_server(Outcome::InvalidResponse);
             }
-            Poll::Pending => RelayProgress::Stalled,
         }
+        Progress::Advanced
     }
 
-    fn read_client(&mut self, cx: &mut Context<'_>) -> RelayProgress {
-        if !self.session.wants_more()
-            || self.to_server.len() >= UNSENT
-            || self.to_client.len() >= UNSENT
-        {
-            return RelayProgress::Stalled;
+    fn process_client_message(&mut self) -> Progress {
+        if !self.session.wants_more() || self.to_server.len() >= MAX_UNSENT_BYTES {
+            return Progress::Stalled;
         }
-        match read(&mut self.client, &mut self.cutter, cx) {
-            Poll::Ready(true) => RelayProgress::Advanced,
-            Poll::Ready(false) => {
-                self.handle(Event::ClientDisconnected);
-                RelayProgress::Advanced
+        match self.client_decoder.next_from_client() {
+            Ok(Some(message)) => {
+                self.end_if_sticky_server_drains();
+                self.handle(Event::Client(message));
             }
-            Poll::Pending => RelayProgress::Stalled,
+            Ok(None) => return Progress::Stalled,
+            Err(error) => self.end_session(ErrorReason::Protocol, Some(&error.to_string())),
         }
+        Progress::Advanced
     }
 
-    /// The attempt that the connection was leased for: withdrawn, or late.
-    fn poll_held(&mut self, cx: &mut Context<'_>) -> RelayProgress {
-        // A session that is pinned and between transactions waits for its client alone.
-        let Some(held) = self.held.as_mut().filter(|held| held.ticket.is_some()) else {
-            return RelayProgress::Stalled;
-        };
-        if Pin::new(&mut held.withdrawn).poll(cx).is_ready() {
-            self.lost(Outcome::Cancelled);
-            return RelayProgress::Advanced;
-        }
-        let (clock, give_up) = (self.terms.fleet.clock(), held.give_up);
-        let timer = held
-            .timer
-            .get_or_insert_with(|| Box::pin(clock.sleep_until(give_up)));
-        if timer.as_mut().poll(cx).is_ready() {
-            self.lost(Outcome::TimedOut);
-            return RelayProgress::Advanced;
-        }
-        RelayProgress::Stalled
-    }
-
-    /// Takes in what has come whole; whether anything had.
-    fn process(&mut self) -> bool {
-        let mut any = false;
-        while !self.ended {
-            if let Some(held) = &mut self.held
-                && self.to_client.len() < UNSENT
-            {
-                match held.link.cutter.next_from_server() {
-                    Ok(Some(cut)) => {
-                        self.handle(Event::Server(cut));
-                        any = true;
-                        continue;
-                    }
-                    Ok(None) => {}
-                    Err(error) => {
-                        let server = self.terms.fleet.endpoint_name(held.backend);
-                        tracing::warn!(server, endpoint = %held.endpoint, %error, "server does not speak PostgreSQL");
-                        self.lost(Outcome::InvalidResponse);
-                        any = true;
-                        continue;
-                    }
-                }
-            }
-            if !self.session.wants_more() || self.to_server.len() >= UNSENT {
-                return any;
-            }
-            match self.cutter.next_from_client() {
-                Ok(Some(cut)) => {
-                    self.check_pinned();
-                    self.handle(Event::Client(cut));
-                    any = true;
-                }
-                Ok(None) => return any,
-                Err(error) => {
-                    server_messages::error_response(
-                        ErrorReason::Protocol,
-                        Some(&error.to_string()),
-                    )
-                    .write(&mut self.to_client);
-                    self.handle(Event::ClientDisconnected);
-                    any = true;
-                }
-            }
-        }
-        any
+    /// Ends the session with an error.
+    fn end_session(&mut self, reason: ErrorReason, detail: Option<&str>) {
+        error_response(reason, detail).write(&mut self.to_client);
+        self.handle(Event::ClientDisconnected);
     }
 
+    /// Lets the session handle an event, and carries out what it decides.
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.session.handle(event, &mut actions);
-        actions.into_iter().for_each(|action| self.act(action));
-        let runs = self.held.as_ref().filter(|_| self.session.is_running());
+        for action in actions {
+            self.execute(action);
+        }
+        self.update_registry();
+    }
+
+    /// Shows operators and cancel requests what the session is doing now.
+    fn update_registry(&self) {
+        let server = self.server.as_ref();
+        let running = server.filter(|_| self.session.is_running());
         self.registered
-            .cancelable()
-            .set_target(runs.map(|held| (held.endpoint, held.link.cancel)));
-        self.registered.note(
-            &self.session,
-            self.held.as_ref().map(|held| held.endpoint),
-            self.waiting.is_some(),
-        );
+            .cancel_handle()
+            .set_target(running.map(|server| CancelTarget {
+                endpoint: server.address.endpoint,
+                key: server.connection.cancel_key,
+            }));
+        self.registered.set_activity(SessionActivity {
+            transaction: self.session.status(),
+            sticky_reason: self.session.sticky_reason(),
+            server: server.map(|server| server.address.endpoint),
+            is_waiting: self.pending_outcome.is_some(),
+        });
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::RequestServer { single_statement } => self.ask(single_statement),
+            Action::RequestServer { single_statement } => self.request_server(single_statement),
             Action::ToServer(bytes) => self.to_server.extend_from_slice(&bytes),
             Action::ToClient(bytes) => self.to_client.extend_from_slice(&bytes),
             Action::ResponseStarted => {
-                let ticket = self.held.as_ref().and_then(|held| held.ticket);
-                ticket
-                    .into_iter()
-                    .for_each(|ticket| self.terms.fleet.response_started(ticket));
-            }
-            Action::TransactionDone => {
-                self.registered.count();
-                self.settle(AttemptEnd {
-                    response: Some(()),
-                    ..AttemptEnd::bare(Outcome::Success)
-                });
-                self.wait_no_more();
-            }
-            Action::NotRetryable => self.settle(AttemptEnd::bare(Outcome::NotSent)),
-            Action::Release(state) => {
-                let Some(held) = self.held.take() else { return };
-                let LeasedConnection {
-                    mut link, ticket, ..
-                } = *held;
-                link.state = state;
-                // A cancel that is under way might hit whoever comes next; so might bytes that were not sent.
-                if !self.registered.cancelable().is_under_way() && self.to_server.is_empty() {
-                    self.terms.pool.keep(&self.terms.fleet, link);
+                if let Some(attempt) = self.server.as_ref().and_then(|server| server.attempt) {
+                    self.context.fleet.response_started(attempt);
                 }
-                self.to_server.clear();
-                self.end(ticket, AttemptEnd::bare(Outcome::NotSent));
-            }
-            Action::DiscardServer => {
-                self.to_server.clear();
-                let ticket = self.held.take().and_then(|held| held.ticket);
-                self.end(ticket, AttemptEnd::bare(Outcome::Cancelled));
             }
+            Action::TransactionDone => self.complete_transaction(),
+            Action::NotRetryable => self.end_attempt(AttemptEnd::bare(Outcome::NotSent)),
+            Action::Release(state) => self.release_server(state),
+            Action::DiscardServer => self.discard_server(),
             Action::End => {
                 self.ended = true;
-                // Dropped before its answer, it tells the engine that the client has gone.
-                self.held_back = None;
-                self.wait_no_more();
+                self.paused_transaction = None;
+                // Dropped before its outcome, the request tells the engine that the client has disconnected.
+                self.forget_request();
             }
         }
     }
+
+    fn complete_transaction(&mut self) {
+        self.registered.count_transaction();
+        self.end_attempt(AttemptEnd {
+            response: Some(()),
+            ..AttemptEnd::bare(Outcome::Success)
+        });
+        self.forget_request();
+    }
+
+    /// Returns the server connection to the pool, if nothing can reach the next session on it.
+    fn release_server(&mut self, state: ServerState) {
+        let Some(server) = self.server.take() else {
+            return;
+        };
+        let LeasedConnection {
+            mut connection,
+            attempt,
+            ..
+        } = *server;
+        connection.state = state;
+        // A cancel request in flight might hit the next session; so might bytes that were not sent.
+        if !self.registered.cancel_handle().is_in_flight() && self.to_server.is_empty() {
+            self.context.pool.release(&self.context.fleet, connection);
+        }
+        self.to_server.clear();
+        self.report_attempt_end(attempt, AttemptEnd::bare(Outcome::NotSent));
+    }
+
+    /// Closes the server connection.
+    fn discard_server(&mut self) {
+        self.to_server.clear();
+        let attempt = self.server.take().and_then(|server| server.attempt);
+        self.report_attempt_end(attempt, AttemptEnd::bare(Outcome::Cancelled));
+    }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.wait_no_more();
+        self.forget_request();
     }
 }
-
-/// Reads once; false at the end.
-fn read(stream: &mut Stream, cutter: &mut FrameDecoder, cx: &mut Context<'_>) -> Poll<bool> {
-    SCRATCH.with_borrow_mut(|scratch| {
-        let mut buffer = ReadBuf::new(scratch);
-        match Pin::new(stream).poll_read(cx, &mut buffer) {
-            Poll::Ready(Ok(())) if !buffer.filled().is_empty() => {
-                cutter.push(buffer.filled());
-                Poll::Ready(true)
-            }
-            Poll::Ready(_) => Poll::Ready(false),
-            Poll::Pending => Poll::Pending,
-        }
-    })
-}
--- /dev/null
+++ b/adapters/postgres/src/server/admission.rs
@@ -0,0 +1,179 @@
+//! Admission of a client: authentication, access rules, limits, and the settings that it asks for. A client that is not
+//! admitted is told why.
+
+use std::net::SocketAddr;
+
+use badgerpost_engine::ConnectionGuard;
+use badgerpost_postgres_session::server_messages::ErrorReason;
+use badgerpost_postgres_session::settings::ClientSettings;
+use badgerpost_postgres_session::startup::StartupMessage;
+
+use super::PostgresServer;
+use super::startup::{StartedClient, StartupRequest, read_startup};
+use crate::access::{AccessRequest, is_allowed};
+use crate::client::{Client, ClientError};
+use crate::console;
+use crate::logins::LoginId;
+use crate::pool::{ConnectionTarget, Parameters};
+use crate::unauthenticated_clients::PendingClient;
+
+/// The database by whose name the console is reached.
+const CONSOLE_DATABASE: &str = "badgerpost";
+
+/// A client that may have a session.
+pub(super) struct AdmittedClient {
+    pub(super) client: Client,
+    pub(super) startup: StartupMessage,
+    pub(super) settings: ClientSettings,
+    /// The parameters of the servers.
+    pub(super) parameters: Parameters,
+    /// The login of its transactions at the servers.
+    pub(super) login: LoginId,
+    /// Counts the session.
+    pub(super) guard: ConnectionGuard,
+}
+
+impl PostgresServer {
+    /// Admits a client. `None` if it wanted no session: it has cancelled a statement, or the console has served it.
+    pub(super) async fn admit(
+        &self,
+        client: Client,
+        address: SocketAddr,
+        pending: &PendingClient,
+    ) -> Result<Option<AdmittedClient>, ClientError> {
+        let started = read_startup(client, self.tls.as_ref(), pending).await?;
+        let Some(StartedClient {
+            mut client,
+            request,
+        }) = started
+        else {
+            return Ok(None);
+        };
+        let startup = match request {
+            StartupRequest::Session(startup) => startup,
+            StartupRequest::Cancel { session, key } => {
+                // The client's connection stays open until the server has taken the request.
+                let context = &self.context;
+                context
+                    .cancel_keys
+                    .cancel(session, &key, context.clock())
+                    .await;
+                return Ok(None);
+            }
+        };
+        self.authenticate(&mut client, &startup.user).await?;
+        pending.record_activity();
+        if self.is_for_console(&startup) {
+            console::serve(&self.context, client, startup.user).await?;
+            return Ok(None);
+        }
+        let login = self.authorize(&mut client, &startup, address).await?;
+        let guard = self.take_session_slot(&mut client).await?;
+        let target = ConnectionTarget {
+            database: startup.database.clone(),
+            login,
+        };
+        let parameters = self.server_parameters(&mut client, &target).await?;
+        let settings = match ClientSettings::new(&startup.parameters, &parameters) {
+            Ok(settings) => settings,
+            Err(error) => {
+                let detail = error.to_string();
+                return Err(client
+                    .reject(ErrorReason::Unsupported, Some(&detail), error)
+                    .await);
+            }
+        };
+        Ok(Some(AdmittedClient {
+            client,
+            startup,
+            settings,
+            parameters,
+            login,
+            guard,
+        }))
+    }
+
+    /// Checks the client's password, and that it has TLS where that is required.
+    async fn authenticate(&self, client: &mut Client, user: &str) -> Result<(), ClientError> {
+        let is_tls = client.stream.is_tls();
+        if self.tls.as_ref().is_some_and(|tls| tls.is_required) && !is_tls {
+            let detail = "the node takes clients with TLS only";
+            return Err(reject(client, ErrorReason::NotAllowed, detail).await);
+        }
+        let channel_binding = self
+            .tls
+            .as_ref()
+            .filter(|_| is_tls)
+            .map(|tls| tls.channel_binding.as_slice());
+        match self.users.authenticate(client, user, channel_binding).await {
+            Err(ClientError::Authentication(error)) => {
+                Err(client.reject(ErrorReason::Identity, None, error).await)
+            }
+            result => result,
+        }
+    }
+
+    /// Whether the client asks for the operators' console and may use it.
+    fn is_for_console(&self, startup: &StartupMessage) -> bool {
+        startup.database == CONSOLE_DATABASE
+            && self.context.config.console_users.contains(&startup.user)
+    }
+
+    /// Checks the access rules, and finds the login that the client's transactions use.
+    async fn authorize(
+        &self,
+        client: &mut Client,
+        startup: &StartupMessage,
+        address: SocketAddr,
+    ) -> Result<LoginId, ClientError> {
+        let request = AccessRequest {
+            user: &startup.user,
+            database: &startup.database,
+            address: address.ip(),
+            is_tls: client.stream.is_tls(),
+        };
+        if !is_allowed(&self.context.config.access_rules, &request) {
+            let detail = "no rule lets this user come to this database";
+            return Err(reject(client, ErrorReason::NotAllowed, detail).await);
+        }
+        match self.context.pool.login_for(&startup.user) {
+            Some(login) => Ok(login),
+            None => {
+                let detail = "the node has no login for this user";
+                Err(reject(client, ErrorReason::NotAllowed, detail).await)
+            }
+        }
+    }
+
+    /// Counts the session, if the limit allows one more.
+    async fn take_session_slot(&self, client: &mut Client) -> Result<ConnectionGuard, ClientError> {
+        if self.context.sessions.get() >= self.context.config.max_clients {
+            let detail = "all of the node's client connections are in use";
+            return Err(reject(client, ErrorReason::TooManyClients, detail).await);
+        }
+        Ok(self.context.sessions.open())
+    }
+
+    async fn server_parameters(
+        &self,
+        client: &mut Client,
+        target: &ConnectionTarget,
+    ) -> Result<Parameters, ClientError> {
+        let context = &self.context;
+        let parameters = context.pool.server_parameters(&context.fleet, target).await;
+        match parameters {
+            Some(parameters) => Ok(parameters),
+            None => {
+                let detail = "no server of the fleet can be reached";
+                Err(reject(client, ErrorReason::NoServer, detail).await)
+            }
+        }
+    }
+}
+
+/// Tells an authenticated client why it gets no session.
+async fn reject(client: &mut Client, reason: ErrorReason, detail: &'static str) -> ClientError {
+    client
+        .reject(reason, Some(detail), ClientError::NotAllowed(detail))
+        .await
+}
--- a/adapters/postgres/src/stream.rs
+++ b/adapters/postgres/src/stream.rs
@@ -1,4 +1,4 @@
-//! A connection's bytes, in the clear or in TLS, counted where they pass the socket.
+//! A connection's byte stream, unencrypted or in TLS, with the bytes counted that pass the socket.
 
 use std::io;
 use std::pin::Pin;
@@ -8,10 +8,17 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio_rustls::TlsStream;
 
-/// A socket whose bytes are counted, for a clock in the hands of a rehearsal.
+/// A socket whose bytes are counted: a test's clock advances only once all that was written has been read.
 #[derive(Debug)]
 pub struct CountedStream(TcpStream);
 
+impl CountedStream {
+    /// Counts the bytes of a socket.
+    pub fn new(socket: TcpStream) -> Self {
+        Self(socket)
+    }
+}
+
 impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
@@ -50,16 +57,16 @@
 /// A connection to a client or a server.
 #[derive(Debug)]
 pub enum Stream {
-    /// In the clear.
+    /// Unencrypted.
     Plain(CountedStream),
-    /// In TLS; boxed, as its state is large beside a plain socket's.
+    /// In TLS; boxed, as its state is large compared with a plain socket's.
     Tls(Box<TlsStream<CountedStream>>),
 }
 
 impl Stream {
-    /// A connection in the clear.
-    pub fn plain(stream: TcpStream) -> Self {
-        Self::Plain(CountedStream(stream))
+    /// An unencrypted connection.
+    pub fn plain(socket: TcpStream) -> Self {
+        Self::Plain(CountedStream::new(socket))
     }
 
     /// Whether it is in TLS.
@@ -67,12 +74,13 @@
         matches!(self, Self::Tls(_))
     }
 
-    /// Whether it stands open and nothing has come on it that was not read.
-    pub fn is_quiet(&mut self) -> bool {
-        let mut scrap = [0; 1];
+    /// Whether the connection is open and nothing unread has arrived. A byte that has arrived is lost, so the
+    /// connection can't be used any more if not.
+    pub fn is_open_and_silent(&mut self) -> bool {
+        let mut byte = [0; 1];
         let mut cx = Context::from_waker(Waker::noop());
         Pin::new(self)
-            .poll_read(&mut cx, &mut ReadBuf::new(&mut scrap))
+            .poll_read(&mut cx, &mut ReadBuf::new(&mut byte))
             .is_pending()
     }
 }
--- a/adapters/postgres/src/admission/tests.rs
+++ b/adapters/postgres/src/unauthenticated_clients/tests.rs
@@ -12,19 +12,19 @@
 }
 
 #[test]
-fn the_longest_silent_one_makes_room() {
+fn the_client_that_was_silent_longest_is_evicted() {
     let all = UnauthenticatedClients::new(3);
     let clients: Vec<PendingClient> = (0..3).map(|_| all.admit()).collect();
-    clients[0].heard();
+    clients[0].record_activity();
     let _fourth = all.admit();
-    // The first has spoken, so the second goes, silent for longer than the third.
+    // The first has sent something, so the second is evicted: it was silent for longer than the third.
     assert_eq!(
         clients.iter().map(is_evicted).collect::<Vec<_>>(),
         [false, true, false]
     );
     let _fifth = all.admit();
     assert!(is_evicted(&clients[2]));
-    assert_eq!(all.counts(), (3, 2));
+    assert_eq!((all.pending(), all.evictions()), (3, 2));
     drop(clients);
-    assert_eq!(all.counts().0, 2);
+    assert_eq!(all.pending(), 2);
 }
--- a/adapters/postgres/src/upstream.rs
+++ b/adapters/postgres/src/upstream.rs
@@ -1,77 +1,93 @@
-//! Attempts over the pool: each ends in the lease of a connection to the session that asked, or in none.
+//! The engine's transport to PostgreSQL servers. An attempt takes a connection from the pool and leases it to the
+//! session that asked; that session reports how the attempt ends.
 
 use std::rc::Rc;
 
 use badgerpost_balancer::{BackendId, Outcome};
 use badgerpost_engine::{AttemptCommand, AttemptEnd, Transport, spawn};
 
+use crate::lease::ServerLease;
 use crate::login::ConnectError;
-use crate::pool::{Pool, PoolKey};
-use crate::{Postgres, PostgresEngine, ServerLease};
+use crate::pool::{Pool, PoolKey, ServerAddress};
+use crate::{Postgres, PostgresEngine};
 
-/// Starts attempts over a pool.
+/// Makes attempts with connections of a pool.
 pub struct PostgresTransport(pub Rc<Pool>);
 
 impl Transport<Postgres> for PostgresTransport {
-    fn start_attempt(&self, fleet: &PostgresEngine, launch: AttemptCommand<Postgres>) {
+    fn start_attempt(&self, fleet: &PostgresEngine, command: AttemptCommand<Postgres>) {
         let (pool, fleet) = (self.0.clone(), fleet.clone());
-        spawn(async move { lease(&pool, &fleet, launch).await });
+        spawn(async move {
+            let attempt = command.attempt;
+            if let Err(outcome) = lease_connection(&pool, &fleet, command).await {
+                fleet.attempt_ended(attempt, AttemptEnd::bare(outcome));
+            }
+        });
     }
 
     fn close_idle_connections(&self, backend: BackendId) {
-        self.0.retire(backend);
+        self.0.close_idle_connections(backend);
     }
 }
 
-/// Finds a connection for a transaction. The attempt's end comes from the session that it is leased to.
-async fn lease(pool: &Pool, fleet: &PostgresEngine, launch: AttemptCommand<Postgres>) {
+/// Leases a connection to the transaction that the attempt is for.
+///
+/// # Errors
+/// The outcome of the attempt, if it has ended without a lease.
+async fn lease_connection(
+    pool: &Pool,
+    fleet: &PostgresEngine,
+    command: AttemptCommand<Postgres>,
+) -> Result<(), Outcome> {
     let AttemptCommand {
-        attempt: ticket,
+        attempt,
         backend,
         address: endpoint,
-        payload: call,
-        attempt_deadline: give_up,
-        cancelled: mut withdrawn,
+        payload: request,
+        attempt_deadline: deadline,
+        mut cancelled,
         ..
-    } = launch;
+    } = command;
+    let address = ServerAddress { backend, endpoint };
     let key = PoolKey {
-        place: (backend, endpoint),
-        database: call.database.clone(),
-        login: call.login,
+        address,
+        target: request.target.clone(),
     };
-    let link = tokio::select! {
+    let acquired = tokio::select! {
         biased;
-        _ = &mut withdrawn => return fleet.attempt_ended(ticket, AttemptEnd::bare(Outcome::NotSent)),
-        link = pool.link(&key, call.rank, give_up) => link,
+        _ = &mut cancelled => return Err(Outcome::NotSent),
+        acquired = pool.acquire(&key, request.rank, deadline) => acquired,
         // A login may take longer than that. Nothing was sent.
-        () = fleet.clock().sleep_until(give_up) => return fleet.attempt_ended(ticket, AttemptEnd::bare(Outcome::NotSent)),
+        () = fleet.clock().sleep_until(deadline) => return Err(Outcome::NotSent),
     };
-    let link = match link {
-        Ok(link) => link,
-        Err(error) => {
-            tracing::debug!(server = fleet.endpoint_name(backend), %endpoint, %error, "no connection to a PostgreSQL server");
-            let outcome = match error {
-                ConnectError::Full(_) => Outcome::Rejected,
-                _ => Outcome::ConnectFailed,
-            };
-            return fleet.attempt_ended(ticket, AttemptEnd::bare(outcome));
-        }
-    };
-    // The wait or the login may have outlasted the request, or the server's place on the list.
-    if !fleet.may_write(ticket) {
-        pool.keep(fleet, link);
-        return fleet.attempt_ended(ticket, AttemptEnd::bare(Outcome::NotSent));
+    let connection = acquired.map_err(|error| {
+        tracing::debug!(server = fleet.endpoint_name(backend), %endpoint, %error, "no connection to a PostgreSQL server");
+        outcome_of(&error)
+    })?;
+    // The wait or the login may have outlasted the request, or the server's entry on the endpoint list.
+    if !fleet.may_write(attempt) {
+        pool.release(fleet, connection);
+        return Err(Outcome::NotSent);
     }
-    let leased = ServerLease {
-        ticket,
-        backend,
-        endpoint,
-        link,
-        give_up,
-        withdrawn,
+    let lease = ServerLease {
+        attempt,
+        address,
+        connection,
+        deadline,
+        cancelled,
     };
-    if let Some(refused) = call.slot.put(call.transaction, leased) {
-        pool.keep(fleet, refused.link);
-        fleet.attempt_ended(ticket, AttemptEnd::bare(Outcome::NotSent));
+    if let Some(undelivered) = request.slot.deliver(request.transaction, lease) {
+        pool.release(fleet, undelivered.connection);
+        return Err(Outcome::NotSent);
+    }
+    Ok(())
+}
+
+/// How an attempt ends that got no connection.
+fn outcome_of(error: &ConnectError) -> Outcome {
+    if error.is_capacity() {
+        Outcome::Rejected
+    } else {
+        Outcome::ConnectFailed
     }
 }
