--- a/adapters/postgres/tests/sessions.rs
+++ b/adapters/postgres/tests/sessions.rs
@@ -39,7 +39,7 @@
     clippy::too_many_lines,
     reason = "one scenario, read from top to bottom"
 )]
-fn no_setting_leaks() {
+fn settings_of_a_client_do_not_leak_to_others() {
     test(async {
         let count: usize = std::env::var("CLIENTS")
             .ok()
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn settings_that_no_server_takes_are_told_by_its_words() {
+fn settings_that_a_server_rejects_fail_with_its_own_error() {
     test(async {
         let database = database();
         let node = Node::start(&[&database], |_| {}).await;
@@ -152,7 +152,7 @@
 
 /// Clients choose their queries by what they are told of the servers.
 #[test]
-fn the_greeting_comes_from_the_servers() {
+fn the_greeting_reports_the_lowest_version_of_the_servers() {
     test(async {
         let (old, new) = (database(), database());
         old.set_version("14.11");
@@ -178,7 +178,7 @@
     clippy::too_many_lines,
     reason = "one scenario, read from top to bottom"
 )]
-fn logins_and_rules_by_client() {
+fn logins_and_access_rules_apply_by_client() {
     test(async {
         let folder = std::env::temp_dir().join(format!("badgerpost-logins-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
@@ -365,7 +365,7 @@
 
 /// Connections that never say a word shut nobody out.
 #[test]
-fn silent_connections_make_room() {
+fn silent_connections_are_evicted_for_new_clients() {
     test(async {
         let database = database();
         let node = Node::start(&[&database], |config| {
@@ -389,7 +389,7 @@
 }
 
 #[test]
-fn the_console_tells_and_pauses() {
+fn the_console_shows_tables_and_pauses_transactions() {
     test(async {
         let database = database();
         let node = Node::start(&[&database], |_| {}).await;
@@ -435,7 +435,7 @@
 
 /// With fewer connections than transactions these wait; with far too many they are refused early.
 #[test]
-fn transactions_wait_for_a_connection_or_are_refused_early() {
+fn transactions_wait_for_a_connection_or_are_rejected_early() {
     test(async {
         let database = database();
         let node = Node::start(&[&database], |config| config.max_connections_per_server = 2).await;
--- a/adapters/postgres/tests/transactions.rs
+++ b/adapters/postgres/tests/transactions.rs
@@ -22,7 +22,7 @@
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
 #[test]
-fn who_knows_no_password_gets_no_session() {
+fn a_client_without_the_password_gets_no_session() {
     test(async {
         let database = database();
         let node = Node::start(&[&database], |_| {}).await;
@@ -114,7 +114,7 @@
 
 /// Many clients over few server connections, and none left behind.
 #[test]
-fn connections_are_shared() {
+fn server_connections_are_shared_by_clients() {
     test(async {
         let database = database();
         let node = Node::start(&[&database], |_| {}).await;
@@ -170,7 +170,7 @@
     clippy::too_many_lines,
     reason = "one scenario, read from top to bottom"
 )]
-fn what_a_client_is_told_when_its_server_dies() {
+fn a_client_learns_what_may_have_run_when_its_server_dies() {
     test(async {
         for (at, bad, code, rows) in [
             // A statement alone: it may have run, whether it has or not.
@@ -245,7 +245,7 @@
 
 /// Only what its class says is safe to repeat goes out again, and then the client never knows.
 #[test]
-fn a_safe_statement_goes_to_another_server() {
+fn an_idempotent_statement_is_retried_on_another_server() {
     test(async {
         let (one, two) = (database(), database());
         let node = Node::start(&[&one, &two], |_| {}).await;
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_server_that_hangs_is_given_up_at_the_deadline() {
+fn a_transaction_on_a_hanging_server_times_out_at_its_deadline() {
     test(async {
         let database = database();
         let node = Node::start(&[&database], |config| {
@@ -302,7 +302,7 @@
 
 /// Nothing new goes to a server that drains; a transaction that it has may end there.
 #[test]
-fn drains_are_kept_and_transactions_end() {
+fn a_draining_server_completes_its_transactions_and_gets_no_new_ones() {
     test(async {
         let (one, two) = (database(), database());
         let node = Node::start(&[&one, &two], |_| {}).await;
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn refusals_and_bad_clients() {
+fn malformed_startups_and_clients_above_the_limit_are_rejected() {
     test(async {
         use tokio::io::{AsyncReadExt, AsyncWriteExt};
         let database = database();
@@ -395,7 +395,7 @@
 
 /// A cancel reaches the statement that it is about, through a key of the node's own.
 #[test]
-fn cancels_are_passed_on() {
+fn a_cancel_request_reaches_the_running_statement() {
     test(async {
         let database = database();
         let node = Node::start(&[&database], |_| {}).await;
@@ -432,7 +432,7 @@
     clippy::too_many_lines,
     reason = "one scenario, read from top to bottom"
 )]
-fn effects_equal_what_clients_were_told() {
+fn effects_equal_what_clients_learned() {
     test(async {
         let databases = [database(), database()];
         let node = Node::start(&[&databases[0], &databases[1]], |_| {}).await;
@@ -548,7 +548,7 @@
 
 /// The section of the operators' file that would say the same.
 #[test]
-fn the_section_is_checked() {
+fn an_invalid_section_is_rejected_with_its_problem() {
     let text = "listen = \"127.0.0.1:0\"\nzone = \"a\"\nusers = \"/no/such/file\"\nclass = []\nlogin = []\n";
     let no_class: Config = Source::embedded("test", text)
         .parse()
