--- a/adapters/postgres/src/config.rs
+++ b/adapters/postgres/src/config.rs
@@ -277,3 +277,6 @@
     let verifier = Verifier::parse(verifier).map_err(|_| UserLineError::UnsupportedVerifier)?;
     Ok((name, verifier))
 }
+
+#[cfg(test)]
+mod tests;
--- a/adapters/postgres/tests/common/mod.rs
+++ b/adapters/postgres/tests/common/mod.rs
@@ -26,7 +26,7 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 use tokio_postgres::error::SqlState;
-use tokio_postgres::{Client, NoTls};
+use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
 /// Nothing here takes that long.
 const PATIENCE: Duration = Duration::from_secs(60);
@@ -189,3 +189,16 @@
 pub fn code(error: &tokio_postgres::Error) -> Option<&SqlState> {
     error.code()
 }
+
+/// The first value that a query returns.
+pub async fn one(client: &Client, sql: &str) -> String {
+    let rows = client
+        .simple_query(sql)
+        .await
+        .unwrap_or_else(|error| panic!("{sql}: {error}"));
+    let row = rows.iter().find_map(|message| match message {
+        SimpleQueryMessage::Row(row) => row.get(0).map(str::to_owned),
+        _ => None,
+    });
+    row.unwrap_or_default()
+}
--- a/adapters/postgres/tests/transactions.rs
+++ b/adapters/postgres/tests/transactions.rs
@@ -1,5 +1,5 @@
-//! The front with a real driver on one side and stand-in databases on the other: what works in transaction mode,
-//! and what a client is told when its server dies at each step.
+//! Transactions of a real driver on fake databases: what works in transaction mode, which connections they get, and which
+//! are rejected.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -9,42 +9,12 @@
 
 mod common;
 
-use std::rc::Rc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use badgerpost_balancer::EndpointUpdate;
-use badgerpost_fakes::database::{Database, InjectedFault, Value};
-use badgerpost_fakes::random::Random;
-use badgerpost_postgres::config::Config;
-use badgerpost_settings::file::Source;
 use common::*;
 use tokio_postgres::error::SqlState;
-use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
-
-#[test]
-fn a_client_without_the_password_gets_no_session() {
-    test(async {
-        let database = database();
-        let node = Node::start(&[&database], |_| {}).await;
-        for (user, password) in [("ann", "wrong"), ("bob", "secret")] {
-            let error = node
-                .try_connect(user, password, "x")
-                .await
-                .expect_err("turned away");
-            assert_eq!(code(&error), Some(&SqlState::INVALID_PASSWORD), "{user}");
-        }
-        node.connect()
-            .await
-            .simple_query("select 1")
-            .await
-            .expect("served");
-        assert_eq!(
-            database.connections(),
-            1,
-            "no server was bothered for those who were turned away"
-        );
-    });
-}
+use tokio_postgres::{NoTls, SimpleQueryMessage};
 
 /// Simple and extended queries, prepared once and used in transactions on whatever server comes.
 #[test]
@@ -164,139 +134,56 @@
     });
 }
 
-/// A server that dies, by where it dies.
+/// With fewer connections than transactions these wait; with far too many they are refused early.
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario, read from top to bottom"
-)]
-fn a_client_learns_what_may_have_run_when_its_server_dies() {
+fn transactions_wait_for_a_connection_or_are_rejected_early() {
     test(async {
-        for (at, bad, code, rows) in [
-            // A statement alone: it may have run, whether it has or not.
-            (
-                "insert into t values (1)",
-                InjectedFault::CrashBeforeExecution,
-                "08006",
-                0,
-            ),
-            (
-                "insert into t values (1)",
-                InjectedFault::CrashAfterExecution,
-                "08006",
-                1,
-            ),
-        ] {
-            let database = database();
-            let node = Node::start(&[&database], |_| {}).await;
+        let database = database();
+        let node = Node::start(&[&database], |config| config.max_connections_per_server = 2).await;
+        let mut tasks = Vec::new();
+        for _ in 0..20 {
             let client = node.connect().await;
-            client
-                .batch_execute("create table t (a bigint)")
-                .await
-                .expect("created");
-            database.inject_fault(at, bad);
-            let error = client
-                .batch_execute("insert into t values (1)")
-                .await
-                .expect_err("lost");
-            assert_eq!(error.code().map(SqlState::code), Some(code), "{at} {bad:?}");
-            assert_eq!(database.rows("t").len(), rows, "{at} {bad:?}");
+            tasks.push(tokio::task::spawn_local(async move {
+                let began = Instant::now();
+                (
+                    client.batch_execute("select pg_sleep(0.02)").await,
+                    began.elapsed(),
+                )
+            }));
         }
-        for (at, bad, code, rows) in [
-            ("insert", InjectedFault::CrashBeforeExecution, "08006", 0),
-            ("insert", InjectedFault::CrashAfterExecution, "08006", 0),
-            ("commit", InjectedFault::CrashBeforeExecution, "08007", 0),
-            ("commit", InjectedFault::CrashAfterExecution, "08007", 1),
-        ] {
-            let database = database();
-            let node = Node::start(&[&database], |_| {}).await;
+        for task in tasks {
+            let (served, _) = task.await.expect("it ends");
+            served.expect("served, after a wait");
+        }
+        assert!(database.open() <= 2);
+        // 300 ms each on two connections: of thirty, those that would have to wait past the deadline of 5 s are many
+        // fewer than those behind twice as many.
+        let mut tasks = Vec::new();
+        for _ in 0..70 {
             let client = node.connect().await;
-            client
-                .batch_execute("create table t (a bigint)")
-                .await
-                .expect("created");
-            client.batch_execute("begin").await.expect("begun");
-            database.inject_fault(at, bad);
-            let inserted = client.batch_execute("insert into t values (1)").await;
-            let error = match inserted {
-                Err(error) => {
-                    // The session stays, in a transaction that has failed until its end.
-                    let again = client
-                        .batch_execute("insert into t values (2)")
-                        .await
-                        .expect_err("failed");
-                    assert_eq!(
-                        again.code(),
-                        Some(&SqlState::IN_FAILED_SQL_TRANSACTION),
-                        "{at} {bad:?}"
-                    );
-                    client.batch_execute("rollback").await.expect("rolled back");
-                    error
-                }
-                Ok(()) => client.batch_execute("commit").await.expect_err("lost"),
-            };
-            assert_eq!(error.code().map(SqlState::code), Some(code), "{at} {bad:?}");
-            assert_eq!(database.rows("t").len(), rows, "{at} {bad:?}");
-            database.revive();
-            until_served(&client).await;
-        }
-    });
-}
-
-/// Only what its class says is safe to repeat goes out again, and then the client never knows.
-#[test]
-fn an_idempotent_statement_is_retried_on_another_server() {
-    test(async {
-        let (one, two) = (database(), database());
-        let node = Node::start(&[&one, &two], |_| {}).await;
-        let reads = node
-            .try_connect("ann", "secret", "reads")
-            .await
-            .expect("a connection");
-        for database in [&one, &two] {
-            database.inject_fault("select 42", InjectedFault::CrashBeforeExecution);
+            tasks.push(tokio::task::spawn_local(async move {
+                let began = Instant::now();
+                (
+                    client.batch_execute("select pg_sleep(0.3)").await,
+                    began.elapsed(),
+                )
+            }));
         }
-        // Whichever server comes first dies of it; so does the other at a second try, unless it is mended.
-        two.inject_fault("none", InjectedFault::Hang);
-        one.inject_fault("select 42", InjectedFault::CrashBeforeExecution);
-        for _ in 0..20 {
-            reads
-                .batch_execute("select 42")
-                .await
-                .expect("served by the other");
-            one.revive();
-            if one.statements() > 0 {
-                break;
+        let (mut served, mut refused) = (0, 0);
+        for task in tasks {
+            match task.await.expect("it ends") {
+                (Ok(()), _) => served += 1,
+                (Err(error), took) => {
+                    assert_eq!(code(&error).map(SqlState::code), Some("53300"));
+                    assert!(took < Duration::from_millis(4900), "refused after {took:?}");
+                    refused += 1;
+                }
             }
         }
-        let rest = node.connect().await;
-        one.revive();
-        one.inject_fault("select 43", InjectedFault::CrashBeforeExecution);
-        two.inject_fault("select 43", InjectedFault::CrashBeforeExecution);
-        let error = rest
-            .batch_execute("select 43")
-            .await
-            .expect_err("not sent again");
-        assert_eq!(error.code().map(SqlState::code), Some("08006"));
-    });
-}
-
-#[test]
-fn a_transaction_on_a_hanging_server_times_out_at_its_deadline() {
-    test(async {
-        let database = database();
-        let node = Node::start(&[&database], |config| {
-            config.class.iter_mut().for_each(|c| c.deadline_ms = 400);
-        })
-        .await;
-        let client = node.connect().await;
-        database.inject_fault("select 1", InjectedFault::Hang);
-        let error = client
-            .batch_execute("select 1")
-            .await
-            .expect_err("given up");
-        assert_eq!(error.code().map(SqlState::code), Some("08006"));
-        until_served(&client).await;
+        assert!(
+            served >= 10 && refused >= 10,
+            "{served} served, {refused} refused"
+        );
     });
 }
 
@@ -333,260 +220,3 @@
         assert_eq!(one.statements() - before, ended, "nothing new goes there");
     });
 }
-
-#[test]
-fn malformed_startups_and_clients_above_the_limit_are_rejected() {
-    test(async {
-        use tokio::io::{AsyncReadExt, AsyncWriteExt};
-        let database = database();
-        let node = Node::start(&[&database], |config| config.max_clients = 3).await;
-        let said = |bytes: &'static [u8]| {
-            let at = node.at;
-            async move {
-                let mut stream = tokio::net::TcpStream::connect(at)
-                    .await
-                    .expect("it listens");
-                stream.write_all(bytes).await.expect("written");
-                let mut answer = Vec::new();
-                let _ = stream.read_to_end(&mut answer).await;
-                String::from_utf8_lossy(&answer).into_owned()
-            }
-        };
-        assert!(
-            said(b"GET / HTTP/1.1\r\n\r\n")
-                .await
-                .contains("this is HTTP")
-        );
-        assert!(
-            said(&[0, 0, 0, 8, 4, 210, 22, 47, 0, 0, 0, 8, 4, 210, 22, 47])
-                .await
-                .contains("asked for again")
-        );
-        assert!(said(&[0xff, 0xff, 0xff, 0xff]).await.contains("08P01"));
-        let kept = [
-            node.connect().await,
-            node.connect().await,
-            node.connect().await,
-        ];
-        let error = node
-            .try_connect("ann", "secret", "x")
-            .await
-            .expect_err("no room");
-        assert_eq!(error.code().map(SqlState::code), Some("53300"));
-        drop(kept);
-        // Nobody left to send to: refused, with the code that says that nothing ran.
-        let mut tries = 0;
-        let client = loop {
-            match node.try_connect("ann", "secret", "x").await {
-                Ok(client) => break client,
-                Err(_) if tries < 500 => tries += 1,
-                Err(error) => panic!("{error}"),
-            }
-            tokio::time::sleep(Duration::from_millis(10)).await;
-        };
-        node.fleet.endpoints_updated(EndpointUpdate::Snapshot, &[]);
-        let error = client
-            .batch_execute("select 1")
-            .await
-            .expect_err("nobody there");
-        assert_eq!(error.code().map(SqlState::code), Some("53300"));
-    });
-}
-
-/// A cancel reaches the statement that it is about, through a key of the node's own.
-#[test]
-fn a_cancel_request_reaches_the_running_statement() {
-    test(async {
-        let database = database();
-        let node = Node::start(&[&database], |_| {}).await;
-        let client = node.connect().await;
-        let token = client.cancel_token();
-        token.cancel_query(NoTls).await.expect("asked");
-        assert_eq!(database.cancels(), 0, "nothing ran");
-        let slow = client.batch_execute("select pg_sleep(30)");
-        let cancel = async {
-            while database.statements() == 0 {
-                tokio::time::sleep(Duration::from_millis(5)).await;
-            }
-            token.cancel_query(NoTls).await.expect("asked");
-            while database.cancels() == 0 {
-                tokio::time::sleep(Duration::from_millis(5)).await;
-            }
-        };
-        let (slow, ()) = tokio::join!(slow, cancel);
-        assert_eq!(
-            code(&slow.expect_err("cancelled")),
-            Some(&SqlState::QUERY_CANCELED)
-        );
-        client
-            .batch_execute("select 1")
-            .await
-            .expect("the session goes on");
-    });
-}
-
-/// Databases die over and over under load. A commit that was told is there once, a failure that was told before
-/// the end never, and an unknown one at most once.
-#[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario, read from top to bottom"
-)]
-fn effects_equal_what_clients_learned() {
-    test(async {
-        let databases = [database(), database()];
-        let node = Node::start(&[&databases[0], &databases[1]], |_| {}).await;
-        for database in &databases {
-            let direct = format!("host=127.0.0.1 port={} user=x dbname=x", database.at.port());
-            let (direct, connection) = tokio_postgres::connect(&direct, NoTls)
-                .await
-                .expect("the stand-in");
-            tokio::task::spawn_local(async move {
-                let _ = connection.await;
-            });
-            direct
-                .batch_execute("create table effects (id bigint)")
-                .await
-                .expect("created");
-        }
-        let databases = Rc::new(databases);
-        let (mut told, mut tasks) = (Vec::new(), Vec::new());
-        for task in 0..8_i64 {
-            let mut client = node.connect().await;
-            tasks.push(tokio::task::spawn_local(async move {
-                let mut told = Vec::new();
-                for n in 0..60 {
-                    let id = task * 1000 + n;
-                    told.push((id, one(&mut client, id).await));
-                }
-                told
-            }));
-        }
-        let over = Rc::new(std::cell::Cell::new(false));
-        let killer = {
-            let (databases, over) = (databases.clone(), over.clone());
-            tokio::task::spawn_local(async move {
-                let (mut random, mut kills) = (Random::new(11, "kills"), 0);
-                while !over.get() {
-                    let database = &databases[random.between(0, 1) as usize];
-                    let text = ["BEGIN", "insert", "COMMIT"][random.between(0, 2) as usize];
-                    let bad = if random.chance(0.5) {
-                        InjectedFault::CrashBeforeExecution
-                    } else {
-                        InjectedFault::CrashAfterExecution
-                    };
-                    database.inject_fault(text, bad);
-                    tokio::time::sleep(Duration::from_millis(random.between(5, 30))).await;
-                    databases.iter().for_each(Database::revive);
-                    kills += 1;
-                }
-                kills
-            })
-        };
-        for task in tasks {
-            told.extend(task.await.expect("a client"));
-        }
-        over.set(true);
-        assert!(killer.await.expect("the killer") > 5);
-        let mut seen = std::collections::BTreeMap::new();
-        for row in databases
-            .iter()
-            .flat_map(|database| database.rows("effects"))
-        {
-            let [Value::Int(id)] = row[..] else {
-                panic!("{row:?}")
-            };
-            *seen.entry(id).or_insert(0) += 1;
-        }
-        let mut counts = std::collections::BTreeMap::new();
-        for (id, told) in told {
-            let there = seen.get(&id).copied().unwrap_or(0);
-            let good = match told.as_str() {
-                "committed" => there == 1,
-                "08007" => there <= 1,
-                _ => there == 0,
-            };
-            assert!(good, "{id} was told {told} and is there {there} times");
-            *counts.entry(told).or_insert(0) += 1;
-        }
-        assert!(
-            counts.get("committed").is_some_and(|count| *count > 100),
-            "{counts:?}"
-        );
-        assert!(counts.len() >= 3, "{counts:?}");
-    });
-}
-
-/// One transaction, and what its client was told of it.
-async fn one(client: &mut Client, id: i64) -> String {
-    let worded =
-        |error: tokio_postgres::Error| error.code().map_or("closed", SqlState::code).to_owned();
-    let transaction = match client.transaction().await {
-        Ok(transaction) => transaction,
-        Err(error) => {
-            // Away for a moment, or ejected: the next one may find room.
-            tokio::time::sleep(Duration::from_millis(5)).await;
-            return worded(error);
-        }
-    };
-    if let Err(error) = transaction
-        .execute("insert into effects values ($1)", &[&id])
-        .await
-    {
-        let told = worded(error);
-        transaction
-            .rollback()
-            .await
-            .expect("a failed transaction can be rolled back");
-        return told;
-    }
-    match transaction.commit().await {
-        Ok(()) => "committed".to_owned(),
-        Err(error) => worded(error),
-    }
-}
-
-/// The section of the operators' file that would say the same.
-#[test]
-fn an_invalid_section_is_rejected_with_its_problem() {
-    let text = "listen = \"127.0.0.1:0\"\nzone = \"a\"\nusers = \"/no/such/file\"\nclass = []\nlogin = []\n";
-    let no_class: Config = Source::embedded("test", text)
-        .parse()
-        .expect("the keys that there must be");
-    assert!(
-        no_class
-            .read_logins()
-            .err()
-            .is_some_and(|error| error.to_string().contains("[[postgres.login]]"))
-    );
-    assert!(
-        no_class
-            .site()
-            .err()
-            .is_some_and(|error| error.to_string().contains("[[postgres.class]]"))
-    );
-    assert!(
-        no_class
-            .read_users()
-            .err()
-            .is_some_and(|error| error.to_string().contains("/no/such/file"))
-    );
-    let path = std::env::temp_dir().join(format!("badgerpost-users-{}", std::process::id()));
-    std::fs::write(&path, "# who\nann secret\n").unwrap();
-    let with = Config {
-        users: path.clone(),
-        ..no_class
-    };
-    let mode = |mode| {
-        use std::os::unix::fs::PermissionsExt;
-        std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
-        with.read_users().err().expect("bad").to_string()
-    };
-    assert!(mode(0o644).contains("0600"));
-    let error = mode(0o600);
-    assert!(
-        error.contains(":2: only SCRAM-SHA-256") && !error.contains("secret"),
-        "{error}"
-    );
-    std::fs::remove_file(&path).unwrap();
-}
