--- a/adapters/postgres/tests/common/mod.rs
+++ b/adapters/postgres/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node's PostgreSQL front in this process, between real drivers and stand-in databases.
+//! A node's PostgreSQL adapter in this process, between real drivers and fake databases.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -9,6 +9,7 @@
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -35,7 +36,7 @@
     pub at: SocketAddr,
     pub fleet: PostgresEngine,
     pub config: Config,
-    /// Held, as its end would stop the front.
+    /// Held, as its end would stop the server.
     _stop: watch::Sender<bool>,
 }
 
@@ -101,7 +102,7 @@
                 Verifier::from_password("secret", b"some salt"),
             )
         };
-        let front = PostgresServer::new(
+        let server = PostgresServer::new(
             config.clone(),
             [user("ann"), user("eve")].into(),
             fleet.clone(),
@@ -112,7 +113,7 @@
             .expect("a port");
         let at = listener.local_addr().expect("an address");
         let (stop, stopping) = watch::channel(false);
-        spawn(front.expect("a front").run(listener, stopping));
+        spawn(server.expect("a server").run(listener, stopping));
         Self {
             at,
             fleet,
@@ -202,3 +203,30 @@
     });
     row.unwrap_or_default()
 }
+
+/// A folder in the temporary one, removed when it is dropped.
+pub struct TestFolder(PathBuf);
+
+impl TestFolder {
+    pub fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("badgerpost-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("a folder");
+        Self(path)
+    }
+
+    /// Writes a file that only its owner may access.
+    pub fn private_file(&self, name: &str, text: &str) -> PathBuf {
+        use std::os::unix::fs::PermissionsExt;
+        let path = self.0.join(name);
+        std::fs::write(&path, text).expect("written");
+        let owner_only = std::fs::Permissions::from_mode(0o600);
+        std::fs::set_permissions(&path, owner_only).expect("its owner's");
+        path
+    }
+}
+
+impl Drop for TestFolder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
--- a/adapters/postgres/tests/server_loss.rs
+++ b/adapters/postgres/tests/server_loss.rs
@@ -8,6 +8,8 @@
 
 mod common;
 
+use std::cell::Cell;
+use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -17,81 +19,83 @@
 use tokio_postgres::error::SqlState;
 use tokio_postgres::{Client, NoTls};
 
-/// A server that dies, by where it dies.
+/// A node with one database, which has an empty table t, and a client.
+struct LossFixture {
+    database: Database,
+    _node: Node,
+    client: Client,
+}
+
+impl LossFixture {
+    async fn start() -> Self {
+        let database = database();
+        let node = Node::start(&[&database], |_| {}).await;
+        let client = node.connect().await;
+        let created = client.batch_execute("create table t (a bigint)").await;
+        created.expect("created");
+        Self {
+            database,
+            _node: node,
+            client,
+        }
+    }
+
+    /// Inserts a row in a transaction and commits it. Returns the error of the one that fails; a session whose insert
+    /// failed is in a failed transaction until that is rolled back.
+    async fn failing_transaction(&self) -> tokio_postgres::Error {
+        let client = &self.client;
+        let Err(error) = client.batch_execute("insert into t values (1)").await else {
+            return client.batch_execute("commit").await.expect_err("lost");
+        };
+        let again = client.batch_execute("insert into t values (2)").await;
+        assert_eq!(
+            again.expect_err("failed").code(),
+            Some(&SqlState::IN_FAILED_SQL_TRANSACTION)
+        );
+        client.batch_execute("rollback").await.expect("rolled back");
+        error
+    }
+}
+
+/// A statement alone: it may have run, whether it has or not.
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario, read from top to bottom"
-)]
-fn a_client_learns_what_may_have_run_when_its_server_dies() {
+fn a_client_learns_what_may_have_run_when_its_server_dies_in_a_statement() {
     test(async {
-        for (at, bad, code, rows) in [
-            // A statement alone: it may have run, whether it has or not.
-            (
-                "insert into t values (1)",
-                InjectedFault::CrashBeforeExecution,
-                "08006",
-                0,
-            ),
-            (
-                "insert into t values (1)",
-                InjectedFault::CrashAfterExecution,
-                "08006",
-                1,
-            ),
+        let insert = "insert into t values (1)";
+        for (fault, rows) in [
+            (InjectedFault::CrashBeforeExecution, 0),
+            (InjectedFault::CrashAfterExecution, 1),
         ] {
-            let database = database();
-            let node = Node::start(&[&database], |_| {}).await;
-            let client = node.connect().await;
-            client
-                .batch_execute("create table t (a bigint)")
-                .await
-                .expect("created");
-            database.inject_fault(at, bad);
-            let error = client
-                .batch_execute("insert into t values (1)")
-                .await
-                .expect_err("lost");
-            assert_eq!(error.code().map(SqlState::code), Some(code), "{at} {bad:?}");
-            assert_eq!(database.rows("t").len(), rows, "{at} {bad:?}");
+            let fixture = LossFixture::start().await;
+            fixture.database.inject_fault(insert, fault);
+            let error = fixture.client.batch_execute(insert).await;
+            let error = error.expect_err("lost");
+            assert_eq!(error.code().map(SqlState::code), Some("08006"), "{fault:?}");
+            assert_eq!(fixture.database.rows("t").len(), rows, "{fault:?}");
         }
-        for (at, bad, code, rows) in [
+    });
+}
+
+/// In a transaction: it is rolled back, unless the server dies in its commit.
+#[test]
+fn a_client_learns_what_may_have_run_when_its_server_dies_in_a_transaction() {
+    test(async {
+        for (statement, fault, code, rows) in [
             ("insert", InjectedFault::CrashBeforeExecution, "08006", 0),
             ("insert", InjectedFault::CrashAfterExecution, "08006", 0),
             ("commit", InjectedFault::CrashBeforeExecution, "08007", 0),
             ("commit", InjectedFault::CrashAfterExecution, "08007", 1),
         ] {
-            let database = database();
-            let node = Node::start(&[&database], |_| {}).await;
-            let client = node.connect().await;
-            client
-                .batch_execute("create table t (a bigint)")
-                .await
-                .expect("created");
-            client.batch_execute("begin").await.expect("begun");
-            database.inject_fault(at, bad);
-            let inserted = client.batch_execute("insert into t values (1)").await;
-            let error = match inserted {
-                Err(error) => {
-                    // The session stays, in a transaction that has failed until its end.
-                    let again = client
-                        .batch_execute("insert into t values (2)")
-                        .await
-                        .expect_err("failed");
-                    assert_eq!(
-                        again.code(),
-                        Some(&SqlState::IN_FAILED_SQL_TRANSACTION),
-                        "{at} {bad:?}"
-                    );
-                    client.batch_execute("rollback").await.expect("rolled back");
-                    error
-                }
-                Ok(()) => client.batch_execute("commit").await.expect_err("lost"),
-            };
-            assert_eq!(error.code().map(SqlState::code), Some(code), "{at} {bad:?}");
-            assert_eq!(database.rows("t").len(), rows, "{at} {bad:?}");
-            database.revive();
-            until_served(&client).await;
+            let fixture = LossFixture::start().await;
+            let begun = fixture.client.batch_execute("begin").await;
+            begun.expect("begun");
+            fixture.database.inject_fault(statement, fault);
+            let error = fixture.failing_transaction().await;
+            let at = format!("{statement} {fault:?}");
+            assert_eq!(error.code().map(SqlState::code), Some(code), "{at}");
+            assert_eq!(fixture.database.rows("t").len(), rows, "{at}");
+            fixture.database.revive();
+            until_served(&fixture.client).await;
         }
     });
 }
@@ -147,129 +151,135 @@
         let error = client
             .batch_execute("select 1")
             .await
-            .expect_err("given up");
+            .expect_err("timed out");
         assert_eq!(error.code().map(SqlState::code), Some("08006"));
         until_served(&client).await;
     });
 }
 
-/// Databases die over and over under load. A commit that was told is there once, a failure that was told before
-/// the end never, and an unknown one at most once.
+/// Creates the table that the transactions write to, past the node.
+async fn create_effects(database: &Database) {
+    let direct = format!("host=127.0.0.1 port={} user=x dbname=x", database.at.port());
+    let (direct, connection) = tokio_postgres::connect(&direct, NoTls)
+        .await
+        .expect("the fake");
+    tokio::task::spawn_local(async move {
+        let _ = connection.await;
+    });
+    direct
+        .batch_execute("create table effects (id bigint)")
+        .await
+        .expect("created");
+}
+
+/// Kills databases in random statements until `over` is true. Returns how often.
+async fn kill_databases(databases: Rc<[Database; 2]>, over: Rc<Cell<bool>>) -> usize {
+    let (mut random, mut kills) = (Random::new(11, "kills"), 0);
+    while !over.get() {
+        let database = &databases[random.between(0, 1) as usize];
+        let statement = ["BEGIN", "insert", "COMMIT"][random.between(0, 2) as usize];
+        let fault = if random.chance(0.5) {
+            InjectedFault::CrashBeforeExecution
+        } else {
+            InjectedFault::CrashAfterExecution
+        };
+        database.inject_fault(statement, fault);
+        tokio::time::sleep(Duration::from_millis(random.between(5, 30))).await;
+        databases.iter().for_each(Database::revive);
+        kills += 1;
+    }
+    kills
+}
+
+/// How often each row is in the databases.
+fn count_effects(databases: &[Database; 2]) -> BTreeMap<i64, usize> {
+    let mut counts = BTreeMap::new();
+    let rows = databases
+        .iter()
+        .flat_map(|database| database.rows("effects"));
+    for row in rows {
+        let [Value::Int(id)] = row[..] else {
+            panic!("{row:?}")
+        };
+        *counts.entry(id).or_insert(0) += 1;
+    }
+    counts
+}
+
+/// Databases die over and over under load. A commit that a client learned of is there once, a failure before the commit
+/// never, and an unknown one at most once.
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario, read from top to bottom"
-)]
 fn effects_equal_what_clients_learned() {
     test(async {
-        let databases = [database(), database()];
+        let databases = Rc::new([database(), database()]);
         let node = Node::start(&[&databases[0], &databases[1]], |_| {}).await;
-        for database in &databases {
-            let direct = format!("host=127.0.0.1 port={} user=x dbname=x", database.at.port());
-            let (direct, connection) = tokio_postgres::connect(&direct, NoTls)
-                .await
-                .expect("the stand-in");
-            tokio::task::spawn_local(async move {
-                let _ = connection.await;
-            });
-            direct
-                .batch_execute("create table effects (id bigint)")
-                .await
-                .expect("created");
+        for database in databases.iter() {
+            create_effects(database).await;
         }
-        let databases = Rc::new(databases);
-        let (mut told, mut tasks) = (Vec::new(), Vec::new());
+        let mut tasks = Vec::new();
         for task in 0..8_i64 {
             let mut client = node.connect().await;
             tasks.push(tokio::task::spawn_local(async move {
-                let mut told = Vec::new();
+                let mut results = Vec::new();
                 for n in 0..60 {
                     let id = task * 1000 + n;
-                    told.push((id, run_one(&mut client, id).await));
+                    results.push((id, run_one(&mut client, id).await));
                 }
-                told
+                results
             }));
         }
-        let over = Rc::new(std::cell::Cell::new(false));
-        let killer = {
-            let (databases, over) = (databases.clone(), over.clone());
-            tokio::task::spawn_local(async move {
-                let (mut random, mut kills) = (Random::new(11, "kills"), 0);
-                while !over.get() {
-                    let database = &databases[random.between(0, 1) as usize];
-                    let text = ["BEGIN", "insert", "COMMIT"][random.between(0, 2) as usize];
-                    let bad = if random.chance(0.5) {
-                        InjectedFault::CrashBeforeExecution
-                    } else {
-                        InjectedFault::CrashAfterExecution
-                    };
-                    database.inject_fault(text, bad);
-                    tokio::time::sleep(Duration::from_millis(random.between(5, 30))).await;
-                    databases.iter().for_each(Database::revive);
-                    kills += 1;
-                }
-                kills
-            })
-        };
+        let over = Rc::new(Cell::new(false));
+        let killer = kill_databases(databases.clone(), over.clone());
+        let killer = tokio::task::spawn_local(killer);
+        let mut results = Vec::new();
         for task in tasks {
-            told.extend(task.await.expect("a client"));
+            results.extend(task.await.expect("a client"));
         }
         over.set(true);
         assert!(killer.await.expect("the killer") > 5);
-        let mut seen = std::collections::BTreeMap::new();
-        for row in databases
-            .iter()
-            .flat_map(|database| database.rows("effects"))
-        {
-            let [Value::Int(id)] = row[..] else {
-                panic!("{row:?}")
+        let effects = count_effects(&databases);
+        let mut result_counts = BTreeMap::new();
+        for (id, result) in results {
+            let effect = effects.get(&id).copied().unwrap_or(0);
+            let is_true = match result.as_str() {
+                "committed" => effect == 1,
+                "08007" => effect <= 1,
+                _ => effect == 0,
             };
-            *seen.entry(id).or_insert(0) += 1;
-        }
-        let mut counts = std::collections::BTreeMap::new();
-        for (id, told) in told {
-            let there = seen.get(&id).copied().unwrap_or(0);
-            let good = match told.as_str() {
-                "committed" => there == 1,
-                "08007" => there <= 1,
-                _ => there == 0,
-            };
-            assert!(good, "{id} was told {told} and is there {there} times");
-            *counts.entry(told).or_insert(0) += 1;
+            assert!(is_true, "{id}: {result}, and it is there {effect} times");
+            *result_counts.entry(result).or_insert(0) += 1;
         }
+        let committed = result_counts.get("committed");
         assert!(
-            counts.get("committed").is_some_and(|count| *count > 100),
-            "{counts:?}"
+            committed.is_some_and(|count| *count > 100),
+            "{result_counts:?}"
         );
-        assert!(counts.len() >= 3, "{counts:?}");
+        assert!(result_counts.len() >= 3, "{result_counts:?}");
     });
 }
 
-/// One transaction, and what its client was told of it.
+/// Runs a transaction. Returns what the client learned: "committed", or the code of the error.
 async fn run_one(client: &mut Client, id: i64) -> String {
-    let worded =
+    let code_of =
         |error: tokio_postgres::Error| error.code().map_or("closed", SqlState::code).to_owned();
     let transaction = match client.transaction().await {
         Ok(transaction) => transaction,
         Err(error) => {
-            // Away for a moment, or ejected: the next one may find room.
+            // All servers are away for a moment, or ejected: a later transaction may find one.
             tokio::time::sleep(Duration::from_millis(5)).await;
-            return worded(error);
+            return code_of(error);
         }
     };
-    if let Err(error) = transaction
+    let inserted = transaction
         .execute("insert into effects values ($1)", &[&id])
-        .await
-    {
-        let told = worded(error);
-        transaction
-            .rollback()
-            .await
-            .expect("a failed transaction can be rolled back");
-        return told;
+        .await;
+    if let Err(error) = inserted {
+        let rolled_back = transaction.rollback().await;
+        rolled_back.expect("a failed transaction can be rolled back");
+        return code_of(error);
     }
     match transaction.commit().await {
         Ok(()) => "committed".to_owned(),
-        Err(error) => worded(error),
+        Err(error) => code_of(error),
     }
 }
--- a/adapters/postgres/tests/sessions.rs
+++ b/adapters/postgres/tests/sessions.rs
@@ -11,84 +11,91 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use tokio_postgres::NoTls;
 use tokio_postgres::error::SqlState;
+use tokio_postgres::{Client, NoTls};
+
+/// A client with settings of its own; every third one sets nothing.
+struct ClientWithSettings {
+    number: usize,
+    client: Client,
+    search_path: String,
+    zone: &'static str,
+    statement_timeout: String,
+}
+
+impl ClientWithSettings {
+    async fn connect(node: &Node, number: usize) -> Self {
+        let mut config = node.driver("ann", "secret", &format!("app{number}"));
+        let zone = ["UTC", "CET", "PST8PDT"][number % 3];
+        let (mut search_path, mut statement_timeout) =
+            ("\"$user\", public".to_owned(), "0".to_owned());
+        if !number.is_multiple_of(3) {
+            search_path = format!("tenant{number}");
+            statement_timeout = (5000 + number).to_string();
+            config.options(format!(
+                "-c search_path={search_path} -c TimeZone={zone} -c statement_timeout={statement_timeout}"
+            ));
+        }
+        Self {
+            number,
+            client: open(&config).await.expect("a connection"),
+            search_path,
+            zone,
+            statement_timeout,
+        }
+    }
+
+    async fn assert_settings(&self, round: usize) {
+        let at = format!("client {}, round {round}", self.number);
+        for (setting, expected) in [
+            ("search_path", self.search_path.as_str()),
+            ("application_name", &format!("app{}", self.number)),
+            ("TimeZone", self.zone),
+            ("statement_timeout", &self.statement_timeout),
+        ] {
+            let value = one(&self.client, &format!("SHOW {setting}")).await;
+            assert_eq!(value, expected, "{at}");
+        }
+    }
+
+    /// Changes a setting in the second round, and again in the third, where that is rolled back.
+    async fn change_settings(&mut self, round: usize) {
+        let (sql, zone) = match round {
+            1 => ("SET TimeZone = 'Europe/Budapest'", "Europe/Budapest"),
+            2 => ("BEGIN; SET TimeZone = 'Asia/Tokyo'; ROLLBACK", self.zone),
+            _ => return,
+        };
+        self.client.batch_execute(sql).await.expect("set");
+        self.zone = zone;
+    }
+}
 
 /// Each client has settings of its own, some of them changed on the way, and there are far fewer connections than
 /// clients. `CLIENTS=1000` for the long one.
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario, read from top to bottom"
-)]
 fn settings_of_a_client_do_not_leak_to_others() {
     test(async {
-        let count: usize = std::env::var("CLIENTS")
+        let clients: usize = std::env::var("CLIENTS")
             .ok()
-            .and_then(|count| count.parse().ok())
+            .and_then(|clients| clients.parse().ok())
             .unwrap_or(60);
         let database = database();
         let node = Node::start(&[&database], |config| {
-            (config.max_clients, config.max_connections_per_server) = (count + 10, 10);
-            config.class.iter_mut().for_each(|class| {
-                (class.latency_objective_ms, class.deadline_ms) = (20_000, 30_000);
-            });
+            config.max_clients = clients + 10;
+            config.max_connections_per_server = 10;
+            for class in &mut config.class {
+                class.latency_objective_ms = 20_000;
+                class.deadline_ms = 30_000;
+            }
         })
         .await;
         let mut tasks = Vec::new();
-        for n in 0..count {
-            let mut config = node.driver("ann", "secret", &format!("app{n}"));
-            let zone = ["UTC", "CET", "PST8PDT"][n % 3];
-            // A third of them sets nothing at all.
-            let path = if n % 3 == 0 {
-                "\"$user\", public".to_owned()
-            } else {
-                format!("tenant{n}")
-            };
-            if n % 3 != 0 {
-                config.options(format!(
-                    "-c search_path={path} -c TimeZone={zone} -c statement_timeout={}",
-                    5000 + n
-                ));
-            }
-            let client = open(&config).await.expect("a connection");
+        for number in 0..clients {
+            let mut client = ClientWithSettings::connect(&node, number).await;
             tasks.push(tokio::task::spawn_local(async move {
-                let mut zone = zone.to_owned();
                 for round in 0..4 {
-                    assert_eq!(
-                        one(&client, "SHOW search_path").await,
-                        path,
-                        "client {n}, round {round}"
-                    );
-                    assert_eq!(
-                        one(&client, "SHOW application_name").await,
-                        format!("app{n}")
-                    );
-                    assert_eq!(
-                        one(&client, "SHOW TimeZone").await,
-                        zone,
-                        "client {n}, round {round}"
-                    );
-                    let timeout = if n % 3 == 0 {
-                        "0".to_owned()
-                    } else {
-                        (5000 + n).to_string()
-                    };
-                    assert_eq!(one(&client, "SHOW statement_timeout").await, timeout);
-                    if round == 1 {
-                        zone = "Europe/Budapest".to_owned();
-                        client
-                            .batch_execute("SET TimeZone = 'Europe/Budapest'")
-                            .await
-                            .expect("set");
-                    }
-                    if round == 2 {
-                        // What is rolled back was never set.
-                        client
-                            .batch_execute("BEGIN; SET TimeZone = 'Asia/Tokyo'; ROLLBACK")
-                            .await
-                            .expect("back");
-                    }
+                    client.assert_settings(round).await;
+                    client.change_settings(round).await;
                 }
             }));
         }
@@ -111,17 +118,17 @@
         let error = client
             .batch_execute("select 1")
             .await
-            .expect_err("turned down");
+            .expect_err("rejected");
         let error = error.as_db_error().expect("by a server").clone();
         assert_eq!(
             (error.code(), error.severity()),
             (&SqlState::INVALID_PARAMETER_VALUE, "FATAL")
         );
-        // What is no setting at all is turned down at once, by name.
+        // What is no setting at all is rejected at once, by name.
         let mut config = node.driver("ann", "secret", "x");
         let error = open(config.options("--nothing"))
             .await
-            .expect_err("turned down");
+            .expect_err("rejected");
         assert_eq!(code(&error), Some(&SqlState::FEATURE_NOT_SUPPORTED));
         assert!(
             error
@@ -132,7 +139,7 @@
     });
 }
 
-/// Clients choose their queries by what they are told of the servers.
+/// Clients choose their queries by the version that the servers report.
 #[test]
 fn the_greeting_reports_the_lowest_version_of_the_servers() {
     test(async {
--- a/adapters/postgres/tests/transactions.rs
+++ b/adapters/postgres/tests/transactions.rs
@@ -24,11 +24,11 @@
         let node = Node::start(&[&one, &two], |_| {}).await;
         let mut client = node.connect().await;
         for database in [&one, &two] {
-            // Tables are no matter of the node's: each stand-in gets its own.
+            // Tables are no matter of the node's: each fake gets its own.
             let direct = format!("host=127.0.0.1 port={} user=x dbname=x", database.at.port());
             let (direct, connection) = tokio_postgres::connect(&direct, NoTls)
                 .await
-                .expect("the stand-in");
+                .expect("the fake");
             tokio::task::spawn_local(async move {
                 let _ = connection.await;
             });
@@ -134,7 +134,7 @@
     });
 }
 
-/// With fewer connections than transactions these wait; with far too many they are refused early.
+/// With fewer connections than transactions these wait; with far too many they are rejected early.
 #[test]
 fn transactions_wait_for_a_connection_or_are_rejected_early() {
     test(async {
@@ -169,20 +169,23 @@
                 )
             }));
         }
-        let (mut served, mut refused) = (0, 0);
+        let (mut served, mut rejected) = (0, 0);
         for task in tasks {
             match task.await.expect("it ends") {
                 (Ok(()), _) => served += 1,
                 (Err(error), took) => {
                     assert_eq!(code(&error).map(SqlState::code), Some("53300"));
-                    assert!(took < Duration::from_millis(4900), "refused after {took:?}");
-                    refused += 1;
+                    assert!(
+                        took < Duration::from_millis(4900),
+                        "rejected after {took:?}"
+                    );
+                    rejected += 1;
                 }
             }
         }
         assert!(
-            served >= 10 && refused >= 10,
-            "{served} served, {refused} refused"
+            served >= 10 && rejected >= 10,
+            "{served} served, {rejected} rejected"
         );
     });
 }
