--- a/adapters/postgres/src/authentication.rs
+++ b/adapters/postgres/src/authentication.rs
@@ -55,7 +55,7 @@
 
         let response = client.read_password_message().await?;
         let initial = InitialResponse::read(&response)?;
-        let started = scram::begin(
+        let started = scram::start_exchange(
             self.verifier(user),
             &initial.mechanism,
             initial.client_first,
--- a/adapters/postgres/src/relay.rs
+++ b/adapters/postgres/src/relay.rs
@@ -182,7 +182,7 @@
                 && self.session.is_idle()
                 && self.pending_outcome.is_none()
             {
-                self.end_session(ErrorReason::Stopping, None);
+                self.end_session(ErrorReason::ShuttingDown, None);
             }
             progress |= self.write_server(cx);
             progress |= self.write_client(cx);
@@ -240,7 +240,7 @@
     }
 
     fn process_client_message(&mut self) -> Progress {
-        if !self.session.wants_more() || self.to_server.len() >= MAX_UNSENT_BYTES {
+        if !self.session.accepts_client_messages() || self.to_server.len() >= MAX_UNSENT_BYTES {
             return Progress::Stalled;
         }
         match self.client_decoder.next_from_client() {
@@ -249,7 +249,9 @@
                 self.handle(Event::Client(message));
             }
             Ok(None) => return Progress::Stalled,
-            Err(error) => self.end_session(ErrorReason::Protocol, Some(&error.to_string())),
+            Err(error) => {
+                self.end_session(ErrorReason::ProtocolViolation, Some(&error.to_string()));
+            }
         }
         Progress::Advanced
     }
--- a/adapters/postgres/src/relay/streams.rs
+++ b/adapters/postgres/src/relay/streams.rs
@@ -73,7 +73,7 @@
     }
 
     pub(super) fn read_client(&mut self, cx: &mut Context<'_>) -> Progress {
-        if !self.session.wants_more()
+        if !self.session.accepts_client_messages()
             || self.to_server.len() >= MAX_UNSENT_BYTES
             || self.to_client.len() >= MAX_UNSENT_BYTES
         {
--- a/adapters/postgres/src/relay/transactions.rs
+++ b/adapters/postgres/src/relay/transactions.rs
@@ -192,7 +192,7 @@
         let fleet = &self.context.fleet;
         if is_between_transactions && !fleet.is_in_service_at(address.backend, address.endpoint) {
             let detail = "the session is pinned to a server that leaves";
-            self.end_session(ErrorReason::Stopping, Some(detail));
+            self.end_session(ErrorReason::ShuttingDown, Some(detail));
         }
     }
 
--- a/adapters/postgres/src/server/admission.rs
+++ b/adapters/postgres/src/server/admission.rs
@@ -98,7 +98,7 @@
         let is_tls = client.stream.is_tls();
         if self.tls.as_ref().is_some_and(|tls| tls.is_required) && !is_tls {
             let detail = "the node takes clients with TLS only";
-            return Err(reject(client, ErrorReason::NotAllowed, detail).await);
+            return Err(reject(client, ErrorReason::NotAuthorized, detail).await);
         }
         let channel_binding = self
             .tls
@@ -106,9 +106,9 @@
             .filter(|_| is_tls)
             .map(|tls| tls.channel_binding.as_slice());
         match self.users.authenticate(client, user, channel_binding).await {
-            Err(ClientError::Authentication(error)) => {
-                Err(client.reject(ErrorReason::Identity, None, error).await)
-            }
+            Err(ClientError::Authentication(error)) => Err(client
+                .reject(ErrorReason::AuthenticationFailed, None, error)
+                .await),
             result => result,
         }
     }
@@ -134,13 +134,13 @@
         };
         if !is_allowed(&self.context.config.access_rules, &request) {
             let detail = "no rule lets this user come to this database";
-            return Err(reject(client, ErrorReason::NotAllowed, detail).await);
+            return Err(reject(client, ErrorReason::NotAuthorized, detail).await);
         }
         match self.context.pool.login_for(&startup.user) {
             Some(login) => Ok(login),
             None => {
                 let detail = "the node has no login for this user";
-                Err(reject(client, ErrorReason::NotAllowed, detail).await)
+                Err(reject(client, ErrorReason::NotAuthorized, detail).await)
             }
         }
     }
--- a/adapters/postgres/src/server/startup.rs
+++ b/adapters/postgres/src/server/startup.rs
@@ -46,22 +46,22 @@
     let mut reader = StartupReader::default();
     while let Some(packet) = next_packet(&mut client, &mut reader, pending).await? {
         let request = match (packet, tls) {
-            (StartupPacket::Tls, Some(tls)) if !client.stream.is_tls() => {
+            (StartupPacket::SslRequest, Some(tls)) if !client.stream.is_tls() => {
                 match start_tls(client, &mut reader, tls).await? {
                     Some(encrypted) => client = encrypted,
                     None => return Ok(None),
                 }
                 continue;
             }
-            (StartupPacket::Tls | StartupPacket::Gss, _) => {
+            (StartupPacket::SslRequest | StartupPacket::GssEncryptionRequest, _) => {
                 client.write(ENCRYPTION_REFUSED).await?;
                 continue;
             }
-            (StartupPacket::Cancel { process, key }, _) => StartupRequest::Cancel {
+            (StartupPacket::CancelRequest { process, key }, _) => StartupRequest::Cancel {
                 session: process,
                 key,
             },
-            (StartupPacket::Session(message), _) => {
+            (StartupPacket::StartupMessage(message), _) => {
                 client.decoder.push(&reader.take_remaining());
                 negotiate_version(&mut client, &message).await?;
                 StartupRequest::Session(message)
@@ -85,7 +85,7 @@
             Err(error) => {
                 let detail = error.to_string();
                 return Err(client
-                    .reject(ErrorReason::Protocol, Some(&detail), error)
+                    .reject(ErrorReason::ProtocolViolation, Some(&detail), error)
                     .await);
             }
         }
@@ -109,7 +109,7 @@
     if !reader.take_remaining().is_empty() {
         let detail = Some("data behind SSLRequest");
         client
-            .send(&[error_response(ErrorReason::Protocol, detail)])
+            .send(&[error_response(ErrorReason::ProtocolViolation, detail)])
             .await?;
         return Ok(None);
     }
--- a/core/postgres-session/fuzz/harness.rs
+++ b/core/postgres-session/fuzz/harness.rs
@@ -32,7 +32,7 @@
 fn read_startup(input: &[u8]) {
     let mut startup = StartupReader::default();
     startup.push(input);
-    if let Ok(Some(StartupPacket::Session(message))) = startup.next_packet() {
+    if let Ok(Some(StartupPacket::StartupMessage(message))) = startup.next_packet() {
         // Whether the settings can be read does not matter here.
         let _ = ClientSettings::new(&message.parameters, &BTreeMap::new());
     }
@@ -88,7 +88,7 @@
             self.act(&action);
         }
         assert!(
-            self.session.wants_more() || self.ended || self.session_is_full(),
+            self.session.accepts_client_messages() || self.ended || self.session_is_full(),
             "it wants nothing any more"
         );
     }
--- a/core/postgres-session/src/prepared_statements.rs
+++ b/core/postgres-session/src/prepared_statements.rs
@@ -38,7 +38,7 @@
     /// # Errors
     /// [`TooManyStatements`] if the name is new and there are too many already.
     pub fn insert(&mut self, name: Bytes, text: StatementText) -> Result<(), TooManyStatements> {
-        if !self.has_room(&name) {
+        if !self.has_capacity(&name) {
             return Err(TooManyStatements);
         }
         self.effects.remove(&name);
@@ -58,7 +58,7 @@
 
     /// Whether a statement of this name can be inserted.
     #[must_use]
-    pub fn has_room(&self, name: &[u8]) -> bool {
+    pub fn has_capacity(&self, name: &[u8]) -> bool {
         self.texts.len() < MAX_NAMED_STATEMENTS || self.texts.contains_key(name)
     }
 
--- a/core/postgres-session/src/scram.rs
+++ b/core/postgres-session/src/scram.rs
@@ -169,7 +169,7 @@
 ///
 /// # Errors
 /// [`ScramError`] if the mechanism was not offered, or the message is malformed or does not fit the channel.
-pub fn begin(
+pub fn start_exchange(
     verifier: Verifier,
     mechanism: &str,
     client_first: &[u8],
--- a/core/postgres-session/src/scram/tests.rs
+++ b/core/postgres-session/src/scram/tests.rs
@@ -11,7 +11,7 @@
     channel: Option<&[u8]>,
 ) -> Result<(), ScramError> {
     let mut client = ScramSha256::new(password.as_bytes(), binding);
-    let started = begin(
+    let started = start_exchange(
         verifier.clone(),
         mechanism,
         client.message(),
@@ -106,7 +106,7 @@
         "q,,n=,r=x",
     ] {
         assert!(
-            begin(verifier.clone(), MECHANISM, first.as_bytes(), None, "n").is_err(),
+            start_exchange(verifier.clone(), MECHANISM, first.as_bytes(), None, "n").is_err(),
             "{first}"
         );
     }
@@ -118,7 +118,7 @@
         "c=biws,r=xn,p=AAAA",
         "c=,r=xn,p=AAAA",
     ] {
-        let started = begin(verifier.clone(), MECHANISM, b"n,,n=,r=x", None, "n")
+        let started = start_exchange(verifier.clone(), MECHANISM, b"n,,n=,r=x", None, "n")
             .unwrap_or_else(|error| panic!("{error}"));
         assert!(started.exchange.finish(last.as_bytes()).is_err(), "{last}");
     }
--- a/core/postgres-session/src/server_messages.rs
+++ b/core/postgres-session/src/server_messages.rs
@@ -27,13 +27,13 @@
     /// The transaction has failed; only its end is accepted.
     InFailedTransaction,
     /// This process is shutting down; the session ends.
-    Stopping,
+    ShuttingDown,
     /// The client does not follow the protocol; the session ends.
-    Protocol,
+    ProtocolViolation,
     /// Authentication failed; the session ends.
-    Identity,
+    AuthenticationFailed,
     /// The client is not authorized; the session ends.
-    NotAllowed,
+    NotAuthorized,
     /// The limit of client connections is reached; the session ends.
     TooManyClients,
     /// No server can be reached; the session ends.
@@ -56,13 +56,13 @@
             // in_failed_sql_transaction
             Self::InFailedTransaction => "25P02",
             // admin_shutdown
-            Self::Stopping => "57P01",
+            Self::ShuttingDown => "57P01",
             // protocol_violation
-            Self::Protocol => "08P01",
+            Self::ProtocolViolation => "08P01",
             // invalid_password
-            Self::Identity => "28P01",
+            Self::AuthenticationFailed => "28P01",
             // invalid_authorization_specification
-            Self::NotAllowed => "28000",
+            Self::NotAuthorized => "28000",
             Self::TooManyClients => "53300",
             // cannot_connect_now
             Self::NoServer => "57P03",
@@ -76,10 +76,10 @@
     pub fn is_fatal(self) -> bool {
         matches!(
             self,
-            Self::Stopping
-                | Self::Protocol
-                | Self::Identity
-                | Self::NotAllowed
+            Self::ShuttingDown
+                | Self::ProtocolViolation
+                | Self::AuthenticationFailed
+                | Self::NotAuthorized
                 | Self::TooManyClients
                 | Self::NoServer
         )
@@ -96,10 +96,10 @@
             Self::InFailedTransaction => {
                 "current transaction is aborted, commands ignored until end of transaction block"
             }
-            Self::Stopping => "terminating connection: the node stops",
-            Self::Protocol => "the message does not belong here",
-            Self::Identity => "authentication failed",
-            Self::NotAllowed => "this client may not come here",
+            Self::ShuttingDown => "terminating connection: the node stops",
+            Self::ProtocolViolation => "the message does not belong here",
+            Self::AuthenticationFailed => "authentication failed",
+            Self::NotAuthorized => "this client may not come here",
             Self::TooManyClients => "sorry, too many clients already",
             Self::NoServer => "the database system is not reachable now",
             Self::Unsupported => "this is not supported by the node",
@@ -149,7 +149,7 @@
     for (code, text) in fields {
         if let Some(text) = text {
             // A zero would end the field early.
-            put_field(&mut body, code, &text.replace('\0', ""));
+            write_field(&mut body, code, &text.replace('\0', ""));
         }
     }
     body.put_u8(0);
@@ -212,7 +212,7 @@
     let mut body = BytesMut::new();
     for field in error.body.split(|byte| *byte == 0) {
         if let Some((code, text)) = field.split_first() {
-            put_field(
+            write_field(
                 &mut body,
                 *code,
                 &change(*code, &String::from_utf8_lossy(text)),
@@ -223,7 +223,7 @@
     Frame::new(error.tag, body.freeze())
 }
 
-fn put_field(body: &mut BytesMut, code: u8, text: &str) {
+fn write_field(body: &mut BytesMut, code: u8, text: &str) {
     body.put_u8(code);
     body.put_slice(text.as_bytes());
     body.put_u8(0);
--- a/core/postgres-session/src/server_messages/tests.rs
+++ b/core/postgres-session/src/server_messages/tests.rs
@@ -49,7 +49,7 @@
         (Some("53300"), Some("ERROR"), Some("ab"))
     );
     assert!(value(b'H').is_some_and(|hint| hint.contains("250 ms")));
-    let stopping = fields(&error_response(ErrorReason::Stopping, None));
+    let stopping = fields(&error_response(ErrorReason::ShuttingDown, None));
     assert!(stopping.contains(&(b'S', "FATAL".to_owned())));
 }
 
--- a/core/postgres-session/src/session.rs
+++ b/core/postgres-session/src/session.rs
@@ -19,7 +19,7 @@
 mod client_messages;
 mod event;
 mod forwarding;
-mod local_answers;
+mod local_responses;
 mod message_batch;
 mod message_writer;
 mod server_link;
@@ -88,9 +88,9 @@
     commit_in_flight: bool,
     /// The last `CommandComplete` of a batch outside a transaction block, held back until the batch's `Sync` has
     /// committed it: drivers take it for the commit.
-    held_completion: Option<Bytes>,
+    delayed_completion: Option<Bytes>,
     /// A part of a row has gone to the client, and the rest has not.
-    row_is_incomplete: bool,
+    is_row_incomplete: bool,
     /// The server was lost in a copy behind a `Sync` that it had ignored: the client sends another one.
     expects_second_sync: bool,
     /// The batch under way has had an error.
@@ -119,7 +119,7 @@
 
     /// Whether more should be read from the client.
     #[must_use]
-    pub fn wants_more(&self) -> bool {
+    pub fn accepts_client_messages(&self) -> bool {
         !self.ended
             && self.buffered_bytes < MAX_BUFFERED_BYTES
             && self.batches.len() < MAX_PENDING_BATCHES
@@ -203,12 +203,12 @@
                 if !self.batches.front().is_some_and(|batch| batch.is_complete) {
                     return;
                 }
-                self.answer_lost_transaction(actions);
+                self.respond_in_lost_transaction(actions);
                 continue;
             }
             match self.server_link {
                 ServerLink::None => {
-                    if !self.answer_locally(actions) {
+                    if !self.respond_locally(actions) {
                         self.request_server(actions);
                         return;
                     }
--- a/core/postgres-session/src/session/client_messages.rs
+++ b/core/postgres-session/src/session/client_messages.rs
@@ -86,10 +86,10 @@
                 .batches
                 .front()
                 .is_some_and(|batch| batch.is_complete && batch.sent_count == batch.frames.len());
-        if !server.ignored_sync || !is_only_batch_sent {
+        if !server.has_ignored_sync || !is_only_batch_sent {
             return false;
         }
-        server.ignored_sync = false;
+        server.has_ignored_sync = false;
         actions.push(Action::ToServer(encode(sync)));
         true
     }
@@ -126,7 +126,7 @@
     /// Ends the session of a client that does not follow the protocol.
     pub(super) fn reject_violation(&mut self, detail: Option<&str>, actions: &mut Vec<Action>) {
         send_to_client(
-            &server_messages::error_response(ErrorReason::Protocol, detail),
+            &server_messages::error_response(ErrorReason::ProtocolViolation, detail),
             actions,
         );
         self.end(actions);
--- a/core/postgres-session/src/session/forwarding.rs
+++ b/core/postgres-session/src/session/forwarding.rs
@@ -26,7 +26,7 @@
         }
         let mut server = ServerConnection::new(state);
         if let Some(sql) = server.state.settings.adopt(&self.settings) {
-            server.proves_settings = !self.settings.is_proven();
+            server.is_checking_settings = !self.settings.is_accepted_by_server();
             server.expected.push_back(ExpectedResponse::Setup);
             let setup = query_frame(sql.as_bytes());
             actions.push(Action::ToServer(encode(&setup)));
@@ -67,7 +67,7 @@
         if !buffer.is_empty() {
             actions.push(Action::ToServer(buffer.freeze()));
         }
-        self.send_due_answers(actions);
+        self.send_local_responses(actions);
     }
 
     /// The messages of the first batch that are to be sent now, if there are any and the server is ready for them.
@@ -77,7 +77,7 @@
         };
         let batch = self.batches.front()?;
         let unsent = batch.sent_count..batch.ready_count();
-        if server.proves_settings || unsent.is_empty() {
+        if server.is_checking_settings || unsent.is_empty() {
             return None;
         }
         let frames = batch.frames[unsent].to_vec();
--- a/core/postgres-session/src/session/local_answers.rs
+++ b/core/postgres-session/src/session/local_responses.rs
@@ -26,7 +26,7 @@
 
 impl Session {
     /// Answers the first batch without a server where possible. Returns whether it did.
-    pub(super) fn answer_locally(&mut self, actions: &mut Vec<Action>) -> bool {
+    pub(super) fn respond_locally(&mut self, actions: &mut Vec<Action>) -> bool {
         let is_candidate = self
             .batches
             .front()
@@ -54,7 +54,7 @@
         }
         self.deferred_begin = Some(DeferredBegin { sql, access_mode });
         self.status = TransactionStatus::InBlock;
-        self.answer_first_batch("BEGIN", actions);
+        self.respond_to_first_batch("BEGIN", actions);
         true
     }
 
@@ -72,7 +72,7 @@
             TransactionEnd::Commit => "COMMIT",
             TransactionEnd::Rollback => "ROLLBACK",
         };
-        self.answer_first_batch(command_tag, actions);
+        self.respond_to_first_batch(command_tag, actions);
         true
     }
 
@@ -134,12 +134,12 @@
         };
         parse.name.is_empty()
             || (self.named_statements.get(&parse.name).is_none()
-                && self.named_statements.has_room(&parse.name))
+                && self.named_statements.has_capacity(&parse.name))
     }
 
     /// Answers the first batch as a server would for a statement with this command tag that returns no rows, and
     /// removes it.
-    pub(super) fn answer_first_batch(&mut self, command_tag: &str, actions: &mut Vec<Action>) {
+    pub(super) fn respond_to_first_batch(&mut self, command_tag: &str, actions: &mut Vec<Action>) {
         let Some(batch) = self.batches.front() else {
             return;
         };
@@ -181,7 +181,7 @@
     /// Adds the statement of a `Parse` to the client's. Returns false if there is no room for it.
     fn prepare_locally(&mut self, frame: &Frame) -> bool {
         if let Ok(ParseMessage { name, text }) = ParseMessage::read(frame) {
-            if !self.named_statements.has_room(&name) {
+            if !self.named_statements.has_capacity(&name) {
                 return false;
             }
             self.apply_name_change(NameChange::Set { name, text });
--- a/core/postgres-session/src/session/message_writer.rs
+++ b/core/postgres-session/src/session/message_writer.rs
@@ -127,10 +127,10 @@
             return Ok(());
         }
         if self.names.get(&parse.name).is_some() {
-            self.parse_taken_name(parse);
+            self.parse_duplicate_name(parse);
             return Ok(());
         }
-        if !self.names.named.has_room(&parse.name) {
+        if !self.names.named.has_capacity(&parse.name) {
             return Err(MalformedMessage);
         }
         if self.server.state.prepared.contains(&parse.text) {
@@ -184,7 +184,7 @@
 
     /// A `Parse` under a name that the client has in use: the server itself says what is wrong with the text or,
     /// where nothing is, that the name is taken.
-    fn parse_taken_name(&mut self, parse: ParseMessage) {
+    fn parse_duplicate_name(&mut self, parse: ParseMessage) {
         let server_name = self.ensure_prepared(&parse.text);
         let frame = extended_query::parse(&server_name, &parse.text);
         let response = ExpectedParse {
@@ -291,7 +291,7 @@
 
     fn sync(&mut self, frame: &Frame) {
         // During a copy the server ignores it.
-        self.server.ignored_sync |= self.server.is_copying_in;
+        self.server.has_ignored_sync |= self.server.is_copying_in;
         self.send(frame, ExpectedResponse::Sync);
     }
 
--- a/core/postgres-session/src/session/server_link.rs
+++ b/core/postgres-session/src/session/server_link.rs
@@ -35,9 +35,9 @@
     /// The client is to send data to be copied, and has not ended it.
     pub(super) is_copying_in: bool,
     /// A `Sync` was sent before the copied data. The server ignores it; the one behind the data takes its place.
-    pub(super) ignored_sync: bool,
+    pub(super) has_ignored_sync: bool,
     /// The client's settings are tried here for the first time; nothing else is sent until they are accepted.
-    pub(super) proves_settings: bool,
+    pub(super) is_checking_settings: bool,
     /// The error that answered a message of this process's own.
     pub(super) setup_error: Option<Frame>,
     /// The server ignores all up to a `Sync` that has not come from the client yet.
@@ -54,8 +54,8 @@
             expected: VecDeque::new(),
             has_unnamed_statement: false,
             is_copying_in: false,
-            ignored_sync: false,
-            proves_settings: false,
+            has_ignored_sync: false,
+            is_checking_settings: false,
             setup_error: None,
             skips_to_sync: false,
             begin_sent: false,
--- a/core/postgres-session/src/session/server_loss.rs
+++ b/core/postgres-session/src/session/server_loss.rs
@@ -15,15 +15,15 @@
             return;
         };
         let setup_error = server.setup_error.take();
-        let settings_error = setup_error.filter(|_| server.proves_settings);
-        self.expects_second_sync = server.ignored_sync;
+        let settings_error = setup_error.filter(|_| server.is_checking_settings);
+        self.expects_second_sync = server.has_ignored_sync;
         actions.push(Action::DiscardServer);
         self.pending_names.clear();
-        self.held_completion = None;
+        self.delayed_completion = None;
         self.server_link = ServerLink::Requested {
             is_replacement: true,
         };
-        if self.row_is_incomplete {
+        if self.is_row_incomplete {
             // The client could not read anything behind a part of a row.
             self.end_without_server(actions);
         } else if let Some(error) = settings_error {
@@ -193,7 +193,7 @@
 
     /// Answers the first batch in a transaction whose server is lost, as in a failed transaction: its end is accepted,
     /// all else is an error.
-    pub(super) fn answer_lost_transaction(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn respond_in_lost_transaction(&mut self, actions: &mut Vec<Action>) {
         let effects = self.first_batch_effects();
         let Some(batch) = self.batches.front() else {
             return;
@@ -220,7 +220,7 @@
             self.reject_first_batch(reason, actions);
             return;
         }
-        self.answer_first_batch("ROLLBACK", actions);
+        self.respond_to_first_batch("ROLLBACK", actions);
     }
 }
 
--- a/core/postgres-session/src/session/server_responses.rs
+++ b/core/postgres-session/src/session/server_responses.rs
@@ -20,7 +20,7 @@
         let frame = match message {
             DecodeResult::Chunk { .. } if is_setup => return,
             DecodeResult::Chunk { bytes, last, .. } => {
-                self.row_is_incomplete = !last;
+                self.is_row_incomplete = !last;
                 return self.send_response(bytes, actions);
             }
             DecodeResult::Frame(frame) => frame,
@@ -30,7 +30,7 @@
             backend::READY_FOR_QUERY => self.on_ready_for_query(&frame, actions),
             // The server closes the connection; the session may go on with another one.
             backend::ERROR_RESPONSE
-                if server_messages::is_fatal(&frame) && !server.proves_settings =>
+                if server_messages::is_fatal(&frame) && !server.is_checking_settings =>
             {
                 self.on_server_lost(actions);
             }
@@ -63,12 +63,12 @@
         if let Some(for_client) = client_frame {
             let bytes = encode(&for_client);
             if for_client.tag == backend::COMMAND_COMPLETE && self.commits_at_sync() {
-                self.held_completion = Some(bytes);
+                self.delayed_completion = Some(bytes);
             } else {
                 self.send_response(bytes, actions);
             }
         }
-        self.send_due_answers(actions);
+        self.send_local_responses(actions);
     }
 
     /// A message that may answer the first unanswered one. Returns it if the client is to get it.
@@ -107,7 +107,7 @@
         };
         server.is_copying_in = true;
         let is_extended_query = matches!(server.expected.front(), Some(ExpectedResponse::Execute));
-        server.ignored_sync = is_extended_query
+        server.has_ignored_sync = is_extended_query
             && server
                 .expected
                 .iter()
@@ -117,7 +117,7 @@
     /// An error in the response. Returns it as the client is to get it.
     fn on_error(&mut self, frame: Frame) -> Frame {
         self.batch_failed = true;
-        self.held_completion = None;
+        self.delayed_completion = None;
         let ServerLink::Attached(server) = &mut self.server_link else {
             return frame;
         };
@@ -152,7 +152,7 @@
             return false;
         };
         let next_is_sync = matches!(server.expected.front(), Some(ExpectedResponse::Sync));
-        self.status == TransactionStatus::Idle && next_is_sync && !server.ignored_sync
+        self.status == TransactionStatus::Idle && next_is_sync && !server.has_ignored_sync
     }
 
     /// Notes a setting for the connection and the client, and passes it on if it is new to the client.
@@ -184,14 +184,14 @@
     }
 
     /// Sends the local answers that are next in order.
-    pub(super) fn send_due_answers(&mut self, actions: &mut Vec<Action>) {
-        while let Some((response, name_change)) = self.next_due_answer() {
+    pub(super) fn send_local_responses(&mut self, actions: &mut Vec<Action>) {
+        while let Some((response, name_change)) = self.next_local_response() {
             self.apply_name_change(name_change);
             self.send_response(encode(&response), actions);
         }
     }
 
-    fn next_due_answer(&mut self) -> Option<(Frame, NameChange)> {
+    fn next_local_response(&mut self) -> Option<(Frame, NameChange)> {
         let ServerLink::Attached(server) = &mut self.server_link else {
             return None;
         };
@@ -246,11 +246,11 @@
     /// The server has accepted the client's settings, or a deferred BEGIN.
     fn finish_setup(&mut self, actions: &mut Vec<Action>) {
         if let ServerLink::Attached(server) = &mut self.server_link
-            && std::mem::take(&mut server.proves_settings)
+            && std::mem::take(&mut server.is_checking_settings)
         {
-            self.settings.set_proven();
+            self.settings.set_accepted_by_server();
         }
-        self.send_due_answers(actions);
+        self.send_local_responses(actions);
     }
 
     /// The server has answered a batch and reports this status.
@@ -270,7 +270,7 @@
     /// Sends the `ReadyForQuery` of a batch, with the `CommandComplete` that was held back for it.
     fn send_batch_end(&mut self, ready: &Frame, actions: &mut Vec<Action>) {
         let mut buffer = BytesMut::new();
-        if let Some(completion) = self.held_completion.take() {
+        if let Some(completion) = self.delayed_completion.take() {
             buffer.extend_from_slice(&completion);
         }
         ready.write(&mut buffer);
--- a/core/postgres-session/src/settings.rs
+++ b/core/postgres-session/src/settings.rs
@@ -124,7 +124,7 @@
     /// The values at the start of the session, to which RESET returns.
     initial: BTreeMap<String, String>,
     /// A server has accepted them all.
-    proven: bool,
+    accepted_by_server: bool,
 }
 
 impl ClientSettings {
@@ -138,7 +138,7 @@
         greeting: &BTreeMap<String, String>,
     ) -> Result<Self, SettingsError> {
         let mut settings = Self {
-            proven: true,
+            accepted_by_server: true,
             ..Self::default()
         };
         for (name, value) in greeting {
@@ -167,20 +167,21 @@
         if value.len() > MAX_VALUE_LENGTH || self.wanted.len() >= MAX_SETTINGS {
             return Err(SettingsError::TooMany);
         }
-        self.proven &= name == "application_name" || self.wanted.get(&name) == Some(&value);
+        self.accepted_by_server &=
+            name == "application_name" || self.wanted.get(&name) == Some(&value);
         self.wanted.insert(name, value);
         Ok(())
     }
 
     /// Whether a server has accepted them all: until then nothing is sent together with them.
     #[must_use]
-    pub fn is_proven(&self) -> bool {
-        self.proven
+    pub fn is_accepted_by_server(&self) -> bool {
+        self.accepted_by_server
     }
 
     /// A server has accepted them all.
-    pub fn set_proven(&mut self) {
-        self.proven = true;
+    pub fn set_accepted_by_server(&mut self) {
+        self.accepted_by_server = true;
     }
 
     /// Names in small letters and values.
--- a/core/postgres-session/src/settings/tests.rs
+++ b/core/postgres-session/src/settings/tests.rs
@@ -57,13 +57,13 @@
         ("application_name", "badgerpost"),
         ("DateStyle", "iso"),
     ]);
-    assert!(plain.is_proven() && server.adopt(&plain).is_none());
+    assert!(plain.is_accepted_by_server() && server.adopt(&plain).is_none());
     let mut own = client(&[
         ("application_name", "badgerpost"),
         ("options", "-c search_path=a,b -c x.y=o'n"),
         ("timezone", "Europe/Budapest"),
     ]);
-    assert!(!own.is_proven());
+    assert!(!own.is_accepted_by_server());
     let to_own = server.adopt(&own).expect("differences");
     assert!(
         to_own.contains("set_config('search_path','a,b',false)") && to_own.contains("'o''n'"),
--- a/core/postgres-session/src/startup.rs
+++ b/core/postgres-session/src/startup.rs
@@ -32,18 +32,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartupPacket {
     /// TLS; one byte answers: `S` for yes, `N` for no.
-    Tls,
+    SslRequest,
     /// Encryption by GSSAPI; `N` answers.
-    Gss,
+    GssEncryptionRequest,
     /// To cancel a statement of another connection; there is no answer.
-    Cancel {
+    CancelRequest {
         /// Process number of the session whose statement is to be canceled.
         process: u32,
         /// The session's cancel key.
         key: Bytes,
     },
     /// A session.
-    Session(StartupMessage),
+    StartupMessage(StartupMessage),
 }
 
 /// A client's `StartupMessage`: the session that it asks for.
@@ -237,12 +237,12 @@
     ) -> Result<StartupPacket, StartupError> {
         match code {
             SSL_REQUEST_CODE => {
-                request_once(&mut self.tls_requested)?;
-                Ok(StartupPacket::Tls)
+                accept_encryption_request(&mut self.tls_requested)?;
+                Ok(StartupPacket::SslRequest)
             }
             GSS_ENCRYPTION_REQUEST_CODE => {
-                request_once(&mut self.gss_requested)?;
-                Ok(StartupPacket::Gss)
+                accept_encryption_request(&mut self.gss_requested)?;
+                Ok(StartupPacket::GssEncryptionRequest)
             }
             CANCEL_REQUEST_CODE => read_cancel(body).ok_or(StartupError::Length(length)),
             _ => {
@@ -251,14 +251,14 @@
                 if major != MAJOR_VERSION {
                     return Err(StartupError::Version(major, minor));
                 }
-                StartupMessage::read(minor, &body).map(StartupPacket::Session)
+                StartupMessage::read(minor, &body).map(StartupPacket::StartupMessage)
             }
         }
     }
 }
 
 /// Notes a request for encryption, which a client may make only once.
-fn request_once(requested: &mut bool) -> Result<(), StartupError> {
+fn accept_encryption_request(requested: &mut bool) -> Result<(), StartupError> {
     if *requested {
         return Err(StartupError::RepeatedEncryptionRequest);
     }
@@ -273,7 +273,7 @@
         return None;
     }
     let process = body.get_u32();
-    Some(StartupPacket::Cancel { process, key: body })
+    Some(StartupPacket::CancelRequest { process, key: body })
 }
 
 #[cfg(test)]
--- a/core/postgres-session/src/startup/tests.rs
+++ b/core/postgres-session/src/startup/tests.rs
@@ -18,7 +18,7 @@
 
 fn session(code: u32, rest: &[u8]) -> StartupMessage {
     match read(&packet(code, rest)) {
-        Ok(Some(StartupPacket::Session(message))) => message,
+        Ok(Some(StartupPacket::StartupMessage(message))) => message,
         other => panic!("{other:?}"),
     }
 }
@@ -55,7 +55,7 @@
     startup.push(b"\0more");
     assert!(matches!(
         startup.next_packet(),
-        Ok(Some(StartupPacket::Session(_)))
+        Ok(Some(StartupPacket::StartupMessage(_)))
     ));
     assert_eq!(startup.take_remaining(), "more");
 }
@@ -98,8 +98,11 @@
         ]
         .concat(),
     );
-    assert_eq!(startup.next_packet(), Ok(Some(StartupPacket::Gss)));
-    assert_eq!(startup.next_packet(), Ok(Some(StartupPacket::Tls)));
+    assert_eq!(
+        startup.next_packet(),
+        Ok(Some(StartupPacket::GssEncryptionRequest))
+    );
+    assert_eq!(startup.next_packet(), Ok(Some(StartupPacket::SslRequest)));
     assert_eq!(
         startup.next_packet(),
         Err(StartupError::RepeatedEncryptionRequest)
@@ -107,7 +110,7 @@
     let key = Bytes::from_static(b"abcd");
     assert_eq!(
         read(&packet(CANCEL_REQUEST_CODE, b"\0\0\0\x07abcd")),
-        Ok(Some(StartupPacket::Cancel { process: 7, key }))
+        Ok(Some(StartupPacket::CancelRequest { process: 7, key }))
     );
     assert!(read(&packet(CANCEL_REQUEST_CODE, b"\0\0\0\x07abc")).is_err());
     assert!(read(&packet(CANCEL_REQUEST_CODE, &[0; 300])).is_err());
--- a/core/postgres-session/src/sticky.rs
+++ b/core/postgres-session/src/sticky.rs
@@ -13,7 +13,7 @@
     "PG_TRY_ADVISORY_LOCK_SHARED",
 ];
 /// TEMPORARY, if any, is among this many words behind CREATE (`CREATE OR REPLACE TEMPORARY VIEW`).
-const CREATE_MODIFIER_WORDS: usize = 4;
+const MAX_CREATE_MODIFIERS: usize = 4;
 
 /// Why a session is sticky.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
             ["RESET", "ALL"] => None,
             ["SET" | "RESET", ..] => Self::of_setting(&keywords),
             ["LISTEN", ..] => Some(Self::Listen),
-            ["CREATE", rest @ ..] if rest.iter().take(CREATE_MODIFIER_WORDS).any(is_temporary) => {
+            ["CREATE", rest @ ..] if rest.iter().take(MAX_CREATE_MODIFIERS).any(is_temporary) => {
                 Some(Self::Temporary)
             }
             ["DECLARE", ..] if contains_pair(&keywords, ["WITH", "HOLD"]) => Some(Self::HoldCursor),
--- a/testkit/fakes/src/database/connection.rs
+++ b/testkit/fakes/src/database/connection.rs
@@ -225,7 +225,8 @@
         let response = first.get(name_end + 5..).unwrap_or_default();
         let connection_count = self.server.connection_count.load(Ordering::SeqCst);
         let nonce = format!("stand-in-{connection_count}");
-        let Ok(started) = scram::begin(verifier, &mechanism, response, None, &nonce) else {
+        let Ok(started) = scram::start_exchange(verifier, &mechanism, response, None, &nonce)
+        else {
             return Ok(false);
         };
         self.write_authentication(
