--- a/core/postgres-session/src/session/message_writer.rs
+++ b/core/postgres-session/src/session/message_writer.rs
@@ -6,7 +6,8 @@
 use bytes::{Bytes, BytesMut};
 
 use super::server_link::{
-    ExpectedParse, ExpectedResponse, NameChange, Origin, ServerConnection, StatementAlias,
+    ExpectedParse, ExpectedResponse, LocalResponse, NameChange, Origin, ServerConnection,
+    StatementAlias,
 };
 use crate::extended_query::{
     self, MalformedMessage, ParseMessage, StatementText, Target, TargetKind,
@@ -211,13 +212,15 @@
             return;
         }
         self.names.set(parse.name.clone(), parse.text.clone());
-        self.server.expected.push_back(ExpectedResponse::Local {
-            response: Frame::new(backend::PARSE_COMPLETE, Bytes::new()),
-            name_change: NameChange::Set {
-                name: parse.name,
-                text: parse.text,
-            },
-        });
+        self.server
+            .expected
+            .push_back(ExpectedResponse::Local(LocalResponse {
+                frame: Frame::new(backend::PARSE_COMPLETE, Bytes::new()),
+                name_change: NameChange::Set {
+                    name: parse.name,
+                    text: parse.text,
+                },
+            }));
     }
 
     /// A `Parse` under a new name of a text that is not prepared on the server connection.
@@ -283,10 +286,12 @@
     /// The statement stays prepared on the server connection, for all clients that use the same text.
     fn close_named(&mut self, name: Bytes) {
         self.names.remove(name.clone());
-        self.server.expected.push_back(ExpectedResponse::Local {
-            response: Frame::new(backend::CLOSE_COMPLETE, Bytes::new()),
-            name_change: NameChange::Remove(name),
-        });
+        self.server
+            .expected
+            .push_back(ExpectedResponse::Local(LocalResponse {
+                frame: Frame::new(backend::CLOSE_COMPLETE, Bytes::new()),
+                name_change: NameChange::Remove(name),
+            }));
     }
 
     fn sync(&mut self, frame: &Frame) {
--- a/core/postgres-session/src/session/server_link.rs
+++ b/core/postgres-session/src/session/server_link.rs
@@ -169,10 +169,14 @@
     /// All up to a `ReadyForQuery` answers messages of this process's own: settings, or a deferred BEGIN.
     Setup,
     /// Nothing from the server: this process answers the client's message once all before it are answered.
-    Local {
-        /// The answer.
-        response: Frame,
-        /// The change of the client's statements.
-        name_change: NameChange,
-    },
+    Local(LocalResponse),
+}
+
+/// A response of this process's own to a message of the client's that no server gets.
+#[derive(Debug)]
+pub(super) struct LocalResponse {
+    /// The message.
+    pub(super) frame: Frame,
+    /// The change of the client's statements.
+    pub(super) name_change: NameChange,
 }
--- a/core/postgres-session/src/session/server_responses.rs
+++ b/core/postgres-session/src/session/server_responses.rs
@@ -3,7 +3,9 @@
 use bytes::{Bytes, BytesMut};
 
 use super::message_batch::MessageBatch;
-use super::server_link::{ExpectedParse, ExpectedResponse, NameChange, Origin, ServerLink};
+use super::server_link::{
+    ExpectedParse, ExpectedResponse, LocalResponse, NameChange, Origin, ServerLink,
+};
 use super::{Action, Session, encode, send_to_client};
 use crate::frame::{DecodeResult, Frame};
 use crate::message_tags::{backend, frontend};
@@ -183,26 +185,23 @@
         actions.push(Action::ToClient(bytes));
     }
 
-    /// Sends the local answers that are next in order.
+    /// Sends the local responses that are next in order.
     pub(super) fn send_local_responses(&mut self, actions: &mut Vec<Action>) {
-        while let Some((response, name_change)) = self.next_local_response() {
+        while let Some(LocalResponse { frame, name_change }) = self.next_local_response() {
             self.apply_name_change(name_change);
-            self.send_response(encode(&response), actions);
+            self.send_response(encode(&frame), actions);
         }
     }
 
-    fn next_local_response(&mut self) -> Option<(Frame, NameChange)> {
+    fn next_local_response(&mut self) -> Option<LocalResponse> {
         let ServerLink::Attached(server) = &mut self.server_link else {
             return None;
         };
         let first = server
             .expected
-            .pop_front_if(|expected| matches!(expected, ExpectedResponse::Local { .. }))?;
+            .pop_front_if(|expected| matches!(expected, ExpectedResponse::Local(_)))?;
         match first {
-            ExpectedResponse::Local {
-                response,
-                name_change,
-            } => Some((response, name_change)),
+            ExpectedResponse::Local(response) => Some(response),
             _ => None,
         }
     }
@@ -267,7 +266,7 @@
         }
     }
 
-    /// Sends the `ReadyForQuery` of a batch, with the `CommandComplete` that was held back for it.
+    /// Sends the `ReadyForQuery` of a batch, with the `CommandComplete` that was delayed for it.
     fn send_batch_end(&mut self, ready: &Frame, actions: &mut Vec<Action>) {
         let mut buffer = BytesMut::new();
         if let Some(completion) = self.delayed_completion.take() {
@@ -318,7 +317,7 @@
         ExpectedResponse::Query
         | ExpectedResponse::Sync
         | ExpectedResponse::Setup
-        | ExpectedResponse::Local { .. } => false,
+        | ExpectedResponse::Local(_) => false,
     }
 }
 
