--- a/testkit/scenarios/tests/postgres.rs
+++ b/testkit/scenarios/tests/postgres.rs
@@ -1,37 +1,50 @@
-//! The scene of databases that die, short: what clients are told by real drivers, against what took effect.
+//! The scenario of databases that die, in short: what real drivers learn, compared with what took effect.
 
-use badgerpost_scenarios::postgres::{self, truth::Told};
+use std::error::Error;
+
+use badgerpost_scenarios::postgres::truth::Told;
+use badgerpost_scenarios::postgres::{self, PgScene};
+
+/// Fewest kills of a run; the scenario says so too.
+const MIN_KILLS: u64 = 8;
+
+const SHORT_SCENARIO: &str = r#"
+about = "short"
+transactions = 300
+clients = 6
+databases = 3
+[kills]
+least = 8
+every_ms = 20
+down_ms = 10
+"#;
+
+/// Reads the scenario from a file, as a run of the program does.
+fn short_scenario() -> Result<PgScene, Box<dyn Error>> {
+    let file = std::env::temp_dir().join(format!("badgerpost-short-{}.toml", std::process::id()));
+    std::fs::write(&file, SHORT_SCENARIO)?;
+    let found = postgres::find(&file.to_string_lossy());
+    std::fs::remove_file(&file)?;
+    Ok(found.ok_or("not a scenario of PostgreSQL")??)
+}
 
 #[test]
-fn what_clients_are_told_is_true_though_databases_die() {
+fn clients_learn_what_took_effect_though_databases_die() {
     let program = badgerpost_fakes::program("badgerpost").expect("built with its tests");
-    let text = "about = \"short\"\ntransactions = 300\nclients = 6\ndatabases = 3\n[kills]\nleast = 8\nevery_ms = 20\ndown_ms = 10\n";
-    let file = std::env::temp_dir().join(format!("badgerpost-short-{}.toml", std::process::id()));
-    std::fs::write(&file, text).unwrap();
-    let short = postgres::find(&file.to_string_lossy())
-        .expect("a scene")
-        .expect("good");
-    std::fs::remove_file(&file).unwrap();
+    let scenario = short_scenario().expect("a valid scenario");
     for seed in [1, 2] {
-        let played = postgres::play(&short, seed, &program, &mut |_| {})
+        let run = postgres::play(&scenario, seed, &program, &mut |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
+        assert!(run.crashed.is_none(), "seed {seed}: {:?}", run.crashed);
+        assert!(run.findings.is_empty(), "seed {seed}: {:?}", run.findings);
+        assert!(run.kills >= MIN_KILLS, "seed {seed}: {} kills", run.kills);
+        let committed = |told: Told| told == Told::Committed;
         assert!(
-            played.crashed.is_none(),
-            "seed {seed}: {:?}",
-            played.crashed
-        );
-        assert!(
-            played.findings.is_empty(),
-            "seed {seed}: {:?}",
-            played.findings
-        );
-        assert!(played.kills >= 8, "seed {seed}: {} kills", played.kills);
-        assert!(
-            played.seen.iter().any(|one| one.told == Told::Committed),
-            "seed {seed}"
+            run.seen.iter().any(|client| committed(client.told)),
+            "seed {seed}: nothing was committed"
         );
         assert!(
-            played.seen.iter().any(|one| one.told != Told::Committed),
+            run.seen.iter().any(|client| !committed(client.told)),
             "seed {seed}: no kill hit anything"
         );
     }
