--- a/adapters/postgres/src/console/tables.rs
+++ b/adapters/postgres/src/console/tables.rs
@@ -79,10 +79,7 @@
         .fleet
         .endpoints_in_service()
         .into_iter()
-        .map(|server| ServerAddress {
-            backend: server.backend,
-            endpoint: server.address,
-        })
+        .map(ServerAddress::from)
         .collect();
     let server_row = |server: ServerStats| {
         let state = if in_service.contains(&server.address) {
--- a/adapters/postgres/src/login.rs
+++ b/adapters/postgres/src/login.rs
@@ -6,6 +6,7 @@
 mod authentication;
 mod error;
 
+use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 
@@ -20,7 +21,6 @@
 
 use self::authentication::Authentication;
 use crate::logins::Credentials;
-use crate::pool::Parameters;
 use crate::stream::{CountedStream, Stream};
 use crate::tls::{Connector, tls_server_end_point};
 
@@ -51,6 +51,9 @@
     pub secret_key: i32,
 }
 
+/// What a server reports of itself (`ParameterStatus`): values by the name of their parameter.
+pub type Parameters = BTreeMap<String, String>;
+
 /// A connection that is logged in.
 pub struct NewConnection {
     /// The bytes in both directions.
--- a/adapters/postgres/src/pool.rs
+++ b/adapters/postgres/src/pool.rs
@@ -18,20 +18,18 @@
 use std::time::Duration;
 
 use badgerpost_balancer::{BackendId, Nanos};
-use badgerpost_engine::{Clock, IdleCheck, IdlePool, nanos};
+use badgerpost_engine::{Clock, Engine, IdleCheck, IdlePool, Protocol, nanos};
 use tokio::sync::Notify;
 
 use self::maintenance::RecentTargets;
 use self::server_parameters::ServerParameters;
 use self::server_slots::{QueuePosition, ServerSlots, Turn};
-use crate::PostgresEngine;
 use crate::config::PoolLimits;
 use crate::login::{ConnectError, log_in};
 use crate::logins::{LoginId, Logins};
 use crate::tls::Connector;
 
 pub use self::connection::{ConnectionTarget, PoolKey, ServerAddress, ServerConnection};
-pub use self::server_parameters::Parameters;
 
 /// Limit on the time in which a server accepts a connection and logs the node in.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -251,7 +249,7 @@
     }
 
     /// Returns a connection that is in no transaction. It is closed if it may not be used any more.
-    pub fn release(&self, fleet: &PostgresEngine, mut connection: ServerConnection) {
+    pub fn release<P: Protocol>(&self, fleet: &Engine<P>, mut connection: ServerConnection) {
         let now = self.clock.now();
         let slots = connection.slot.server_slots().clone();
         slots.record_lease(now.saturating_sub(connection.leased_at));
--- a/adapters/postgres/src/pool/connection.rs
+++ b/adapters/postgres/src/pool/connection.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use badgerpost_balancer::{BackendId, Nanos};
-use badgerpost_engine::IdleCheck;
+use badgerpost_engine::{BackendAddress, IdleCheck};
 use badgerpost_postgres_session::frame::FrameDecoder;
 use badgerpost_postgres_session::session::ServerState;
 
@@ -21,6 +21,15 @@
     pub endpoint: SocketAddr,
 }
 
+impl From<BackendAddress> for ServerAddress {
+    fn from(server: BackendAddress) -> Self {
+        Self {
+            backend: server.backend,
+            endpoint: server.address,
+        }
+    }
+}
+
 /// What a connection is logged in to at its server.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionTarget {
--- a/adapters/postgres/src/pool/maintenance.rs
+++ b/adapters/postgres/src/pool/maintenance.rs
@@ -7,10 +7,9 @@
 use std::time::Duration;
 
 use badgerpost_balancer::Nanos;
-use badgerpost_engine::{IdleCheck, nanos};
+use badgerpost_engine::{Engine, IdleCheck, Protocol, nanos};
 
 use super::{ConnectionTarget, Pool, PoolKey, ServerAddress};
-use crate::PostgresEngine;
 
 /// How often idle connections are looked through.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
@@ -47,7 +46,7 @@
 
 impl Pool {
     /// Maintains the pool; never returns.
-    pub async fn maintain(self: Rc<Self>, fleet: PostgresEngine) {
+    pub async fn maintain<P: Protocol>(self: Rc<Self>, fleet: Engine<P>) {
         loop {
             self.clock.sleep(MAINTENANCE_INTERVAL).await;
             let now = self.clock.now();
@@ -70,15 +69,12 @@
     }
 
     /// Opens connections to each server for the targets in use, up to `min_idle` for each.
-    async fn open_ahead(&self, fleet: &PostgresEngine, now: Nanos) {
+    async fn open_ahead<P: Protocol>(&self, fleet: &Engine<P>, now: Nanos) {
         let targets = self
             .recent_targets
             .used_within(nanos(self.limits.idle_timeout), now);
-        for listed in fleet.endpoints_in_service() {
-            let address = ServerAddress {
-                backend: listed.backend,
-                endpoint: listed.address,
-            };
+        for server in fleet.endpoints_in_service() {
+            let address = ServerAddress::from(server);
             for target in &targets {
                 let key = PoolKey {
                     address,
--- a/adapters/postgres/src/pool/server_parameters.rs
+++ b/adapters/postgres/src/pool/server_parameters.rs
@@ -6,19 +6,16 @@
 use std::time::Duration;
 
 use badgerpost_balancer::{BackendId, Nanos};
-use badgerpost_engine::nanos;
+use badgerpost_engine::{Engine, Protocol, nanos};
 
 use super::{CONNECT_TIMEOUT, ConnectionTarget, Pool, PoolKey, ServerAddress};
-use crate::PostgresEngine;
+use crate::login::Parameters;
 
 /// Wait before servers are asked again, while none has reported anything yet.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Rank of a connection that is opened for the parameters' sake: before all transactions.
 const HIGHEST_RANK: u64 = 0;
 
-/// Values by the name of their parameter.
-pub type Parameters = BTreeMap<String, String>;
-
 /// The parameters of all servers.
 #[derive(Default)]
 pub(super) struct ServerParameters {
@@ -58,9 +55,9 @@
 impl Pool {
     /// The lowest values of the parameters that servers have reported. If none has yet, a connection is opened for this
     /// target; `None` if no server can be reached.
-    pub async fn server_parameters(
+    pub async fn server_parameters<P: Protocol>(
         &self,
-        fleet: &PostgresEngine,
+        fleet: &Engine<P>,
         target: &ConnectionTarget,
     ) -> Option<Parameters> {
         let deadline = self.clock.now().saturating_add(nanos(CONNECT_TIMEOUT));
@@ -75,18 +72,15 @@
     }
 
     /// Opens a connection to the first server that can be reached, and pools it.
-    async fn connect_to_any_server(
+    async fn connect_to_any_server<P: Protocol>(
         &self,
-        fleet: &PostgresEngine,
+        fleet: &Engine<P>,
         target: &ConnectionTarget,
         deadline: Nanos,
     ) {
-        for listed in fleet.endpoints_in_service() {
+        for server in fleet.endpoints_in_service() {
             let key = PoolKey {
-                address: ServerAddress {
-                    backend: listed.backend,
-                    endpoint: listed.address,
-                },
+                address: server.into(),
                 target: target.clone(),
             };
             match self.acquire(&key, HIGHEST_RANK, deadline).await {
--- a/adapters/postgres/src/server.rs
+++ b/adapters/postgres/src/server.rs
@@ -29,7 +29,7 @@
 use crate::client_registry::ClientIdentity;
 use crate::config::{Config, ConfigError, Pooling};
 use crate::context::ServerContext;
-use crate::pool::{ConnectionTarget, Pool};
+use crate::pool::Pool;
 use crate::relay::{Relay, SessionClass, SessionContext};
 use crate::stream::Stream;
 use crate::tls::{Acceptor, ClientTls};
@@ -169,7 +169,7 @@
             startup,
             settings,
             parameters,
-            login,
+            target,
             guard,
         } = admitted;
         let context = &self.context;
@@ -181,10 +181,7 @@
             fleet: context.fleet.clone(),
             pool: context.pool.clone(),
             class: class.map(SessionClass::from).unwrap_or_default(),
-            target: ConnectionTarget {
-                database: startup.database.clone(),
-                login,
-            },
+            target,
             has_session_pooling: context.config.pooling == Pooling::Session,
         };
         let registered = context.clients.register(ClientIdentity {
--- a/adapters/postgres/src/server/admission.rs
+++ b/adapters/postgres/src/server/admission.rs
@@ -13,8 +13,9 @@
 use crate::access::{AccessRequest, is_allowed};
 use crate::client::{Client, ClientError};
 use crate::console;
+use crate::login::Parameters;
 use crate::logins::LoginId;
-use crate::pool::{ConnectionTarget, Parameters};
+use crate::pool::ConnectionTarget;
 use crate::unauthenticated_clients::PendingClient;
 
 /// The database by whose name the console is reached.
@@ -27,8 +28,8 @@
     pub(super) settings: ClientSettings,
     /// The parameters of the servers.
     pub(super) parameters: Parameters,
-    /// The login of its transactions at the servers.
-    pub(super) login: LoginId,
+    /// Its database, and the login of its transactions at the servers.
+    pub(super) target: ConnectionTarget,
     /// Counts the session.
     pub(super) guard: ConnectionGuard,
 }
@@ -88,7 +89,7 @@
             startup,
             settings,
             parameters,
-            login,
+            target,
             guard,
         }))
     }
--- a/adapters/postgres/src/server/greeting.rs
+++ b/adapters/postgres/src/server/greeting.rs
@@ -8,7 +8,7 @@
 
 use crate::cancellation::SecretKey;
 use crate::client_registry::RegisteredClient;
-use crate::pool::Parameters;
+use crate::login::Parameters;
 
 /// The greeting of a client whose servers have these parameters and who wants these settings.
 pub(super) fn encode(
