--- a/adapters/postgres/src/pool/server_slots.rs
+++ b/adapters/postgres/src/pool/server_slots.rs
@@ -202,3 +202,6 @@
         self.0.wake_next();
     }
 }
+
+#[cfg(test)]
+mod tests;
