--- a/adapters/http/src/client_connection.rs
+++ b/adapters/http/src/client_connection.rs
@@ -3,7 +3,6 @@
 use std::future::{Future, poll_fn};
 use std::rc::Rc;
 use std::task::Poll;
-use std::time::Duration;
 
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -18,10 +17,9 @@
 use crate::memory_budget::MemoryBudget;
 use crate::observed_stream::ObservedStream;
 use crate::server::{ServerHandle, answer};
+use crate::timeouts::SHUTDOWN_CHECK_INTERVAL;
 
 const MAX_HEAD: usize = 32 * 1024;
-/// How often a connection that does not rest is looked at while idle ones are to end.
-const LOOK: Duration = Duration::from_millis(50);
 /// What is answered to a request that has begun to come and is not complete when the node ends: it has run nowhere.
 const SHUTDOWN: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
@@ -145,6 +143,6 @@
         if slot.rests() || (slot.is_arriving() && is_closed && is_over) {
             return;
         }
-        clock.sleep(LOOK).await;
+        clock.sleep(SHUTDOWN_CHECK_INTERVAL).await;
     }
 }
--- a/adapters/http/src/connection_limiter.rs
+++ b/adapters/http/src/connection_limiter.rs
@@ -13,45 +13,12 @@
 
 use crate::observed_stream::StreamObserver;
 use crate::request_queue::RequestQueue;
-
-/// A head is whole this long after its first byte, the first one of a connection this long after the connect:
-/// clients are owed an answer or a close within 3 s. Bytes that trickle in do not prolong it. A body that stops has
-/// as long from then on.
-pub(crate) const WHOLE_WITHIN: Duration = Duration::from_millis(2300);
-/// A body may come this slowly, in bytes a second, from its head on: half of what clients in service need at least.
-const SLOWEST: u64 = 32 * 1024;
-/// An answer that is passed on goes on as long as something moves: a reader at that pace takes this long to empty the
-/// buffers that the system has on both sides before it makes room again.
-const MOVES_WITHIN: Duration = Duration::from_secs(30);
-/// A connection closes this long after the body's own limit: the answer that tells of it goes first.
-const CLOSES_AFTER: Duration = Duration::from_millis(200);
-/// An answer that its client has not taken in by then is given up with its connection.
-const TAKEN_WITHIN: Duration = Duration::from_secs(3);
-/// Between requests a connection may be closed after this, to make room: long enough that a client that asks one thing
-/// after the other is not met as it writes. Whoever waits to be taken has most likely a request, an idle one has none,
-/// and by the protocol a client whose connection is closed between requests opens another at no loss.
-const IDLE_LEAST: Duration = Duration::from_millis(200);
-/// A request that has begun to come and then stopped for so long may be closed, to make room, where no idle one is left:
-/// those who write slowly in service go on sooner (2 s for a head of some lines, 64 kB a second).
-const STOPPED_LEAST: Duration = Duration::from_millis(500);
-/// Between requests a connection is kept for this long where there is room: clients in service ask again
-/// sooner, and those that asked once and stay must not pile up over a long day.
-const IDLE_MOST: Duration = Duration::from_secs(10);
-/// With this part of the slots idle, a connection ends with its answer. Clients that keep a connection and ask
-/// no more would hold all that the system before the node has for it, and leave none to those that ask.
-const MANY_IDLE: usize = 2;
-/// A connection that never said a word may be closed after this, to make room: the first request of a client
-/// in service comes right behind its connect.
-const SILENT_LEAST: Duration = Duration::from_millis(20);
-/// A connection is new for so long: clients in service say what they connected for within it.
-const NEW: Duration = Duration::from_millis(500);
-/// After an error what still comes is read and dropped for this long, or the error would be lost with it.
-const LINGER: Duration = Duration::from_millis(1500);
-/// A client that is told that nothing more follows has this long to close too: some ways there and back.
-const PARTS_WITHIN: Duration = Duration::from_millis(500);
-/// How often the slots are looked through; and the wait for room where nobody can go yet.
-const SWEEP: Duration = Duration::from_millis(100);
-const ROOM_AGAIN: Duration = Duration::from_millis(10);
+use crate::timeouts::{
+    BODY_STALL_TIMEOUT, CLOSE_TIMEOUT, EVICTION_RETRY_INTERVAL, FIRST_REQUEST_GRACE,
+    HEAD_READ_TIMEOUT, IDLE_LIMIT_DIVISOR, IDLE_TIMEOUT, LINGER_TIMEOUT, MIN_BODY_BYTES_PER_SECOND,
+    MIN_IDLE_BEFORE_EVICTION, MIN_SILENCE_BEFORE_EVICTION, MIN_STALL_BEFORE_EVICTION, SEND_TIMEOUT,
+    STREAM_STALL_TIMEOUT, TIMEOUT_CHECK_INTERVAL, TIMEOUT_RESPONSE_GRACE,
+};
 
 /// What stands on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -142,7 +109,7 @@
     /// Whether so many connections stand idle that one more would be in the way: this one had better end
     /// with its answer.
     pub fn is_surplus(&self) -> bool {
-        self.idle.now.get() >= self.idle.most.get() / MANY_IDLE
+        self.idle.now.get() >= self.idle.most.get() / IDLE_LIMIT_DIVISOR
     }
 
     /// Bytes have come.
@@ -175,7 +142,7 @@
     /// Whether it has only just been opened: its first request is on the way.
     pub fn is_new(&self) -> bool {
         let age = self.clock.now().saturating_sub(self.since.get());
-        self.stage.get() == ConnectionState::Silent && age < nanos(NEW)
+        self.stage.get() == ConnectionState::Silent && age < nanos(FIRST_REQUEST_GRACE)
     }
 
     /// All that was to be written is with the system.
@@ -256,12 +223,12 @@
 
     /// The time that a body may take by what has come of it so far.
     pub fn paid(&self) -> Nanos {
-        self.received.get().saturating_mul(1_000_000_000) / SLOWEST
+        self.received.get().saturating_mul(1_000_000_000) / MIN_BODY_BYTES_PER_SECOND
     }
 
     /// When the body has to have come, by what has come of it so far, and when.
     pub fn received_by(&self) -> Nanos {
-        let most = nanos(WHOLE_WITHIN);
+        let most = nanos(BODY_STALL_TIMEOUT);
         let by_pace = self
             .since
             .get()
@@ -345,18 +312,23 @@
 
     fn overdue(&self, now: Nanos) -> bool {
         let most = match self.stage.get() {
-            ConnectionState::Silent | ConnectionState::Arriving => WHOLE_WITHIN + CLOSES_AFTER,
+            ConnectionState::Silent | ConnectionState::Arriving => {
+                HEAD_READ_TIMEOUT + TIMEOUT_RESPONSE_GRACE
+            }
             // Whoever waits for the answer sees to it that one comes.
             ConnectionState::Receiving if self.awaited.get() => return false,
             ConnectionState::Receiving => {
-                return now >= self.received_by().saturating_add(nanos(CLOSES_AFTER));
+                return now
+                    >= self
+                        .received_by()
+                        .saturating_add(nanos(TIMEOUT_RESPONSE_GRACE));
             }
             ConnectionState::Open => return false,
-            ConnectionState::Passing => MOVES_WITHIN,
-            ConnectionState::Answering => TAKEN_WITHIN,
-            ConnectionState::Idle => IDLE_MOST,
-            ConnectionState::Parting => PARTS_WITHIN,
-            ConnectionState::Leaving => LINGER,
+            ConnectionState::Passing => STREAM_STALL_TIMEOUT,
+            ConnectionState::Answering => SEND_TIMEOUT,
+            ConnectionState::Idle => IDLE_TIMEOUT,
+            ConnectionState::Parting => CLOSE_TIMEOUT,
+            ConnectionState::Leaving => LINGER_TIMEOUT,
         };
         now.saturating_sub(self.since.get()) >= nanos(most)
     }
@@ -377,11 +349,11 @@
             ConnectionState::Parting | ConnectionState::Leaving => {
                 (0, Duration::ZERO, self.since.get())
             }
-            ConnectionState::Silent => (1, SILENT_LEAST, self.since.get()),
-            ConnectionState::Idle => (2, IDLE_LEAST, self.since.get()),
+            ConnectionState::Silent => (1, MIN_SILENCE_BEFORE_EVICTION, self.since.get()),
+            ConnectionState::Idle => (2, MIN_IDLE_BEFORE_EVICTION, self.since.get()),
             ConnectionState::Receiving if self.blocked.get() => return None,
             ConnectionState::Arriving | ConnectionState::Receiving => {
-                (3, STOPPED_LEAST, self.heard.get())
+                (3, MIN_STALL_BEFORE_EVICTION, self.heard.get())
             }
             ConnectionState::Open | ConnectionState::Passing | ConnectionState::Answering => {
                 return None;
@@ -439,7 +411,10 @@
         while self.slots.borrow().len() >= self.most.get() {
             self.make_room();
             // Somebody may go of itself meanwhile, or become old enough to be closed.
-            let _ = self.clock.timeout(ROOM_AGAIN, self.freed.notified()).await;
+            let _ = self
+                .clock
+                .timeout(EVICTION_RETRY_INTERVAL, self.freed.notified())
+                .await;
         }
         let (number, slot) = (
             self.next.get(),
@@ -468,7 +443,7 @@
     /// Closes connections on which nothing has happened for too long; never ends.
     pub async fn sweep(self: Rc<Self>) {
         loop {
-            self.clock.sleep(SWEEP).await;
+            self.clock.sleep(TIMEOUT_CHECK_INTERVAL).await;
             let now = self.clock.now();
             let slots = self.slots.borrow();
             slots
--- a/adapters/http/src/lib.rs
+++ b/adapters/http/src/lib.rs
@@ -13,6 +13,7 @@
 mod poll_schedule;
 mod request_queue;
 pub mod server;
+mod timeouts;
 mod upload;
 pub mod upstream;
 
--- a/adapters/http/src/server.rs
+++ b/adapters/http/src/server.rs
@@ -3,7 +3,6 @@
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::rc::Rc;
-use std::time::Duration;
 
 use badgerpost_balancer::{ClassId, Idempotency, Nanos};
 use badgerpost_settings::name_hash;
@@ -23,23 +22,16 @@
 
 use crate::answer::{self, BackendResponse};
 use crate::client_connection::serve_connection;
-use crate::connection_limiter::{Connection, ConnectionLimiter, WHOLE_WITHIN};
+use crate::connection_limiter::{Connection, ConnectionLimiter};
 use crate::headers::{check_form, cookie, end_to_end, required, single};
 use crate::memory_budget::{BufferedBytes, BytesCollector, MemoryBudget};
+use crate::timeouts::{
+    ACCEPT_RETRY_DELAY, BODY_STALL_TIMEOUT, NETWORK_ALLOWANCE, UPLOAD_CHECK_INTERVAL,
+    UPLOAD_TIMEOUT,
+};
 use crate::upload::{RequestBody, Upload};
 use crate::{ForwardedRequest, Http, HttpEngine, MAX_BODY};
 
-/// Wait before the next accept after one failed: out of descriptors, the next would fail at once.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-/// How often a body that does not move is looked at.
-const LOOK: Duration = Duration::from_millis(50);
-/// A client counts its time from its send to the last byte of the answer, so the ways there and back come
-/// off: an answer that leaves as the budget ends comes to a client that has just given up.
-const ON_THE_WAY: Nanos = 4_000_000;
-
-/// A body that is passed on as it comes may take so long in all; what bounds it is its progress.
-const UPLOAD_MOST: Duration = Duration::from_secs(3600);
-
 /// Ids are kept for a while; no client's is longer.
 const LONGEST_ID: usize = 256;
 
@@ -135,7 +127,7 @@
                 }
                 Err(error) => {
                     log.log(|suppressed| tracing::warn!(%error, suppressed, "accepting a client failed"));
-                    node.clock().sleep(ACCEPT_AGAIN).await;
+                    node.clock().sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -280,7 +272,7 @@
     };
     let _awaits = slot.awaits();
     let reply = if let Some(upload) = coming {
-        asked.budget = nanos(UPLOAD_MOST);
+        asked.budget = nanos(UPLOAD_TIMEOUT);
         let mut waiting = node
             .submit_upload(asked)
             .ok_or(BadRequest::Taken(CALL_ID))?;
@@ -324,7 +316,7 @@
 /// that its client knows, and nobody takes the rest, which then never ran anywhere.
 async fn stuck(clock: &Clock, slot: &Connection, upload: &Upload, left: Nanos) -> StalledBody {
     loop {
-        let client_due = upload.stalls_at(nanos(WHOLE_WITHIN), slot.paid());
+        let client_due = upload.stalls_at(nanos(BODY_STALL_TIMEOUT), slot.paid());
         slot.set_blocked(client_due.is_none());
         let (due, who) = match (client_due, upload.waits_since()) {
             (Some(due), _) => (due, StalledBody::AtClient),
@@ -338,7 +330,7 @@
         }
         // Who it waits for changes without notice.
         clock
-            .sleep_until(due.min(clock.now().saturating_add(nanos(LOOK))))
+            .sleep_until(due.min(clock.now().saturating_add(nanos(UPLOAD_CHECK_INTERVAL))))
             .await;
     }
 }
@@ -374,7 +366,7 @@
     budget_ms
         .saturating_mul(1_000_000)
         .min(deadline)
-        .saturating_sub(ON_THE_WAY)
+        .saturating_sub(NETWORK_ALLOWANCE)
 }
 
 /// Takes a body in: whole if it is small and there is room for it, else what has come until that shows.
