--- a/adapters/http/src/answer.rs
+++ b/adapters/http/src/answer.rs
@@ -12,8 +12,8 @@
 use badgerpost_balancer::ClassId;
 use badgerpost_engine::{Metrics, RequestEnd};
 
-use crate::connection_limiter::Connection;
 use crate::memory_budget::BufferedBytes;
+use crate::tracked_connection::TrackedConnection;
 
 /// A backend's answer to a request that it has served.
 pub enum BackendResponse {
@@ -69,7 +69,7 @@
     rest: Incoming,
     left: Option<u64>,
     ended: Option<Box<dyn FnOnce(Option<RequestEnd>)>>,
-    slot: Rc<Connection>,
+    connection: Rc<TrackedConnection>,
     tally: std::sync::Arc<Metrics>,
     class: ClassId,
     /// Its client knows its end by that of the connection only.
@@ -77,10 +77,10 @@
 }
 
 impl StreamingResponseBody {
-    /// Passes on an answer to the client with this slot.
+    /// Passes on an answer to the client of this connection.
     pub fn new(
         begun: StreamingResponse,
-        slot: Rc<Connection>,
+        connection: Rc<TrackedConnection>,
         tally: std::sync::Arc<Metrics>,
         class: ClassId,
         version: Version,
@@ -91,14 +91,14 @@
             left,
             ended,
         } = begun;
-        slot.passing();
+        connection.stream_started();
         let first = Some(first).filter(|first| !first.bytes.is_empty());
         Self {
             first,
             rest,
             left,
             ended: Some(ended),
-            slot,
+            connection,
             tally,
             class,
             ends_with_connection: version == Version::HTTP_10 && left.is_none(),
@@ -112,7 +112,7 @@
         };
         ended(end);
         self.tally.request_ended(self.class, end);
-        self.slot.passed();
+        self.connection.stream_ended();
     }
 
     fn give(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
@@ -139,7 +139,7 @@
                 // The client's connection ends in the midst of the body, so that it can tell.
                 Some(Err(error)) => {
                     if self.ends_with_connection {
-                        self.slot.set_broken();
+                        self.connection.stream_truncated();
                     }
                     self.end(Some(RequestEnd::Failed));
                     return Poll::Ready(Some(Err(error)));
--- a/adapters/http/src/client_connection.rs
+++ b/adapters/http/src/client_connection.rs
@@ -13,11 +13,12 @@
 use badgerpost_lifecycle::Stage;
 
 use crate::HttpEngine;
-use crate::connection_limiter::{Connection, ConnectionPermit, RequestTracker};
+use crate::connection_limiter::ConnectionPermit;
 use crate::memory_budget::MemoryBudget;
 use crate::observed_stream::ObservedStream;
 use crate::server::{ServerHandle, answer};
 use crate::timeouts::SHUTDOWN_CHECK_INTERVAL;
+use crate::tracked_connection::{CloseMode, RequestTracker, TrackedConnection};
 
 const MAX_HEAD: usize = 32 * 1024;
 /// What is answered to a request that has begun to come and is not complete when the node ends: it has run nowhere.
@@ -36,8 +37,8 @@
     spawn(async move {
         tokio::select! {
             biased;
-            () = permit.slot().closed() => {}
-            result = converse(stream, &node, &bodies, permit.slot(), &door) => {
+            () = permit.connection().abort_requested() => {}
+            result = converse(stream, &node, &bodies, permit.connection(), &door) => {
                 result.unwrap_or_else(|error| tracing::debug!(%error, "client connection failed"));
             }
         }
@@ -68,28 +69,30 @@
     stream: TcpStream,
     node: &HttpEngine,
     bodies: &MemoryBudget,
-    slot: &Rc<Connection>,
+    connection: &Rc<TrackedConnection>,
     door: &ServerHandle,
 ) -> Result<(), ConnectionError> {
     stream.set_nodelay(true)?;
-    let stream = ObservedStream::new(stream, RequestTracker::new(slot.clone()));
-    let end = serve_requests(&stream, node, bodies, slot, door).await;
+    let stream = ObservedStream::new(stream, RequestTracker::new(connection.clone()));
+    let end = serve_requests(&stream, node, bodies, connection, door).await;
     let may_still_write = match &end {
         ConnectionEnd::ClientLeft => return Ok(()),
-        ConnectionEnd::Library(_) if slot.is_broken() => return Ok(stream.reset()?),
-        ConnectionEnd::Shutdown if slot.is_incomplete() => {
-            slot.leaving();
+        ConnectionEnd::Library(_) if connection.close_mode() == CloseMode::Reset => {
+            return Ok(stream.reset()?);
+        }
+        ConnectionEnd::Shutdown if connection.has_partial_request() => {
+            connection.lingering_close_started();
             stream.clone().write_all(SHUTDOWN).await?;
             true
         }
         ConnectionEnd::Library(Err(_)) => true,
-        _ => slot.told_off(),
+        _ => connection.close_mode() == CloseMode::Lingering,
     };
     if may_still_write {
-        slot.leaving();
+        connection.lingering_close_started();
         stream.part_reading().await;
     } else {
-        slot.parting();
+        connection.close_started();
         stream.part(node.clock()).await;
     }
     match end {
@@ -103,17 +106,17 @@
     stream: &ObservedStream<RequestTracker>,
     node: &HttpEngine,
     bodies: &MemoryBudget,
-    slot: &Rc<Connection>,
+    connection: &Rc<TrackedConnection>,
     door: &ServerHandle,
 ) -> ConnectionEnd {
-    let service = service_fn(|request| answer(node, bodies, slot, request, door));
-    let connection = http1::Builder::new()
+    let service = service_fn(|request| answer(node, bodies, connection, request, door));
+    let http_connection = http1::Builder::new()
         .max_buf_size(MAX_HEAD)
         .serve_connection(TokioIo::new(stream.clone()), service);
     // The library looks for its client's end only while nothing has come behind the request.
     let mut left = std::pin::pin!(stream.left(node.clock()));
     let client_left = poll_fn(|cx| {
-        if slot.is_awaited() {
+        if connection.awaits_response() {
             left.as_mut().poll(cx)
         } else {
             Poll::Pending
@@ -121,17 +124,17 @@
     });
     tokio::select! {
         biased;
-        result = connection => ConnectionEnd::Library(result),
+        result = http_connection => ConnectionEnd::Library(result),
         () = client_left => ConnectionEnd::ClientLeft,
-        () = slot.ends() => ConnectionEnd::Overdue,
-        () = ends_at_rest(slot, door, node.clock()) => ConnectionEnd::Shutdown,
+        () = connection.graceful_close_requested() => ConnectionEnd::Overdue,
+        () = ends_at_rest(connection, door, node.clock()) => ConnectionEnd::Shutdown,
     }
 }
 
 /// Resolves once the node closes idle connections and nothing stands on this one. One that has just come is closed by
 /// its first answer: closing it sooner would lose the request for which it was opened. What has begun to come is waited
 /// for until the last answer has to leave.
-async fn ends_at_rest(slot: &Connection, door: &ServerHandle, clock: &Clock) {
+async fn ends_at_rest(connection: &TrackedConnection, door: &ServerHandle, clock: &Clock) {
     let mut stage = door.stage.clone();
     loop {
         // The sender lives as long as the process.
@@ -140,7 +143,7 @@
         }
         let is_closed = *door.stage.borrow() == Stage::Closed;
         let is_over = door.leaves.get().is_some_and(|at| clock.now() >= at);
-        if slot.rests() || (slot.is_arriving() && is_closed && is_over) {
+        if connection.is_quiescent() || (connection.is_reading_head() && is_closed && is_over) {
             return;
         }
         clock.sleep(SHUTDOWN_CHECK_INTERVAL).await;
--- /dev/null
+++ b/adapters/http/src/connection_limiter/tests.rs
@@ -0,0 +1,125 @@
+use std::future::Future;
+use std::pin::pin;
+use std::task::{Context, Poll, Waker};
+use std::time::Duration;
+
+use badgerpost_engine::{VirtualClock, nanos};
+
+use super::*;
+use crate::observed_stream::StreamObserver;
+use crate::tracked_connection::RequestTracker;
+
+/// A limiter whose clock the test moves.
+struct TestLimiter {
+    limiter: Rc<ConnectionLimiter>,
+    clock: Rc<VirtualClock>,
+}
+
+impl TestLimiter {
+    fn new(max_connections: usize) -> Self {
+        let clock = VirtualClock::at(0);
+        let max_connections = Rc::new(Cell::new(max_connections));
+        let limiter = ConnectionLimiter::new(max_connections, Clock::controlled(clock.clone()));
+        Self { limiter, clock }
+    }
+
+    fn advance(&self, milliseconds: u64) {
+        let now = Clock::controlled(self.clock.clone()).now();
+        self.clock
+            .advance(now + nanos(Duration::from_millis(milliseconds)));
+    }
+
+    /// Admits a connection for which there is room.
+    fn admit(&self) -> ConnectionPermit {
+        match poll(pin!(self.limiter.admit())) {
+            Poll::Ready(permit) => permit,
+            Poll::Pending => panic!("the limit is reached"),
+        }
+    }
+}
+
+fn poll<F: Future>(future: std::pin::Pin<&mut F>) -> Poll<F::Output> {
+    future.poll(&mut Context::from_waker(Waker::noop()))
+}
+
+fn is_aborted(permit: &ConnectionPermit) -> bool {
+    poll(pin!(permit.connection().abort_requested())).is_ready()
+}
+
+fn receive(permit: &ConnectionPermit, bytes: &[u8]) {
+    RequestTracker::new(permit.connection().clone()).bytes(bytes);
+}
+
+#[test]
+fn at_the_limit_a_connection_is_admitted_once_another_ends() {
+    let test = TestLimiter::new(1);
+    let first = test.admit();
+    let mut second = pin!(test.limiter.admit());
+    assert!(poll(second.as_mut()).is_pending());
+    assert!(!is_aborted(&first), "its first request is on its way");
+    drop(first);
+    assert!(poll(second.as_mut()).is_ready());
+}
+
+#[test]
+fn the_longest_silent_connection_is_evicted_and_never_one_with_a_request() {
+    let test = TestLimiter::new(3);
+    let [busy, silent, recent] = [(); 3].map(|()| {
+        test.advance(20);
+        test.admit()
+    });
+    receive(&busy, b"GET /api HTTP/1.1\r\n\r\n");
+    busy.connection().head_taken().expect("plain framing");
+    busy.connection().request_complete();
+    test.advance(5000);
+    let mut next = pin!(test.limiter.admit());
+    assert!(poll(next.as_mut()).is_pending());
+    assert_eq!(
+        [&busy, &silent, &recent].map(is_aborted),
+        [false, true, false]
+    );
+}
+
+#[test]
+fn a_connection_that_times_out_without_a_request_taken_is_closed_gracefully() {
+    let test = TestLimiter::new(2);
+    let [silent, stalled] = [(); 2].map(|()| test.admit());
+    receive(&stalled, b"POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\n");
+    stalled.connection().head_taken().expect("plain framing");
+    let mut timeouts = pin!(test.limiter.clone().run_timeouts());
+    assert!(poll(timeouts.as_mut()).is_pending());
+    let is_closed = |permit: &ConnectionPermit| {
+        poll(pin!(permit.connection().graceful_close_requested())).is_ready()
+    };
+    for _ in 0..24 {
+        test.advance(100);
+        assert!(poll(timeouts.as_mut()).is_pending());
+    }
+    assert!(!is_closed(&silent) && !is_aborted(&stalled));
+    test.advance(100);
+    assert!(poll(timeouts.as_mut()).is_pending());
+    assert!(is_closed(&silent) && !is_aborted(&silent));
+    assert!(is_aborted(&stalled) && !is_closed(&stalled));
+}
+
+#[test]
+fn half_of_the_connections_idle_are_a_surplus() {
+    let test = TestLimiter::new(4);
+    let permits = [(); 3].map(|()| test.admit());
+    let respond = |permit: &ConnectionPermit| {
+        receive(permit, b"GET /api HTTP/1.1\r\n\r\n");
+        permit.connection().head_taken().expect("plain framing");
+        let mut tracker = RequestTracker::new(permit.connection().clone());
+        permit
+            .connection()
+            .response_started(crate::tracked_connection::CloseMode::Graceful);
+        tracker.flushed();
+    };
+    respond(&permits[0]);
+    assert!(!permits[2].connection().is_surplus());
+    respond(&permits[1]);
+    assert!(permits[2].connection().is_surplus());
+    let [first, ..] = permits;
+    drop(first);
+    assert!(!test.admit().connection().is_surplus());
+}
--- /dev/null
+++ b/adapters/http/src/connection_state.rs
@@ -0,0 +1,296 @@
+//! The state machine of one client connection: phases of a request and its response, the time limit of each, and the order
+//! in which connections are closed to admit new ones.
+//!
+//! ```text
+//!        bytes arrive          head taken           body complete
+//!   New ------------> ReadingHead ----> ReadingBody ------------> AwaitingResponse
+//!                      ^    ^               |                          |
+//!         bytes arrive |    | pipelined     | early response           | response
+//!                      |    | request       v                          v
+//!                     Idle <+------------ Sending <------------ (Streaming)
+//!                           response sent
+//!
+//!   any of these ----> Closing or LingeringClose, once no more requests are served
+//! ```
+//!
+//! A head is also taken in `Sending`, if its request was pipelined. The machine does no I/O and reads no clock.
+
+use badgerpost_engine::nanos;
+use badgerpost_time::{Nanos, SECOND};
+
+use crate::timeouts::{
+    BODY_STALL_TIMEOUT, CLOSE_TIMEOUT, FIRST_REQUEST_GRACE, HEAD_READ_TIMEOUT, IDLE_TIMEOUT,
+    LINGER_TIMEOUT, MIN_BODY_BYTES_PER_SECOND, MIN_IDLE_BEFORE_EVICTION,
+    MIN_SILENCE_BEFORE_EVICTION, MIN_STALL_BEFORE_EVICTION, SEND_TIMEOUT, STREAM_STALL_TIMEOUT,
+    TIMEOUT_RESPONSE_GRACE,
+};
+
+/// The phase of a client connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ConnectionState {
+    /// Accepted; no byte has arrived.
+    New { accepted_at: Nanos },
+    /// The head of a request is arriving.
+    ReadingHead { started_at: Nanos },
+    /// The head has been taken by the HTTP library; the body, if any, is arriving.
+    ReadingBody(BodyProgress),
+    /// The request is complete, its response has not begun.
+    AwaitingResponse,
+    /// A response is forwarded as it arrives from a backend.
+    Streaming { last_progress_at: Nanos },
+    /// A response that is complete here is being sent.
+    Sending { started_at: Nanos },
+    /// Between requests.
+    Idle { since: Nanos },
+    /// Closed on the node's side; what the client still sends is not read.
+    Closing { since: Nanos },
+    /// Closed on the node's side after an error; what the client still sends is read and discarded.
+    LingeringClose { since: Nanos },
+}
+
+/// Progress of a request's body.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct BodyProgress {
+    /// When the last byte of the head arrived; the time of the head's processing if that had been pipelined.
+    started_at: Nanos,
+    /// Bytes that have arrived since the head was taken.
+    received_bytes: u64,
+    /// Whether the request has been submitted with its body still arriving.
+    is_submitted: bool,
+    /// Whether the upload waits for a backend to take bytes, and not for its client.
+    is_backend_blocked: bool,
+}
+
+impl BodyProgress {
+    /// The time that a body of this size may take at the lowest rate.
+    fn time_at_lowest_rate(self) -> Nanos {
+        self.received_bytes.saturating_mul(SECOND) / MIN_BODY_BYTES_PER_SECOND
+    }
+
+    /// When the body has to be complete, or more of it to have arrived.
+    fn deadline(self, last_received_at: Nanos) -> Nanos {
+        let stall_timeout = nanos(BODY_STALL_TIMEOUT);
+        let by_rate = self
+            .started_at
+            .saturating_add(stall_timeout)
+            .saturating_add(self.time_at_lowest_rate());
+        by_rate.min(last_received_at.saturating_add(stall_timeout))
+    }
+}
+
+/// How soon a connection is closed to admit a new one: the lowest rank first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct EvictionRank {
+    class: EvictionClass,
+    /// The connection that has been in its class for longest is closed first.
+    since: Nanos,
+}
+
+/// Classes of connections that may be evicted, in this order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionClass {
+    Closing,
+    Silent,
+    Idle,
+    Stalled,
+}
+
+/// Transitions.
+impl ConnectionState {
+    /// Bytes have arrived from the client.
+    pub(crate) fn bytes_received(self, now: Nanos, count: u64) -> Self {
+        match self {
+            // The time limit of the first request counts from the accept.
+            Self::New { accepted_at } => Self::ReadingHead {
+                started_at: accepted_at,
+            },
+            Self::Idle { .. } => Self::ReadingHead { started_at: now },
+            Self::ReadingBody(body) => Self::ReadingBody(BodyProgress {
+                received_bytes: body.received_bytes.saturating_add(count),
+                ..body
+            }),
+            other => other.progress_made(now),
+        }
+    }
+
+    /// Bytes have been sent to the client.
+    pub(crate) fn bytes_sent(self, now: Nanos) -> Self {
+        self.progress_made(now)
+    }
+
+    fn progress_made(self, now: Nanos) -> Self {
+        match self {
+            Self::Streaming { .. } => Self::Streaming {
+                last_progress_at: now,
+            },
+            other => other,
+        }
+    }
+
+    /// All bytes written so far are with the system. `next_request_since` is when the first byte of the next request
+    /// arrived, if that is incomplete.
+    pub(crate) fn flushed(self, now: Nanos, next_request_since: Option<Nanos>) -> Self {
+        match (self, next_request_since) {
+            (Self::Sending { .. }, Some(started_at)) => Self::ReadingHead { started_at },
+            (Self::Sending { .. }, None) => Self::Idle { since: now },
+            (other, _) => other,
+        }
+    }
+
+    /// The HTTP library has taken the head of the next request.
+    pub(crate) fn head_taken(self, now: Nanos, last_received_at: Nanos) -> Self {
+        let started_at = match self {
+            Self::ReadingHead { .. } => last_received_at,
+            // The head had been pipelined.
+            _ => now,
+        };
+        Self::ReadingBody(BodyProgress {
+            started_at,
+            received_bytes: 0,
+            is_submitted: false,
+            is_backend_blocked: false,
+        })
+    }
+
+    /// The request has been submitted with its body still arriving.
+    pub(crate) fn upload_submitted(self) -> Self {
+        match self {
+            Self::ReadingBody(body) => Self::ReadingBody(BodyProgress {
+                is_submitted: true,
+                ..body
+            }),
+            other => other,
+        }
+    }
+
+    /// The upload has begun, or ceased, to wait for a backend and not for its client.
+    pub(crate) fn backend_blocked(self, is_backend_blocked: bool) -> Self {
+        match self {
+            Self::ReadingBody(body) => Self::ReadingBody(BodyProgress {
+                is_backend_blocked,
+                ..body
+            }),
+            other => other,
+        }
+    }
+
+    /// A response has begun that is complete here, or whose rest is streamed already.
+    pub(crate) fn response_started(self, now: Nanos) -> Self {
+        match self {
+            Self::Streaming { .. } => self,
+            _ => Self::Sending { started_at: now },
+        }
+    }
+
+    /// The last byte of a streamed response has arrived from the backend.
+    pub(crate) fn stream_ended(self, now: Nanos) -> Self {
+        match self {
+            Self::Streaming { .. } => Self::Sending { started_at: now },
+            other => other,
+        }
+    }
+}
+
+/// Queries.
+impl ConnectionState {
+    /// Whether the first request of a connection that was just accepted is expected to arrive.
+    pub(crate) fn expects_first_request(&self, now: Nanos) -> bool {
+        match *self {
+            Self::New { accepted_at } => {
+                now.saturating_sub(accepted_at) < nanos(FIRST_REQUEST_GRACE)
+            }
+            _ => false,
+        }
+    }
+
+    /// Whether a request's head is arriving.
+    pub(crate) fn is_reading_head(&self) -> bool {
+        matches!(self, Self::ReadingHead { .. })
+    }
+
+    /// Whether a request's head or body is arriving.
+    pub(crate) fn is_reading_request(&self) -> bool {
+        matches!(self, Self::ReadingHead { .. } | Self::ReadingBody(_))
+    }
+
+    /// Whether a submitted request awaits its response.
+    pub(crate) fn awaits_response(&self) -> bool {
+        match self {
+            Self::ReadingBody(body) => body.is_submitted,
+            Self::AwaitingResponse => true,
+            _ => false,
+        }
+    }
+
+    /// When the body that is arriving has to be complete, or more of it to have arrived; none in other states.
+    pub(crate) fn body_deadline(&self, last_received_at: Nanos) -> Option<Nanos> {
+        match self {
+            Self::ReadingBody(body) => Some(body.deadline(last_received_at)),
+            _ => None,
+        }
+    }
+
+    /// The time that the part of a body that has arrived may take at the lowest rate; 0 in other states.
+    pub(crate) fn body_time_at_lowest_rate(&self) -> Nanos {
+        match self {
+            Self::ReadingBody(body) => body.time_at_lowest_rate(),
+            _ => 0,
+        }
+    }
+
+    /// When the connection is closed unless something happens; none while its end is up to whoever responds.
+    pub(crate) fn times_out_at(&self, last_received_at: Nanos) -> Option<Nanos> {
+        let (since, timeout) = match *self {
+            Self::New { accepted_at: since } | Self::ReadingHead { started_at: since } => {
+                (since, HEAD_READ_TIMEOUT + TIMEOUT_RESPONSE_GRACE)
+            }
+            Self::ReadingBody(body) if body.is_submitted => return None,
+            Self::ReadingBody(body) => (body.deadline(last_received_at), TIMEOUT_RESPONSE_GRACE),
+            Self::AwaitingResponse => return None,
+            Self::Streaming { last_progress_at } => (last_progress_at, STREAM_STALL_TIMEOUT),
+            Self::Sending { started_at } => (started_at, SEND_TIMEOUT),
+            Self::Idle { since } => (since, IDLE_TIMEOUT),
+            Self::Closing { since } => (since, CLOSE_TIMEOUT),
+            Self::LingeringClose { since } => (since, LINGER_TIMEOUT),
+        };
+        Some(since.saturating_add(nanos(timeout)))
+    }
+
+    /// Whether a connection that times out in this state is closed in good order, and not aborted.
+    pub(crate) fn times_out_gracefully(&self) -> bool {
+        matches!(
+            self,
+            Self::New { .. } | Self::ReadingHead { .. } | Self::Idle { .. }
+        )
+    }
+
+    /// How soon the connection is closed to admit a new one; none if it may not be closed for that.
+    pub(crate) fn eviction_rank(
+        &self,
+        now: Nanos,
+        last_received_at: Nanos,
+    ) -> Option<EvictionRank> {
+        let (class, since, min_age) = match *self {
+            Self::Closing { since } | Self::LingeringClose { since } => {
+                (EvictionClass::Closing, since, Nanos::MIN)
+            }
+            Self::New { accepted_at } => (
+                EvictionClass::Silent,
+                accepted_at,
+                nanos(MIN_SILENCE_BEFORE_EVICTION),
+            ),
+            Self::Idle { since } => (EvictionClass::Idle, since, nanos(MIN_IDLE_BEFORE_EVICTION)),
+            Self::ReadingBody(body) if body.is_backend_blocked => return None,
+            Self::ReadingHead { .. } | Self::ReadingBody(_) => (
+                EvictionClass::Stalled,
+                last_received_at,
+                nanos(MIN_STALL_BEFORE_EVICTION),
+            ),
+            Self::AwaitingResponse | Self::Streaming { .. } | Self::Sending { .. } => return None,
+        };
+        (now.saturating_sub(since) >= min_age).then_some(EvictionRank { class, since })
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/adapters/http/src/lib.rs
+++ b/adapters/http/src/lib.rs
@@ -5,6 +5,7 @@
 mod client_connection;
 mod connection_ages;
 mod connection_limiter;
+mod connection_state;
 pub mod discovery;
 pub mod endpoint_list;
 mod headers;
@@ -14,6 +15,7 @@
 mod request_queue;
 pub mod server;
 mod timeouts;
+mod tracked_connection;
 mod upload;
 pub mod upstream;
 
--- a/adapters/http/src/request_queue.rs
+++ b/adapters/http/src/request_queue.rs
@@ -64,7 +64,7 @@
     }
 
     /// Whether another request has begun to come behind the one that was taken last.
-    pub(crate) fn has_more(&self) -> bool {
+    pub(crate) fn has_next(&self) -> bool {
         self.begun > self.taken
     }
 
--- a/adapters/http/src/request_queue/tests.rs
+++ b/adapters/http/src/request_queue/tests.rs
@@ -20,11 +20,11 @@
         queue.record(FramingEvent::MessageComplete, 10 * number + 5);
     }
     for number in 1..=3 {
-        assert!(queue.has_more());
+        assert!(queue.has_next());
         assert_eq!(queue.take(), Ok(()));
         assert_eq!(queue.completed_at(), Some(10 * number + 5));
     }
-    assert!(!queue.has_more());
+    assert!(!queue.has_next());
 }
 
 #[test]
--- a/adapters/http/src/server.rs
+++ b/adapters/http/src/server.rs
@@ -22,13 +22,14 @@
 
 use crate::answer::{self, BackendResponse};
 use crate::client_connection::serve_connection;
-use crate::connection_limiter::{Connection, ConnectionLimiter};
+use crate::connection_limiter::ConnectionLimiter;
 use crate::headers::{check_form, cookie, end_to_end, required, single};
 use crate::memory_budget::{BufferedBytes, BytesCollector, MemoryBudget};
 use crate::timeouts::{
     ACCEPT_RETRY_DELAY, BODY_STALL_TIMEOUT, NETWORK_ALLOWANCE, UPLOAD_CHECK_INTERVAL,
     UPLOAD_TIMEOUT,
 };
+use crate::tracked_connection::{CloseMode, TrackedConnection};
 use crate::upload::{RequestBody, Upload};
 use crate::{ForwardedRequest, Http, HttpEngine, MAX_BODY};
 
@@ -103,8 +104,8 @@
 
 /// Serves until the stage is [`Stage::Closed`] and all connections have ended.
 pub async fn run(listener: TcpListener, node: HttpEngine, limits: Limits, door: ServerHandle) {
-    let slots = ConnectionLimiter::new(limits.clients, node.clock().clone());
-    let sweeper = spawn(slots.clone().sweep());
+    let limiter = ConnectionLimiter::new(limits.clients, node.clock().clone());
+    let sweeper = spawn(limiter.clone().run_timeouts());
     let mut closed = door.stage.clone();
     let closed = closed.wait_for(|stage| *stage == Stage::Closed);
     let mut accepts = door.accepts.clone();
@@ -122,7 +123,7 @@
             };
             match accepted {
                 Ok((stream, _)) => {
-                    let permit = slots.take().await;
+                    let permit = limiter.admit().await;
                     serve_connection(stream.into(), permit, &node, &limits.bodies, &door);
                 }
                 Err(error) => {
@@ -139,24 +140,24 @@
         _ = closed => {}
     }
     drop(listener);
-    slots.emptied().await;
+    limiter.wait_until_empty().await;
     sweeper.abort();
 }
 
 pub(crate) async fn answer(
     node: &HttpEngine,
     bodies: &MemoryBudget,
-    slot: &Rc<Connection>,
+    connection: &Rc<TrackedConnection>,
     request: Request<Incoming>,
     door: &ServerHandle,
 ) -> Result<Answer, Infallible> {
     let serving = || door.stage.borrow().is_ready();
     let turned_down = |bad: BadRequest| (plain(bad.status(), &bad.to_string()), true);
-    let (response, bad) = match (slot.receiving(), request.uri().path()) {
+    let (response, bad) = match (connection.head_taken(), request.uri().path()) {
         // Read in two ways, a request may hide another: nothing of it goes anywhere.
         (Err(fault), _) => turned_down(fault.into()),
-        (_, "/api") => match call(node, bodies, slot, request, door).await {
-            Ok(response) => (response, !slot.is_received()),
+        (_, "/api") => match call(node, bodies, connection, request, door).await {
+            Ok(response) => (response, connection.is_reading_request()),
             Err(bad) => turned_down(bad),
         },
         (_, "/health/ready") if request.method() != Method::GET => {
@@ -181,13 +182,17 @@
     let mut response = response;
     // Where a request is not complete, or its framing made no sense, there is no telling where the next one begins. All
     // that have been read behind one that is complete are owed their answers too.
-    let ends = bad || !serving() || slot.is_surplus();
-    if !slot.is_complete() || (ends && !slot.has_more()) {
+    let ends = bad || !serving() || connection.is_surplus();
+    if !connection.is_request_complete() || (ends && !connection.has_pipelined_request()) {
         response
             .headers_mut()
             .insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    slot.answering(bad);
+    connection.response_started(if bad {
+        CloseMode::Lingering
+    } else {
+        CloseMode::Graceful
+    });
     Ok(response)
 }
 
@@ -195,7 +200,7 @@
 async fn call(
     node: &HttpEngine,
     bodies: &MemoryBudget,
-    slot: &Rc<Connection>,
+    connection: &Rc<TrackedConnection>,
     request: Request<Incoming>,
     door: &ServerHandle,
 ) -> Result<Answer, BadRequest> {
@@ -229,7 +234,7 @@
         .transpose()?;
     let key = cookie(headers, KEY_COOKIE).map(name_hash);
     let repeat = single(headers, AGAIN)? == Some("1");
-    let body = read(node.clock(), slot, bodies, body).await?;
+    let body = read(node.clock(), connection, bodies, body).await?;
     if effect == Idempotency::Idempotent
         && !matches!(&body, RequestBody::Buffered(kept) if kept.bytes.is_empty())
     {
@@ -247,7 +252,7 @@
             .get()
             .map_or(Nanos::MAX, |at| at.saturating_sub(node.clock().now()));
         time_left(budget, deadline)
-            .saturating_sub(slot.waited())
+            .saturating_sub(connection.time_since_complete())
             .min(most)
     };
     let coming = match &body {
@@ -270,8 +275,8 @@
             budget_ms: left() / 1_000_000,
         },
     };
-    let _awaits = slot.awaits();
     let reply = if let Some(upload) = coming {
+        connection.upload_submitted();
         asked.budget = nanos(UPLOAD_TIMEOUT);
         let mut waiting = node
             .submit_upload(asked)
@@ -281,7 +286,7 @@
             biased;
             () = upload.taken() => None,
             reply = waiting.wait() => Some(reply),
-            stuck = stuck(node.clock(), slot, &upload, left()) => match stuck {
+            stuck = stuck(node.clock(), connection, &upload, left()) => match stuck {
                 StalledBody::AtClient => return Err(BadRequest::NoBody),
                 StalledBody::AtBackend => Some(waiting.reject()),
             },
@@ -291,18 +296,24 @@
             Some(reply) => reply,
             None => {
                 waiting.upload_complete(left());
-                slot.open();
+                connection.request_complete();
                 waiting.wait().await
             }
         }
     } else {
         let waiting = node.submit(asked).ok_or(BadRequest::Taken(CALL_ID))?;
         known.ended.set(true);
-        slot.open();
+        connection.request_complete();
         waiting.into_outcome().await
     };
     Ok(worded(reply, |begun| {
-        answer::StreamingResponseBody::new(begun, slot.clone(), node.metrics(), class, head.version)
+        answer::StreamingResponseBody::new(
+            begun,
+            connection.clone(),
+            node.metrics(),
+            class,
+            head.version,
+        )
     }))
 }
 
@@ -314,10 +325,18 @@
 
 /// Resolves once a body has stopped moving for too long: its client keeps up no pace, or it was whole long ago for all
 /// that its client knows, and nobody takes the rest, which then never ran anywhere.
-async fn stuck(clock: &Clock, slot: &Connection, upload: &Upload, left: Nanos) -> StalledBody {
+async fn stuck(
+    clock: &Clock,
+    connection: &TrackedConnection,
+    upload: &Upload,
+    left: Nanos,
+) -> StalledBody {
     loop {
-        let client_due = upload.stalls_at(nanos(BODY_STALL_TIMEOUT), slot.paid());
-        slot.set_blocked(client_due.is_none());
+        let client_due = upload.stalls_at(
+            nanos(BODY_STALL_TIMEOUT),
+            connection.body_time_at_lowest_rate(),
+        );
+        connection.set_backend_blocked(client_due.is_none());
         let (due, who) = match (client_due, upload.waits_since()) {
             (Some(due), _) => (due, StalledBody::AtClient),
             (None, since) => {
@@ -372,7 +391,7 @@
 /// Takes a body in: whole if it is small and there is room for it, else what has come until that shows.
 async fn read(
     clock: &Clock,
-    slot: &Connection,
+    connection: &TrackedConnection,
     bodies: &MemoryBudget,
     mut body: Incoming,
 ) -> Result<RequestBody, BadRequest> {
@@ -395,11 +414,11 @@
     let mut first = BytesCollector::default();
     loop {
         let frame = loop {
-            let due = slot.received_by();
+            let due = connection.body_deadline();
             match clock.timeout_at(due, body.frame()).await {
                 Ok(frame) => break frame,
                 // Bytes have come meanwhile that the library has not handed on.
-                Err(_) if slot.received_by() > due => {}
+                Err(_) if connection.body_deadline() > due => {}
                 Err(_) => return Err(BadRequest::NoBody),
             }
         };
--- /dev/null
+++ b/adapters/http/src/tracked_connection.rs
@@ -0,0 +1,310 @@
+//! The state of one client connection, shared by all that read from, write to or may close it.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+
+use badgerpost_engine::Clock;
+use badgerpost_http_framing::{FramingError, FramingEvent, RequestFramer};
+use badgerpost_time::Nanos;
+use tokio::sync::Notify;
+
+use crate::connection_state::{ConnectionState, EvictionRank};
+use crate::observed_stream::StreamObserver;
+use crate::request_queue::RequestQueue;
+use crate::timeouts::IDLE_LIMIT_DIVISOR;
+
+/// How a connection has to be closed, by its last response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum CloseMode {
+    /// The client has nothing more to send.
+    Graceful,
+    /// The client may still be sending the request that was responded to.
+    Lingering,
+    /// By a reset: the response was truncated, and its framing does not show that to the client.
+    Reset,
+}
+
+/// The number of idle connections, and how many may be open in all.
+pub(crate) struct IdleConnections {
+    count: Cell<usize>,
+    max_connections: Rc<Cell<usize>>,
+}
+
+impl IdleConnections {
+    pub(crate) fn new(max_connections: Rc<Cell<usize>>) -> Self {
+        Self {
+            count: Cell::new(0),
+            max_connections,
+        }
+    }
+
+    /// Whether there are so many that a further connection had better close than become idle.
+    fn is_surplus(&self) -> bool {
+        self.count.get() >= self.max_connections.get() / IDLE_LIMIT_DIVISOR
+    }
+
+    /// A connection has changed its state.
+    fn record(&self, from: ConnectionState, to: ConnectionState) {
+        let is_idle = |state| usize::from(matches!(state, ConnectionState::Idle { .. }));
+        self.count
+            .set(self.count.get() + is_idle(to) - is_idle(from));
+    }
+}
+
+/// The state of one client connection.
+pub(crate) struct TrackedConnection {
+    state: Cell<ConnectionState>,
+    last_received_at: Cell<Nanos>,
+    /// The requests that have begun to arrive.
+    requests: RefCell<RequestQueue>,
+    close_mode: Cell<CloseMode>,
+    abort: Notify,
+    graceful_close: Notify,
+    idle_connections: Rc<IdleConnections>,
+    clock: Clock,
+}
+
+impl TrackedConnection {
+    /// A connection that has just been accepted.
+    pub(crate) fn new(idle_connections: Rc<IdleConnections>, clock: Clock) -> Self {
+        let now = clock.now();
+        Self {
+            state: Cell::new(ConnectionState::New { accepted_at: now }),
+            last_received_at: Cell::new(now),
+            requests: RefCell::default(),
+            close_mode: Cell::new(CloseMode::Graceful),
+            abort: Notify::new(),
+            graceful_close: Notify::new(),
+            idle_connections,
+            clock,
+        }
+    }
+
+    fn enter(&self, state: ConnectionState) {
+        let left = self.state.replace(state);
+        self.idle_connections.record(left, state);
+    }
+}
+
+/// The request that is being served, and those behind it.
+impl TrackedConnection {
+    /// The HTTP library has taken the head of the next request.
+    ///
+    /// # Errors
+    ///
+    /// The request's framing is ambiguous.
+    pub(crate) fn head_taken(&self) -> Result<(), FramingError> {
+        let state = self.state.get();
+        self.enter(state.head_taken(self.clock.now(), self.last_received_at.get()));
+        self.requests.borrow_mut().take()
+    }
+
+    /// How long ago the last byte of the request arrived; 0 before that.
+    pub(crate) fn time_since_complete(&self) -> Nanos {
+        let completed_at = self.requests.borrow().completed_at();
+        completed_at.map_or(0, |at| self.clock.now().saturating_sub(at))
+    }
+
+    /// Whether the last byte of the request has arrived: what follows is another one.
+    pub(crate) fn is_request_complete(&self) -> bool {
+        self.requests.borrow().completed_at().is_some()
+    }
+
+    /// Whether another request has begun to arrive behind the one that was taken last. It is owed a response too.
+    pub(crate) fn has_pipelined_request(&self) -> bool {
+        self.requests.borrow().has_next()
+    }
+
+    /// Whether a request has begun to arrive whose head has not been taken.
+    pub(crate) fn has_partial_request(&self) -> bool {
+        self.is_reading_head() && self.has_pipelined_request()
+    }
+
+    /// Whether a request's head is arriving.
+    pub(crate) fn is_reading_head(&self) -> bool {
+        self.state.get().is_reading_head()
+    }
+
+    /// Whether a request's head or body is arriving.
+    pub(crate) fn is_reading_request(&self) -> bool {
+        self.state.get().is_reading_request()
+    }
+
+    /// When the request's body has to be complete, or more of it to have arrived.
+    pub(crate) fn body_deadline(&self) -> Nanos {
+        let deadline = self.state.get().body_deadline(self.last_received_at.get());
+        deadline.unwrap_or(Nanos::MAX)
+    }
+
+    /// The time that the part of the body that has arrived may take at the lowest rate.
+    pub(crate) fn body_time_at_lowest_rate(&self) -> Nanos {
+        self.state.get().body_time_at_lowest_rate()
+    }
+
+    /// The request has been submitted with its body still arriving.
+    pub(crate) fn upload_submitted(&self) {
+        self.enter(self.state.get().upload_submitted());
+    }
+
+    /// Sets whether the upload waits for a backend, and not for its client.
+    pub(crate) fn set_backend_blocked(&self, is_backend_blocked: bool) {
+        self.enter(self.state.get().backend_blocked(is_backend_blocked));
+    }
+
+    /// The request is complete and has been submitted.
+    pub(crate) fn request_complete(&self) {
+        self.enter(ConnectionState::AwaitingResponse);
+    }
+
+    /// Whether a submitted request awaits its response: if its client disconnects, it is cancelled.
+    pub(crate) fn awaits_response(&self) -> bool {
+        self.state.get().awaits_response()
+    }
+}
+
+/// The response.
+impl TrackedConnection {
+    /// A response has begun that is forwarded as it arrives from a backend.
+    pub(crate) fn stream_started(&self) {
+        self.enter(ConnectionState::Streaming {
+            last_progress_at: self.clock.now(),
+        });
+    }
+
+    /// The last byte of a streamed response has arrived from the backend.
+    pub(crate) fn stream_ended(&self) {
+        self.enter(self.state.get().stream_ended(self.clock.now()));
+    }
+
+    /// The response that is streamed has been truncated, and only a reset shows that to the client.
+    pub(crate) fn stream_truncated(&self) {
+        self.close_mode.set(CloseMode::Reset);
+    }
+
+    /// A response has begun. If it ends the connection, it does so in this mode.
+    pub(crate) fn response_started(&self, close_mode: CloseMode) {
+        self.close_mode.set(close_mode);
+        self.enter(self.state.get().response_started(self.clock.now()));
+    }
+}
+
+/// The end of the connection.
+impl TrackedConnection {
+    /// Whether too many connections are idle, so that this one had better close after its response.
+    pub(crate) fn is_surplus(&self) -> bool {
+        self.idle_connections.is_surplus()
+    }
+
+    /// Whether it may be closed without a response: no request is arriving, served or expected at once.
+    pub(crate) fn is_quiescent(&self) -> bool {
+        let state = self.state.get();
+        match state {
+            ConnectionState::New { .. } => !state.expects_first_request(self.clock.now()),
+            ConnectionState::Idle { .. } => !self.has_pipelined_request(),
+            _ => false,
+        }
+    }
+
+    /// How the connection has to be closed.
+    pub(crate) fn close_mode(&self) -> CloseMode {
+        self.close_mode.get()
+    }
+
+    /// The node's side is being closed; what the client still sends is not read.
+    pub(crate) fn close_started(&self) {
+        self.enter(ConnectionState::Closing {
+            since: self.clock.now(),
+        });
+    }
+
+    /// The node's side is being closed after an error; what the client still sends is read and discarded.
+    pub(crate) fn lingering_close_started(&self) {
+        self.enter(ConnectionState::LingeringClose {
+            since: self.clock.now(),
+        });
+    }
+
+    /// Resolves once the connection has to be closed in good order.
+    pub(crate) async fn graceful_close_requested(&self) {
+        self.graceful_close.notified().await;
+    }
+
+    /// Resolves once the connection has to be closed at once.
+    pub(crate) async fn abort_requested(&self) {
+        self.abort.notified().await;
+    }
+
+    /// Requests that the connection is closed at once.
+    pub(crate) fn request_abort(&self) {
+        self.abort.notify_one();
+    }
+
+    /// Requests that the connection is closed if it has timed out.
+    pub(crate) fn check_timeout(&self, now: Nanos) {
+        let state = self.state.get();
+        let times_out_at = state.times_out_at(self.last_received_at.get());
+        if times_out_at.is_none_or(|at| now < at) {
+            return;
+        }
+        if state.times_out_gracefully() {
+            self.graceful_close.notify_one();
+        } else {
+            self.abort.notify_one();
+        }
+    }
+
+    /// How soon the connection is closed to admit a new one; none if it may not be closed for that.
+    pub(crate) fn eviction_rank(&self, now: Nanos) -> Option<EvictionRank> {
+        let state = self.state.get();
+        state.eviction_rank(now, self.last_received_at.get())
+    }
+}
+
+impl Drop for TrackedConnection {
+    fn drop(&mut self) {
+        self.lingering_close_started();
+    }
+}
+
+/// Observes the client's stream for a [`TrackedConnection`].
+pub(crate) struct RequestTracker {
+    connection: Rc<TrackedConnection>,
+    framer: RequestFramer,
+}
+
+impl RequestTracker {
+    /// The observer of this connection's stream.
+    pub(crate) fn new(connection: Rc<TrackedConnection>) -> Self {
+        Self {
+            connection,
+            framer: RequestFramer::new(),
+        }
+    }
+}
+
+impl StreamObserver for RequestTracker {
+    fn bytes(&mut self, bytes: &[u8]) {
+        let Self { connection, framer } = self;
+        let now = connection.clock.now();
+        connection.last_received_at.set(now);
+        let state = connection.state.get();
+        connection.enter(state.bytes_received(now, bytes.len() as u64));
+        let mut requests = connection.requests.borrow_mut();
+        framer.feed(bytes, &mut |event: FramingEvent| {
+            requests.record(event, now);
+        });
+    }
+
+    fn written(&mut self) {
+        let now = self.connection.clock.now();
+        self.connection
+            .enter(self.connection.state.get().bytes_sent(now));
+    }
+
+    fn flushed(&mut self) {
+        let connection = &self.connection;
+        let next_request_since = connection.requests.borrow().incomplete_since();
+        let state = connection.state.get();
+        connection.enter(state.flushed(connection.clock.now(), next_request_since));
+    }
+}
