--- /dev/null
+++ b/adapters/http/src/api.rs
@@ -0,0 +1,199 @@
+//! The API's endpoint: parses a request, submits it to the engine, awaits its outcome and responds.
+
+use std::rc::Rc;
+
+use badgerpost_balancer::{ClassId, Idempotency};
+use badgerpost_engine::{IncomingRequest, RequestEnd, RequestOutcome, nanos};
+use badgerpost_time::{MILLISECOND, Nanos};
+use hyper::body::Incoming;
+use hyper::{Request, Uri};
+
+use crate::answer::{BackendResponse, StreamingResponseBody};
+use crate::api_request::{RequestIdentity, RequestParameters};
+use crate::bad_request::BadRequest;
+use crate::client_response::{self, ClientResponse};
+use crate::headers::{CALL_ID, end_to_end};
+use crate::request_body::{self, StalledBody, upload_stalled};
+use crate::server_context::ServerContext;
+use crate::timeouts::UPLOAD_TIMEOUT;
+use crate::tracked_connection::TrackedConnection;
+use crate::upload::{RequestBody, Upload};
+use crate::{ForwardedRequest, Http, HttpEngine};
+
+type Outcome = RequestOutcome<BackendResponse>;
+
+/// Handles a request to the API.
+///
+/// # Errors
+///
+/// The request is invalid, or its body does not arrive. It has not been forwarded, or not completely.
+pub(crate) async fn handle(
+    context: &ServerContext,
+    connection: &Rc<TrackedConnection>,
+    request: Request<Incoming>,
+) -> Result<ClientResponse, BadRequest> {
+    let engine = &context.engine;
+    let (head, body) = request.into_parts();
+    let RequestIdentity { id, class } = RequestIdentity::parse(engine, &head.headers)?;
+    let failure_count = FailureCount::new(engine, class.id);
+    let parameters = RequestParameters::parse(engine, &class, &head)?;
+    let body = request_body::read(context, connection, body).await?;
+    if class.idempotency == Idempotency::Idempotent && !is_empty(&body) {
+        return Err(BadRequest::NotAllowed("a body"));
+    }
+    let submission = Submission {
+        context,
+        connection,
+        budget: parameters.budget,
+        failure_count,
+    };
+    let incoming = IncomingRequest {
+        id,
+        class: class.id,
+        tenant: parameters.tenant,
+        affinity_key: parameters.affinity_key,
+        expected_work: parameters.expected_work,
+        is_retry: parameters.is_retry,
+        budget: submission.remaining_budget(),
+        payload: ForwardedRequest {
+            method: head.method,
+            target: origin_form(&head.uri),
+            headers: end_to_end(head.headers),
+            body,
+            budget_ms: submission.remaining_budget() / MILLISECOND,
+        },
+    };
+    let outcome = submission.outcome(incoming).await?;
+    Ok(client_response::from_outcome(outcome, |response| {
+        let metrics = engine.metrics();
+        StreamingResponseBody::new(
+            response,
+            connection.clone(),
+            metrics,
+            class.id,
+            head.version,
+        )
+    }))
+}
+
+/// Whether a request has no body.
+fn is_empty(body: &RequestBody) -> bool {
+    matches!(body, RequestBody::Buffered(buffered) if buffered.bytes.is_empty())
+}
+
+/// The target in the form that backends expect, path and query: clients may send it in absolute form (RFC 9112, section
+/// 3.2.2).
+fn origin_form(target: &Uri) -> Uri {
+    target
+        .path_and_query()
+        .cloned()
+        .map_or_else(|| target.clone(), Uri::from)
+}
+
+/// A valid request that is about to be submitted.
+struct Submission<'a> {
+    context: &'a ServerContext,
+    connection: &'a TrackedConnection,
+    /// How long the client waits, from the last byte of the request on.
+    budget: Nanos,
+    failure_count: FailureCount<'a>,
+}
+
+impl Submission<'_> {
+    /// How long the client still waits. The budget is used up from the request's last byte on, also while the request
+    /// waits behind another one of its connection. A node that shuts down has no more time than until its exit.
+    fn remaining_budget(&self) -> Nanos {
+        self.budget
+            .saturating_sub(self.connection.time_since_complete())
+            .min(self.context.time_until_last_response())
+    }
+
+    /// Submits the request and waits for its outcome.
+    async fn outcome(self, incoming: IncomingRequest<Http>) -> Result<Outcome, BadRequest> {
+        match &incoming.payload.body {
+            RequestBody::Buffered(_) => self.outcome_of_buffered(incoming).await,
+            RequestBody::Streaming(upload) => {
+                let upload = upload.clone();
+                self.outcome_of_upload(incoming, &upload).await
+            }
+        }
+    }
+
+    async fn outcome_of_buffered(
+        mut self,
+        incoming: IncomingRequest<Http>,
+    ) -> Result<Outcome, BadRequest> {
+        let pending = self
+            .context
+            .engine
+            .submit(incoming)
+            .ok_or(BadRequest::Duplicate(CALL_ID))?;
+        self.failure_count.disarm();
+        self.connection.request_complete();
+        Ok(pending.into_outcome().await)
+    }
+
+    async fn outcome_of_upload(
+        mut self,
+        mut incoming: IncomingRequest<Http>,
+        upload: &Upload,
+    ) -> Result<Outcome, BadRequest> {
+        self.connection.upload_submitted();
+        incoming.budget = nanos(UPLOAD_TIMEOUT);
+        let mut pending = self
+            .context
+            .engine
+            .submit_upload(incoming)
+            .ok_or(BadRequest::Duplicate(CALL_ID))?;
+        self.failure_count.disarm();
+        let (clock, budget) = (self.context.clock(), self.remaining_budget());
+        let early_outcome = tokio::select! {
+            biased;
+            () = upload.taken() => None,
+            outcome = pending.wait() => Some(outcome),
+            stalled = upload_stalled(clock, self.connection, upload, budget) => match stalled {
+                StalledBody::AtClient => return Err(BadRequest::BodyIncomplete),
+                StalledBody::AtBackend => Some(pending.reject()),
+            },
+        };
+        // After an early outcome the rest of the body is discarded, and the connection closes.
+        if let Some(outcome) = early_outcome {
+            return Ok(outcome);
+        }
+        pending.upload_complete(self.remaining_budget());
+        self.connection.request_complete();
+        Ok(pending.wait().await)
+    }
+}
+
+/// Counts a request of a known class as failed when dropped, unless the request has been submitted: from then on the
+/// engine counts it.
+struct FailureCount<'a> {
+    engine: &'a HttpEngine,
+    class: ClassId,
+    is_armed: bool,
+}
+
+impl<'a> FailureCount<'a> {
+    fn new(engine: &'a HttpEngine, class: ClassId) -> Self {
+        Self {
+            engine,
+            class,
+            is_armed: true,
+        }
+    }
+
+    /// The request has been submitted.
+    fn disarm(&mut self) {
+        self.is_armed = false;
+    }
+}
+
+impl Drop for FailureCount<'_> {
+    fn drop(&mut self) {
+        if self.is_armed {
+            let metrics = self.engine.metrics();
+            metrics.request_answered(self.class, RequestEnd::Failed);
+        }
+    }
+}
--- /dev/null
+++ b/adapters/http/src/api_request.rs
@@ -0,0 +1,98 @@
+//! Parses the head of a request to the API.
+
+use badgerpost_engine::RequestClass;
+use badgerpost_settings::name_hash;
+use badgerpost_time::{MICROSECOND, MILLISECOND, Nanos};
+use hyper::header::HeaderMap;
+use hyper::http::request::Parts;
+
+use crate::HttpEngine;
+use crate::bad_request::BadRequest;
+use crate::headers::{
+    AFFINITY_COOKIE, AGAIN, BUDGET_MS, CALL_CLASS, CALL_COST, CALL_ID, CALLER, check_idempotency,
+    cookie, required, single, whole_number,
+};
+use crate::timeouts::NETWORK_ALLOWANCE;
+
+/// Longest request id in bytes: ids are remembered for a while, and no client's is longer.
+const MAX_ID_LENGTH: usize = 256;
+
+/// Who a request is, as its head says.
+pub(crate) struct RequestIdentity {
+    /// The client's id of the request.
+    pub(crate) id: Box<str>,
+    /// The request's class.
+    pub(crate) class: RequestClass,
+}
+
+impl RequestIdentity {
+    /// Reads the id and the class.
+    pub(crate) fn parse(engine: &HttpEngine, headers: &HeaderMap) -> Result<Self, BadRequest> {
+        let id = required(headers, CALL_ID)?;
+        if !(1..=MAX_ID_LENGTH).contains(&id.len()) {
+            return Err(BadRequest::Unreadable(CALL_ID));
+        }
+        let class = required(headers, CALL_CLASS)?;
+        Ok(Self {
+            id: id.into(),
+            class: engine.class(class).ok_or(BadRequest::Unknown(CALL_CLASS))?,
+        })
+    }
+}
+
+/// What else a request's head says.
+pub(crate) struct RequestParameters {
+    /// The tenant's number, on a site with tenants.
+    pub(crate) tenant: Option<u32>,
+    /// A hash of the affinity key.
+    pub(crate) affinity_key: Option<u64>,
+    /// The client's estimate of the work.
+    pub(crate) expected_work: Option<Nanos>,
+    /// Whether the client marked the request as a retry.
+    pub(crate) is_retry: bool,
+    /// How long the client waits, from the last byte of the request on, less what the network takes.
+    pub(crate) budget: Nanos,
+}
+
+impl RequestParameters {
+    /// Reads the parameters of a request of this class, and checks that its form agrees with the class.
+    pub(crate) fn parse(
+        engine: &HttpEngine,
+        class: &RequestClass,
+        head: &Parts,
+    ) -> Result<Self, BadRequest> {
+        let headers = &head.headers;
+        check_idempotency(&head.method, headers, class.idempotency)?;
+        let tenant = engine
+            .tenant(single(headers, CALLER)?)
+            .map_err(|_| BadRequest::Unknown(CALLER))?;
+        let budget_ms = whole_number(BUDGET_MS, required(headers, BUDGET_MS)?)?;
+        let cost_us = single(headers, CALL_COST)?
+            .map(|text| whole_number(CALL_COST, text))
+            .transpose()?;
+        Ok(Self {
+            tenant,
+            affinity_key: cookie(headers, AFFINITY_COOKIE).map(name_hash),
+            expected_work: cost_us.and_then(|cost_us| expected_work(cost_us, class.deadline)),
+            is_retry: single(headers, AGAIN)? == Some("1"),
+            budget: budget(budget_ms, class.deadline),
+        })
+    }
+}
+
+/// The client's estimate of the work. One above the class's deadline says nothing.
+fn expected_work(cost_us: u64, deadline: Nanos) -> Option<Nanos> {
+    let work = cost_us.saturating_mul(MICROSECOND);
+    (work <= deadline).then_some(work)
+}
+
+/// How long a client waits: no longer than its class's deadline, less what the network takes.
+fn budget(budget_ms: u64, deadline: Nanos) -> Nanos {
+    budget_ms
+        .saturating_mul(MILLISECOND)
+        .min(deadline)
+        .saturating_sub(NETWORK_ALLOWANCE)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/adapters/http/src/api_request/tests.rs
@@ -0,0 +1,10 @@
+use super::*;
+
+/// Guards against responses that leave when the client's time is up and so come too late.
+#[test]
+fn network_time_is_subtracted_from_a_budget() {
+    assert_eq!(budget(200, 500 * MILLISECOND), 196 * MILLISECOND);
+    assert_eq!(budget(9000, 500 * MILLISECOND), 496 * MILLISECOND);
+    assert_eq!(budget(3, 500 * MILLISECOND), 0);
+    assert_eq!(budget(u64::MAX, u64::MAX), u64::MAX - 4 * MILLISECOND);
+}
--- /dev/null
+++ b/adapters/http/src/bad_request.rs
@@ -0,0 +1,49 @@
+//! The ways in which a client's request can be invalid. Their texts are the bodies of the responses.
+
+use badgerpost_http_framing::FramingError;
+use hyper::{Method, StatusCode};
+
+/// What is wrong with a request.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum BadRequest {
+    /// A required header is missing.
+    #[error("{0} is missing")]
+    Missing(&'static str),
+    /// A header is repeated, or its value can't be parsed.
+    #[error("{0} can't be read")]
+    Unreadable(&'static str),
+    /// A header names something that the settings don't list.
+    #[error("{0} is not known")]
+    Unknown(&'static str),
+    /// The request's class requires this method.
+    #[error("this class takes {0} only")]
+    Method(Method),
+    /// The request's class does not allow this part of a request.
+    #[error("{0} does not go with this class")]
+    NotAllowed(&'static str),
+    /// The body was aborted, or arrived too slowly.
+    #[error("the body did not arrive")]
+    BodyIncomplete,
+    /// The request's framing is ambiguous.
+    #[error(transparent)]
+    Framing(#[from] FramingError),
+    /// An open request has the same id.
+    #[error("{0} is that of an open request")]
+    Duplicate(&'static str),
+}
+
+impl BadRequest {
+    /// The status of the response.
+    pub(crate) fn status(&self) -> StatusCode {
+        match self {
+            Self::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
+            Self::BodyIncomplete => StatusCode::REQUEST_TIMEOUT,
+            Self::Duplicate(_) => StatusCode::CONFLICT,
+            Self::Missing(_)
+            | Self::Unreadable(_)
+            | Self::Unknown(_)
+            | Self::NotAllowed(_)
+            | Self::Framing(_) => StatusCode::BAD_REQUEST,
+        }
+    }
+}
--- a/adapters/http/src/client_connection.rs
+++ b/adapters/http/src/client_connection.rs
@@ -1,45 +1,44 @@
-//! One client's connection, from its acceptance to its end.
+//! One client connection, from its accept to its close.
 
 use std::future::{Future, poll_fn};
 use std::rc::Rc;
 use std::task::Poll;
 
+use badgerpost_engine::{TcpStream, spawn};
+use badgerpost_lifecycle::Stage;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use tokio::io::AsyncWriteExt;
 
-use badgerpost_engine::{Clock, TcpStream, spawn};
-use badgerpost_lifecycle::Stage;
-
-use crate::HttpEngine;
 use crate::connection_limiter::ConnectionPermit;
-use crate::memory_budget::MemoryBudget;
 use crate::observed_stream::ObservedStream;
-use crate::server::{ServerHandle, answer};
+use crate::routes::respond;
+use crate::server_context::ServerContext;
 use crate::timeouts::SHUTDOWN_CHECK_INTERVAL;
 use crate::tracked_connection::{CloseMode, RequestTracker, TrackedConnection};
 
-const MAX_HEAD: usize = 32 * 1024;
-/// What is answered to a request that has begun to come and is not complete when the node ends: it has run nowhere.
-const SHUTDOWN: &[u8] =
+/// Largest head of a request in bytes.
+const MAX_HEAD_SIZE: usize = 32 * 1024;
+/// The response to a request that has begun to arrive and is incomplete when the node exits: it has not run.
+const SHUTDOWN_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
 /// Serves a connection in a task of its own.
 pub(crate) fn serve_connection(
     stream: TcpStream,
     permit: ConnectionPermit,
-    node: &HttpEngine,
-    bodies: &MemoryBudget,
-    door: &ServerHandle,
+    context: Rc<ServerContext>,
 ) {
-    let (node, bodies, door) = (node.clone(), bodies.clone(), door.clone());
     spawn(async move {
+        let connection = permit.connection();
         tokio::select! {
             biased;
-            () = permit.connection().abort_requested() => {}
-            result = converse(stream, &node, &bodies, permit.connection(), &door) => {
-                result.unwrap_or_else(|error| tracing::debug!(%error, "client connection failed"));
+            () = connection.abort_requested() => {}
+            result = serve_and_close(stream, &context, connection) => {
+                if let Err(error) = result {
+                    tracing::debug!(%error, "client connection failed");
+                }
             }
         }
     });
@@ -54,98 +53,97 @@
 }
 
 /// Why no more requests are served on a connection.
-enum ConnectionEnd {
+enum ServeEnd {
     /// The HTTP library has ended it, or failed.
-    Library(Result<(), hyper::Error>),
-    /// The client has left while its request was open.
-    ClientLeft,
-    /// It stood for too long with nothing complete on it.
-    Overdue,
-    /// The node ends.
+    Http(Result<(), hyper::Error>),
+    /// The client disconnected while it was owed a response.
+    ClientDisconnected,
+    /// It timed out with no complete request on it.
+    TimedOut,
+    /// The node is shutting down.
     Shutdown,
 }
 
-async fn converse(
+async fn serve_and_close(
     stream: TcpStream,
-    node: &HttpEngine,
-    bodies: &MemoryBudget,
+    context: &ServerContext,
     connection: &Rc<TrackedConnection>,
-    door: &ServerHandle,
 ) -> Result<(), ConnectionError> {
     stream.set_nodelay(true)?;
     let stream = ObservedStream::new(stream, RequestTracker::new(connection.clone()));
-    let end = serve_requests(&stream, node, bodies, connection, door).await;
-    let may_still_write = match &end {
-        ConnectionEnd::ClientLeft => return Ok(()),
-        ConnectionEnd::Library(_) if connection.close_mode() == CloseMode::Reset => {
-            return Ok(stream.reset()?);
-        }
-        ConnectionEnd::Shutdown if connection.has_partial_request() => {
+    let end = serve_requests(&stream, context, connection).await;
+    let close_mode = match &end {
+        ServeEnd::ClientDisconnected => return Ok(()),
+        ServeEnd::Shutdown if connection.has_partial_request() => {
             connection.lingering_close_started();
-            stream.clone().write_all(SHUTDOWN).await?;
-            true
+            stream.clone().write_all(SHUTDOWN_RESPONSE).await?;
+            CloseMode::Lingering
         }
-        ConnectionEnd::Library(Err(_)) => true,
-        _ => connection.close_mode() == CloseMode::Lingering,
+        ServeEnd::Http(Err(_)) if connection.close_mode() == CloseMode::Graceful => {
+            CloseMode::Lingering
+        }
+        ServeEnd::Http(_) | ServeEnd::TimedOut | ServeEnd::Shutdown => connection.close_mode(),
     };
-    if may_still_write {
-        connection.lingering_close_started();
-        stream.part_reading().await;
-    } else {
-        connection.close_started();
-        stream.part(node.clock()).await;
+    match close_mode {
+        CloseMode::Reset => return Ok(stream.reset()?),
+        CloseMode::Lingering => {
+            connection.lingering_close_started();
+            stream.part_reading().await;
+        }
+        CloseMode::Graceful => {
+            connection.close_started();
+            stream.part(context.clock()).await;
+        }
     }
     match end {
-        ConnectionEnd::Library(result) => Ok(result?),
+        ServeEnd::Http(result) => Ok(result?),
         _ => Ok(()),
     }
 }
 
-/// Answers requests until no more are to be served.
+/// Serves requests until the connection has to be closed.
 async fn serve_requests(
     stream: &ObservedStream<RequestTracker>,
-    node: &HttpEngine,
-    bodies: &MemoryBudget,
+    context: &ServerContext,
     connection: &Rc<TrackedConnection>,
-    door: &ServerHandle,
-) -> ConnectionEnd {
-    let service = service_fn(|request| answer(node, bodies, connection, request, door));
+) -> ServeEnd {
+    let service = service_fn(|request| respond(context, connection, request));
     let http_connection = http1::Builder::new()
-        .max_buf_size(MAX_HEAD)
+        .max_buf_size(MAX_HEAD_SIZE)
         .serve_connection(TokioIo::new(stream.clone()), service);
-    // The library looks for its client's end only while nothing has come behind the request.
-    let mut left = std::pin::pin!(stream.left(node.clock()));
-    let client_left = poll_fn(|cx| {
+    // The HTTP library notices that the client disconnects only while no bytes have arrived behind the request.
+    let mut disconnected = std::pin::pin!(stream.left(context.clock()));
+    let disconnected_before_response = poll_fn(|cx| {
         if connection.awaits_response() {
-            left.as_mut().poll(cx)
+            disconnected.as_mut().poll(cx)
         } else {
             Poll::Pending
         }
     });
     tokio::select! {
         biased;
-        result = http_connection => ConnectionEnd::Library(result),
-        () = client_left => ConnectionEnd::ClientLeft,
-        () = connection.graceful_close_requested() => ConnectionEnd::Overdue,
-        () = ends_at_rest(connection, door, node.clock()) => ConnectionEnd::Shutdown,
+        result = http_connection => ServeEnd::Http(result),
+        () = disconnected_before_response => ServeEnd::ClientDisconnected,
+        () = connection.graceful_close_requested() => ServeEnd::TimedOut,
+        () = closed_by_shutdown(connection, context) => ServeEnd::Shutdown,
     }
 }
 
-/// Resolves once the node closes idle connections and nothing stands on this one. One that has just come is closed by
-/// its first answer: closing it sooner would lose the request for which it was opened. What has begun to come is waited
-/// for until the last answer has to leave.
-async fn ends_at_rest(connection: &TrackedConnection, door: &ServerHandle, clock: &Clock) {
-    let mut stage = door.stage.clone();
+/// Resolves once the node closes idle connections and this one is quiescent. A new connection is closed after its first
+/// response, so that the request it was opened for is not lost. An incomplete request is waited for until the last
+/// response has to be sent.
+async fn closed_by_shutdown(connection: &TrackedConnection, context: &ServerContext) {
+    let mut stage = context.handle.stage.clone();
     loop {
-        // The sender lives as long as the process.
         if stage.wait_for(|stage| stage.closes_idle()).await.is_err() {
+            // The sender lives as long as the process.
             return;
         }
-        let is_closed = *door.stage.borrow() == Stage::Closed;
-        let is_over = door.leaves.get().is_some_and(|at| clock.now() >= at);
-        if connection.is_quiescent() || (connection.is_reading_head() && is_closed && is_over) {
+        let is_closed = *context.handle.stage.borrow() == Stage::Closed;
+        let is_last_moment = is_closed && context.time_until_last_response() == 0;
+        if connection.is_quiescent() || (connection.is_reading_head() && is_last_moment) {
             return;
         }
-        clock.sleep(SHUTDOWN_CHECK_INTERVAL).await;
+        context.clock().sleep(SHUTDOWN_CHECK_INTERVAL).await;
     }
 }
--- a/adapters/http/src/headers.rs
+++ b/adapters/http/src/headers.rs
@@ -1,13 +1,34 @@
-//! Headers of a client's request: those that are read here, and those that go on.
+//! Headers of a client's request: their names, parsing, and which of them are forwarded.
 
 use badgerpost_balancer::Idempotency;
 use hyper::Method;
 use hyper::header::{self, HeaderMap, HeaderName};
 
-use crate::server::{BadRequest, CALL_ID, KEY};
+use crate::bad_request::BadRequest;
 
-/// A header that may stand once at most.
-pub fn single<'a>(
+/// The request id.
+pub(crate) const CALL_ID: &str = "x-call-id";
+/// The name of the request's class.
+pub(crate) const CALL_CLASS: &str = "x-call-class";
+/// The tenant.
+pub(crate) const CALLER: &str = "x-caller";
+/// The client's deadline, in milliseconds from the last byte of the request.
+pub(crate) const BUDGET_MS: &str = "x-budget-ms";
+/// `1` if the client marks the request as a retry.
+pub(crate) const AGAIN: &str = "x-again";
+/// The client's estimate of the work, in microseconds.
+pub(crate) const CALL_COST: &str = "x-call-cost";
+/// The idempotency key.
+pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// The cookie whose value is the affinity key.
+pub(crate) const AFFINITY_COOKIE: &str = "user";
+
+/// A header's value, trimmed; none if the header is missing.
+///
+/// # Errors
+///
+/// The header is repeated, or its value is not text.
+pub(crate) fn single<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
 ) -> Result<Option<&'a str>, BadRequest> {
@@ -24,54 +45,64 @@
         .map_err(|_| BadRequest::Unreadable(name))
 }
 
-pub fn required<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, BadRequest> {
+/// The value of a header that must not be missing, otherwise like [`single`].
+pub(crate) fn required<'a>(
+    headers: &'a HeaderMap,
+    name: &'static str,
+) -> Result<&'a str, BadRequest> {
     single(headers, name)?.ok_or(BadRequest::Missing(name))
 }
 
-/// A cookie's value (RFC 6265, chapter 4.2); none where it is not sent or can't be read.
-pub fn cookie<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// Parses the value of this header as a whole number.
+pub(crate) fn whole_number(name: &'static str, text: &str) -> Result<u64, BadRequest> {
+    text.parse().map_err(|_| BadRequest::Unreadable(name))
+}
+
+/// A cookie's value (RFC 6265, section 4.2); none if the cookie is missing, empty or not text.
+pub(crate) fn cookie<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let lines = headers
         .get_all(header::COOKIE)
         .iter()
         .filter_map(|line| line.to_str().ok());
     lines.flat_map(|line| line.split(';')).find_map(|pair| {
-        let (known, value) = pair.trim().split_once('=')?;
-        (known == name && !value.is_empty()).then_some(value)
+        let (pair_name, value) = pair.trim().split_once('=')?;
+        (pair_name == name && !value.is_empty()).then_some(value)
     })
 }
 
-/// The method and the key follow from the class.
-pub fn check_form(
+/// Checks that the method and the idempotency key agree with the request's class.
+pub(crate) fn check_idempotency(
     method: &Method,
     headers: &HeaderMap,
-    effect: Idempotency,
+    idempotency: Idempotency,
 ) -> Result<(), BadRequest> {
-    let wanted = if effect == Idempotency::Idempotent {
+    let required_method = if idempotency == Idempotency::Idempotent {
         Method::GET
     } else {
         Method::POST
     };
-    if *method != wanted {
-        return Err(BadRequest::Method(wanted));
+    if *method != required_method {
+        return Err(BadRequest::Method(required_method));
     }
-    match (effect, single(headers, KEY)?) {
-        (Idempotency::Keyed { .. }, None | Some("")) => Err(BadRequest::Missing(KEY)),
+    match (idempotency, single(headers, IDEMPOTENCY_KEY)?) {
+        (Idempotency::Keyed { .. }, None | Some("")) => Err(BadRequest::Missing(IDEMPOTENCY_KEY)),
         (Idempotency::Keyed { .. }, Some(_)) | (_, None) => Ok(()),
-        (_, Some(_)) => Err(BadRequest::Misplaced(KEY)),
+        (_, Some(_)) => Err(BadRequest::NotAllowed(IDEMPOTENCY_KEY)),
     }
 }
 
-/// The headers that go on: all but those that speak of this one connection. The framing is made anew.
-pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+/// Removes hop-by-hop headers (RFC 9110, section 7.6.1) and those that frame the message: both are set anew for the
+/// connection to the backend. The request id and the idempotency key stay even if `Connection` names them.
+pub(crate) fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
+    let named_by_connection: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
-        .filter(|name| *name != CALL_ID && *name != KEY)
+        .filter(|name| *name != CALL_ID && *name != IDEMPOTENCY_KEY)
         .collect();
-    let hop = [
+    let hop_by_hop = [
         header::CONNECTION,
         header::CONTENT_LENGTH,
         header::EXPECT,
@@ -83,7 +114,7 @@
         header::UPGRADE,
         HeaderName::from_static("keep-alive"),
     ];
-    for name in named.into_iter().chain(hop) {
+    for name in named_by_connection.into_iter().chain(hop_by_hop) {
         headers.remove(name);
     }
     headers
--- a/adapters/http/src/lib.rs
+++ b/adapters/http/src/lib.rs
@@ -2,7 +2,11 @@
 //! ([`discovery`]) on sockets. What is sent where, again or not at all, the engine's module decides.
 
 mod answer;
+mod api;
+mod api_request;
+mod bad_request;
 mod client_connection;
+mod client_response;
 mod connection_ages;
 mod connection_limiter;
 mod connection_state;
@@ -12,8 +16,11 @@
 pub mod memory_budget;
 mod observed_stream;
 mod poll_schedule;
+mod request_body;
 mod request_queue;
+mod routes;
 pub mod server;
+mod server_context;
 mod timeouts;
 mod tracked_connection;
 mod upload;
--- /dev/null
+++ b/adapters/http/src/request_body.rs
@@ -0,0 +1,113 @@
+//! Reads the bodies of clients' requests. A small one is buffered if the memory budget allows; any other is an upload,
+//! which is forwarded as it arrives.
+
+use badgerpost_engine::{Clock, nanos};
+use badgerpost_time::Nanos;
+use bytes::Bytes;
+use http_body_util::BodyExt;
+use hyper::body::{Body, Frame, Incoming};
+
+use crate::MAX_BODY;
+use crate::bad_request::BadRequest;
+use crate::memory_budget::{BufferedBytes, BytesCollector};
+use crate::server_context::ServerContext;
+use crate::timeouts::{BODY_STALL_TIMEOUT, UPLOAD_CHECK_INTERVAL};
+use crate::tracked_connection::TrackedConnection;
+use crate::upload::{RequestBody, Upload};
+
+/// Reads a body until it is complete, or has to be forwarded as it arrives.
+///
+/// # Errors
+///
+/// The client aborts the body, or sends it too slowly.
+pub(crate) async fn read(
+    context: &ServerContext,
+    connection: &TrackedConnection,
+    mut body: Incoming,
+) -> Result<RequestBody, BadRequest> {
+    if body.is_end_stream() {
+        return Ok(RequestBody::Buffered(BufferedBytes::default()));
+    }
+    let clock = context.clock();
+    let length = body.size_hint().exact();
+    let Some(reservation) = context.memory_budget.take(buffer_size(length)) else {
+        let upload = Upload::new(BufferedBytes::default(), body, length, clock);
+        return Ok(RequestBody::Streaming(upload));
+    };
+    let mut collected = BytesCollector::default();
+    while let Some(frame) = next_frame(clock, connection, &mut body).await? {
+        // Trailers are not forwarded.
+        let Ok(data) = frame.into_data() else {
+            continue;
+        };
+        collected.add(data);
+        if collected.count() >= MAX_BODY && !body.is_end_stream() {
+            let first = BufferedBytes::new(collected.into_bytes(), Some(reservation));
+            return Ok(RequestBody::Streaming(Upload::new(
+                first, body, length, clock,
+            )));
+        }
+    }
+    let bytes = BufferedBytes::new(collected.into_bytes(), Some(reservation));
+    Ok(RequestBody::Buffered(bytes))
+}
+
+/// Bytes to reserve for a body of this length; one of unknown length may be as large as the largest.
+fn buffer_size(length: Option<u64>) -> usize {
+    length.map_or(MAX_BODY, |length| {
+        usize::try_from(length).unwrap_or(usize::MAX).min(MAX_BODY)
+    })
+}
+
+async fn next_frame(
+    clock: &Clock,
+    connection: &TrackedConnection,
+    body: &mut Incoming,
+) -> Result<Option<Frame<Bytes>>, BadRequest> {
+    loop {
+        let deadline = connection.body_deadline();
+        match clock.timeout_at(deadline, body.frame()).await {
+            Ok(frame) => return frame.transpose().map_err(|_| BadRequest::BodyIncomplete),
+            // Bytes have arrived meanwhile that the HTTP library has not passed on.
+            Err(_) if connection.body_deadline() > deadline => {}
+            Err(_) => return Err(BadRequest::BodyIncomplete),
+        }
+    }
+}
+
+/// Whom an upload waits for that has made no progress for too long.
+pub(crate) enum StalledBody {
+    /// Its client.
+    AtClient,
+    /// A backend that takes its bytes.
+    AtBackend,
+}
+
+/// Resolves once an upload has made no progress for too long. Either its client is too slow; or the client has sent all
+/// that was taken from it, its budget has passed since, and no backend takes the rest: then the request has not run.
+pub(crate) async fn upload_stalled(
+    clock: &Clock,
+    connection: &TrackedConnection,
+    upload: &Upload,
+    budget: Nanos,
+) -> StalledBody {
+    loop {
+        let client_deadline = upload.stalls_at(
+            nanos(BODY_STALL_TIMEOUT),
+            connection.body_time_at_lowest_rate(),
+        );
+        connection.set_backend_blocked(client_deadline.is_none());
+        let (deadline, stalled) = match client_deadline {
+            Some(deadline) => (deadline, StalledBody::AtClient),
+            None => {
+                let since = upload.waits_since().unwrap_or(clock.now());
+                (since.saturating_add(budget), StalledBody::AtBackend)
+            }
+        };
+        if clock.now() >= deadline {
+            return stalled;
+        }
+        let next_check = clock.now().saturating_add(nanos(UPLOAD_CHECK_INTERVAL));
+        clock.sleep_until(deadline.min(next_check)).await;
+    }
+}
--- /dev/null
+++ b/adapters/http/src/routes.rs
@@ -0,0 +1,120 @@
+//! The route table of the client side, and whether a connection is kept alive after a response.
+
+use std::convert::Infallible;
+use std::rc::Rc;
+
+use hyper::body::Incoming;
+use hyper::header::{self, HeaderValue};
+use hyper::{Method, Request, StatusCode};
+
+use crate::api;
+use crate::bad_request::BadRequest;
+use crate::client_response::{self, ClientResponse};
+use crate::server_context::ServerContext;
+use crate::tracked_connection::{CloseMode, TrackedConnection};
+
+/// A response, and how its connection is closed if it is not kept alive.
+struct RoutedResponse {
+    response: ClientResponse,
+    close_mode: CloseMode,
+}
+
+impl RoutedResponse {
+    /// A response to a request that has been read.
+    fn to_valid(status: StatusCode, text: &str) -> Self {
+        Self {
+            response: client_response::plain_text(status, text),
+            close_mode: CloseMode::Graceful,
+        }
+    }
+
+    /// A response to a request that is invalid: its client may still be sending it.
+    fn to_invalid(status: StatusCode, text: &str) -> Self {
+        Self {
+            response: client_response::plain_text(status, text),
+            close_mode: CloseMode::Lingering,
+        }
+    }
+}
+
+impl From<BadRequest> for RoutedResponse {
+    fn from(error: BadRequest) -> Self {
+        Self::to_invalid(error.status(), &error.to_string())
+    }
+}
+
+/// Responds to a client's request.
+pub(crate) async fn respond(
+    context: &ServerContext,
+    connection: &Rc<TrackedConnection>,
+    request: Request<Incoming>,
+) -> Result<ClientResponse, Infallible> {
+    let RoutedResponse {
+        mut response,
+        close_mode,
+    } = match connection.head_taken() {
+        Ok(()) => route(context, connection, request).await,
+        // Read in another way, the request could hide a second one: nothing of it is forwarded.
+        Err(error) => BadRequest::from(error).into(),
+    };
+    if !keeps_alive(context, connection, close_mode) {
+        let close = HeaderValue::from_static("close");
+        response.headers_mut().insert(header::CONNECTION, close);
+    }
+    connection.response_started(close_mode);
+    Ok(response)
+}
+
+async fn route(
+    context: &ServerContext,
+    connection: &Rc<TrackedConnection>,
+    request: Request<Incoming>,
+) -> RoutedResponse {
+    match request.uri().path() {
+        "/api" => match api::handle(context, connection, request).await {
+            Ok(response) => RoutedResponse {
+                response,
+                close_mode: if connection.is_reading_request() {
+                    CloseMode::Lingering
+                } else {
+                    CloseMode::Graceful
+                },
+            },
+            Err(error) => error.into(),
+        },
+        "/health/ready" => readiness(context, request.method()),
+        _ => RoutedResponse::to_invalid(StatusCode::NOT_FOUND, "no such path"),
+    }
+}
+
+/// Whether the node takes new requests.
+fn readiness(context: &ServerContext, method: &Method) -> RoutedResponse {
+    if method != Method::GET {
+        return RoutedResponse::to_invalid(StatusCode::METHOD_NOT_ALLOWED, "GET only");
+    }
+    let (status, text) = if !context.is_in_service() {
+        (StatusCode::SERVICE_UNAVAILABLE, "stopping or standing by")
+    } else if context.has_backend_or_waited() {
+        (StatusCode::OK, "ready")
+    } else {
+        (StatusCode::SERVICE_UNAVAILABLE, "no server known yet")
+    };
+    RoutedResponse::to_valid(status, text)
+}
+
+/// Whether the connection is kept alive after the response to the current request.
+fn keeps_alive(
+    context: &ServerContext,
+    connection: &TrackedConnection,
+    close_mode: CloseMode,
+) -> bool {
+    // It can't be told where a request begins that follows an incomplete one, or one whose framing is ambiguous.
+    if !connection.is_request_complete() {
+        return false;
+    }
+    // Requests that have been read behind a complete one are owed their responses.
+    if connection.has_pipelined_request() {
+        return true;
+    }
+    close_mode == CloseMode::Graceful && context.is_in_service() && !connection.is_surplus()
+}
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -13,7 +13,7 @@
 use badgerpost_engine::{Clock, ForcedZoneState, VirtualClock, ZoneOverride, nanos, spawn};
 use badgerpost_gossip::{GossipService, LocalMember};
 use badgerpost_http::memory_budget::MemoryBudget;
-use badgerpost_http::server::{self, Limits, ServerHandle};
+use badgerpost_http::server::{self, ServerHandle, ServerLimits};
 use badgerpost_http::upstream::HttpTransport;
 use badgerpost_http::{HttpEngine, discovery};
 use badgerpost_lifecycle::{Event, Stage};
@@ -176,14 +176,14 @@
     let served = spawn(server::run(
         listener,
         node,
-        Limits {
-            clients: shares.clients,
-            bodies,
+        ServerLimits {
+            max_connections: shares.clients,
+            memory_budget: bodies,
         },
         ServerHandle {
             stage: life.stage(),
             ready_by,
-            leaves: leaves.clone(),
+            respond_by: leaves.clone(),
             accepts: life.accepts(),
         },
     ));
