--- a/adapters/http/src/request_queue.rs
+++ b/adapters/http/src/request_queue.rs
@@ -1,82 +1,87 @@
-//! The requests of one client connection that have begun to arrive, in order: which are complete and since when, and
-//! which the HTTP library has taken.
+//! The pipelined requests of one client connection, in their order: which of them have arrived, since when one is
+//! incomplete, and which one the HTTP library is serving.
 
 use std::collections::VecDeque;
 
-use badgerpost_balancer::Nanos;
 use badgerpost_http_framing::{FramingError, FramingEvent};
+use badgerpost_time::Nanos;
 
-/// Requests sent ahead of their answers that are remembered. No more can be read: 32 KiB by the parser and 16 KiB before
+/// Most pipelined requests that are remembered. No more can have been read: 32 KiB by the HTTP library and 16 KiB ahead of
 /// it, and no request is shorter than 16 bytes.
-const MAX_AHEAD: usize = 4096;
+const MAX_PIPELINED: usize = 4096;
 
-/// The requests of one connection.
+/// The requests of one connection, numbered from 1.
 #[derive(Debug, Default)]
 pub(crate) struct RequestQueue {
-    /// What was found of the heads that are complete and not taken yet.
-    heads: VecDeque<Result<(), FramingError>>,
-    /// Requests whose first byte has come.
-    begun: u64,
-    /// When the first byte of the last one of these came.
-    last_begun_at: Nanos,
-    /// Requests whose head has been taken.
-    taken: u64,
-    /// Requests whose last byte has come.
-    complete: u64,
-    /// When it came, of those from the last one taken on.
+    /// Number of requests whose first byte has arrived.
+    started: u64,
+    /// When the first byte of the last of these arrived.
+    last_started_at: Nanos,
+    /// Whether the framing of each request is unambiguous, for those whose head is complete and has not been taken.
+    head_results: VecDeque<Result<(), FramingError>>,
+    /// Number of requests whose last byte has arrived.
+    completed: u64,
+    /// When the last byte of each of these arrived, from the current request on.
     completed_at: VecDeque<Nanos>,
+    /// Number of the request whose head the HTTP library took last; 0 before the first.
+    current: u64,
 }
 
 impl RequestQueue {
-    /// Records what the bytes that have come now tell.
+    /// Records what the bytes that have just arrived mean.
     pub(crate) fn record(&mut self, event: FramingEvent, now: Nanos) {
         match event {
             FramingEvent::Started => {
-                self.begun += 1;
-                self.last_begun_at = now;
+                self.started += 1;
+                self.last_started_at = now;
             }
-            FramingEvent::HeadComplete(found) => {
-                self.heads.truncate(MAX_AHEAD - 1);
-                self.heads.push_back(found);
+            FramingEvent::HeadComplete(result) => {
+                self.head_results.truncate(MAX_PIPELINED - 1);
+                self.head_results.push_back(result);
             }
             FramingEvent::MessageComplete => {
-                self.complete += 1;
-                self.completed_at.truncate(MAX_AHEAD - 1);
+                self.completed += 1;
+                self.completed_at.truncate(MAX_PIPELINED - 1);
                 self.completed_at.push_back(now);
             }
             FramingEvent::BodyInvalid(_) => {}
         }
     }
 
-    /// The next request's head has been taken; returns whether its framing can be read in one way only.
+    /// The HTTP library has taken the head of the next request, which becomes the current one.
+    ///
+    /// # Errors
+    ///
+    /// The framing of that request is ambiguous.
     pub(crate) fn take(&mut self) -> Result<(), FramingError> {
-        self.taken += 1;
-        while !self.completed_at.is_empty() && self.first_completed() < self.taken {
+        self.current += 1;
+        while !self.completed_at.is_empty() && self.first_completed() < self.current {
             self.completed_at.pop_front();
         }
-        self.heads.pop_front().unwrap_or(Ok(()))
+        self.head_results.pop_front().unwrap_or(Ok(()))
     }
 
-    /// When the last byte of the request taken last came; none before that.
+    /// When the last byte of the current request arrived; none before that.
     pub(crate) fn completed_at(&self) -> Option<Nanos> {
-        let is_complete = self.first_completed() == self.taken;
+        let is_complete = self.first_completed() == self.current;
         self.completed_at.front().copied().filter(|_| is_complete)
     }
 
-    /// Whether another request has begun to come behind the one that was taken last.
+    /// Whether a request behind the current one has begun to arrive.
     pub(crate) fn has_next(&self) -> bool {
-        self.begun > self.taken
+        self.started > self.current
     }
 
-    /// Since when a request comes in, where it is the only one that has not been taken.
+    /// When the first byte of the next request arrived, if that is incomplete.
     pub(crate) fn incomplete_since(&self) -> Option<Nanos> {
-        let is_next = self.begun == self.taken + 1 && self.complete < self.begun;
-        is_next.then_some(self.last_begun_at)
+        let is_last = self.started == self.current + 1;
+        let is_incomplete = self.completed < self.started;
+        (is_last && is_incomplete).then_some(self.last_started_at)
     }
 
-    /// The number of the request, from 1, whose completion is the first one remembered.
+    /// The number of the request whose completion is the first one remembered.
     fn first_completed(&self) -> u64 {
-        self.complete + 1 - self.completed_at.len() as u64
+        self.completed + 1 - self.completed_at.len() as u64
     }
 }
 
--- a/adapters/http/src/request_queue/tests.rs
+++ b/adapters/http/src/request_queue/tests.rs
@@ -59,10 +59,10 @@
 #[test]
 fn more_requests_than_are_remembered_leave_a_bounded_queue() {
     let mut queue = RequestQueue::default();
-    for _ in 0..5 * MAX_AHEAD {
+    for _ in 0..5 * MAX_PIPELINED {
         queue.record(FramingEvent::Started, 1);
         queue.record(HEAD, 1);
         queue.record(FramingEvent::MessageComplete, 1);
     }
-    assert!(queue.heads.len() <= MAX_AHEAD && queue.completed_at.len() <= MAX_AHEAD);
+    assert!(queue.head_results.len() <= MAX_PIPELINED && queue.completed_at.len() <= MAX_PIPELINED);
 }
