--- a/adapters/http/src/lib.rs
+++ b/adapters/http/src/lib.rs
@@ -47,5 +47,3 @@
 
 /// The engine of an HTTP fleet.
 pub type HttpEngine = Engine<Http>;
-type Launch = badgerpost_engine::AttemptCommand<Http>;
-type Ending = badgerpost_engine::AttemptEnd<answer::BackendResponse>;
--- a/adapters/http/src/observed_stream.rs
+++ b/adapters/http/src/observed_stream.rs
@@ -5,115 +5,13 @@
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
 use bytes::BytesMut;
-use hyper::Request;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, ReadBuf};
-use tokio::sync::Notify;
 
-use badgerpost_engine::{Clock, Metrics, TcpStream, activity};
-
-struct ActivitySignals {
-    tally: Arc<Metrics>,
-    /// Bytes have come since the last message.
-    begun: AtomicBool,
-    bytes: Notify,
-    /// How often bytes have come.
-    reads: AtomicU64,
-    /// What has come was an interim answer.
-    interim: AtomicBool,
-    /// The message that is on its way out counts once it is written whole.
-    counts: AtomicBool,
-    /// Bytes of it have been written.
-    written: AtomicBool,
-}
-
-/// What is heard on a backend's connection: when an answer has begun to come, which shows in the library only
-/// once its head is whole.
-#[derive(Clone)]
-pub struct ResponseActivity(Arc<ActivitySignals>);
-
-impl ResponseActivity {
-    /// What is heard on a new connection; messages are counted there.
-    pub fn new(tally: Arc<Metrics>) -> Self {
-        let (begun, interim, counts, written) = Default::default();
-        let (bytes, reads) = Default::default();
-        Self(Arc::new(ActivitySignals {
-            tally,
-            begun,
-            bytes,
-            reads,
-            interim,
-            counts,
-            written,
-        }))
-    }
-
-    /// Listens for the answer to this message, which is about to be written.
-    pub fn listen<T>(&self, message: &mut Request<T>) {
-        self.0.begun.store(false, Ordering::Relaxed);
-        self.0.interim.store(false, Ordering::Relaxed);
-        let signs = self.0.clone();
-        hyper::ext::on_informational(message, move |_| {
-            signs.interim.store(true, Ordering::Relaxed);
-        });
-    }
-
-    /// The message that is about to be written counts as an attempt once it is written whole.
-    pub fn counts(&self) {
-        self.0.written.store(false, Ordering::Relaxed);
-        self.0.counts.store(true, Ordering::Relaxed);
-    }
-
-    /// Resolves once an answer has begun to come and nothing more of it has for so long. Interim answers don't count:
-    /// the one that they announce may take its time.
-    pub async fn stalled(&self, clock: &Clock, most: Duration) {
-        loop {
-            while !self.0.begun.load(Ordering::Relaxed) {
-                self.0.bytes.notified().await;
-            }
-            let before = self.0.reads.load(Ordering::Relaxed);
-            clock.sleep(most).await;
-            if self.0.reads.load(Ordering::Relaxed) != before {
-                continue;
-            }
-            if !self.0.interim.swap(false, Ordering::Relaxed) {
-                return;
-            }
-            self.0.begun.store(false, Ordering::Relaxed);
-        }
-    }
-
-    /// Whether any bytes have come since the last message.
-    pub fn anything(&self) -> bool {
-        self.0.begun.load(Ordering::Relaxed)
-    }
-}
-
-impl StreamObserver for ResponseActivity {
-    fn bytes(&mut self, _bytes: &[u8]) {
-        self.0.reads.fetch_add(1, Ordering::Relaxed);
-        if !self.0.begun.swap(true, Ordering::Relaxed) {
-            self.0.bytes.notify_waiters();
-        }
-    }
-
-    fn written(&mut self) {
-        self.0.written.store(true, Ordering::Relaxed);
-    }
-
-    fn flushed(&mut self) {
-        if self.0.written.swap(false, Ordering::Relaxed)
-            && self.0.counts.swap(false, Ordering::Relaxed)
-        {
-            self.0.tally.attempt_sent();
-        }
-    }
-}
+use badgerpost_engine::{Clock, TcpStream, activity};
 
 /// One who listens in on a connection.
 pub trait StreamObserver {
--- /dev/null
+++ b/adapters/http/src/upstream/attempt.rs
@@ -0,0 +1,224 @@
+//! One attempt: a client's request written to a backend over a leased connection, and its end reported to the engine.
+
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+
+use badgerpost_balancer::Outcome;
+use badgerpost_engine::BackendAddress;
+use badgerpost_time::MILLISECOND;
+use hyper::Request;
+use hyper::header::{HOST, HeaderValue};
+use tokio::sync::oneshot;
+use tokio::task::yield_now;
+
+use super::connection::ConnectError;
+use super::pool::{ConnectionPool, LeasedConnection};
+use super::response_reader::{failure_outcome, read_response};
+use super::{AttemptCommand, AttemptEnd};
+use crate::HttpEngine;
+use crate::upload::OutgoingBody;
+
+/// A response of which nothing more comes for this long, before it can be forwarded, counts as invalid: backends send
+/// it in one go, and the time is better used for another attempt.
+const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// How long a response is still read after its client's deadline. One that comes by then leaves its connection fit for
+/// use; otherwise clients with short deadlines would cost a handshake each.
+const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Tells the backend how long the client still waits, in milliseconds.
+const BUDGET_HEADER: &str = "x-budget-ms";
+
+/// Makes an attempt, and reports its end to the engine once.
+pub(super) async fn run(pool: Rc<ConnectionPool>, node: HttpEngine, mut command: AttemptCommand) {
+    let cancelled = std::mem::replace(&mut command.cancelled, oneshot::channel().1);
+    let attempt = Attempt {
+        pool: &pool,
+        node: &node,
+        command: &command,
+        progress: Cell::new(Progress::NotWritten),
+    };
+    let mut sending = std::pin::pin!(attempt.send());
+    let end = tokio::select! {
+        biased;
+        _ = cancelled => attempt.broken_off(Outcome::Cancelled),
+        end = &mut sending => end,
+        () = attempt.timed_out() => attempt.broken_off(Outcome::TimedOut),
+    };
+    command.payload.body.abandon();
+    let may_finish_late = attempt.may_finish_late(end.outcome);
+    node.attempt_ended(command.attempt, end);
+    if may_finish_late && pool.has_spare_connections() {
+        let _ = pool.clock.timeout(LATE_RESPONSE_TIMEOUT, sending).await;
+    }
+}
+
+/// How far an attempt has got with its request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Progress {
+    /// Nothing of it was written: it never ran.
+    NotWritten,
+    /// It was handed to a connection.
+    Written,
+}
+
+/// An attempt while it is made.
+struct Attempt<'a> {
+    pool: &'a Rc<ConnectionPool>,
+    node: &'a HttpEngine,
+    command: &'a AttemptCommand,
+    progress: Cell<Progress>,
+}
+
+impl Attempt<'_> {
+    fn destination(&self) -> BackendAddress {
+        BackendAddress {
+            backend: self.command.backend,
+            address: self.command.address,
+        }
+    }
+
+    /// Resolves once the attempt is no longer waited for. While its body is being uploaded, that time is not known yet.
+    async fn timed_out(&self) {
+        let clock = &self.pool.clock;
+        let Some(mut deadline) = self.command.upload_deadline.clone() else {
+            return clock.sleep_until(self.command.attempt_deadline).await;
+        };
+        loop {
+            let at = *deadline.borrow_and_update();
+            tokio::select! {
+                biased;
+                () = clock.sleep_until(at) => return,
+                Ok(()) = deadline.changed() => {}
+            }
+        }
+    }
+
+    /// The end of an attempt that is not waited for any longer. A request of which the backend never had all has not
+    /// run: the balancer may still reject it.
+    fn broken_off(&self, outcome: Outcome) -> AttemptEnd {
+        let has_run =
+            self.progress.get() == Progress::Written && self.command.payload.body.is_whole();
+        AttemptEnd::bare(if has_run { outcome } else { Outcome::NotSent })
+    }
+
+    /// Whether the attempt may go on after its end was reported. It may if its client's time is over, as no other
+    /// attempt can follow then.
+    fn may_finish_late(&self, outcome: Outcome) -> bool {
+        outcome == Outcome::TimedOut
+            && self.command.attempt_deadline >= self.command.expires_at
+            && self.command.upload_deadline.is_none()
+    }
+
+    /// Sends the request and reads its response. A pooled connection that has ended before anything was written to it
+    /// costs nothing: the next one is used.
+    async fn send(&self) -> AttemptEnd {
+        loop {
+            let Ok(leased) = self.lease().await else {
+                return AttemptEnd::bare(Outcome::ConnectFailed);
+            };
+            let is_new = leased.idle_time.is_none();
+            if let Some(end) = self.send_over(leased).await {
+                return end;
+            }
+            if is_new {
+                return AttemptEnd::bare(Outcome::ConnectFailed);
+            }
+        }
+    }
+
+    /// Leases a connection to which a request can be written.
+    async fn lease(&self) -> Result<LeasedConnection, ConnectError> {
+        while let Some(mut leased) = self.pool.lease_idle(self.node, self.destination()) {
+            // A close or stray bytes that the system has already received are seen first.
+            yield_now().await;
+            if leased.is_ready().await {
+                return Ok(leased);
+            }
+        }
+        let mut leased = self.pool.lease_new(self.node, self.destination()).await?;
+        if leased.is_ready().await {
+            Ok(leased)
+        } else {
+            Err(ConnectError::Closed)
+        }
+    }
+
+    /// Makes the exchange over one connection. None if nothing of the request was written.
+    async fn send_over(&self, leased: LeasedConnection) -> Option<AttemptEnd> {
+        // The connect may have outlasted the request, or the backend's place on the list.
+        if !self.node.may_write(self.command.attempt) {
+            leased.release();
+            return Some(AttemptEnd::bare(Outcome::NotSent));
+        }
+        let Some(mut message) = self.message() else {
+            return Some(AttemptEnd::bare(Outcome::NotSent));
+        };
+        let idle_time = leased.idle_time;
+        let activity = leased.connection.response_activity.clone();
+        activity.expect_response(&mut message);
+        activity.count_attempt_when_written();
+        self.progress.set(Progress::Written);
+        let end = tokio::select! {
+            biased;
+            end = exchange(leased, message) => end,
+            () = activity.stalled(&self.pool.clock, RESPONSE_STALL_TIMEOUT) => {
+                return Some(AttemptEnd::bare(Outcome::InvalidResponse));
+            }
+        };
+        let Some(end) = end else {
+            self.progress.set(Progress::NotWritten);
+            return None;
+        };
+        let body = &self.command.payload.body;
+        // A client that breaks off its request is no fault of the backend's.
+        if body.is_broken() {
+            return Some(AttemptEnd::bare(Outcome::NotSent));
+        }
+        let was_reset = end.outcome == Outcome::Reset;
+        // A request that the backend never had all of has not run.
+        if was_reset && !body.is_whole() {
+            return Some(AttemptEnd::bare(Outcome::ConnectFailed));
+        }
+        if let Some(idle_time) = idle_time {
+            self.pool
+                .record_reuse(idle_time, was_reset && !activity.has_received());
+        }
+        Some(end)
+    }
+
+    /// The request as it is written to the backend; none if the backend's address makes no valid header.
+    fn message(&self) -> Option<Request<OutgoingBody>> {
+        let request = &self.command.payload;
+        let ends_at = self.command.attempt_deadline.min(self.command.expires_at);
+        let time_left_ms = ends_at.saturating_sub(self.pool.clock.now()) / MILLISECOND;
+        // While its body is being uploaded, its client's time has not begun.
+        let budget_ms = time_left_ms.min(request.budget_ms);
+        let mut message = Request::new(request.body.message(self.node, self.command.attempt));
+        *message.method_mut() = request.method.clone();
+        *message.uri_mut() = request.target.clone();
+        *message.headers_mut() = request.headers.clone();
+        let headers = message.headers_mut();
+        headers.insert(BUDGET_HEADER, HeaderValue::from(budget_ms));
+        if !headers.contains_key(HOST) {
+            let host = HeaderValue::from_str(&self.command.address.to_string()).ok()?;
+            headers.insert(HOST, host);
+        }
+        Some(message)
+    }
+}
+
+/// Writes one request and reads its response. None if nothing of the request was written.
+async fn exchange(
+    mut leased: LeasedConnection,
+    message: Request<OutgoingBody>,
+) -> Option<AttemptEnd> {
+    match leased.connection.sender.try_send_request(message).await {
+        Ok(response) => Some(read_response(leased, response).await),
+        Err(mut error) => match error.take_message() {
+            Some(_) => None,
+            None => Some(AttemptEnd::bare(failure_outcome(error.error()))),
+        },
+    }
+}
--- /dev/null
+++ b/adapters/http/src/upstream/health_check.rs
@@ -0,0 +1,89 @@
+//! Health checks: one call each that asks a backend for its load report.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use badgerpost_balancer::Outcome;
+use badgerpost_engine::{BackendAddress, HealthCheckResult};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{HOST, HeaderValue};
+use hyper::{Request, Uri};
+
+use super::pool::{ConnectionPool, LeasedConnection};
+use super::response_reader::{failure_outcome, read_response};
+use super::{AttemptEnd, load_report};
+use crate::HttpEngine;
+use crate::answer::BackendResponse;
+use crate::upload::OutgoingBody;
+
+/// Where a backend tells its load.
+const HEALTH_CHECK_PATH: &str = "/stats";
+/// How long a response is waited for: a load report that comes later is older than the next one.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Checks a backend's health, and reports the result to the engine.
+pub(super) async fn run(pool: Rc<ConnectionPool>, node: HttpEngine, target: BackendAddress) {
+    let started_at = pool.clock.now();
+    let end = pool
+        .clock
+        .timeout(HEALTH_CHECK_TIMEOUT, request_load(&pool, &node, target))
+        .await
+        .unwrap_or_else(|_| AttemptEnd::bare(Outcome::TimedOut));
+    node.health_check_ended(HealthCheckResult {
+        backend: target.backend,
+        outcome: end.outcome,
+        elapsed: pool.clock.now().saturating_sub(started_at),
+        report: end.report,
+    });
+}
+
+/// Asks a backend for its load, over an idle connection if there is one. Where connections are scarce none is opened:
+/// requests need them more.
+async fn request_load(
+    pool: &Rc<ConnectionPool>,
+    node: &HttpEngine,
+    target: BackendAddress,
+) -> AttemptEnd {
+    let mut leased = match pool.lease_idle(node, target) {
+        Some(leased) => leased,
+        None if !pool.has_spare_connections() => return AttemptEnd::bare(Outcome::NotSent),
+        None => match pool.lease_new(node, target).await {
+            Ok(leased) => leased,
+            Err(_) => return AttemptEnd::bare(Outcome::ConnectFailed),
+        },
+    };
+    let Some(message) = load_request(target.address) else {
+        return AttemptEnd::bare(Outcome::NotSent);
+    };
+    // The backend may have left the list while the connection was established.
+    if !node.is_in_service_at(target.backend, target.address) || !leased.is_ready().await {
+        return AttemptEnd::bare(Outcome::NotSent);
+    }
+    exchange(leased, message).await
+}
+
+async fn exchange(mut leased: LeasedConnection, mut message: Request<OutgoingBody>) -> AttemptEnd {
+    let connection = &mut leased.connection;
+    connection.response_activity.expect_response(&mut message);
+    let response = match connection.sender.try_send_request(message).await {
+        Ok(response) => response,
+        Err(error) => return AttemptEnd::bare(failure_outcome(error.error())),
+    };
+    let mut end = read_response(leased, response).await;
+    if let (Outcome::Success, Some(BackendResponse::Buffered(body))) = (end.outcome, &end.response)
+    {
+        end.report = load_report::parse(&body.bytes);
+    }
+    end
+}
+
+/// The request for a load report; none if the address makes no valid header.
+fn load_request(address: SocketAddr) -> Option<Request<OutgoingBody>> {
+    let host = HeaderValue::from_str(&address.to_string()).ok()?;
+    let mut message = Request::new(OutgoingBody::Buffered(Full::new(Bytes::new())));
+    *message.uri_mut() = Uri::from_static(HEALTH_CHECK_PATH);
+    message.headers_mut().insert(HOST, host);
+    Some(message)
+}
--- /dev/null
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -0,0 +1,179 @@
+//! Reads a backend's response: whole where it is small, else as far as it takes to forward the rest as it comes.
+
+use badgerpost_balancer::{LoadReport, Outcome};
+use badgerpost_engine::RequestEnd;
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use hyper::header::{CONNECTION, TRANSFER_ENCODING};
+use hyper::http::response::Parts;
+use hyper::{Response, StatusCode, Version};
+
+use super::pool::LeasedConnection;
+use super::{AttemptEnd, load_report};
+use crate::MAX_BODY;
+use crate::answer::{BackendResponse, StreamingResponse};
+use crate::memory_budget::{BufferedBytes, BytesCollector, Reservation};
+
+/// A large response is forwarded once this many bytes of it are here: one whose length is wrong has less to show by
+/// then, and the request can still be retried.
+const STREAMING_START_BYTES: usize = 4 * 1024;
+
+/// What is known of a response from its head.
+struct ResponseHead {
+    outcome: Outcome,
+    report: LoadReport,
+    /// The body's length, where the backend has told it.
+    length: Option<u64>,
+}
+
+/// How far a body was read.
+enum BodyProgress {
+    Complete,
+    /// As many bytes as were asked for are here, and more is to come.
+    Partial,
+}
+
+/// Reads a response. A connection whose response was read whole is released; with one that is still coming, that
+/// happens at its end.
+pub(super) async fn read_response(
+    leased: LeasedConnection,
+    response: Response<Incoming>,
+) -> AttemptEnd {
+    let (parts, mut body) = response.into_parts();
+    if parts.status.is_informational() {
+        return AttemptEnd::bare(Outcome::InvalidResponse);
+    }
+    let head = ResponseHead::new(&parts, body.size_hint().exact());
+    let max_body = MAX_BODY as u64;
+    let buffer_bytes = head.length.map_or(max_body, |length| length.min(max_body)) as usize;
+    let reservation = leased.pool.response_budget.take(buffer_bytes);
+    let is_large = reservation.is_none() || head.length.is_some_and(|length| length > max_body);
+    let enough_bytes = if is_large {
+        STREAMING_START_BYTES
+    } else {
+        MAX_BODY + 1
+    };
+    let mut received = BytesCollector::default();
+    match read_body(&mut body, head.length, enough_bytes, &mut received).await {
+        Err(error) => AttemptEnd::bare(failure_outcome(&error)),
+        Ok(BodyProgress::Partial) => streaming_end(&head, leased, received, reservation, body),
+        Ok(BodyProgress::Complete)
+            if received.count() == 0 && ends_unannounced(&parts, head.length) =>
+        {
+            AttemptEnd::bare(Outcome::InvalidResponse)
+        }
+        Ok(BodyProgress::Complete) => {
+            leased.release();
+            let bytes = BufferedBytes::new(received.into_bytes(), reservation);
+            head.end(Some(BackendResponse::Buffered(bytes)))
+        }
+    }
+}
+
+/// Reads until the body is complete, or `enough_bytes` of it are here. One with a length is complete with its last byte.
+async fn read_body(
+    body: &mut Incoming,
+    length: Option<u64>,
+    enough_bytes: usize,
+    received: &mut BytesCollector,
+) -> Result<BodyProgress, hyper::Error> {
+    while let Some(frame) = body.frame().await {
+        let Ok(data) = frame?.into_data() else {
+            continue;
+        };
+        received.add(data);
+        let has_all = length == Some(received.count() as u64);
+        if !has_all && received.count() >= enough_bytes {
+            return Ok(BodyProgress::Partial);
+        }
+    }
+    Ok(BodyProgress::Complete)
+}
+
+/// The end of an attempt whose response is forwarded as it comes.
+fn streaming_end(
+    head: &ResponseHead,
+    leased: LeasedConnection,
+    received: BytesCollector,
+    reservation: Option<Reservation>,
+    rest: Incoming,
+) -> AttemptEnd {
+    if head.outcome != Outcome::Success {
+        // No client gets to see it, so that the rest is not waited for.
+        return head.end(None);
+    }
+    let ended = Box::new(move |end| match end {
+        Some(RequestEnd::Served) => leased.release(),
+        Some(_) => leased.node.response_aborted(leased.destination.backend),
+        None => {}
+    });
+    head.end(Some(BackendResponse::Streaming(StreamingResponse {
+        first: BufferedBytes::new(received.into_bytes(), reservation),
+        rest,
+        left: head.length,
+        ended,
+    })))
+}
+
+impl ResponseHead {
+    fn new(parts: &Parts, length: Option<u64>) -> Self {
+        Self {
+            outcome: response_outcome(parts),
+            report: load_report::from_headers(&parts.headers),
+            length,
+        }
+    }
+
+    /// The end of an attempt with this response.
+    fn end(&self, response: Option<BackendResponse>) -> AttemptEnd {
+        AttemptEnd {
+            outcome: self.outcome,
+            report: self.report,
+            is_streaming: matches!(response, Some(BackendResponse::Streaming(_))),
+            response,
+        }
+    }
+}
+
+/// What a response's head tells of its attempt.
+fn response_outcome(head: &Parts) -> Outcome {
+    let rejected = head
+        .headers
+        .get("x-rejected")
+        .is_some_and(|value| value == "1");
+    match head.status {
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => {
+            Outcome::Rejected
+        }
+        StatusCode::OK => Outcome::Success,
+        // What is wrong with the request is not the backend's fault, and tells nothing of its health.
+        status if status.is_client_error() => Outcome::InvalidResponse,
+        // Whatever the status says, the request may have run.
+        _ => Outcome::Error,
+    }
+}
+
+/// Whether a response ends with its connection only (RFC 9112, section 6.3) and its backend has not announced the close
+/// (section 9.6). The end of the connection is its end, a reset is none. Without a single byte of the body, it is more
+/// likely the end of a backend that stopped before it had answered.
+fn ends_unannounced(head: &Parts, length: Option<u64>) -> bool {
+    let is_framed = length.is_some() || head.headers.contains_key(TRANSFER_ENCODING);
+    let lines = head
+        .headers
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|line| line.to_str().ok());
+    let closes = lines
+        .flat_map(|line| line.split(','))
+        .any(|option| option.trim().eq_ignore_ascii_case("close"));
+    !is_framed && !closes && head.version != Version::HTTP_10
+}
+
+/// What a broken exchange was: a connection that ended, or one that brought something else than a response.
+pub(super) fn failure_outcome(error: &hyper::Error) -> Outcome {
+    if error.is_parse() {
+        Outcome::InvalidResponse
+    } else {
+        Outcome::Reset
+    }
+}
