--- a/adapters/http/src/discovery.rs
+++ b/adapters/http/src/discovery.rs
@@ -1,4 +1,6 @@
-//! The list of backends: one watch on discovery, renewed at once and for ever.
+//! Follows the endpoint list: calls discovery again and again, and reports every update to the engine.
+
+mod poll;
 
 use std::future::{Future, poll_fn};
 use std::net::SocketAddr;
@@ -6,234 +8,201 @@
 use std::time::Duration;
 
 use badgerpost_balancer::EndpointUpdate;
-use bytes::Bytes;
-use http_body_util::{BodyExt, Empty, Limited};
-use hyper::client::conn::http1::{SendRequest, handshake};
-use hyper::header::HOST;
-use hyper::{Request, StatusCode};
-use hyper_util::rt::TokioIo;
 use tokio::sync::watch;
 
-use badgerpost_engine::{Clock, Engine, LogLimiter, Protocol, TcpStream, activity, spawn};
+use badgerpost_engine::{Engine, LogLimiter, Protocol};
 
-use crate::endpoint_list::{InvalidEntry, KnownEntries, List};
-use crate::observed_stream::{NoopObserver, ObservedStream};
+use crate::endpoint_list::{EndpointList, InvalidEntry, KnownEntries, MergedList};
 use crate::poll_schedule::{PollCall, PollKind, PollSchedule};
+use poll::{DiscoveryConnection, PollError, PollResponse, poll_once};
 
-const PATH: &str = "/registry/instances";
-const CONNECT: Duration = Duration::from_millis(500);
-/// A list of thousands of backends fits.
-const MAX_LIST: usize = 4 * 1024 * 1024;
-
-/// Why a call to discovery brought no list.
-#[derive(Debug, thiserror::Error)]
-enum PollError {
-    #[error("no connection: {0}")]
-    Connect(#[from] std::io::Error),
-    #[error("the call broke: {0}")]
-    Broken(#[from] hyper::Error),
-    #[error("the answer broke or was too long: {0}")]
-    Body(Box<dyn std::error::Error + Send + Sync>),
-    #[error("answered {0}")]
-    Status(StatusCode),
-    #[error("not a list: {0}")]
-    Malformed(#[from] serde_json::Error),
-    #[error("no answer in time")]
-    Late,
-    #[error("the watch has fallen silent")]
-    Silent,
-    #[error("no such request: {0}")]
-    Request(#[from] hyper::http::Error),
-}
+/// Where discovery serves the list.
+const LIST_PATH: &str = "/registry/instances";
 
-/// Follows the list.
-pub struct EndpointWatcher<F: Protocol> {
-    node: Engine<F>,
-    at: SocketAddr,
-    /// The version that is known; none where the whole list is to be asked for.
-    rev: Option<u64>,
+/// Follows the endpoint list of one fleet.
+pub struct EndpointWatcher<P: Protocol> {
+    node: Engine<P>,
+    address: SocketAddr,
+    /// The version that is known; none where a snapshot has to be asked for.
+    version: Option<u64>,
     entries: KnownEntries,
-    link: Option<SendRequest<Empty<Bytes>>>,
-    pace: PollSchedule,
+    /// Kept from the last call that got a response.
+    connection: Option<DiscoveryConnection>,
+    schedule: PollSchedule,
+    log: LogLimiter,
 }
 
-impl<F: Protocol> EndpointWatcher<F> {
-    /// A watch at `at` that goes on from `known`, which may be old. The seed drives how long its calls wait.
-    pub fn new(node: Engine<F>, at: SocketAddr, known: Option<List>, seed: u64) -> Self {
-        let pace = PollSchedule::new(node.polls_discovery(), seed);
-        let mut watch = Self {
+impl<P: Protocol> EndpointWatcher<P> {
+    /// A watcher of the list at this address, which starts from `cached`, a list that may be old. The seed drives how
+    /// long watches are held.
+    pub fn new(
+        node: Engine<P>,
+        address: SocketAddr,
+        cached: Option<EndpointList>,
+        seed: u64,
+    ) -> Self {
+        let schedule = PollSchedule::new(node.polls_discovery(), seed);
+        let log = LogLimiter::new(node.clock().clone());
+        let mut watcher = Self {
             node,
-            at,
-            rev: None,
+            address,
+            version: None,
             entries: KnownEntries::default(),
-            link: None,
-            pace,
+            connection: None,
+            schedule,
+            log,
         };
-        if let Some(list) = known {
-            watch.rev = Some(list.rev);
-            let (_, listed, _) = watch.entries.take(list);
-            watch
+        if let Some(list) = cached {
+            watcher.version = Some(list.version);
+            let merged = watcher.entries.merge(list);
+            watcher
                 .node
-                .endpoints_updated(EndpointUpdate::Cached, &listed);
+                .endpoints_updated(EndpointUpdate::Cached, &merged.endpoints);
         }
-        watch
+        watcher
     }
 
-    /// Watches, at the address told last; never ends.
+    /// Follows the list, at the address that came last through the channel. Never returns.
     pub async fn run(mut self, mut address: watch::Receiver<SocketAddr>) {
-        let clock = self.node.clock().clone();
-        let mut log = LogLimiter::new(clock.clone());
         loop {
-            let answer = tokio::select! {
+            let result = tokio::select! {
                 biased;
                 Ok(()) = address.changed() => None,
-                answer = self.call() => Some(answer),
+                result = self.poll() => Some(result),
             };
-            match answer {
-                None => {
-                    self.move_to(*address.borrow_and_update());
-                    log = LogLimiter::new(clock.clone());
-                }
+            match result {
+                None => self.move_to(*address.borrow_and_update()),
                 Some(Ok(list)) => {
-                    self.pace.answered();
-                    self.take(list, &mut log);
+                    self.schedule.succeeded();
+                    self.apply(list);
                 }
                 Some(Err(error)) => {
-                    let at = self.at;
-                    log.log(|suppressed| tracing::warn!(%at, %error, suppressed, "asking discovery failed"));
-                    self.link = None;
-                    if matches!(error, PollError::Silent) {
-                        self.pace.silent();
-                        continue;
-                    }
-                    let (wait, whole) = self.pace.failed();
-                    self.rev = self.rev.filter(|_| !whole);
-                    self.node.discovery_failed();
-                    let moved = address.clone();
-                    tokio::select! {
-                        biased;
-                        () = clock.sleep(wait) => {}
-                        () = self.node.discovery_requested() => {}
-                        () = told_anew(moved) => {}
+                    self.log_failure(&error);
+                    self.connection = None;
+                    if matches!(error, PollError::WatchTimedOut) {
+                        self.schedule.watch_timed_out();
+                    } else {
+                        self.back_off(address.clone()).await;
                     }
                 }
             }
         }
     }
 
-    /// Goes on elsewhere. Versions count at one address only, so the whole list is asked for; what has been
+    /// Goes on at another address. Versions count at one address only, so that a snapshot is asked for; what has been
     /// learned of the backends stays, as they keep their names.
-    fn move_to(&mut self, at: SocketAddr) {
-        (self.at, self.rev, self.link) = (at, None, None);
-        self.pace.begin();
+    fn move_to(&mut self, address: SocketAddr) {
+        self.address = address;
+        self.version = None;
+        self.connection = None;
+        self.schedule.reset();
+        self.log = LogLimiter::new(self.node.clock().clone());
     }
 
-    fn take(&mut self, list: List, log: &mut LogLimiter) {
-        self.rev = Some(list.rev);
-        let (scope, listed, odd) = self.entries.take(list);
-        if scope == EndpointUpdate::Snapshot || !listed.is_empty() {
-            self.node.endpoints_updated(scope, &listed);
+    /// Reports a list to the engine, and logs its invalid entries.
+    fn apply(&mut self, list: EndpointList) {
+        self.version = Some(list.version);
+        let MergedList {
+            update,
+            endpoints,
+            invalid,
+        } = self.entries.merge(list);
+        if update == EndpointUpdate::Snapshot || !endpoints.is_empty() {
+            self.node.endpoints_updated(update, &endpoints);
         }
-        for InvalidEntry { uid, error, .. } in odd {
-            let at = self.at;
-            log.log(|suppressed| {
-                tracing::warn!(%at, server = uid, %error, suppressed, "an entry of the list can't be read");
+        let at = self.address;
+        for InvalidEntry { name, error, .. } in invalid {
+            self.log.log(|suppressed| {
+                tracing::warn!(%at, server = name, %error, suppressed, "an entry of the list can't be read");
             });
         }
     }
 
-    async fn call(&mut self) -> Result<List, PollError> {
-        let whole = self.node.take_snapshot_request();
-        let rev = self.rev.filter(|_| !whole);
-        let PollCall { want, most, beside } = self.pace.next(rev.is_none());
-        let since = |hold: Duration| {
-            format!(
-                "{PATH}?from={}&hold_ms={}",
-                rev.unwrap_or(0),
-                hold.as_millis()
-            )
-        };
-        let (target, late) = match want {
-            PollKind::Snapshot => (PATH.to_owned(), PollError::Late),
-            PollKind::Delta => (since(Duration::ZERO), PollError::Late),
-            PollKind::Watch(hold) => (since(hold), PollError::Silent),
+    fn log_failure(&mut self, error: &PollError) {
+        let at = self.address;
+        self.log
+            .log(|suppressed| tracing::warn!(%at, %error, suppressed, "asking discovery failed"));
+    }
+
+    /// Waits after a failure, until the balancer wants an update or the address has changed.
+    async fn back_off(&mut self, address: watch::Receiver<SocketAddr>) {
+        let backoff = self.schedule.failed();
+        if backoff.needs_snapshot {
+            self.version = None;
+        }
+        self.node.discovery_failed();
+        tokio::select! {
+            biased;
+            () = self.node.clock().sleep(backoff.delay) => {}
+            () = self.node.discovery_requested() => {}
+            () = address_changed(address) => {}
+        }
+    }
+
+    /// Makes the call that is next on the schedule.
+    async fn poll(&mut self) -> Result<EndpointList, PollError> {
+        let wants_snapshot = self.node.take_snapshot_request();
+        let version = self.version.filter(|_| !wants_snapshot);
+        let PollCall {
+            kind,
+            timeout,
+            hedge_delay,
+        } = self.schedule.next_call(version.is_none());
+        let timed_out = match kind {
+            PollKind::Snapshot | PollKind::Delta => PollError::ResponseTimedOut,
+            PollKind::Watch(_) => PollError::WatchTimedOut,
         };
         let clock = self.node.clock().clone();
-        let first = self.first_answer(&target, beside);
-        clock.timeout(most, first).await.unwrap_or(Err(late))
+        let response = self.first_response(target(kind, version), hedge_delay);
+        clock
+            .timeout(timeout, response)
+            .await
+            .unwrap_or(Err(timed_out))
     }
 
-    /// Makes one call, and the same again beside it as long as there is no answer; the first answer counts. Dropped with
-    /// all that are under way.
-    async fn first_answer(&mut self, target: &str, beside: Duration) -> Result<List, PollError> {
+    /// Makes one call, and the same again beside it as long as there is no response; the first response counts. Dropped
+    /// with all calls that are in flight.
+    async fn first_response(
+        &mut self,
+        target: String,
+        hedge_delay: Duration,
+    ) -> Result<EndpointList, PollError> {
         let clock = self.node.clock().clone();
         let mut calls = Vec::new();
         loop {
-            calls.push(Box::pin(ask(
+            calls.push(Box::pin(poll_once(
                 clock.clone(),
-                self.at,
-                self.link.take(),
-                target.to_owned(),
+                self.address,
+                self.connection.take(),
+                target.clone(),
             )));
-            let answered = poll_fn(|cx| {
-                let mut answers = calls.iter_mut().map(|call| call.as_mut().poll(cx));
-                answers.find(Poll::is_ready).unwrap_or(Poll::Pending)
+            let first = poll_fn(|cx| {
+                let mut polled = calls.iter_mut().map(|call| call.as_mut().poll(cx));
+                polled.find(Poll::is_ready).unwrap_or(Poll::Pending)
             });
-            if let Ok(answer) = clock.timeout(beside, answered).await {
-                let (list, link) = answer?;
-                self.link = Some(link);
+            if let Ok(result) = clock.timeout(hedge_delay, first).await {
+                let PollResponse { list, connection } = result?;
+                self.connection = Some(connection);
                 return Ok(list);
             }
         }
     }
 }
 
-/// One call, over this connection or a new one, which is of further use with its answer.
-async fn ask(
-    clock: Clock,
-    at: SocketAddr,
-    link: Option<SendRequest<Empty<Bytes>>>,
-    target: String,
-) -> Result<(List, SendRequest<Empty<Bytes>>), PollError> {
-    let mut link = match link.filter(|link| !link.is_closed()) {
-        Some(link) => link,
-        None => connect(&clock, at).await?,
+/// The path and query of a call by a node that knows this version.
+fn target(kind: PollKind, version: Option<u64>) -> String {
+    let hold = match kind {
+        PollKind::Snapshot => return LIST_PATH.to_owned(),
+        PollKind::Delta => Duration::ZERO,
+        PollKind::Watch(hold) => hold,
     };
-    link.ready().await?;
-    let request = Request::get(target)
-        .header(HOST, at.to_string())
-        .body(Empty::new())?;
-    let response = link.send_request(request).await?;
-    let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_LIST)
-        .collect()
-        .await
-        .map_err(PollError::Body)?;
-    if status != StatusCode::OK {
-        return Err(PollError::Status(status));
-    }
-    Ok((List::read(&body.to_bytes())?, link))
+    let version = version.unwrap_or(0);
+    format!("{LIST_PATH}?from={version}&hold_ms={}", hold.as_millis())
 }
 
-/// Waits for another address; the change stays to be seen.
-async fn told_anew(mut address: watch::Receiver<SocketAddr>) {
+/// Resolves once another address has come through the channel. The change stays unseen there.
+async fn address_changed(mut address: watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
-
-async fn connect(clock: &Clock, at: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, PollError> {
-    let stream = clock
-        .timeout(CONNECT, activity::connecting(TcpStream::connect(at)))
-        .await
-        .map_err(|_| PollError::Late)??;
-    stream.set_nodelay(true)?;
-    let (link, connection) =
-        handshake(TokioIo::new(ObservedStream::new(stream, NoopObserver))).await?;
-    spawn(async move {
-        if let Err(error) = connection.await {
-            tracing::debug!(%at, %error, "connection to discovery failed");
-        }
-    });
-    Ok(link)
-}
--- a/adapters/http/src/endpoint_list/tests.rs
+++ b/adapters/http/src/endpoint_list/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const GOOD: &str = r#"{"uid":"s-0","endpoint":"10.0.0.1:9000","az":"a","state":"Ready"}"#;
+const VALID: &str = r#"{"uid":"s-0","endpoint":"10.0.0.1:9000","az":"a","state":"Ready"}"#;
 const OTHER: &str = r#"{"uid":"s-1","endpoint":"10.0.0.2:9000","az":"a","state":"Ready"}"#;
 
 fn list(all: bool, entries: &[&str]) -> String {
@@ -10,120 +10,120 @@
     )
 }
 
-fn taken(
+fn merge(
     entries: &mut KnownEntries,
     text: &str,
 ) -> (EndpointUpdate, Vec<(String, EndpointState)>, usize) {
-    let (scope, listed, odd) = entries.take(List::read(text.as_bytes()).expect("a list"));
-    let mut listed: Vec<_> = listed
+    let merged = entries.merge(EndpointList::parse(text.as_bytes()).expect("a list"));
+    let mut endpoints: Vec<_> = merged
+        .endpoints
         .into_iter()
-        .map(|listed| (listed.name, listed.state))
+        .map(|endpoint| (endpoint.name, endpoint.state))
         .collect();
-    listed.sort_by(|a, b| a.0.cmp(&b.0));
-    (scope, listed, odd.len())
+    endpoints.sort_by(|a, b| a.0.cmp(&b.0));
+    (merged.update, endpoints, merged.invalid.len())
 }
 
 fn known() -> KnownEntries {
     let mut entries = KnownEntries::default();
-    taken(&mut entries, &list(true, &[GOOD, OTHER]));
+    merge(&mut entries, &list(true, &[VALID, OTHER]));
     entries
 }
 
 /// One entry that nobody can read must not keep the drain of another from being honoured.
 #[test]
-fn an_odd_entry_does_not_take_the_others_with_it() {
-    let drains = OTHER.replace("Ready", "Terminating");
+fn an_invalid_entry_leaves_the_others_valid() {
+    let draining = OTHER.replace("Ready", "Terminating");
     let ready = EndpointState::InService;
-    for odd in [
-        GOOD.replace("10.0.0.1:9000", "here"),
-        GOOD.replace("\"10.0.0.1:9000\"", "null"),
-        GOOD.replace("\"a\"", "3"),
-        GOOD.replace("\"Ready\"", "17"),
+    for invalid in [
+        VALID.replace("10.0.0.1:9000", "here"),
+        VALID.replace("\"10.0.0.1:9000\"", "null"),
+        VALID.replace("\"a\"", "3"),
+        VALID.replace("\"Ready\"", "17"),
         r#"{"uid":"s-0"}"#.to_owned(),
     ] {
         for all in [true, false] {
-            let (_, listed, count) = taken(&mut known(), &list(all, &[&odd, &drains]));
+            let (_, endpoints, count) = merge(&mut known(), &list(all, &[&invalid, &draining]));
             let wanted = [
                 ("s-0".to_owned(), ready),
                 ("s-1".to_owned(), EndpointState::Draining),
             ];
             assert_eq!(
-                (listed.as_slice(), count),
+                (endpoints.as_slice(), count),
                 (wanted.as_slice(), 1),
-                "{odd} {all}"
+                "{invalid} {all}"
             );
         }
     }
 }
 
-/// Of a server that nobody knows an odd entry tells nothing; one that is no entry at all does no harm.
+/// Of an unknown backend an invalid entry tells nothing; one that is no entry at all does no harm.
 #[test]
-fn an_odd_entry_of_an_unknown_server_is_passed_over() {
-    for odd in [
+fn an_invalid_entry_of_an_unknown_backend_is_skipped() {
+    for invalid in [
         r#"{"uid":"s-9","endpoint":"here","az":"a","state":"Ready"}"#,
         "null",
         "[]",
         "\"s-0\"",
     ] {
-        let (scope, listed, count) = taken(&mut known(), &list(false, &[odd, OTHER]));
+        let (update, endpoints, count) = merge(&mut known(), &list(false, &[invalid, OTHER]));
         assert_eq!(
-            (scope, listed.len(), count),
+            (update, endpoints.len(), count),
             (EndpointUpdate::Delta, 1, 1),
-            "{odd}"
+            "{invalid}"
         );
     }
 }
 
 #[test]
-fn a_state_that_can_be_read_counts_though_the_rest_can_not() {
-    for (state, stage) in [
+fn the_valid_state_of_an_invalid_entry_counts() {
+    for (name, state) in [
         ("Terminating", EndpointState::Draining),
         ("Gone", EndpointState::Removed),
     ] {
-        let odd = GOOD.replace("10.0.0.1:9000", "").replace("Ready", state);
-        let (_, listed, _) = taken(&mut known(), &list(false, &[&odd, OTHER]));
-        assert_eq!(listed[0], ("s-0".to_owned(), stage));
+        let invalid = VALID.replace("10.0.0.1:9000", "").replace("Ready", name);
+        let (_, endpoints, _) = merge(&mut known(), &list(false, &[&invalid, OTHER]));
+        assert_eq!(endpoints[0], ("s-0".to_owned(), state));
     }
 }
 
 /// Nothing new goes where it is not certain that it is wanted.
 #[test]
-fn a_state_of_another_version_takes_nothing_new() {
-    let (_, listed, odd) = taken(
+fn a_backend_in_an_unknown_state_counts_as_draining() {
+    let (_, endpoints, invalid) = merge(
         &mut known(),
-        &list(false, &[&GOOD.replace("Ready", "Quarantined")]),
+        &list(false, &[&VALID.replace("Ready", "Quarantined")]),
     );
     assert_eq!(
-        (listed, odd),
+        (endpoints, invalid),
         (vec![("s-0".to_owned(), EndpointState::Draining)], 0)
     );
 }
 
 #[test]
-fn what_makes_no_sense_at_all_is_no_list() {
-    let odd = GOOD.replace("10.0.0.1:9000", "here");
+fn a_text_without_a_valid_entry_is_not_a_list() {
+    let invalid = VALID.replace("10.0.0.1:9000", "here");
     for text in [
         "",
         "{",
         "[]",
         r#"{"rev":1,"all":true}"#,
-        &list(true, &[&odd]),
-        &list(true, &[GOOD])[..60],
+        &list(true, &[&invalid]),
+        &list(true, &[VALID])[..60],
     ] {
-        assert!(List::read(text.as_bytes()).is_err(), "{text}");
+        assert!(EndpointList::parse(text.as_bytes()).is_err(), "{text}");
     }
     assert!(
-        List::read(list(true, &[]).as_bytes()).is_ok(),
+        EndpointList::parse(list(true, &[]).as_bytes()).is_ok(),
         "an empty one is a list"
     );
 }
 
-/// What has left is not brought back by an odd entry that names it.
 #[test]
-fn a_server_that_has_left_is_not_made_good_from_before() {
+fn an_invalid_entry_does_not_bring_back_a_removed_backend() {
     let mut entries = known();
-    taken(&mut entries, &list(true, &[OTHER]));
-    let odd = GOOD.replace("10.0.0.1:9000", "here");
-    let (_, listed, count) = taken(&mut entries, &list(false, &[&odd, OTHER]));
-    assert_eq!((listed.len(), count), (1, 1));
+    merge(&mut entries, &list(true, &[OTHER]));
+    let invalid = VALID.replace("10.0.0.1:9000", "here");
+    let (_, endpoints, count) = merge(&mut entries, &list(false, &[&invalid, OTHER]));
+    assert_eq!((endpoints.len(), count), (1, 1));
 }
--- a/adapters/http/src/poll_schedule/tests.rs
+++ b/adapters/http/src/poll_schedule/tests.rs
@@ -1,73 +1,69 @@
 use super::*;
 
-const TOLD_WITHIN: Duration = Duration::from_secs(6);
-/// A connect, as `discovery.rs` bounds it.
-const CONNECT: Duration = Duration::from_millis(500);
+/// The time within which an update has to be in force.
+const UPDATE_LIMIT: Duration = Duration::from_secs(6);
+/// A connect, as `discovery/poll.rs` bounds it.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a watch that falls silent in its first moment costs until the answer that tells what it missed, with the next
-/// call failing so many times.
-fn path(pace: &mut PollSchedule, failures: u32) -> (Duration, Duration) {
-    let PollCall {
-        want: PollKind::Watch(hold),
-        most,
-        ..
-    } = pace.next(false)
-    else {
-        panic!("a watch")
+/// The next call, which has to be a watch, and its hold.
+fn next_watch(schedule: &mut PollSchedule) -> (Duration, PollCall) {
+    let call = schedule.next_call(false);
+    let PollKind::Watch(hold) = call.kind else {
+        panic!("a watch, not {:?}", call.kind)
     };
-    pace.silent();
-    let mut whole = false;
-    let mut all = most;
+    (hold, call)
+}
+
+/// The time from the first moment of a watch that times out to the response that brings what it missed, with the next
+/// call failing so many times.
+fn recovery_time(schedule: &mut PollSchedule, failures: u32) -> Duration {
+    let (_, watch) = next_watch(schedule);
+    schedule.watch_timed_out();
+    let mut needs_snapshot = false;
+    let mut total = watch.timeout;
     for _ in 0..failures {
-        all += CONNECT;
-        pace.next(whole);
-        let (wait, all_of_it) = pace.failed();
-        (all, whole) = (all + wait, whole || all_of_it);
+        total += CONNECT_TIMEOUT;
+        schedule.next_call(needs_snapshot);
+        let backoff = schedule.failed();
+        total += backoff.delay;
+        needs_snapshot |= backoff.needs_snapshot;
     }
-    (hold, all + CONNECT + pace.next(whole).most)
+    total + CONNECT_TIMEOUT + schedule.next_call(needs_snapshot).timeout
 }
 
 /// Guards against a hold and its grace that are as long as what is allowed for all of it (5 s and 1 s stood here).
 #[test]
-fn beside_an_agent_a_silent_watch_costs_less_than_the_time_to_be_told() {
+fn beside_an_agent_a_watch_that_times_out_is_made_up_for_within_the_update_limit() {
     for failures in 0..=2 {
-        let (_, all) = path(&mut PollSchedule::new(false, 1), failures);
-        assert!(all < TOLD_WITHIN, "{failures} failures: {all:?}");
+        let total = recovery_time(&mut PollSchedule::new(false, 1), failures);
+        assert!(total < UPDATE_LIMIT, "{failures} failures: {total:?}");
     }
 }
 
-/// What a watch misses counts as told 2 s after its wait, and may be sent to for the grace of a drain after that.
+/// An update that a watch misses counts as known 2 s after its hold, and the backend may be sent to for the grace of a
+/// drain after that.
 #[test]
-fn where_it_is_asked_a_silent_watch_is_replaced_within_two_seconds_of_its_wait() {
+fn at_a_polled_service_a_watch_that_times_out_is_replaced_within_two_seconds_of_its_hold() {
     for seed in 0..200 {
-        let mut pace = PollSchedule::new(true, seed);
-        let PollCall {
-            want: PollKind::Watch(hold),
-            most,
-            ..
-        } = pace.next(false)
-        else {
-            panic!("a watch")
-        };
+        let mut schedule = PollSchedule::new(true, seed);
+        let (hold, watch) = next_watch(&mut schedule);
         assert!(
-            most + CONNECT < hold + Duration::from_secs(2),
-            "{hold:?} {most:?}"
+            watch.timeout + CONNECT_TIMEOUT < hold + Duration::from_secs(2),
+            "{hold:?} {:?}",
+            watch.timeout
         );
-        pace.silent();
-        // At once, and of what has changed only: the whole list costs the service several times as much.
-        assert_eq!(pace.next(false).want, PollKind::Delta);
-        pace.answered();
-        assert!(matches!(pace.next(false).want, PollKind::Watch(_)));
+        schedule.watch_timed_out();
+        // At once, and of what has changed only: a snapshot costs the service several times as much.
+        assert_eq!(schedule.next_call(false).kind, PollKind::Delta);
+        schedule.succeeded();
+        assert!(matches!(schedule.next_call(false).kind, PollKind::Watch(_)));
     }
 }
 
-/// Twelve nodes whose watches fall silent together must not ask again together.
+/// Twelve nodes whose watches time out together must not call again together.
 #[test]
-fn nodes_that_ask_one_service_wait_for_times_of_their_own() {
-    let hold = |seed| match PollSchedule::new(true, seed).next(false).want {
-        PollKind::Watch(hold) => hold,
-        want => panic!("{want:?}"),
-    };
+fn nodes_that_poll_one_service_hold_their_watches_for_different_times() {
+    let hold = |seed| next_watch(&mut PollSchedule::new(true, seed)).0;
     let mut holds: Vec<Duration> = (0..12).map(|node| hold(0x8c1f_30d2 + node)).collect();
     holds.sort();
     assert!(
@@ -82,30 +78,39 @@
     );
 }
 
-/// What an agent gets when discovery is back counts at once, it answers nothing that it was asked before, and nothing
-/// new may go to a server that drains after half a second: a connect that is coming up takes half of that.
+/// What an agent gets when discovery is back counts at once, it answers no call made before, and nothing new may go to a
+/// backend that drains after half a second: a connect that is coming up takes half of that.
 #[test]
-fn an_agent_that_is_silent_is_asked_again_within_a_quarter_of_a_second() {
-    let mut pace = PollSchedule::new(false, 1);
-    for whole in [true, false, true, true, true] {
-        pace.silent();
-        let call = pace.next(whole);
-        assert!(call.beside <= Duration::from_millis(150) && call.most >= Duration::from_secs(1));
-        assert!(pace.failed().0 <= Duration::from_millis(100));
+fn a_silent_agent_is_called_again_within_a_quarter_of_a_second() {
+    let mut schedule = PollSchedule::new(false, 1);
+    for needs_snapshot in [true, false, true, true, true] {
+        schedule.watch_timed_out();
+        let call = schedule.next_call(needs_snapshot);
+        assert!(call.hedge_delay <= Duration::from_millis(150));
+        assert!(call.timeout >= Duration::from_secs(1));
+        assert!(schedule.failed().delay <= Duration::from_millis(100));
     }
-    // Where all nodes ask one service each call is paid for.
-    assert!(PollSchedule::new(true, 1).next(true).beside >= Duration::from_secs(3));
+    // Where all nodes poll one service each call is paid for.
+    let call = PollSchedule::new(true, 1).next_call(true);
+    assert!(call.hedge_delay >= Duration::from_secs(3));
 }
 
 #[test]
-fn waits_after_failures_grow_and_end_with_an_answer() {
-    let mut pace = PollSchedule::new(false, 1);
-    let waits: Vec<u128> = (0..6).map(|_| pace.failed().0.as_millis()).collect();
-    assert_eq!(waits, [50, 100, 100, 100, 100, 100]);
-    pace.answered();
-    assert_eq!(pace.failed(), (Duration::from_millis(50), true));
-    assert_eq!(
-        PollSchedule::new(true, 1).failed(),
-        (Duration::from_secs(4), false)
-    );
+fn the_backoff_grows_with_failures_and_ends_with_a_response() {
+    let mut schedule = PollSchedule::new(false, 1);
+    let delays: Vec<u128> = (0..6)
+        .map(|_| schedule.failed().delay.as_millis())
+        .collect();
+    assert_eq!(delays, [50, 100, 100, 100, 100, 100]);
+    schedule.succeeded();
+    let after_success = Backoff {
+        delay: Duration::from_millis(50),
+        needs_snapshot: true,
+    };
+    assert_eq!(schedule.failed(), after_success);
+    let at_a_service = Backoff {
+        delay: Duration::from_secs(4),
+        needs_snapshot: false,
+    };
+    assert_eq!(PollSchedule::new(true, 1).failed(), at_a_service);
 }
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use badgerpost_http::endpoint_list::List;
+use badgerpost_http::endpoint_list::EndpointList;
 use badgerpost_settings::{Site, file};
 use serde::Deserialize;
 
@@ -23,7 +23,7 @@
     seed: String,
     limits: Limits,
     /// The list as the node last had it.
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     settings: serde_json::Value,
 }
 
@@ -252,7 +252,7 @@
             ("discovery".to_owned(), *discovery),
         ];
         let console = self.edge.console.map(|at| ("the console".to_owned(), at));
-        let known = known.iter().flat_map(List::endpoints);
+        let known = known.iter().flat_map(EndpointList::endpoints);
         let known = known.map(|(uid, at)| (format!("the known server {uid}"), at));
         let postgres = self.own.postgres.iter().flat_map(|postgres| {
             let servers = postgres
