--- a/adapters/http/src/memory_budget.rs
+++ b/adapters/http/src/memory_budget.rs
@@ -1,102 +1,121 @@
-//! One budget for the bytes of bodies that are held whole, over all requests. What does not fit is not waited for: it
-//! is passed on as it comes, in pieces, and costs no more than a connection's buffers.
+//! A memory budget for buffered bodies, shared by all requests and responses. A body that does not fit is not waited for:
+//! it is streamed, and takes no more memory than the buffers of its connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use bytes::{Bytes, BytesMut};
 
-/// The bytes that are left. Clones share them.
+/// A number of bytes from which reservations are made. Clones share it.
 #[derive(Clone, Debug)]
-pub struct MemoryBudget(Rc<Cell<usize>>);
+pub struct MemoryBudget {
+    available_bytes: Rc<Cell<usize>>,
+}
 
 impl MemoryBudget {
-    /// So many bytes.
+    /// A budget of this many bytes.
     pub fn new(bytes: usize) -> Self {
-        Self(Rc::new(Cell::new(bytes)))
+        Self {
+            available_bytes: Rc::new(Cell::new(bytes)),
+        }
     }
 
-    /// Takes these bytes until what is returned is dropped; none if there are not so many.
-    pub fn take(&self, bytes: usize) -> Option<Reservation> {
-        self.0.set(self.0.get().checked_sub(bytes)?);
+    /// Reserves this many bytes until the reservation is dropped; none if there are fewer.
+    pub fn reserve(&self, bytes: usize) -> Option<Reservation> {
+        let available_bytes = self.available_bytes.get().checked_sub(bytes)?;
+        self.available_bytes.set(available_bytes);
         Some(Reservation {
-            budget: self.0.clone(),
+            available_bytes: self.available_bytes.clone(),
             bytes,
         })
     }
 }
 
-/// Bytes that are held whole, and their part of the budget for as long.
+/// A part of a [`MemoryBudget`], returned to it when dropped.
+#[derive(Debug)]
+pub struct Reservation {
+    /// What is left of the budget.
+    available_bytes: Rc<Cell<usize>>,
+    /// The size of the reservation.
+    bytes: usize,
+}
+
+impl Reservation {
+    /// Returns what exceeds this size.
+    fn shrink(&mut self, bytes: usize) {
+        let excess = self.bytes.saturating_sub(bytes);
+        self.bytes -= excess;
+        self.return_bytes(excess);
+    }
+
+    fn return_bytes(&self, bytes: usize) {
+        self.available_bytes.set(self.available_bytes.get() + bytes);
+    }
+}
+
+impl Drop for Reservation {
+    fn drop(&mut self) {
+        self.return_bytes(self.bytes);
+    }
+}
+
+/// Buffered bytes, and the reservation for them.
 #[derive(Debug, Default)]
 pub struct BufferedBytes {
     /// The bytes.
     pub bytes: Bytes,
-    _held: Option<Reservation>,
+    /// Released together with the bytes.
+    _reservation: Option<Reservation>,
 }
 
 impl BufferedBytes {
-    /// These bytes; what is held for more is given back.
-    pub fn new(bytes: Bytes, mut held: Option<Reservation>) -> Self {
-        held.iter_mut().for_each(|held| held.shrink(bytes.len()));
-        Self { bytes, _held: held }
+    /// Buffers these bytes; what is reserved beyond them is returned.
+    pub fn new(bytes: Bytes, mut reservation: Option<Reservation>) -> Self {
+        if let Some(reservation) = &mut reservation {
+            reservation.shrink(bytes.len());
+        }
+        Self {
+            bytes,
+            _reservation: reservation,
+        }
     }
 }
 
-/// Bytes that are gathered from the pieces in which they come; what comes in one is not copied.
+/// Collects bytes that arrive in chunks. A single chunk is not copied.
 #[derive(Debug, Default)]
-pub struct BytesCollector {
+pub(crate) struct BytesCollector {
+    /// The only chunk so far; empty once there are more.
     first: Bytes,
-    all: BytesMut,
+    /// All chunks, once there is more than one.
+    joined: BytesMut,
 }
 
 impl BytesCollector {
-    /// Adds a piece.
-    pub fn add(&mut self, piece: Bytes) {
-        if self.count() == 0 {
-            self.first = piece;
+    /// Appends a chunk.
+    pub(crate) fn add(&mut self, chunk: Bytes) {
+        if self.len() == 0 {
+            self.first = chunk;
             return;
         }
         let first = std::mem::take(&mut self.first);
-        self.all.extend_from_slice(&first);
-        self.all.extend_from_slice(&piece);
+        self.joined.extend_from_slice(&first);
+        self.joined.extend_from_slice(&chunk);
     }
 
-    /// How many there are.
-    pub fn count(&self) -> usize {
-        self.first.len() + self.all.len()
+    /// Number of bytes collected.
+    pub(crate) fn len(&self) -> usize {
+        self.first.len() + self.joined.len()
     }
 
-    /// All of them.
-    pub fn into_bytes(self) -> Bytes {
-        if self.all.is_empty() {
+    /// All bytes, in order.
+    pub(crate) fn into_bytes(self) -> Bytes {
+        if self.joined.is_empty() {
             self.first
         } else {
-            self.all.freeze()
+            self.joined.freeze()
         }
     }
 }
 
-/// A part of a [`MemoryBudget`].
-#[derive(Debug)]
-pub struct Reservation {
-    budget: Rc<Cell<usize>>,
-    bytes: usize,
-}
-
-impl Reservation {
-    /// Gives back what is more than this.
-    fn shrink(&mut self, bytes: usize) {
-        let spare = self.bytes.saturating_sub(bytes);
-        self.bytes -= spare;
-        self.budget.set(self.budget.get() + spare);
-    }
-}
-
-impl Drop for Reservation {
-    fn drop(&mut self) {
-        self.budget.set(self.budget.get() + self.bytes);
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/adapters/http/src/request_body.rs
+++ b/adapters/http/src/request_body.rs
@@ -30,7 +30,7 @@
     }
     let clock = context.clock();
     let length = body.size_hint().exact();
-    let Some(reservation) = context.memory_budget.take(buffer_size(length)) else {
+    let Some(reservation) = context.memory_budget.reserve(buffer_size(length)) else {
         let upload = Upload::new(BufferedBytes::default(), body, length, clock);
         return Ok(RequestBody::Streaming(upload));
     };
@@ -41,7 +41,7 @@
             continue;
         };
         collected.add(data);
-        if collected.count() >= MAX_BODY && !body.is_end_stream() {
+        if collected.len() >= MAX_BODY && !body.is_end_stream() {
             let first = BufferedBytes::new(collected.into_bytes(), Some(reservation));
             return Ok(RequestBody::Streaming(Upload::new(
                 first, body, length, clock,
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -46,7 +46,7 @@
     let head = ResponseHead::new(&parts, body.size_hint().exact());
     let max_body = MAX_BODY as u64;
     let buffer_bytes = head.length.map_or(max_body, |length| length.min(max_body)) as usize;
-    let reservation = leased.pool.response_budget.take(buffer_bytes);
+    let reservation = leased.pool.response_budget.reserve(buffer_bytes);
     let is_large = reservation.is_none() || head.length.is_some_and(|length| length > max_body);
     let enough_bytes = if is_large {
         STREAMING_START_BYTES
@@ -58,7 +58,7 @@
         Err(error) => AttemptEnd::bare(failure_outcome(&error)),
         Ok(BodyProgress::Partial) => streaming_end(&head, leased, received, reservation, body),
         Ok(BodyProgress::Complete)
-            if received.count() == 0 && ends_unannounced(&parts, head.length) =>
+            if received.len() == 0 && ends_unannounced(&parts, head.length) =>
         {
             AttemptEnd::bare(Outcome::InvalidResponse)
         }
@@ -82,8 +82,8 @@
             continue;
         };
         received.add(data);
-        let has_all = length == Some(received.count() as u64);
-        if !has_all && received.count() >= enough_bytes {
+        let has_all = length == Some(received.len() as u64);
+        if !has_all && received.len() >= enough_bytes {
             return Ok(BodyProgress::Partial);
         }
     }
