--- a/adapters/http/src/lib.rs
+++ b/adapters/http/src/lib.rs
@@ -7,7 +7,6 @@
 mod bad_request;
 mod client_connection;
 mod client_response;
-mod connection_ages;
 mod connection_limiter;
 mod connection_state;
 pub mod discovery;
--- a/adapters/http/src/upstream.rs
+++ b/adapters/http/src/upstream.rs
@@ -5,6 +5,7 @@
 mod attempt;
 mod connection;
 mod health_check;
+mod idle_reset_rates;
 mod load_report;
 mod pool;
 mod response_activity;
--- a/adapters/http/src/upstream/pool.rs
+++ b/adapters/http/src/upstream/pool.rs
@@ -12,8 +12,8 @@
 use badgerpost_time::MILLISECOND;
 
 use super::connection::{BackendConnection, ConnectError};
+use super::idle_reset_rates::IdleResetRates;
 use crate::HttpEngine;
-use crate::connection_ages::ConnectionAges;
 use crate::memory_budget::MemoryBudget;
 
 /// A connection is not used again before it has been idle for this long. Stray bytes behind a response would pass for
@@ -43,7 +43,7 @@
     /// For responses that are held whole.
     pub(super) response_budget: MemoryBudget,
     /// How often connections were reset at their next request, by how long they had been idle.
-    resets_by_idle_time: ConnectionAges,
+    reset_rates: IdleResetRates,
 }
 
 impl ConnectionPool {
@@ -60,7 +60,7 @@
             settings,
             clock,
             response_budget,
-            resets_by_idle_time: ConnectionAges::default(),
+            reset_rates: IdleResetRates::default(),
         }
     }
 
@@ -73,7 +73,7 @@
                 .retain(self.clock.now(), |_, connection, idle_time| {
                     connection.is_idle() && idle_time < max_idle_time
                 });
-            self.resets_by_idle_time.fade();
+            self.reset_rates.decay();
         }
     }
 
@@ -99,7 +99,7 @@
             .idle
             .take(&destination, self.clock.now(), MIN_IDLE_TIME)?;
         let is_usable = taken.idle_time < self.max_idle_time()
-            && self.resets_by_idle_time.is_fit(taken.idle_time);
+            && self.reset_rates.allows_reuse(taken.idle_time);
         is_usable.then(|| LeasedConnection {
             connection: taken.connection,
             idle_time: Some(taken.idle_time),
@@ -126,7 +126,7 @@
 
     /// Records a request on a connection that had been idle for this long, and whether it was reset.
     pub(super) fn record_reuse(&self, idle_time: Nanos, was_reset: bool) {
-        self.resets_by_idle_time.used(idle_time, was_reset);
+        self.reset_rates.record(idle_time, was_reset);
     }
 
     async fn open(
