--- a/balancer/src/admission/class_values.rs
+++ b/balancer/src/admission/class_values.rs
@@ -35,7 +35,7 @@
             if rate.served_fraction() <= worst {
                 value += goal / rate.arrivals.max(MIN_DIVISOR);
             }
-            class.value = if settings.value_per_request {
+            class.value = if settings.is_weight_per_work {
                 value
             } else {
                 value / statistics.base_time().max(1.0)
--- a/balancer/src/admission/overload.rs
+++ b/balancer/src/admission/overload.rs
@@ -7,7 +7,7 @@
 use crate::random::Random;
 use crate::tuning::MIN_DIVISOR;
 use crate::tuning::{
-    FEEDBACK_DELAY_PERIODS, IDLE_LOAD, LARGE_FLEET_SPILL_THRESHOLD, MIN_ARRIVAL_RATE,
+    FEEDBACK_DELAY_INTERVALS, IDLE_LOAD, LARGE_FLEET_SPILL_THRESHOLD, MIN_ARRIVAL_RATE,
 };
 
 /// Queue per core of a zone at the spill threshold.
@@ -27,7 +27,7 @@
 /// Least fraction that is admitted, so that the end of a jam is seen.
 const MIN_ADMITTED: f64 = 0.05;
 /// Fewest arrivals for each backend until the next figures: a node that has just started has counted none.
-const MIN_COMING: f64 = 10.0;
+const MIN_UPCOMING_ARRIVALS: f64 = 10.0;
 /// A node sees few requests of a tenant: this multiple of its quota may be chance.
 const QUOTA_TOLERANCE: f64 = 1.5;
 /// Least fraction of the arrivals that counts as within quotas.
@@ -45,19 +45,21 @@
         let home = fleet.zones.get(fleet.local_zone());
         let count = home.endpoint_count().max(1.0);
         let arrivals = fleet.classes.total_arrivals(fleet.now) * fleet.settings.nodes_per_zone();
-        let coming =
-            (arrivals * FEEDBACK_DELAY_PERIODS * feedback.delay_seconds() / count).max(MIN_COMING);
+        let upcoming_arrivals = (arrivals * FEEDBACK_DELAY_INTERVALS * feedback.delay_seconds()
+            / count)
+            .max(MIN_UPCOMING_ARRIVALS);
         let target_queue = target.map(|zone| fleet.zones.get(zone).mean_queue());
         // A crossing has its price: the other zone must hold less by one request a core at least.
         let home_queue = home.mean_queue();
         let spilling =
             home_queue - target_queue.map_or(f64::INFINITY, |queue| (queue + 1.0).max(SPILL_QUEUE));
-        self.spill_fraction =
-            (self.spill_fraction + GAIN * spilling.max(-home_queue) / coming).clamp(0.0, 1.0);
+        self.spill_fraction = (self.spill_fraction
+            + GAIN * spilling.max(-home_queue) / upcoming_arrivals)
+            .clamp(0.0, 1.0);
         // Home spills first; only what no zone has capacity for is rejected.
         let queue = target_queue.map_or(home_queue, |other| 0.5 * (home_queue + other));
         self.admitted_fraction = (self.admitted_fraction
-            + GAIN * (max_queue(fleet) - queue) / coming)
+            + GAIN * (max_queue(fleet) - queue) / upcoming_arrivals)
             .clamp(MIN_ADMITTED, 1.0);
     }
 
--- a/balancer/src/api/events.rs
+++ b/balancer/src/api/events.rs
@@ -123,8 +123,8 @@
     pub class: ClassId,
     /// What it concerns, as a number drawn from that thing's name.
     pub affinity_key: Option<u64>,
-    /// How much work to expect, on a standard core.
-    pub expected_work: Option<Nanos>,
+    /// Expected service time on a standard core.
+    pub expected_service_time: Option<Nanos>,
     /// The client marks it as a retry.
     pub is_retry: bool,
     /// Its tenant: a position in [`Settings::tenant_quotas`](crate::Settings::tenant_quotas).
@@ -173,7 +173,7 @@
     UploadComplete {
         /// The request.
         request: RequestId,
-        /// When the client gives this try up.
+        /// When the client gives this attempt up.
         expires_at: Nanos,
     },
     /// Bytes of a request's body have gone out that can't be had again: it can't be sent once more.
--- a/balancer/src/api/settings.rs
+++ b/balancer/src/api/settings.rs
@@ -39,7 +39,8 @@
     pub latency_objective: Nanos,
     /// Time from the client's first attempt until it gives up, over all its attempts.
     pub deadline: Nanos,
-    /// Priority weight: the value of one request answered within the objective.
+    /// Priority weight: the value of one request answered within the objective, or of one unit of its work where
+    /// [`Settings::is_weight_per_work`] is set.
     pub priority_weight: f64,
     /// Fraction of the value that an answer after the objective still has, 0 to 1.
     pub late_value_fraction: f64,
@@ -149,8 +150,8 @@
     pub worst_class_goal: f64,
     /// Clients mark all their retries.
     pub retries_marked: bool,
-    /// Priority weights count for each unit of work, not for each request.
-    pub value_per_request: bool,
+    /// Whether a priority weight is the value of a unit of work (of service time), not of a request.
+    pub is_weight_per_work: bool,
     /// Shortest time between two handlings.
     pub timer_resolution: Nanos,
 }
@@ -189,7 +190,7 @@
             },
             worst_class_goal: 0.0,
             retries_marked: false,
-            value_per_request: false,
+            is_weight_per_work: false,
             timer_resolution: 1_000_000,
         }
     }
--- a/balancer/src/backend.rs
+++ b/balancer/src/backend.rs
@@ -27,7 +27,7 @@
     in_flight: u32,
     utilization: Ewma,
     slowness: Ewma,
-    served_work: DecayingRate,
+    throughput: DecayingRate,
     subset_rank: u64,
     warming_sends: WarmingSends,
     health_checked_at: Option<Nanos>,
@@ -99,7 +99,7 @@
         self.subset_rank
     }
 
-    /// Work sent there while it warms up.
+    /// Requests sent there while it warms up.
     pub(crate) fn warming_sends(&self) -> &WarmingSends {
         &self.warming_sends
     }
@@ -114,9 +114,9 @@
         &self.slowness
     }
 
-    /// Work that it has served for this node per second, in nanoseconds on a standard core.
-    pub(crate) fn served_work(&self, now: Nanos) -> f64 {
-        self.served_work.per_second(now)
+    /// Service time that it completes for this node per second, in nanoseconds on a standard core.
+    pub(crate) fn throughput(&self, now: Nanos) -> f64 {
+        self.throughput.per_second(now)
     }
 
     /// When its health was last checked.
@@ -134,16 +134,16 @@
             .clamp(MIN_WARM_UP_FRACTION, 1.0)
     }
 
-    /// Counts a request that it starts to work on; while it warms up, its work counts against the budget.
-    pub(crate) fn start_request(&mut self, now: Nanos, rules: &SafetyLimits, work: f64) {
+    /// Counts a request that it starts to work on; while it warms up, the request is charged to its budget.
+    pub(crate) fn start_request(&mut self, now: Nanos, rules: &SafetyLimits, cost: f64) {
         self.in_flight += 1;
-        self.record_slow_start_work(now, rules, work);
+        self.charge_slow_start_budget(now, rules, cost);
     }
 
-    /// Counts work against the slow-start budget, if the backend is warming up.
-    pub(crate) fn record_slow_start_work(&mut self, now: Nanos, rules: &SafetyLimits, work: f64) {
+    /// Charges a send to the slow-start budget if the backend is warming up; `cost` is its service time.
+    pub(crate) fn charge_slow_start_budget(&mut self, now: Nanos, rules: &SafetyLimits, cost: f64) {
         if self.warm_up_fraction(now, rules) < 1.0 {
-            self.warming_sends.record(now, work);
+            self.warming_sends.record(now, cost);
         }
     }
 
@@ -184,9 +184,9 @@
             .update(now, slowness, SLOWNESS_TIME_CONSTANT, SLOWNESS_MIN_WEIGHT);
     }
 
-    /// Adds work that it has served.
-    pub(crate) fn record_served_work(&mut self, now: Nanos, work: f64) {
-        self.served_work.add(now, work);
+    /// Adds the service time of a request that it has served.
+    pub(crate) fn record_throughput(&mut self, now: Nanos, service_time: f64) {
+        self.throughput.add(now, service_time);
     }
 
     /// Forgets failures and slowness, as they were the fault of its zone, which is open again.
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -24,7 +24,7 @@
 use crate::retry_budget::RetryBudget;
 use crate::retry_safety;
 use crate::tuning::SUBSET_SIZE;
-use crate::zone::ShareChange;
+use crate::zone::ZoneTransition;
 use crate::zone_routing::{ZoneRouting, utilization};
 use badgerpost_time::{MILLISECOND, SECOND};
 
@@ -167,7 +167,8 @@
             state.set_endpoint_ranks(self.fleet.backends.subset_ranks(zone), SUBSET_SIZE);
         }
         if is_load_adjusted && is_current {
-            self.load_feedback.apply_list(&mut self.fleet);
+            self.load_feedback
+                .apply_load_adjusted_sizes(&mut self.fleet);
             self.update_spill_and_admission();
         }
     }
@@ -186,8 +187,8 @@
             .fleet
             .zones
             .get_mut(zone)
-            .map(|state| state.set_share(share));
-        if change == Some(ShareChange::Reopened) {
+            .map(|state| state.set_traffic_share(share));
+        if change == Some(ZoneTransition::Reopened) {
             let backends = self
                 .fleet
                 .backends
@@ -195,7 +196,7 @@
                 .filter(|backend| backend.zone() == zone);
             backends.for_each(Backend::reset_after_zone_reopened);
         }
-        if change == Some(ShareChange::Closed) {
+        if change == Some(ZoneTransition::Closed) {
             if zone == self.fleet.local_zone() {
                 self.fleet.classes.reset_rates();
                 self.admission.reset_admitted_fractions();
--- a/balancer/src/balancer/attempts.rs
+++ b/balancer/src/balancer/attempts.rs
@@ -59,10 +59,10 @@
         });
         backend.outlier.on_send();
         if request.is_uploading {
-            backend.record_slow_start_work(now, &settings.rules, request.slow_start_work);
+            backend.charge_slow_start_budget(now, &settings.rules, request.slow_start_cost);
             return;
         }
-        backend.start_request(now, &settings.rules, request.slow_start_work);
+        backend.start_request(now, &settings.rules, request.slow_start_cost);
         if let Some(zone) = self.fleet.zones.get_mut(placement.zone) {
             zone.start_attempt(now);
         }
@@ -82,7 +82,7 @@
         request.expires_at = expires_at;
         request.objective_deadline =
             expires_at.min(now + settings.class(request.class).latency_objective);
-        request.half_time = now + expires_at.saturating_sub(now) / 2;
+        request.early_rejection_until = now + expires_at.saturating_sub(now) / 2;
         let uploads = request
             .attempts
             .iter_mut()
@@ -94,7 +94,7 @@
             attempt.is_counted = true;
             attempt.sent_at = now;
             attempt.load = backend.load(settings);
-            backend.start_request(now, &settings.rules, request.slow_start_work);
+            backend.start_request(now, &settings.rules, request.slow_start_cost);
             if let Some(zone) = self.fleet.zones.get_mut(attempt.placement.zone) {
                 zone.start_attempt(now);
             }
@@ -106,8 +106,9 @@
         let Some(request) = self.requests.get_mut(result.request) else {
             return;
         };
-        let (class, work, objective_deadline) =
-            (request.class, request.work, request.objective_deadline);
+        let class = request.class;
+        let service_time = request.service_time;
+        let objective_deadline = request.objective_deadline;
         let is_open = request.phase != Phase::Ended;
         let own = request.attempts.get_mut(result.attempt as usize);
         let Some(attempt) = own.filter(|attempt| attempt.is_in_flight()) else {
@@ -122,7 +123,7 @@
             self.fleet.learn_from_attempt(&AttemptObservation {
                 backend: attempt.backend,
                 class,
-                work,
+                service_time,
                 load: attempt.load,
                 elapsed: result.elapsed,
                 outcome: result.outcome,
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -62,37 +62,37 @@
         let now = self.fleet.now;
         let class_settings = *self.fleet.settings.class(class);
         let statistics = self.fleet.classes.get_mut(class);
-        let idle_work = statistics.base_time() * IDLE_LOAD;
-        let work = arrival
-            .expected_work
-            .map_or(idle_work, |hint| hint as f64)
+        let idle_service_time = statistics.base_time() * IDLE_LOAD;
+        let service_time = arrival
+            .expected_service_time
+            .map_or(idle_service_time, |hint| hint as f64)
             .max(1.0);
-        statistics.record_work(work);
+        statistics.record_service_time(service_time);
         // A body on its way says nothing of the client's time, which has not begun.
         let time_left = arrival.expires_at.saturating_sub(now);
-        let try_time = if is_upload {
+        let client_timeout = if is_upload {
             class_settings.deadline
         } else {
             time_left
         };
-        statistics.record_try(try_time);
+        statistics.record_client_timeout(client_timeout);
         // Picking the requests with small hints for a small budget picks the hints that are too low.
-        let slow_start_work = work.max(statistics.mean_work());
-        let objective_end = objective_start(&self.fleet, arrival, class, try_time)
+        let slow_start_cost = service_time.max(statistics.mean_service_time());
+        let objective_end = objective_start(&self.fleet, arrival, class, client_timeout)
             + class_settings.latency_objective;
         Request {
             class,
             affinity_key: arrival
                 .affinity_key
                 .filter(|_| self.fleet.settings.key_affinity),
-            work,
-            slow_start_work,
+            service_time,
+            slow_start_cost,
             objective_deadline: if is_upload {
                 arrival.expires_at
             } else {
                 arrival.expires_at.min(objective_end)
             },
-            half_time: now + try_time / 2,
+            early_rejection_until: now + client_timeout / 2,
             expires_at: arrival.expires_at,
             attempts: Vec::new(),
             is_uploading: is_upload,
--- a/balancer/src/balancer/retries.rs
+++ b/balancer/src/balancer/retries.rs
@@ -37,7 +37,7 @@
     /// Whether a backend may get the request; what may only go to a closed zone is given up at once.
     fn has_retry_target(&self, request: &Request) -> bool {
         self.fleet.backends.values().any(|backend| {
-            self.fleet.zones.share(backend.zone()) > 0.0
+            self.fleet.zones.traffic_share(backend.zone()) > 0.0
                 && is_eligible(&self.fleet, request, backend)
         })
     }
--- a/balancer/src/class_statistics.rs
+++ b/balancer/src/class_statistics.rs
@@ -1,12 +1,12 @@
-//! What the node has measured of each request class: arrivals, answers in time, work and base time.
+//! Statistics of each request class: arrivals, answers in time, service time and base time.
 
 use crate::api::{ClassId, ClassSettings, Nanos};
 use crate::ewma::DecayingRate;
 
-/// First guess of a class's base time, as a fraction of its latency objective.
+/// The first guess of a class's base time is its latency objective divided by this.
 const INITIAL_BASE_DIVISOR: f64 = 16.0;
-/// Weight of a request in its class's mean work.
-const MEAN_WORK_WEIGHT: f64 = 0.01;
+/// Weight of a request in its class's mean service time.
+const MEAN_SERVICE_TIME_WEIGHT: f64 = 0.01;
 /// Samples over which a base time is learned; slow against a day's faults.
 const MAX_SAMPLES: f64 = 400.0;
 /// Samples from which on a base time is good enough to compare backends by.
@@ -24,11 +24,11 @@
 #[derive(Clone, Copy)]
 pub(crate) struct ClassStatistics {
     base_time: f64,
-    mean_work: f64,
+    mean_service_time: f64,
     samples: f64,
     arrivals: DecayingRate,
     served_in_time: DecayingRate,
-    longest_try: Nanos,
+    longest_client_timeout: Nanos,
 }
 
 impl ClassStatistics {
@@ -36,11 +36,11 @@
     fn new(settings: &ClassSettings) -> Self {
         Self {
             base_time: settings.latency_objective as f64 / INITIAL_BASE_DIVISOR,
-            mean_work: 0.0,
+            mean_service_time: 0.0,
             samples: 0.0,
             arrivals: DecayingRate::default(),
             served_in_time: DecayingRate::default(),
-            longest_try: 0,
+            longest_client_timeout: 0,
         }
     }
 
@@ -63,29 +63,29 @@
         self.base_time += (sample - self.base_time) * weight / (self.samples + PRIOR_SAMPLES);
     }
 
-    /// Mean work of a request, in nanoseconds on a standard core.
-    pub(crate) fn mean_work(&self) -> f64 {
-        self.mean_work
+    /// Mean expected service time of a request, in nanoseconds on a standard core.
+    pub(crate) fn mean_service_time(&self) -> f64 {
+        self.mean_service_time
     }
 
-    /// Takes in the expected work of an arrival.
-    pub(crate) fn record_work(&mut self, work: f64) {
-        self.mean_work += (work - self.mean_work)
-            * if self.mean_work > 0.0 {
-                MEAN_WORK_WEIGHT
+    /// Adds the expected service time of an arrival to the mean.
+    pub(crate) fn record_service_time(&mut self, service_time: f64) {
+        self.mean_service_time += (service_time - self.mean_service_time)
+            * if self.mean_service_time > 0.0 {
+                MEAN_SERVICE_TIME_WEIGHT
             } else {
                 1.0
             };
     }
 
-    /// The longest time that a client has given one try.
-    pub(crate) fn longest_try(&self) -> Nanos {
-        self.longest_try
+    /// The longest timeout that a client has set for one attempt of its own.
+    pub(crate) fn longest_client_timeout(&self) -> Nanos {
+        self.longest_client_timeout
     }
 
-    /// Takes in the time that a client gives one try.
-    pub(crate) fn record_try(&mut self, time_limit: Nanos) {
-        self.longest_try = self.longest_try.max(time_limit);
+    /// Records the timeout of one client attempt.
+    pub(crate) fn record_client_timeout(&mut self, timeout: Nanos) {
+        self.longest_client_timeout = self.longest_client_timeout.max(timeout);
     }
 
     /// Arrivals per second.
--- a/balancer/src/deadlines.rs
+++ b/balancer/src/deadlines.rs
@@ -7,10 +7,10 @@
 use crate::tuning::IDLE_LOAD;
 use badgerpost_time::nanos_from_f64;
 
-/// A try shorter than the longest one by more than this part of it is a repeat: arrivals jitter.
-const SHORTER_TRY_DIVISOR: u64 = 8;
-/// Least work on a request that is still answered, as a fraction of the time on an idle backend.
-const MIN_WORK_FRACTION: f64 = 0.5;
+/// A client timeout shorter than the longest one by more than this part of it tells of a retry: arrivals jitter.
+const SHORTER_TIMEOUT_DIVISOR: u64 = 8;
+/// Least service time of a request that is still answered, as a fraction of the time on an idle backend.
+const MIN_SERVICE_TIME_FRACTION: f64 = 0.5;
 /// A time-out counts against its backend from so many base times on.
 const OVERDUE_BASE_TIMES: f64 = 3.0;
 /// A late answer is dropped in a jam if it is worth no more than this fraction.
@@ -28,11 +28,11 @@
     fleet: &Fleet,
     arrival: &RequestArrival,
     class: ClassId,
-    try_time: Nanos,
+    client_timeout: Nanos,
 ) -> Nanos {
     let may_be_repeat = arrival.is_retry || !fleet.settings.retries_marked;
-    let longest = fleet.classes.get(class).longest_try();
-    let is_short = try_time < longest - longest / SHORTER_TRY_DIVISOR;
+    let longest = fleet.classes.get(class).longest_client_timeout();
+    let is_short = client_timeout < longest - longest / SHORTER_TIMEOUT_DIVISOR;
     if may_be_repeat && is_worthless_late(fleet, class) && is_short {
         return arrival
             .expires_at
@@ -64,14 +64,15 @@
 /// Whether a queued request is better ended now than at the next check, a period from now.
 pub(crate) fn is_expired(fleet: &Fleet, request: &Request, period: Nanos) -> bool {
     let base_time = fleet.classes.get(request.class).base_time();
-    let least_time = nanos_from_f64(base_time * IDLE_LOAD * MIN_WORK_FRACTION) + period;
+    let min_service_time =
+        nanos_from_f64(base_time * IDLE_LOAD * MIN_SERVICE_TIME_FRACTION) + period;
     let was_never_sent = request.attempts.iter().all(Attempt::has_missed_backend);
     let end = if was_never_sent {
-        request.half_time
+        request.early_rejection_until
     } else {
         request.expires_at
     };
     request.phase == Phase::Queued
         && !request.has_attempt_in_flight()
-        && (fleet.now + least_time >= request.objective_deadline || fleet.now + period >= end)
+        && (fleet.now + min_service_time >= request.objective_deadline || fleet.now + period >= end)
 }
--- a/balancer/src/learning.rs
+++ b/balancer/src/learning.rs
@@ -1,4 +1,4 @@
-//! Learning from attempts and reports: slowness, base times, served work and the zones' capacity.
+//! Learning from attempts and reports: slowness, base times, throughput and the zones' capacity.
 
 use crate::api::{BackendId, ClassId, Nanos, Outcome};
 use crate::class_statistics::MAX_OBSERVATION_RATIO;
@@ -14,8 +14,8 @@
     pub(crate) backend: BackendId,
     /// The request's class.
     pub(crate) class: ClassId,
-    /// The request's expected work, in nanoseconds.
-    pub(crate) work: f64,
+    /// The request's expected service time, in nanoseconds on a standard core.
+    pub(crate) service_time: f64,
     /// The backend's load at the send, in requests for each unit of size.
     pub(crate) load: f64,
     /// Time since the send.
@@ -24,18 +24,18 @@
     pub(crate) outcome: Outcome,
 }
 
-/// Work served and capacity used in one zone.
+/// Throughput and capacity used in one zone.
 #[derive(Clone, Copy, Default)]
 struct CapacitySample {
-    served: f64,
+    throughput: f64,
     used: f64,
 }
 
 impl CapacitySample {
-    /// Work served for each unit of used capacity.
+    /// Throughput for each unit of used capacity.
     fn per_unit(self) -> f64 {
         if self.used > 0.0 {
-            self.served / self.used
+            self.throughput / self.used
         } else {
             0.0
         }
@@ -43,7 +43,7 @@
 }
 
 impl Fleet {
-    /// Learns slowness, base time and served work from one attempt.
+    /// Learns slowness, base time and throughput from one attempt.
     pub(crate) fn learn_from_attempt(&mut self, observation: &AttemptObservation) {
         let Some(backend) = self.backends.get_mut(observation.backend) else {
             return;
@@ -61,7 +61,7 @@
                 if class.is_base_time_reliable() {
                     backend.record_slowness(self.now, slowness);
                 }
-                backend.record_served_work(self.now, observation.work);
+                backend.record_throughput(self.now, observation.service_time);
                 class.record_served(unit_time);
                 if let Some(zone) = self.zones.get_mut(backend.zone()) {
                     zone.record_latency(elapsed);
@@ -75,23 +75,23 @@
         }
     }
 
-    /// Measures what this node is served for each unit of used capacity, by zone, so that the shares of all
-    /// nodes add up to one capacity.
+    /// Measures the throughput that this node gets for each unit of used capacity, by zone, so that the parts of
+    /// all nodes add up to one capacity.
     pub(crate) fn measure_capacity(&mut self) {
         let samples = self.capacity_samples();
         let total = samples
             .iter()
             .fold(CapacitySample::default(), |total, sample| CapacitySample {
-                served: total.served + sample.served,
+                throughput: total.throughput + sample.throughput,
                 used: total.used + sample.used,
             });
-        let node_share = total.per_unit() / f64::from(self.settings.node_count);
+        let per_node_capacity = total.per_unit() / f64::from(self.settings.node_count);
         for ((_, zone), sample) in self.zones.iter_mut().zip(samples) {
-            zone.update_capacity(sample.per_unit().max(node_share));
+            zone.update_capacity(sample.per_unit().max(per_node_capacity));
         }
     }
 
-    /// Work served and capacity used by warm backends with fresh reports, by zone.
+    /// Throughput and capacity used of warm backends with fresh reports, by zone.
     fn capacity_samples(&self) -> Vec<CapacitySample> {
         let mut samples = vec![CapacitySample::default(); self.zones.count()];
         for backend in self.backends.values() {
@@ -104,7 +104,7 @@
                 continue;
             }
             if let Some(sample) = samples.get_mut(backend.zone().index()) {
-                sample.served += backend.served_work(self.now);
+                sample.throughput += backend.throughput(self.now);
                 sample.used += backend.size() * backend.utilization().value().max(MIN_USED);
             }
         }
--- a/balancer/src/load_feedback.rs
+++ b/balancer/src/load_feedback.rs
@@ -4,15 +4,15 @@
 use crate::feedback_weights::FeedbackWeights;
 use crate::fleet::Fleet;
 use crate::tuning::MIN_DIVISOR;
-use crate::tuning::{FEEDBACK_DELAY_PERIODS, UTILIZATION_MAX_AGE};
+use crate::tuning::{FEEDBACK_DELAY_INTERVALS, UTILIZATION_MAX_AGE};
 use badgerpost_time::SECOND;
 
-/// Period of the lists until it is measured, in seconds.
-const INITIAL_LIST_PERIOD: f64 = 1.0;
-/// Longest gap between lists that counts as a period, in seconds.
-const MAX_LIST_PERIOD: f64 = 3.0;
-/// Weight of one gap in the measured period.
-const LIST_PERIOD_WEIGHT: f64 = 0.2;
+/// Interval between two lists until it is measured.
+const INITIAL_REFRESH_INTERVAL_SECONDS: f64 = 1.0;
+/// Longest gap between two lists that counts as a refresh interval.
+const MAX_REFRESH_INTERVAL_SECONDS: f64 = 3.0;
+/// Weight of one gap in the measured refresh interval.
+const REFRESH_INTERVAL_WEIGHT: f64 = 0.2;
 /// Period of the zones' queues as derived from reports.
 const REPORT_FEEDBACK_PERIOD: Nanos = SECOND;
 /// Utilization above which a zone's queue is not estimated any longer.
@@ -32,7 +32,7 @@
 /// When figures of the shared load came.
 pub(crate) struct LoadFeedback {
     listed_at: Option<Nanos>,
-    list_period_seconds: f64,
+    refresh_interval_seconds: f64,
     next_report_feedback_at: Nanos,
 }
 
@@ -41,14 +41,14 @@
     pub(crate) fn new() -> Self {
         Self {
             listed_at: None,
-            list_period_seconds: INITIAL_LIST_PERIOD,
+            refresh_interval_seconds: INITIAL_REFRESH_INTERVAL_SECONDS,
             next_report_feedback_at: 0,
         }
     }
 
     /// Seconds until what is sent now shows in a list.
     pub(crate) fn delay_seconds(&self) -> f64 {
-        self.list_period_seconds
+        self.refresh_interval_seconds
     }
 
     /// Whether a list has come lately.
@@ -58,13 +58,13 @@
     }
 
     /// Takes in the load-adjusted sizes of a list, which reach all nodes alike and late.
-    pub(crate) fn apply_list(&mut self, fleet: &mut Fleet) {
-        self.measure_period(fleet.now);
+    pub(crate) fn apply_load_adjusted_sizes(&mut self, fleet: &mut Fleet) {
+        self.measure_refresh_interval(fleet.now);
         let totals = fleet.backends.queue_totals(fleet.zones.count());
         let arrivals = fleet.classes.total_arrivals(fleet.now)
             * fleet.settings.nodes_per_zone()
-            * FEEDBACK_DELAY_PERIODS
-            * self.list_period_seconds;
+            * FEEDBACK_DELAY_INTERVALS
+            * self.refresh_interval_seconds;
         for (zone, state) in fleet.zones.iter_mut() {
             let total = totals[zone.index()];
             state.set_mean_queue(total.queue / f64::max(total.backends, 1.0));
@@ -91,12 +91,13 @@
     }
 
     /// Takes in the gap since the last list.
-    fn measure_period(&mut self, now: Nanos) {
+    fn measure_refresh_interval(&mut self, now: Nanos) {
         let gap = self
             .listed_at
             .map_or(1.0, |at| now.saturating_sub(at) as f64 / SECOND as f64);
-        self.list_period_seconds +=
-            (gap.min(MAX_LIST_PERIOD) - self.list_period_seconds) * LIST_PERIOD_WEIGHT;
+        self.refresh_interval_seconds += (gap.min(MAX_REFRESH_INTERVAL_SECONDS)
+            - self.refresh_interval_seconds)
+            * REFRESH_INTERVAL_WEIGHT;
         self.listed_at = Some(now);
     }
 
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -73,14 +73,14 @@
     pub(crate) class: ClassId,
     /// What it concerns, where backends keep their work by key.
     pub(crate) affinity_key: Option<u64>,
-    /// Expected work, in nanoseconds on a standard core.
-    pub(crate) work: f64,
-    /// Expected work where it counts against a slow-start budget.
-    pub(crate) slow_start_work: f64,
+    /// Expected service time, in nanoseconds on a standard core.
+    pub(crate) service_time: f64,
+    /// Service time that a send charges to a warming backend's slow-start budget.
+    pub(crate) slow_start_cost: f64,
     /// Until when an answer earns its full value.
     pub(crate) objective_deadline: Nanos,
-    /// Half of the client's time: what is rejected later has kept it waiting for nothing.
-    pub(crate) half_time: Nanos,
+    /// Until when a rejection is still early: half of the client's time is up then.
+    pub(crate) early_rejection_until: Nanos,
     /// When the client gives up.
     pub(crate) expires_at: Nanos,
     /// Its attempts, in the order of the sends.
--- a/balancer/src/retry_safety.rs
+++ b/balancer/src/retry_safety.rs
@@ -16,13 +16,13 @@
     };
     // A draining backend gets nothing new: a wanted margin to the drain grace.
     entry.state == EndpointState::InService
-        && may_be_sent_again(fleet, request)
+        && is_attempt_allowed(fleet, request)
         && is_retry_safe(&fleet.settings, request, None, placement, fleet.now)
-        && has_slow_start_budget(fleet, backend, request.slow_start_work)
+        && has_slow_start_budget(fleet, backend, request.slow_start_cost)
 }
 
 /// Whether a request may have a further attempt, wherever it goes.
-fn may_be_sent_again(fleet: &Fleet, request: &Request) -> bool {
+fn is_attempt_allowed(fleet: &Fleet, request: &Request) -> bool {
     let limits = &fleet.settings.limits;
     let is_pending =
         matches!(request.phase, Phase::Open | Phase::Queued) && fleet.now < request.expires_at;
@@ -58,13 +58,13 @@
         Idempotency::Keyed { scope, window } => ran.all(|other| {
             let is_remembered =
                 at + settings.timer_resolution < other.sent_at.saturating_add(window);
-            is_remembered && shares_keys(scope, other.placement, target)
+            is_remembered && is_same_dedup_scope(scope, other.placement, target)
         }),
     }
 }
 
 /// Whether two backends share which idempotency keys they have seen.
-fn shares_keys(scope: DedupScope, one: Placement, other: Placement) -> bool {
+fn is_same_dedup_scope(scope: DedupScope, one: Placement, other: Placement) -> bool {
     match scope {
         DedupScope::All => true,
         DedupScope::Zone => one.zone == other.zone,
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: the work that a warming backend may be sent, as the fleet's nodes divide its budget.
+//! Slow start: how much a warming backend may be sent, as the fleet's nodes divide its budget.
 
 use crate::backend::Backend;
 use crate::fleet::Fleet;
@@ -9,8 +9,8 @@
 /// Part of the budget that nodes together use; the rest is for chance and for late figures.
 const BUDGET_FRACTION: f64 = 0.4;
 
-/// Whether this node's share of the backend's budget covers a request of so much work.
-pub(crate) fn has_slow_start_budget(fleet: &Fleet, backend: &Backend, work: f64) -> bool {
+/// Whether this node's part of the backend's budget covers a send that costs this much service time.
+pub(crate) fn has_slow_start_budget(fleet: &Fleet, backend: &Backend, cost: f64) -> bool {
     let settings = &fleet.settings;
     if backend.warm_up_fraction(fleet.now, &settings.rules) >= 1.0 {
         return true;
@@ -21,24 +21,24 @@
         return false;
     }
     let window = settings.rules.overload_window;
-    let spent = backend
+    let consumed = backend
         .warming_sends()
-        .work_since(fleet.now.saturating_sub(window + settings.timer_resolution));
+        .service_time_since(fleet.now.saturating_sub(window + settings.timer_resolution));
     let budget = budget(fleet, backend);
     // A budget under one request is spent by chance, or many nodes' first sends would exceed it together; one
     // of a zone's nodes or so always tries, as no figure may come from elsewhere.
     let draw = epoch_draw(backend.subset_rank(), fleet.now / window.max(1));
-    spent + work <= budget
-        || (spent == 0.0 && draw <= (budget / work).max(1.0 / settings.nodes_per_zone()))
+    consumed + cost <= budget
+        || (consumed == 0.0 && draw <= (budget / cost).max(1.0 / settings.nodes_per_zone()))
 }
 
-/// This node's share of a warming backend's budget for one window, in nanoseconds of work.
+/// This node's part of a warming backend's budget for one window, in nanoseconds of service time.
 fn budget(fleet: &Fleet, backend: &Backend) -> f64 {
     let rules = &fleet.settings.rules;
     let zone = fleet.zones.get(backend.zone());
     let window_seconds = rules.overload_window as f64 / SECOND as f64;
     let subsets = (zone.endpoint_count() / SUBSET_SIZE as f64).max(1.0);
-    let share = if fleet.settings.is_large_fleet() {
+    let subset_factor = if fleet.settings.is_large_fleet() {
         subsets
     } else {
         1.0
@@ -49,5 +49,5 @@
         * warm_up_fraction
         * backend.size()
         * zone.capacity();
-    capacity * window_seconds * share
+    capacity * window_seconds * subset_factor
 }
--- a/balancer/src/tuning.rs
+++ b/balancer/src/tuning.rs
@@ -19,8 +19,9 @@
 pub(crate) const MIN_DIVISOR: f64 = 1e-9;
 /// Arrivals per second from which on a class counts as in use.
 pub(crate) const MIN_ARRIVAL_RATE: f64 = 0.1;
-/// Arrivals until a load-adjusted weight shows them, in list periods: one to be made, one to be read.
-pub(crate) const FEEDBACK_DELAY_PERIODS: f64 = 2.0;
+/// Arrivals until a load-adjusted weight shows them, in refresh intervals of the list: one to be made,
+/// one to be read.
+pub(crate) const FEEDBACK_DELAY_INTERVALS: f64 = 2.0;
 /// With more nodes per zone than this, own requests in flight say nothing of a backend's load: the pick then
 /// goes by what the list or the reports show all nodes, and by chance.
 const LARGE_FLEET_NODES_PER_ZONE: f64 = 8.0;
--- a/balancer/src/warming_sends.rs
+++ b/balancer/src/warming_sends.rs
@@ -1,4 +1,4 @@
-//! Work sent to one backend while it warms up.
+//! Requests sent to one backend while it warms up, with their expected service times.
 
 use std::collections::VecDeque;
 
@@ -7,7 +7,7 @@
 /// A send to a warming backend.
 struct WarmingSend {
     sent_at: Nanos,
-    work: f64,
+    service_time: f64,
 }
 
 /// Sends to one backend while it warms up, oldest first.
@@ -17,18 +17,21 @@
 }
 
 impl WarmingSends {
-    /// Counts a send of so much work.
-    pub(crate) fn record(&mut self, now: Nanos, work: f64) {
-        self.sends.push_back(WarmingSend { sent_at: now, work });
+    /// Records a send now, by the request's expected service time in nanoseconds.
+    pub(crate) fn record(&mut self, now: Nanos, service_time: f64) {
+        self.sends.push_back(WarmingSend {
+            sent_at: now,
+            service_time,
+        });
     }
 
-    /// Work sent since that time, in nanoseconds on a standard core.
-    pub(crate) fn work_since(&self, since: Nanos) -> f64 {
+    /// Sum of the service times sent at `since` or later, in nanoseconds on a standard core.
+    pub(crate) fn service_time_since(&self, since: Nanos) -> f64 {
         self.sends
             .iter()
             .rev()
             .take_while(|send| send.sent_at >= since)
-            .map(|send| send.work)
+            .map(|send| send.service_time)
             .sum()
     }
 }
--- a/balancer/src/zone.rs
+++ b/balancer/src/zone.rs
@@ -1,4 +1,4 @@
-//! One zone as this node sees it: own load, listed backends, measured capacity and the share it may take.
+//! One zone as this node sees it: own load, listed backends, measured capacity and traffic share.
 
 use crate::api::Nanos;
 use crate::ewma::{Ewma, UTILIZATION_TIME_CONSTANT};
@@ -11,11 +11,11 @@
 /// Growth of the least response time in a refresh, so that a link that has become slow shows.
 const MIN_LATENCY_GROWTH: f64 = 1.002;
 
-/// How a new share changes whether a zone takes requests.
+/// How a new traffic share changes whether a zone takes requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum ShareChange {
+pub(crate) enum ZoneTransition {
     /// It takes requests, or none, as before.
-    Same,
+    Unchanged,
     /// It takes none from now on.
     Closed,
     /// It takes requests again.
@@ -32,7 +32,7 @@
     max_subset_rank: u64,
     capacity: f64,
     min_latency: Option<f64>,
-    share: f64,
+    traffic_share: f64,
     probe_timeout: Option<Nanos>,
 }
 
@@ -40,7 +40,7 @@
     /// A zone of which nothing is known yet, and which takes requests.
     pub(crate) fn new() -> Self {
         Self {
-            share: 1.0,
+            traffic_share: 1.0,
             ..Self::default()
         }
     }
@@ -137,24 +137,25 @@
         self.min_latency = self.min_latency.map(|least| least * MIN_LATENCY_GROWTH);
     }
 
-    /// The share that it may take, 0 to 1; see [`Event::ZoneShareChanged`](crate::Event::ZoneShareChanged).
-    pub(crate) fn share(&self) -> f64 {
-        self.share
+    /// Part of the requests that it may take, 0 to 1; see
+    /// [`Event::ZoneShareChanged`](crate::Event::ZoneShareChanged).
+    pub(crate) fn traffic_share(&self) -> f64 {
+        self.traffic_share
     }
 
-    /// Sets the share that it may take; a share that is not finite counts as 1.
-    pub(crate) fn set_share(&mut self, share: f64) -> ShareChange {
+    /// Sets its traffic share; one that is not finite counts as 1.
+    pub(crate) fn set_traffic_share(&mut self, share: f64) -> ZoneTransition {
         let bounded = if share.is_finite() {
             share.clamp(0.0, 1.0)
         } else {
             1.0
         };
-        let change = match (self.share > 0.0, bounded > 0.0) {
-            (true, false) => ShareChange::Closed,
-            (false, true) => ShareChange::Reopened,
-            _ => ShareChange::Same,
+        let change = match (self.traffic_share > 0.0, bounded > 0.0) {
+            (true, false) => ZoneTransition::Closed,
+            (false, true) => ZoneTransition::Reopened,
+            _ => ZoneTransition::Unchanged,
         };
-        self.share = bounded;
+        self.traffic_share = bounded;
         change
     }
 
--- a/balancer/src/zone_routing/decisions.rs
+++ b/balancer/src/zone_routing/decisions.rs
@@ -90,9 +90,9 @@
         // Exception: what a closed zone does not take would push the one best zone over; it is divided.
         let target = if is_home_open {
             self.best_target()
-                .filter(|&zone| selection.fleet.zones.share(zone) > 0.0)
+                .filter(|&zone| selection.fleet.zones.traffic_share(zone) > 0.0)
         } else {
-            divide_by_share(selection, id)
+            draw_zone_by_traffic_share(selection, id)
         };
         if let Some(backend) = target.and_then(|zone| selection.pick(id, request, zone)) {
             return Some(backend);
@@ -107,7 +107,7 @@
         let open_zones = self
             .overflow
             .iter()
-            .filter(|&&zone| selection.fleet.zones.share(zone) > 0.0);
+            .filter(|&&zone| selection.fleet.zones.traffic_share(zone) > 0.0);
         open_zones
             .copied()
             .find_map(|zone| selection.pick(id, request, zone))
@@ -177,23 +177,23 @@
 
 /// Whether a zone's share covers this request, whenever it asks.
 fn takes_request(selection: &EndpointSelection, id: RequestId, zone: ZoneId) -> bool {
-    let share = selection.fleet.zones.share(zone);
+    let share = selection.fleet.zones.traffic_share(zone);
     share >= 1.0 || selection.random.request_draw(id, u64::from(zone.0)) < share
 }
 
 /// The zone for a request that home's share does not cover: one of the others by their shares.
-fn divide_by_share(selection: &EndpointSelection, id: RequestId) -> Option<ZoneId> {
+fn draw_zone_by_traffic_share(selection: &EndpointSelection, id: RequestId) -> Option<ZoneId> {
     let fleet = selection.fleet;
     let total: f64 = fleet
         .remote_zones()
-        .map(|zone| fleet.zones.share(zone))
+        .map(|zone| fleet.zones.traffic_share(zone))
         .sum();
     let mut left = selection.random.request_draw(id, DIVISION_SALT) * total;
     fleet
         .remote_zones()
-        .filter(|&zone| fleet.zones.share(zone) > 0.0)
+        .filter(|&zone| fleet.zones.traffic_share(zone) > 0.0)
         .find(|&zone| {
-            left -= fleet.zones.share(zone);
+            left -= fleet.zones.traffic_share(zone);
             left <= 0.0
         })
 }
--- a/balancer/src/zones.rs
+++ b/balancer/src/zones.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A zone; one that is not in the settings has no capacity and no share.
+    /// A zone; one that is not in the settings has no capacity and a traffic share of 0.
     pub(crate) fn get(&self, id: ZoneId) -> Zone {
         self.zones.get(id.index()).copied().unwrap_or_default()
     }
@@ -55,9 +55,9 @@
         self.zones.len()
     }
 
-    /// The share of requests that a zone may take, 0 to 1.
-    pub(crate) fn share(&self, id: ZoneId) -> f64 {
-        self.get(id).share()
+    /// Part of the requests that a zone may take, 0 to 1.
+    pub(crate) fn traffic_share(&self, id: ZoneId) -> f64 {
+        self.get(id).traffic_share()
     }
 
     /// The first zone that is to be probed.
--- a/balancer/tests/any_sequence.rs
+++ b/balancer/tests/any_sequence.rs
@@ -212,7 +212,7 @@
                     request,
                     class: ClassId(effect as u32),
                     affinity_key: (draw.below(2) == 0).then(|| draw.below(6)),
-                    expected_work: hint,
+                    expected_service_time: hint,
                     is_retry: false,
                     tenant: None,
                     expires_at: not_after,
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -101,7 +101,7 @@
             request,
             class: ClassId(0),
             affinity_key: None,
-            expected_work: None,
+            expected_service_time: None,
             is_retry: repeat,
             tenant: None,
             expires_at: not_after,
--- a/balancer/tests/contract.rs
+++ b/balancer/tests/contract.rs
@@ -339,7 +339,7 @@
                 request,
                 class,
                 affinity_key: None,
-                expected_work: hint,
+                expected_service_time: hint,
                 is_retry: false,
                 tenant: None,
                 expires_at: not_after,
--- a/balancer/tests/faults.rs
+++ b/balancer/tests/faults.rs
@@ -107,7 +107,7 @@
             request: id,
             class,
             affinity_key: None,
-            expected_work: None,
+            expected_service_time: None,
             is_retry: false,
             tenant: None,
             expires_at: node.now + SECOND,
--- a/balancer/tests/overload.rs
+++ b/balancer/tests/overload.rs
@@ -247,7 +247,7 @@
         request,
         class,
         affinity_key: key,
-        expected_work: None,
+        expected_service_time: None,
         is_retry: false,
         tenant: None,
         expires_at: not_after,
--- a/balancer/tests/uploads.rs
+++ b/balancer/tests/uploads.rs
@@ -13,7 +13,7 @@
         request,
         class: ClassId(0),
         affinity_key: None,
-        expected_work: None,
+        expected_service_time: None,
         is_retry: false,
         tenant: None,
         expires_at: not_after,
--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -216,7 +216,7 @@
         rules: read_safety_limits(&sections.rules)?,
         worst_class_goal: sections.goal.number_or("worst-class", 0.0)?,
         retries_marked: are_retries_marked(root),
-        value_per_request: root.lenient_string("worth-by") == Some("work"),
+        is_weight_per_work: root.lenient_string("worth-by") == Some("work"),
         timer_resolution: root.unsigned_integer_or("quantum-ns", DEFAULT_TIMER_RESOLUTION)?,
     })
 }
--- a/settings/tests/read_settings.rs
+++ b/settings/tests/read_settings.rs
@@ -47,7 +47,7 @@
         Settings::new(ZoneId(0), 1).max_queue_per_size
     );
     assert!(settings.reports_by_health_check && settings.key_affinity);
-    assert!(settings.retries_marked && settings.value_per_request);
+    assert!(settings.retries_marked && settings.is_weight_per_work);
     assert_eq!(settings.timer_resolution, 2_000_000);
 }
 
@@ -143,7 +143,7 @@
     assert_eq!(settings.weight_source, WeightSource::Registered);
     assert!(settings.tenant_quotas.is_empty());
     assert!(!settings.reports_by_health_check && !settings.key_affinity);
-    assert!(!settings.retries_marked && !settings.value_per_request);
+    assert!(!settings.retries_marked && !settings.is_weight_per_work);
     assert_eq!(
         (settings.timer_resolution, settings.rules.poll_interval),
         (1_000_000, u64::MAX)
--- a/simulator/src/instance.rs
+++ b/simulator/src/instance.rs
@@ -120,7 +120,7 @@
             request: self.requests.insert(request.name),
             class: request.class,
             affinity_key: request.affinity_key,
-            expected_work: request.expected_work,
+            expected_service_time: request.expected_service_time,
             is_retry: request.is_retry,
             tenant: request.tenant,
             expires_at: request.expires_at,
--- a/simulator/src/wire/events.rs
+++ b/simulator/src/wire/events.rs
@@ -9,7 +9,7 @@
 use super::endpoint_list::{ListedEndpoint, read_list_id};
 
 /// Bit of `options`: the field `weight-hint-ns` holds the expected work.
-const OPTION_EXPECTED_WORK: u64 = 1;
+const OPTION_EXPECTED_SERVICE_TIME: u64 = 1;
 /// Bit of `options`: the client marks the request as a retry.
 const OPTION_RETRY: u64 = 2;
 
@@ -93,7 +93,7 @@
     /// Hash of the key that it concerns, if it has one.
     pub affinity_key: Option<u64>,
     /// Expected work in nanoseconds on a standard core, if known.
-    pub expected_work: Option<Nanos>,
+    pub expected_service_time: Option<Nanos>,
     /// Whether the client marks it as a retry.
     pub is_retry: bool,
     /// Its tenant, if it has one that the settings list.
@@ -199,14 +199,14 @@
         .class(fields.string("band")?)
         .ok_or_else(|| fields.invalid("band"))?;
     let options = fields.unsigned_integer_or("options", 0)?;
-    let expected_work = fields.unsigned_integer_or("weight-hint-ns", 0)?;
-    let has_expected_work = options & OPTION_EXPECTED_WORK != 0;
+    let expected_service_time = fields.unsigned_integer_or("weight-hint-ns", 0)?;
+    let has_expected_service_time = options & OPTION_EXPECTED_SERVICE_TIME != 0;
     Ok(ArrivedRequest {
         expires_at: fields.unsigned_integer("not-after-ns")?,
         name: fields.string("request-id")?,
         class: ClassId(class),
         affinity_key: fields.lenient_string("key").map(name_hash),
-        expected_work: has_expected_work.then_some(expected_work),
+        expected_service_time: has_expected_service_time.then_some(expected_service_time),
         is_retry: options & OPTION_RETRY != 0,
         tenant: names.tenant(fields.lenient_string("org")),
     })
