--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -11,10 +11,10 @@
 use crate::ewma::DecayingRate;
 use crate::fleet::Fleet;
 
-/// What is decided of one class.
+/// Decisions on one class.
 #[derive(Clone, Copy)]
 struct ClassAdmission {
-    /// What a unit of its work adds to the goal.
+    /// What a unit of its work (of service time) adds to the goal.
     value: f64,
     /// The largest stretch (slowness times load) that its requests are sent at.
     max_stretch: f64,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Admits all classes wholly again.
+    /// Admits all requests of all classes again.
     pub(crate) fn reset_admitted_fractions(&mut self) {
         for class in &mut self.classes {
             class.admitted_fraction = 1.0;
--- a/balancer/src/admission/overload.rs
+++ b/balancer/src/admission/overload.rs
@@ -5,26 +5,25 @@
 use crate::fleet::Fleet;
 use crate::load_feedback::LoadFeedback;
 use crate::random::Random;
-use crate::tuning::MIN_DIVISOR;
 use crate::tuning::{
-    FEEDBACK_DELAY_INTERVALS, IDLE_LOAD, LARGE_FLEET_SPILL_THRESHOLD, MIN_ARRIVAL_RATE,
+    FEEDBACK_DELAY_INTERVALS, IDLE_LOAD, LARGE_FLEET_SPILL_THRESHOLD, MIN_ARRIVAL_RATE, MIN_DIVISOR,
 };
 
 /// Queue per core of a zone at the spill threshold.
 const SPILL_QUEUE: f64 = LARGE_FLEET_SPILL_THRESHOLD / (1.0 - LARGE_FLEET_SPILL_THRESHOLD);
-/// The admitted queue is at most this multiple of [`SPILL_QUEUE`]: one node's own times are few.
+/// The admitted queue is at most this multiple of [`SPILL_QUEUE`]: one node measures few response times.
 const MAX_QUEUE_MULTIPLE: f64 = 1.5;
-/// Below this part of [`SPILL_QUEUE`] the node's own bound on arrivals rests: it sees few answers.
+/// Below this part of [`SPILL_QUEUE`] the node's own bound on arrivals does not apply: it sees few answers.
 const CALM_QUEUE_FRACTION: f64 = 0.5;
-/// Part of the objective, on the mean, that a zone's load may fill before arrivals are rejected.
+/// Part of the mean objective that a zone's load may fill before arrivals are rejected.
 const MAX_LOAD_FRACTION: f64 = 0.7;
 /// Arrivals admitted for each one that was lately answered in time (adaptive throttling).
 const OVERDRAW: f64 = 1.15;
 /// Added to both rates of that ratio, in requests per second, so that few requests don't decide.
 const RATE_PRIOR: f64 = 0.5;
-/// Part of the difference to the wanted load that one list's figures correct.
+/// Part of the difference to the wanted load that is corrected after one list.
 const GAIN: f64 = 0.5;
-/// Least fraction that is admitted, so that the end of a jam is seen.
+/// Least fraction that is admitted, so that the end of an overload is seen.
 const MIN_ADMITTED: f64 = 0.05;
 /// Fewest arrivals for each backend until the next figures: a node that has just started has counted none.
 const MIN_UPCOMING_ARRIVALS: f64 = 10.0;
@@ -34,33 +33,38 @@
 const MIN_WITHIN_QUOTA: f64 = 0.1;
 
 impl Admission {
-    /// In a large fleet: moves the fractions that spill and that are admitted at all by what would even out
-    /// the figures over the arrivals of about the time until the next ones. `target` is the zone to spill to.
+    /// In a large fleet: moves the fractions that spill and that are admitted at all by what would even out the
+    /// load figures over the arrivals until the next figures. `target` is the zone to spill to.
     pub(crate) fn update_spill_and_admission(
         &mut self,
         fleet: &Fleet,
         feedback: &LoadFeedback,
         target: Option<ZoneId>,
     ) {
-        let home = fleet.zones.get(fleet.local_zone());
-        let count = home.endpoint_count().max(1.0);
-        let arrivals = fleet.classes.total_arrivals(fleet.now) * fleet.settings.nodes_per_zone();
-        let upcoming_arrivals = (arrivals * FEEDBACK_DELAY_INTERVALS * feedback.delay_seconds()
-            / count)
-            .max(MIN_UPCOMING_ARRIVALS);
+        let local = fleet.zones.get(fleet.local_zone());
+        let local_queue = local.mean_queue();
         let target_queue = target.map(|zone| fleet.zones.get(zone).mean_queue());
-        // A crossing has its price: the other zone must hold less by one request a core at least.
-        let home_queue = home.mean_queue();
-        let spilling =
-            home_queue - target_queue.map_or(f64::INFINITY, |queue| (queue + 1.0).max(SPILL_QUEUE));
-        self.spill_fraction = (self.spill_fraction
-            + GAIN * spilling.max(-home_queue) / upcoming_arrivals)
-            .clamp(0.0, 1.0);
-        // Home spills first; only what no zone has capacity for is rejected.
-        let queue = target_queue.map_or(home_queue, |other| 0.5 * (home_queue + other));
-        self.admitted_fraction = (self.admitted_fraction
-            + GAIN * (max_queue(fleet) - queue) / upcoming_arrivals)
-            .clamp(MIN_ADMITTED, 1.0);
+        let upcoming_arrivals = upcoming_arrivals(fleet, feedback, local.endpoint_count());
+        self.update_spill_fraction(local_queue, target_queue, upcoming_arrivals);
+        // The local zone spills first; only what no zone has capacity for is rejected.
+        let queue = target_queue.map_or(local_queue, |other| 0.5 * (local_queue + other));
+        let correction = GAIN * (max_queue(fleet) - queue) / upcoming_arrivals;
+        self.admitted_fraction = (self.admitted_fraction + correction).clamp(MIN_ADMITTED, 1.0);
+    }
+
+    /// Moves the fraction that spills, by the queues per core of the local zone and of the zone to spill to.
+    fn update_spill_fraction(
+        &mut self,
+        local_queue: f64,
+        target_queue: Option<f64>,
+        upcoming_arrivals: f64,
+    ) {
+        // Another zone is farther away: its queue must be shorter by at least one request a core.
+        let spill_queue =
+            target_queue.map_or(f64::INFINITY, |queue| (queue + 1.0).max(SPILL_QUEUE));
+        let excess = (local_queue - spill_queue).max(-local_queue);
+        let correction = GAIN * excess / upcoming_arrivals;
+        self.spill_fraction = (self.spill_fraction + correction).clamp(0.0, 1.0);
     }
 
     /// Part of a tenant's requests that is beyond this node's part of its quota.
@@ -73,16 +77,25 @@
         if settings.over_quota_value >= 1.0 {
             return 0.0;
         }
-        let within = quota / f64::from(settings.node_count) / rate.per_second(now).max(MIN_DIVISOR);
+        let node_quota = quota / f64::from(settings.node_count);
+        let within = node_quota / rate.per_second(now).max(MIN_DIVISOR);
         (1.0 - QUOTA_TOLERANCE * within).max(0.0)
     }
 
-    /// The fraction by which an arrival is admitted: its class's, or that of arrivals beyond quotas.
+    /// Requests per second of all tenants that are beyond their quotas.
+    fn over_quota_rate(&self, settings: &Settings, now: Nanos) -> f64 {
+        let rates = self.tenants.iter().enumerate().map(|(tenant, rate)| {
+            self.over_quota_fraction(settings, now, tenant) * rate.per_second(now)
+        });
+        rates.sum()
+    }
+
+    /// The fraction by which an arrival is admitted: that of its class, or of the arrivals beyond quotas.
     pub(crate) fn draw_fraction(
         &self,
         fleet: &Fleet,
         tenant: usize,
-        class: f64,
+        class_fraction: f64,
         random: &mut Random,
     ) -> f64 {
         let over_quota = self.over_quota_fraction(&fleet.settings, fleet.now, tenant);
@@ -90,22 +103,16 @@
         if is_over_quota {
             self.over_quota_admitted
         } else {
-            class
+            class_fraction
         }
     }
 
-    /// Spreads what is admitted over the classes, the most valuable first. A tenant that floods is rejected
-    /// first, down to this node's part of its quota.
+    /// Divides what is admitted among the classes, the most valuable first. Requests beyond their tenants' quotas
+    /// are rejected first.
     pub(crate) fn update_admitted_fractions(&mut self, fleet: &Fleet, feedback: &LoadFeedback) {
-        let now = fleet.now;
-        let arrivals = fleet.classes.total_arrivals(now);
+        let arrivals = fleet.classes.total_arrivals(fleet.now);
         let fraction = self.admitted_fraction.min(own_bound(fleet, feedback));
-        let over_quota: f64 = (0..self.tenants.len())
-            .map(|tenant| {
-                self.over_quota_fraction(&fleet.settings, now, tenant)
-                    * self.tenants[tenant].per_second(now)
-            })
-            .sum();
+        let over_quota = self.over_quota_rate(&fleet.settings, fleet.now);
         let within = (1.0 - over_quota / arrivals.max(MIN_DIVISOR)).clamp(MIN_WITHIN_QUOTA, 1.0);
         self.over_quota_admitted = if within < 1.0 {
             ((fraction - within) / (1.0 - within)).clamp(0.0, 1.0)
@@ -113,23 +120,35 @@
             fraction
         };
         let within_admitted = (fraction / within).min(1.0);
-        let mut left = within_admitted * arrivals;
+        self.divide_among_classes(fleet, within_admitted, within_admitted * arrivals);
+    }
+
+    /// Admits `rate` requests per second, the given fraction of all arrivals, class by class in the order of value.
+    fn divide_among_classes(&mut self, fleet: &Fleet, fraction: f64, rate: f64) {
+        let mut remaining = rate;
         for class in self.by_value() {
-            let class_arrivals = fleet.classes.get(class).arrivals(now);
+            let class_arrivals = fleet.classes.get(class).arrivals(fleet.now);
             // A class without recent arrivals is not one that there is no capacity for.
-            let is_bounded = within_admitted < 1.0 && class_arrivals > MIN_ARRIVAL_RATE;
+            let is_bounded = fraction < 1.0 && class_arrivals > MIN_ARRIVAL_RATE;
             self.classes[class.index()].admitted_fraction = if is_bounded {
-                (left / class_arrivals).clamp(MIN_ADMITTED, 1.0)
+                (remaining / class_arrivals).clamp(MIN_ADMITTED, 1.0)
             } else {
                 1.0
             };
-            left = (left - class_arrivals).max(0.0);
+            remaining = (remaining - class_arrivals).max(0.0);
         }
     }
 }
 
-/// Queue per core at which the mean unit of value would still be answered in time; never under the spill
-/// threshold, where home serves all.
+/// Arrivals for each backend of the local zone until the next load figures, from all nodes.
+fn upcoming_arrivals(fleet: &Fleet, feedback: &LoadFeedback, backend_count: f64) -> f64 {
+    let rate = fleet.classes.total_arrivals(fleet.now) * fleet.settings.nodes_per_zone();
+    let arrivals = rate * FEEDBACK_DELAY_INTERVALS * feedback.refresh_interval_seconds();
+    (arrivals / backend_count.max(1.0)).max(MIN_UPCOMING_ARRIVALS)
+}
+
+/// Queue per core at which the mean unit of value would still be answered in time; at least that of the spill
+/// threshold, up to which the local zone serves all requests.
 fn max_queue(fleet: &Fleet) -> f64 {
     let (mut total_weight, mut fitting) = (MIN_DIVISOR, 0.0);
     for (class, settings) in fleet.classes_with_settings() {
@@ -141,16 +160,15 @@
     queue.clamp(SPILL_QUEUE, MAX_QUEUE_MULTIPLE * SPILL_QUEUE)
 }
 
-/// Fraction of the arrivals that this node's own answers allow to admit: shared figures are late, or absent
-/// where discovery is down.
+/// Fraction of the arrivals that may be admitted by this node's own answers: the shared figures are late, or absent
+/// while discovery is down.
 fn own_bound(fleet: &Fleet, feedback: &LoadFeedback) -> f64 {
-    let home = fleet.zones.get(fleet.local_zone());
-    let is_calm =
-        feedback.is_fresh(fleet.now) && home.mean_queue() < CALM_QUEUE_FRACTION * SPILL_QUEUE;
-    if is_calm {
+    let local = fleet.zones.get(fleet.local_zone());
+    let is_queue_short = local.mean_queue() < CALM_QUEUE_FRACTION * SPILL_QUEUE;
+    if feedback.is_fresh(fleet.now) && is_queue_short {
         return 1.0;
     }
     let arrivals = fleet.classes.total_arrivals(fleet.now);
-    OVERDRAW * (fleet.classes.total_served_in_time(fleet.now) + RATE_PRIOR)
-        / (arrivals + RATE_PRIOR)
+    let served = fleet.classes.total_served_in_time(fleet.now);
+    OVERDRAW * (served + RATE_PRIOR) / (arrivals + RATE_PRIOR)
 }
--- a/balancer/src/backend.rs
+++ b/balancer/src/backend.rs
@@ -1,4 +1,4 @@
-//! One backend as this node sees it: its list entry, own requests in flight and measured figures.
+//! One backend as this node sees it: its list entry, this node's requests in flight there, and measured figures.
 //!
 //! Ejection, warm-up sends and load feedback keep their per-backend state in types of their own.
 
@@ -13,7 +13,7 @@
 const MAX_UTILIZATION: f64 = 1.5;
 /// Least weight of one utilization sample, so that quick reports are not lost.
 const UTILIZATION_MIN_WEIGHT: f64 = 0.05;
-/// Time constant of slowness: tens of answers, yet within a noisy neighbour's seconds on and off.
+/// Time constant of slowness: tens of answers, yet shorter than the seconds for which a noisy neighbour is active.
 const SLOWNESS_TIME_CONSTANT: Nanos = SECOND;
 /// Least weight of one slowness sample.
 const SLOWNESS_MIN_WEIGHT: f64 = 0.1;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes over a new list entry; a changed start time means a new process, of which nothing is known.
+    /// Replaces its list entry; a changed start time means a new process, of which nothing is known.
     pub(crate) fn update_entry(
         &mut self,
         entry: Endpoint,
@@ -89,7 +89,7 @@
         self.entry.state == EndpointState::InService
     }
 
-    /// Own requests that it works on.
+    /// This node's requests that it works on.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight
     }
@@ -129,9 +129,10 @@
         let Some(started_at) = self.entry.started_at else {
             return 1.0;
         };
-        let age = now.saturating_sub(started_at) as f64 / rules.slow_start_duration.max(1) as f64;
-        (rules.slow_start_capacity + (1.0 - rules.slow_start_capacity) * age)
-            .clamp(MIN_WARM_UP_FRACTION, 1.0)
+        let age = now.saturating_sub(started_at) as f64;
+        let progress = age / rules.slow_start_duration.max(1) as f64;
+        let initial = rules.slow_start_capacity;
+        (initial + (1.0 - initial) * progress).clamp(MIN_WARM_UP_FRACTION, 1.0)
     }
 
     /// Counts a request that it starts to work on; while it warms up, the request is charged to its budget.
@@ -158,12 +159,12 @@
         self.health_checked_at = Some(now.max(1));
     }
 
-    /// Takes a load report in; impossible figures are passed over.
+    /// Records a load report; impossible figures are ignored.
     pub(crate) fn record_report(&mut self, now: Nanos, report: LoadReport) {
-        if let Some(utilization) = report
+        let plausible = report
             .utilization
-            .filter(|value| (0.0..=MAX_UTILIZATION).contains(value))
-        {
+            .filter(|value| (0.0..=MAX_UTILIZATION).contains(value));
+        if let Some(utilization) = plausible {
             self.record_utilization(now, utilization);
         }
     }
@@ -189,7 +190,7 @@
         self.throughput.add(now, service_time);
     }
 
-    /// Forgets failures and slowness, as they were the fault of its zone, which is open again.
+    /// Forgets failures and slowness: its zone caused them, and takes requests again.
     pub(crate) fn reset_after_zone_reopened(&mut self) {
         self.outlier.reset();
         self.slowness = Ewma::default();
--- a/balancer/src/backends.rs
+++ b/balancer/src/backends.rs
@@ -114,7 +114,7 @@
         totals
     }
 
-    /// Takes a list in: backends come, change and go.
+    /// Applies a list: adds, updates and removes backends.
     pub(crate) fn apply(
         &mut self,
         update: EndpointUpdate,
@@ -138,21 +138,21 @@
 
     /// Marks the backends that a complete list does not name.
     fn mark_missing_as_removed(&mut self, endpoints: &[Endpoint]) {
-        let named: BTreeSet<BackendId> =
+        let listed: BTreeSet<BackendId> =
             endpoints.iter().map(|endpoint| endpoint.backend).collect();
         for (id, backend) in &mut self.by_id {
-            if !named.contains(id) {
+            if !listed.contains(id) {
                 backend.mark_removed();
             }
         }
     }
 
-    /// Keeps the largest load-adjusted size of each machine kind.
+    /// Updates the largest load-adjusted size of each machine kind.
     fn learn_idle_sizes(&mut self, endpoints: &[Endpoint]) {
-        for endpoint in endpoints
+        let finite = endpoints
             .iter()
-            .filter(|endpoint| endpoint.size.is_finite())
-        {
+            .filter(|endpoint| endpoint.size.is_finite());
+        for endpoint in finite {
             let idle_size = self
                 .idle_size_by_kind
                 .entry(endpoint.machine_kind)
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Takes in one line of the list. A load-adjusted size is split into the idle size and the queue.
+    /// Applies one entry of the list. A load-adjusted size is split into the idle size and the queue.
     fn apply_endpoint(&mut self, mut endpoint: Endpoint, is_load_adjusted: bool, random: &Random) {
         let listed_size = endpoint.size;
         if is_load_adjusted {
@@ -171,8 +171,9 @@
                 .copied()
                 .unwrap_or(1.0);
         }
-        let reported_queue = (is_load_adjusted && listed_size > 0.0)
-            .then(|| (endpoint.size / listed_size - 1.0).max(0.0));
+        // See WeightSource::LoadAdjusted: the listed size is the idle size divided by 1 + the queue.
+        let has_queue = is_load_adjusted && listed_size > 0.0;
+        let reported_queue = has_queue.then(|| (endpoint.size / listed_size - 1.0).max(0.0));
         let backend = self
             .by_id
             .entry(endpoint.backend)
--- a/balancer/src/class_statistics.rs
+++ b/balancer/src/class_statistics.rs
@@ -7,15 +7,15 @@
 const INITIAL_BASE_DIVISOR: f64 = 16.0;
 /// Weight of a request in its class's mean service time.
 const MEAN_SERVICE_TIME_WEIGHT: f64 = 0.01;
-/// Samples over which a base time is learned; slow against a day's faults.
+/// Samples over which a base time is learned: many, so that it outlasts a fault.
 const MAX_SAMPLES: f64 = 400.0;
 /// Samples from which on a base time is good enough to compare backends by.
 const RELIABLE_SAMPLES: f64 = 30.0;
-/// Samples from which on a base time rises slowly, so that a jam is not learned as the normal state.
+/// Samples from which on a base time rises slowly, so that an overload is not learned as the normal state.
 const SLOW_RISE_SAMPLES: f64 = 50.0;
 /// Weight of a sample above the base time against one below it, from then on.
 const RISE_WEIGHT: f64 = 0.4;
-/// Samples that the first guess counts for.
+/// Number of samples that the first guess counts as.
 const PRIOR_SAMPLES: f64 = 4.0;
 /// One observation counts at most this many times the expectation: single expensive requests are chance.
 pub(crate) const MAX_OBSERVATION_RATIO: f64 = 6.0;
@@ -54,7 +54,7 @@
         self.samples >= RELIABLE_SAMPLES
     }
 
-    /// Takes in the response time of a served attempt, for a load of 1, in nanoseconds.
+    /// Adds the response time of a served attempt, divided by its backend's load, in nanoseconds.
     pub(crate) fn record_served(&mut self, unit_time: f64) {
         self.samples = (self.samples + 1.0).min(MAX_SAMPLES);
         let rises_slowly = unit_time > self.base_time && self.samples > SLOW_RISE_SAMPLES;
@@ -70,12 +70,12 @@
 
     /// Adds the expected service time of an arrival to the mean.
     pub(crate) fn record_service_time(&mut self, service_time: f64) {
-        self.mean_service_time += (service_time - self.mean_service_time)
-            * if self.mean_service_time > 0.0 {
-                MEAN_SERVICE_TIME_WEIGHT
-            } else {
-                1.0
-            };
+        let weight = if self.mean_service_time > 0.0 {
+            MEAN_SERVICE_TIME_WEIGHT
+        } else {
+            1.0
+        };
+        self.mean_service_time += (service_time - self.mean_service_time) * weight;
     }
 
     /// The longest timeout that a client has set for one attempt of its own.
--- a/balancer/src/discovery_polling.rs
+++ b/balancer/src/discovery_polling.rs
@@ -4,16 +4,17 @@
 use crate::random::Random;
 use badgerpost_time::{MILLISECOND, nanos_from_f64};
 
-/// First wait after a failed call to discovery; doubled each time. A change counts as known 6 s after
-/// discovery can be reached again, and the call itself takes its turn too.
+/// First backoff after a failed call to discovery; doubled each time. Kept short, as changes count as known 6 s after
+/// discovery can be reached again, and the call itself takes time too.
 const BACKOFF_BASE: Nanos = 300 * MILLISECOND;
-/// Most doublings of the wait.
+/// Most doublings of the backoff.
 const BACKOFF_MAX_DOUBLINGS: u32 = 3;
-/// The wait is multiplied by this, and by up to [`BACKOFF_JITTER`] more, by chance.
+/// Least factor on the backoff.
 const BACKOFF_MIN_FACTOR: f64 = 0.75;
+/// The factor is larger by up to this, by chance.
 const BACKOFF_JITTER: f64 = 0.5;
 
-/// Failed calls to discovery, and the next one.
+/// Number of calls to discovery that have failed in a row, and the time of the next one.
 #[derive(Default)]
 pub(crate) struct DiscoveryPolling {
     next_poll_at: Option<Nanos>,
@@ -29,9 +30,10 @@
     /// A call has failed: sets the time of the next one.
     pub(crate) fn schedule_poll_backoff(&mut self, now: Nanos, random: &mut Random) {
         let backoff = BACKOFF_BASE << self.failures.min(BACKOFF_MAX_DOUBLINGS);
-        let wait = backoff as f64 * (BACKOFF_MIN_FACTOR + BACKOFF_JITTER * random.draw());
+        let factor = BACKOFF_MIN_FACTOR + BACKOFF_JITTER * random.draw();
+        let delay = nanos_from_f64(backoff as f64 * factor);
         self.failures += 1;
-        self.next_poll_at = Some(now + nanos_from_f64(wait));
+        self.next_poll_at = Some(now + delay);
     }
 
     /// When the next call is due, if one is.
@@ -39,7 +41,7 @@
         self.next_poll_at
     }
 
-    /// Whether a call is due now; it counts as made.
+    /// Whether a call is due now; if so, it counts as made.
     pub(crate) fn take_due_poll(&mut self, now: Nanos) -> bool {
         let is_due = self.next_poll_at.is_some_and(|at| now >= at);
         if is_due {
--- a/balancer/src/endpoint_selection.rs
+++ b/balancer/src/endpoint_selection.rs
@@ -9,20 +9,20 @@
 use crate::retry_safety::is_eligible;
 use crate::zones::ZoneProbe;
 
-/// Spread of the pick's jitter, so that nodes with the same view do not herd.
+/// Jitter of the expected delay as a fraction of it, so that nodes with the same view do not herd.
 const DELAY_JITTER: f64 = 0.1;
 /// Expected delay at a backend that knows the key, against one that does not.
 const AFFINITY_DELAY_FACTOR: f64 = 0.5;
 /// Delay added for a failure rate of 1, in units of the delay without failures.
 const FAILURE_PENALTY: f64 = 8.0;
-/// Delay added at a backend that the request was sent to before, in the same unit.
+/// Delay added at a backend to which the request was sent before, in the same unit.
 const TRIED_PENALTY: f64 = 4.0;
 /// Least slowness by which a weighted pick divides.
 const MIN_PICK_SLOWNESS: f64 = 0.5;
 /// Salt of the draw that picks a backend for a zone probe.
 const PROBE_SALT: u64 = 1;
 
-/// What the pick reads: the fleet's state, which backends would answer in time, and the random numbers.
+/// What the selection reads: the fleet's state, which backends would answer in time, and the random numbers.
 pub(crate) struct EndpointSelection<'a> {
     pub(crate) fleet: &'a Fleet,
     pub(crate) admission: &'a Admission,
@@ -30,14 +30,14 @@
 }
 
 impl EndpointSelection<'_> {
-    /// Among the eligible backends that would answer in time: in a small fleet the one with the least
-    /// expected delay; in a large one by chance, weighted by size and by what the list has shown all nodes.
+    /// Picks among the eligible backends that would answer in time: in a small fleet the one with the least expected
+    /// delay; in a large one by chance, weighted by size and by the load that the list has shown all nodes.
     pub(crate) fn pick(&self, id: RequestId, request: &Request, zone: ZoneId) -> Option<BackendId> {
         if !self.fleet.settings.is_large_fleet() {
             return self.pick_by_delay(id, request, zone);
         }
-        // Many nodes on every backend would fill its table of connections and pay for opening them: each
-        // keeps to its subset, and goes past it only when none of these can take the request.
+        // If all nodes used every backend, its table of connections would fill up, and opening them costs: each node
+        // keeps to its subset, and goes beyond it only when no backend of the subset can take the request.
         let max_rank = self.fleet.zones.get(zone).max_subset_rank();
         self.pick_by_weight(id, request, zone, max_rank)
             .or_else(|| self.pick_by_weight(id, request, zone, u64::MAX))
@@ -55,9 +55,7 @@
                 continue;
             }
             let spread = 1.0 + DELAY_JITTER * jitter.draw();
-            let slowness = backend.expected_slowness(self.fleet.now, &self.fleet.settings);
-            let penalty = self.penalty(request, candidate, backend);
-            let mut delay = slowness * backend.load(&self.fleet.settings) * penalty * spread;
+            let mut delay = self.expected_delay(request, candidate, backend) * spread;
             if affine == Some(candidate) {
                 delay *= AFFINITY_DELAY_FACTOR;
             }
@@ -68,6 +66,13 @@
         best.map(|(_, backend)| backend)
     }
 
+    /// Expected delay at a backend, in units of an idle backend's base time.
+    fn expected_delay(&self, request: &Request, id: BackendId, backend: &Backend) -> f64 {
+        let slowness = backend.expected_slowness(self.fleet.now, &self.fleet.settings);
+        let load = backend.load(&self.fleet.settings);
+        slowness * load * self.penalty(request, id, backend)
+    }
+
     /// A backend up to a rank, drawn by weight (weighted reservoir sampling).
     fn pick_by_weight(
         &self,
@@ -96,7 +101,7 @@
     /// Weight of a backend in the weighted pick.
     fn weight(&self, request: &Request, id: BackendId, backend: &Backend) -> f64 {
         let feedback = &backend.feedback;
-        // Where the list shows the load, a few answers of one's own would only add noise.
+        // Where the list shows the load, the few answers of one node would only add noise.
         let slowness = if feedback.reported_queue().is_some() {
             1.0 / backend.warm_up_fraction(self.fleet.now, &self.fleet.settings.rules)
         } else {
@@ -104,11 +109,12 @@
                 .expected_slowness(self.fleet.now, &self.fleet.settings)
                 .max(MIN_PICK_SLOWNESS)
         };
-        backend.size() * feedback.learned_weight() * feedback.feedback_weight()
-            / (self.penalty(request, id, backend) * slowness)
+        let capacity = backend.size() * feedback.learned_weight() * feedback.feedback_weight();
+        capacity / (self.penalty(request, id, backend) * slowness)
     }
 
-    /// Failing fast must not look idle: failures weigh like delay; faded, or no trial would be made.
+    /// Factor on the delay for failures and for earlier attempts: a backend that fails fast must not look idle. The
+    /// failure rate decays, or the backend would never be tried again.
     fn penalty(&self, request: &Request, id: BackendId, backend: &Backend) -> f64 {
         let failure_rate = backend.outlier.decayed_failure_rate(self.fleet.now);
         let tried = if request.has_tried(id) {
@@ -132,12 +138,12 @@
             && self.admission.meets_objective(self.fleet, request, backend)
     }
 
-    /// Whether the home backend that knows the request's key would answer it in time.
+    /// Whether the backend of the local zone that the request's key goes to would answer it in time.
     pub(crate) fn could_use_affinity(&self, request: &Request) -> bool {
-        let home = self.fleet.local_zone();
+        let local = self.fleet.local_zone();
         let affine = request
             .affinity_key
-            .and_then(|key| self.affine_backend(key, home));
+            .and_then(|key| self.affine_backend(key, local));
         let backend = affine.and_then(|id| self.fleet.backends.get(id));
         backend.is_some_and(|backend| self.could_answer(request, backend))
     }
@@ -154,16 +160,18 @@
             .map(|(id, _)| id)
     }
 
-    /// The zone probe that a request makes, if one is wanted: only a request that may be repeated anywhere.
+    /// The zone probe that a request makes, if one is wanted: only an idempotent request without attempts so far.
     pub(crate) fn zone_probe(&self, id: RequestId, request: &Request) -> Option<ZoneProbe> {
         let wanted = self.fleet.zones.wanted_probe()?;
+        let class = self.fleet.settings.class(request.class);
+        let is_idempotent = class.idempotency == Idempotency::Idempotent;
+        if !is_idempotent || !request.attempts.is_empty() || request.is_uploading {
+            return None;
+        }
         // Half of its client's time at most: the rest is for another attempt.
-        let timeout = wanted
-            .timeout
-            .min(request.expires_at.saturating_sub(self.fleet.now) / 2);
-        let is_idempotent =
-            self.fleet.settings.class(request.class).idempotency == Idempotency::Idempotent;
-        if !is_idempotent || !request.attempts.is_empty() || request.is_uploading || timeout == 0 {
+        let time_left = request.expires_at.saturating_sub(self.fleet.now);
+        let timeout = wanted.timeout.min(time_left / 2);
+        if timeout == 0 {
             return None;
         }
         let backend = self.probe_backend(id, request, wanted.zone)?;
@@ -174,7 +182,7 @@
         })
     }
 
-    /// A backend without own requests, by chance: what it was like before its zone closed says nothing.
+    /// A backend that has none of this node's requests, by chance: figures from before its zone closed say nothing.
     fn probe_backend(&self, id: RequestId, request: &Request, zone: ZoneId) -> Option<BackendId> {
         let idle = self
             .fleet
--- a/balancer/src/ewma.rs
+++ b/balancer/src/ewma.rs
@@ -3,14 +3,15 @@
 use crate::api::Nanos;
 use badgerpost_time::{MILLISECOND, SECOND};
 
-/// Time constant of [`DecayingRate`]: some requests at each of many nodes, yet short against a fault.
+/// Time constant of [`DecayingRate`]: long enough for some requests at each of many nodes, short compared to a fault.
 const RATE_TIME_CONSTANT: Nanos = 3 * SECOND;
 
 /// Time constant of a backend's smoothed utilization: some report periods.
 pub(crate) const UTILIZATION_TIME_CONSTANT: Nanos = 400 * MILLISECOND;
-/// Factor by which a value has decayed after `duration` with time constant `tau`.
-pub(crate) fn decay(duration: Nanos, tau: Nanos) -> f64 {
-    (-(duration as f64) / tau as f64).exp()
+
+/// Factor by which a value has decayed after `duration`.
+pub(crate) fn decay(duration: Nanos, time_constant: Nanos) -> f64 {
+    (-(duration as f64) / time_constant as f64).exp()
 }
 
 /// An exponentially weighted moving average and the time of its last sample.
@@ -22,9 +23,15 @@
 
 impl Ewma {
     /// Adds a sample. It weighs by the time since the last one, `min_weight` at least; the first one fully.
-    pub(crate) fn update(&mut self, now: Nanos, sample: f64, tau: Nanos, min_weight: f64) {
+    pub(crate) fn update(
+        &mut self,
+        now: Nanos,
+        sample: f64,
+        time_constant: Nanos,
+        min_weight: f64,
+    ) {
         let weight = self.updated_at.map_or(1.0, |at| {
-            (1.0 - decay(now.saturating_sub(at), tau)).max(min_weight)
+            (1.0 - decay(now.saturating_sub(at), time_constant)).max(min_weight)
         });
         self.value += (sample - self.value) * weight;
         self.updated_at = Some(now);
@@ -36,17 +43,18 @@
     }
 
     /// The average, decayed towards 0 since the last sample.
-    pub(crate) fn decayed(&self, now: Nanos, tau: Nanos) -> f64 {
-        self.updated_at
-            .map_or(0.0, |at| self.value * decay(now.saturating_sub(at), tau))
+    pub(crate) fn decayed(&self, now: Nanos, time_constant: Nanos) -> f64 {
+        self.updated_at.map_or(0.0, |at| {
+            self.value * decay(now.saturating_sub(at), time_constant)
+        })
     }
 
     /// The average, decayed towards `prior` since the last sample; `prior` without samples.
-    pub(crate) fn decayed_towards(&self, prior: f64, now: Nanos, tau: Nanos) -> f64 {
+    pub(crate) fn decayed_towards(&self, prior: f64, now: Nanos, time_constant: Nanos) -> f64 {
         let Some(at) = self.updated_at else {
             return prior;
         };
-        prior + (self.value - prior) * decay(now.saturating_sub(at), tau)
+        prior + (self.value - prior) * decay(now.saturating_sub(at), time_constant)
     }
 
     /// Whether there has been a sample.
--- a/balancer/src/expected_delay.rs
+++ b/balancer/src/expected_delay.rs
@@ -5,8 +5,8 @@
 use crate::tuning::{IDLE_LOAD, SLOWNESS_FORGET_TIME};
 
 impl Backend {
-    /// Load in requests for each unit of size: own ones, times the nodes that do alike; in a large fleet,
-    /// what the list has shown all nodes.
+    /// Load in requests for each unit of size: this node's, times the nodes that send there likewise; in a large
+    /// fleet, what the list has shown all nodes.
     pub(crate) fn load(&self, settings: &Settings) -> f64 {
         let own = f64::from(self.in_flight()) / self.size();
         if !settings.is_large_fleet() {
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Slowness against the fleet's mean, forgotten towards what its warm-up implies.
+    /// Slowness against the fleet's mean, decayed since its last sample towards what the warm-up implies.
     pub(crate) fn expected_slowness(&self, now: Nanos, settings: &Settings) -> f64 {
         let prior = 1.0 / self.warm_up_fraction(now, &settings.rules);
         self.measured_slowness()
--- a/balancer/src/health_checks.rs
+++ b/balancer/src/health_checks.rs
@@ -1,18 +1,18 @@
-//! Health checks, where backends report their load only when asked: few, bounded by the node's own traffic,
-//! and to those first whom the node has not heard of for longest.
+//! Health checks, where backends report their load only in the answers to them: few, bounded by the node's own traffic,
+//! and to those backends first that were checked longest ago.
 
 use crate::api::{Action, BackendId, Nanos};
 use crate::backend::Backend;
 use crate::fleet::Fleet;
 use badgerpost_time::MILLISECOND;
 
-/// Checks that each arrival pays for: checking must not grow with nodes times backends.
+/// Checks that each arrival pays for, so that their number does not grow with nodes times backends.
 const CHECKS_PER_ARRIVAL: f64 = 0.2;
-/// A backend is checked again no sooner than this: reports are refreshed no more often than that.
+/// Shortest time between two checks of a backend: reports are refreshed no more often.
 const CHECK_INTERVAL: Nanos = 800 * MILLISECOND;
-/// A backend of another zone is checked so much less often than one at home.
+/// A backend of another zone is checked less often than one of the local zone, by this factor.
 const REMOTE_INTERVAL_FACTOR: u64 = 3;
-/// Most checks saved up.
+/// Most checks that can be saved up.
 const MAX_TOKENS: f64 = 3.0;
 /// Checks that a node starts with.
 const INITIAL_TOKENS: f64 = 1.0;
@@ -55,22 +55,24 @@
 
 /// The backend whose check is longest overdue.
 fn next_due(fleet: &Fleet) -> Option<BackendId> {
-    let is_due = |backend: &Backend| {
-        backend.health_checked_at().is_none() || weighted_age(fleet, backend) >= CHECK_INTERVAL
-    };
-    let due = fleet
+    let due_backends = fleet
         .backends
         .iter()
-        .filter(|(_, backend)| backend.is_in_service() && is_due(backend));
-    due.max_by_key(|(_, backend)| (weighted_age(fleet, backend), backend.subset_rank()))
+        .filter(|(_, backend)| backend.is_in_service() && is_check_due(fleet, backend));
+    due_backends
+        .max_by_key(|(_, backend)| (weighted_age(fleet, backend), backend.subset_rank()))
         .map(|(id, _)| id)
 }
 
-/// Time since a backend's last check, shortened for other zones.
+/// Whether a backend has not been checked yet, or not for the check interval.
+fn is_check_due(fleet: &Fleet, backend: &Backend) -> bool {
+    backend.health_checked_at().is_none() || weighted_age(fleet, backend) >= CHECK_INTERVAL
+}
+
+/// Time since a backend's last check, divided by a factor for other zones.
 fn weighted_age(fleet: &Fleet, backend: &Backend) -> Nanos {
-    let age = fleet
-        .now
-        .saturating_sub(backend.health_checked_at().unwrap_or(0));
+    let checked_at = backend.health_checked_at().unwrap_or(0);
+    let age = fleet.now.saturating_sub(checked_at);
     if backend.zone() == fleet.local_zone() {
         age
     } else {
--- a/balancer/src/load_feedback.rs
+++ b/balancer/src/load_feedback.rs
@@ -1,10 +1,10 @@
-//! Load feedback: what the lists' load-adjusted sizes, or the reports, tell of all nodes' load together.
+//! Load feedback: what the lists' load-adjusted sizes, or the reports, tell of the load of all nodes together.
 
 use crate::api::{Nanos, Settings, WeightSource};
+use crate::backends::QueueTotals;
 use crate::feedback_weights::FeedbackWeights;
 use crate::fleet::Fleet;
-use crate::tuning::MIN_DIVISOR;
-use crate::tuning::{FEEDBACK_DELAY_INTERVALS, UTILIZATION_MAX_AGE};
+use crate::tuning::{FEEDBACK_DELAY_INTERVALS, MIN_DIVISOR, UTILIZATION_MAX_AGE};
 use badgerpost_time::SECOND;
 
 /// Interval between two lists until it is measured.
@@ -18,13 +18,15 @@
 /// Utilization above which a zone's queue is not estimated any longer.
 const MAX_QUEUE_UTILIZATION: f64 = 0.95;
 
-/// Bounds of the factor by which one late figure moves a backend's share of the picks.
+/// Lower bound of the factor by which one late figure changes a backend's part of the picks.
 const MIN_FEEDBACK_WEIGHT: f64 = 0.1;
+/// Upper bound of that factor.
 const MAX_FEEDBACK_WEIGHT: f64 = 2.0;
-/// How far one list moves a backend's lasting weight, at most, as an exponent.
+/// How far one list changes a backend's learned weight, at most, as an exponent.
 const LEARNING_STEP: f64 = 0.15;
-/// Bounds of that weight.
+/// Lower bound of the learned weight.
 const MIN_LEARNED_WEIGHT: f64 = 0.1;
+/// Upper bound of the learned weight.
 const MAX_LEARNED_WEIGHT: f64 = 4.0;
 /// Shortest mean queue per core that a backend is measured against.
 const MIN_MEAN_QUEUE: f64 = 0.2;
@@ -46,8 +48,8 @@
         }
     }
 
-    /// Seconds until what is sent now shows in a list.
-    pub(crate) fn delay_seconds(&self) -> f64 {
+    /// Measured interval between two lists.
+    pub(crate) fn refresh_interval_seconds(&self) -> f64 {
         self.refresh_interval_seconds
     }
 
@@ -57,11 +59,11 @@
             .is_some_and(|at| now.saturating_sub(at) < UTILIZATION_MAX_AGE)
     }
 
-    /// Takes in the load-adjusted sizes of a list, which reach all nodes alike and late.
+    /// Applies the load-adjusted sizes of a list, which reach all nodes alike and late.
     pub(crate) fn apply_load_adjusted_sizes(&mut self, fleet: &mut Fleet) {
         self.measure_refresh_interval(fleet.now);
         let totals = fleet.backends.queue_totals(fleet.zones.count());
-        let arrivals = fleet.classes.total_arrivals(fleet.now)
+        let upcoming_arrivals = fleet.classes.total_arrivals(fleet.now)
             * fleet.settings.nodes_per_zone()
             * FEEDBACK_DELAY_INTERVALS
             * self.refresh_interval_seconds;
@@ -76,28 +78,20 @@
             let Some(queue) = backend.feedback.reported_queue() else {
                 continue;
             };
-            // A slow machine should hold less for the same delay.
-            let zone_size = f64::max(total.size, MIN_DIVISOR);
-            let mean_queue = (total.queue + total.backends) / zone_size * backend.size() - 1.0;
-            let arrivals_there = (arrivals * backend.size() / zone_size).max(1.0);
-            adjust_weights(
-                &mut backend.feedback,
-                queue,
-                mean_queue.max(MIN_MEAN_QUEUE),
-                arrivals_there,
-            );
+            let target = QueueTarget::new(total, backend.size(), upcoming_arrivals);
+            target.adjust_weights(&mut backend.feedback, queue);
             backend.record_utilization(fleet.now, queue / (1.0 + queue));
         }
     }
 
-    /// Takes in the gap since the last list.
+    /// Updates the refresh interval by the gap since the last list.
     fn measure_refresh_interval(&mut self, now: Nanos) {
         let gap = self
             .listed_at
             .map_or(1.0, |at| now.saturating_sub(at) as f64 / SECOND as f64);
-        self.refresh_interval_seconds += (gap.min(MAX_REFRESH_INTERVAL_SECONDS)
-            - self.refresh_interval_seconds)
-            * REFRESH_INTERVAL_WEIGHT;
+        let sample = gap.min(MAX_REFRESH_INTERVAL_SECONDS);
+        let difference = sample - self.refresh_interval_seconds;
+        self.refresh_interval_seconds += difference * REFRESH_INTERVAL_WEIGHT;
         self.listed_at = Some(now);
     }
 
@@ -119,14 +113,35 @@
     }
 }
 
-/// Moves a backend's weights towards an even queue, where `mean` is the queue that it should hold and
-/// `arrivals` what it gets until the next figures show. The latest difference is evened out over these
-/// arrivals, no more, or all nodes would herd; what lasts is learned in small steps.
-fn adjust_weights(weights: &mut FeedbackWeights, queue: f64, mean: f64, arrivals: f64) {
-    let feedback_weight =
-        (1.0 + (mean - queue) / arrivals).clamp(MIN_FEEDBACK_WEIGHT, MAX_FEEDBACK_WEIGHT);
-    let step = LEARNING_STEP * (mean - queue) / (mean + 1.0).max(queue);
-    let learned_weight =
-        (weights.learned_weight() * step.exp()).clamp(MIN_LEARNED_WEIGHT, MAX_LEARNED_WEIGHT);
-    weights.set_weights(feedback_weight, learned_weight);
+/// The queue that a backend should hold.
+struct QueueTarget {
+    /// Requests held for each core.
+    queue: f64,
+    /// Requests that the backend gets until the next figures show.
+    upcoming_arrivals: f64,
+}
+
+impl QueueTarget {
+    /// The target for a backend of this size, by the totals of its zone and the arrivals there.
+    fn new(zone: &QueueTotals, size: f64, zone_arrivals: f64) -> Self {
+        let zone_size = f64::max(zone.size, MIN_DIVISOR);
+        // A slow machine should hold less for the same delay.
+        let mean_queue = (zone.queue + zone.backends) / zone_size * size - 1.0;
+        Self {
+            queue: mean_queue.max(MIN_MEAN_QUEUE),
+            upcoming_arrivals: (zone_arrivals * size / zone_size).max(1.0),
+        }
+    }
+
+    /// Moves a backend's weights towards this target. The latest difference is evened out over the upcoming
+    /// arrivals, no more, or all nodes would herd; lasting differences are learned in small steps.
+    fn adjust_weights(&self, weights: &mut FeedbackWeights, queue: f64) {
+        let difference = self.queue - queue;
+        let feedback_weight = (1.0 + difference / self.upcoming_arrivals)
+            .clamp(MIN_FEEDBACK_WEIGHT, MAX_FEEDBACK_WEIGHT);
+        let step = LEARNING_STEP * difference / (self.queue + 1.0).max(queue);
+        let learned_weight =
+            (weights.learned_weight() * step.exp()).clamp(MIN_LEARNED_WEIGHT, MAX_LEARNED_WEIGHT);
+        weights.set_weights(feedback_weight, learned_weight);
+    }
 }
--- a/balancer/src/outlier_detection.rs
+++ b/balancer/src/outlier_detection.rs
@@ -45,7 +45,7 @@
     failure_rate: Ewma,
     consecutive_failures: u32,
     consecutive_rejections: u32,
-    /// Until when it is spared after rejecting work as full.
+    /// Until when it gets nothing after rejecting a request as full.
     paused_until: Nanos,
     ejections: u32,
 }
@@ -61,7 +61,7 @@
         self.failure_rate.value()
     }
 
-    /// Its failure rate, forgotten with time, so that it is tried again.
+    /// Its failure rate, decayed since its last outcome, so that it is tried again.
     pub(crate) fn decayed_failure_rate(&self, now: Nanos) -> f64 {
         self.failure_rate.decayed(now, SLOWNESS_FORGET_TIME)
     }
--- a/balancer/src/outlier_detection/transitions.rs
+++ b/balancer/src/outlier_detection/transitions.rs
@@ -15,7 +15,7 @@
 const EJECTION_BASE: Nanos = SECOND;
 /// Most doublings of an ejection.
 const EJECTION_MAX_DOUBLINGS: u32 = 5;
-/// First pause after a backend rejected work as full; doubled while it goes on.
+/// First pause after a backend rejected a request as full; doubled while it keeps rejecting.
 const REJECTION_PAUSE: Nanos = 100 * MILLISECOND;
 /// Most doublings of a pause after rejections.
 const REJECTION_MAX_DOUBLINGS: u32 = 4;
@@ -72,8 +72,8 @@
         if matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
             return OutcomeEffect::None;
         }
-        // Rejecting at once, again and again, a backend looks idle and would draw all traffic. In a large
-        // fleet a refused connection may mean a full table just as well as a dead process.
+        // A backend that rejects requests at once looks idle and would attract all traffic. In a large fleet a
+        // refused connection may mean a full connection table just as well as a dead process.
         if outcome == Outcome::Rejected || (outcome == Outcome::ConnectFailed && is_large_fleet) {
             self.pause(now);
             return OutcomeEffect::None;
@@ -88,19 +88,14 @@
         if outcome == Outcome::Success {
             return self.record_success();
         }
-        // A connection may break between two healthy ends; a refused one tells more.
-        self.consecutive_failures += if outcome == Outcome::ConnectFailed {
-            2
-        } else {
-            1
-        };
+        self.consecutive_failures += failure_count(outcome);
         OutcomeEffect::Failed
     }
 
-    /// Spares the backend for a while after a rejection.
+    /// After a rejection: the backend gets nothing for a while.
     fn pause(&mut self, now: Nanos) {
-        self.paused_until =
-            now + (REJECTION_PAUSE << self.consecutive_rejections.min(REJECTION_MAX_DOUBLINGS));
+        let doublings = self.consecutive_rejections.min(REJECTION_MAX_DOUBLINGS);
+        self.paused_until = now + (REJECTION_PAUSE << doublings);
         self.consecutive_rejections += 1;
     }
 
@@ -134,7 +129,8 @@
         let trial_failed =
             outcome != Outcome::InvalidResponse && matches!(self.health, Health::HalfOpen { .. });
         let may_eject = fleet.ejected + 1.0 <= fleet.in_service * MAX_EJECTED_FRACTION;
-        if !(trial_failed || (is_outlier && may_eject && self.is_healthy())) {
+        let must_eject = trial_failed || (is_outlier && may_eject && self.is_healthy());
+        if !must_eject {
             return None;
         }
         let duration = EJECTION_BASE << self.ejections.min(EJECTION_MAX_DOUBLINGS);
@@ -147,6 +143,16 @@
     }
 }
 
+/// How many failures in a row an outcome counts as. A connection may break between two healthy ends; a refused one
+/// tells more.
+fn failure_count(outcome: Outcome) -> u32 {
+    if outcome == Outcome::ConnectFailed {
+        2
+    } else {
+        1
+    }
+}
+
 /// How much of a failure an outcome is, 0 to 1.
 fn failure_sample(outcome: Outcome) -> f64 {
     match outcome {
--- a/balancer/src/retry_budget.rs
+++ b/balancer/src/retry_budget.rs
@@ -1,10 +1,10 @@
-//! The retry budget: retries are paid for by arrivals, so that a jam does not feed on its own repeats.
+//! The retry budget: arrivals pay for retries, so that retries do not keep an overload going.
 
 use crate::api::Settings;
 
 /// Retries that each arrival earns.
 const RETRIES_PER_ARRIVAL: f64 = 0.2;
-/// Most retries that can be saved up, over the nodes that share the backends.
+/// Most retries that can be saved up, by all nodes that share a zone's backends together.
 const MAX_SAVED_RETRIES: f64 = 10.0;
 /// Retries before the node starts.
 const INITIAL_TOKENS: f64 = 1.0;
@@ -16,7 +16,7 @@
 }
 
 impl RetryBudget {
-    /// A budget whose bound follows the fleet's size: many nodes together must not save a storm.
+    /// A budget with a bound for this size of the fleet: many nodes together must not save up a retry storm.
     pub(crate) fn new(settings: &Settings) -> Self {
         let max_tokens = (MAX_SAVED_RETRIES / settings.nodes_per_zone()).max(1.0);
         Self {
@@ -40,7 +40,7 @@
         self.tokens >= 1.0
     }
 
-    /// Pays for a retry, as far as there is something to pay with.
+    /// Pays for a retry, as far as the budget goes.
     pub(crate) fn spend(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -6,7 +6,7 @@
 use crate::tuning::SUBSET_SIZE;
 use badgerpost_time::SECOND;
 
-/// Part of the budget that nodes together use; the rest is for chance and for late figures.
+/// Part of the budget that all nodes together use; the rest is a reserve for chance and for late figures.
 const BUDGET_FRACTION: f64 = 0.4;
 
 /// Whether this node's part of the backend's budget covers a send that costs this much service time.
@@ -21,15 +21,17 @@
         return false;
     }
     let window = settings.rules.overload_window;
-    let consumed = backend
-        .warming_sends()
-        .service_time_since(fleet.now.saturating_sub(window + settings.timer_resolution));
+    let window_start = fleet.now.saturating_sub(window + settings.timer_resolution);
+    let consumed = backend.warming_sends().service_time_since(window_start);
     let budget = budget(fleet, backend);
-    // A budget under one request is spent by chance, or many nodes' first sends would exceed it together; one
-    // of a zone's nodes or so always tries, as no figure may come from elsewhere.
+    if consumed + cost <= budget {
+        return true;
+    }
+    // A budget below one request is used by chance, or many nodes' first sends would exceed it together. About one
+    // node of a zone always tries, as otherwise no node would get figures of the backend.
+    let chance = (budget / cost).max(1.0 / settings.nodes_per_zone());
     let draw = epoch_draw(backend.subset_rank(), fleet.now / window.max(1));
-    consumed + cost <= budget
-        || (consumed == 0.0 && draw <= (budget / cost).max(1.0 / settings.nodes_per_zone()))
+    consumed == 0.0 && draw <= chance
 }
 
 /// This node's part of a warming backend's budget for one window, in nanoseconds of service time.
@@ -37,6 +39,7 @@
     let rules = &fleet.settings.rules;
     let zone = fleet.zones.get(backend.zone());
     let window_seconds = rules.overload_window as f64 / SECOND as f64;
+    // Of all nodes, one in so many has the backend in its subset, and may send that much more.
     let subsets = (zone.endpoint_count() / SUBSET_SIZE as f64).max(1.0);
     let subset_factor = if fleet.settings.is_large_fleet() {
         subsets
--- a/balancer/src/tuning.rs
+++ b/balancer/src/tuning.rs
@@ -3,15 +3,16 @@
 use crate::api::{Nanos, Settings};
 use badgerpost_time::SECOND;
 
-/// A utilization older than this says nothing; a zone without a younger one counts as unseen.
+/// A utilization older than this is not used; a zone without a younger one counts as unseen.
 pub(crate) const UTILIZATION_MAX_AGE: Nanos = 4 * SECOND;
 /// An unused backend's slowness is forgotten with this time constant, so that it is tried again.
 pub(crate) const SLOWNESS_FORGET_TIME: Nanos = 3 * SECOND;
-/// Load of an idle backend in the expected delay, in requests; small, as others' load grows with own load.
+/// Load of an idle backend in the expected delay, in requests; small, as the load by other nodes grows with this
+/// node's.
 pub(crate) const IDLE_LOAD: f64 = 0.7;
 /// A send is admitted if its expected delay fits into this fraction of the time left to its objective.
 pub(crate) const OBJECTIVE_FRACTION: f64 = 0.6;
-/// Backends of a zone that a node of a large fleet uses as long as one of them can take the request.
+/// Backends of a zone that a node of a large fleet uses while one of them can take the request.
 pub(crate) const SUBSET_SIZE: usize = 4;
 /// A zone at or over this utilization spills in a large fleet, where figures come late.
 pub(crate) const LARGE_FLEET_SPILL_THRESHOLD: f64 = 0.75;
@@ -22,8 +23,8 @@
 /// Arrivals until a load-adjusted weight shows them, in refresh intervals of the list: one to be made,
 /// one to be read.
 pub(crate) const FEEDBACK_DELAY_INTERVALS: f64 = 2.0;
-/// With more nodes per zone than this, own requests in flight say nothing of a backend's load: the pick then
-/// goes by what the list or the reports show all nodes, and by chance.
+/// With more nodes per zone than this, a node's own requests in flight say nothing of a backend's load: the selection
+/// then goes by what the list or the reports show all nodes, and by chance.
 const LARGE_FLEET_NODES_PER_ZONE: f64 = 8.0;
 
 impl Settings {
@@ -32,7 +33,7 @@
         (f64::from(self.node_count) / f64::from(self.zone_count)).max(1.0)
     }
 
-    /// Whether so many nodes share the backends that own figures say little of these.
+    /// Whether so many nodes share the backends that one node's own figures say little of their load.
     pub(crate) fn is_large_fleet(&self) -> bool {
         self.nodes_per_zone() > LARGE_FLEET_NODES_PER_ZONE
     }
--- a/balancer/src/zone.rs
+++ b/balancer/src/zone.rs
@@ -5,8 +5,8 @@
 
 /// Fraction by which the measured capacity rises in a refresh: in about 2 s.
 const CAPACITY_RISE: f64 = 0.05;
-/// Fraction by which it falls: in about a minute. In a jam little is served, and cold backends are the way
-/// out.
+/// Fraction by which it falls: in about a minute. Under overload little is served, and the budget of warming backends,
+/// which would relieve it, must not fall with that.
 const CAPACITY_FALL: f64 = 0.002;
 /// Growth of the least response time in a refresh, so that a link that has become slow shows.
 const MIN_LATENCY_GROWTH: f64 = 1.002;
@@ -45,29 +45,29 @@
         }
     }
 
-    /// Own attempts in flight there.
+    /// This node's attempts in flight there.
     pub(crate) fn in_flight(&self) -> f64 {
         self.in_flight
     }
 
-    /// Own attempts in flight there, smoothed up to now.
+    /// This node's attempts in flight there, smoothed up to now.
     pub(crate) fn smoothed_in_flight(&self, now: Nanos) -> f64 {
         let mut smoothed = self.smoothed_in_flight;
         smoothed.update(now, self.in_flight, UTILIZATION_TIME_CONSTANT, 0.0);
         smoothed.value()
     }
 
-    /// Counts the start of an own attempt.
+    /// Counts the start of one of this node's attempts.
     pub(crate) fn start_attempt(&mut self, now: Nanos) {
         self.change_in_flight(now, 1.0);
     }
 
-    /// Counts the end of an own attempt.
+    /// Counts the end of one of this node's attempts.
     pub(crate) fn end_attempt(&mut self, now: Nanos) {
         self.change_in_flight(now, -1.0);
     }
 
-    /// Changes the attempts in flight; the smoothed figure is fed with what was in flight until now.
+    /// Changes the attempts in flight; the smoothed figure gets what was in flight until now as a sample.
     fn change_in_flight(&mut self, now: Nanos, change: f64) {
         let sample = if self.smoothed_in_flight.has_samples() {
             self.in_flight
@@ -99,7 +99,7 @@
         self.max_subset_rank
     }
 
-    /// Takes over the ranks of the backends in service; the `subset_size` lowest are the subset.
+    /// Sets the ranks of the backends in service; the `subset_size` lowest are the subset.
     pub(crate) fn set_endpoint_ranks(&mut self, mut ranks: Vec<u64>, subset_size: usize) {
         ranks.sort_unstable();
         self.endpoint_count = ranks.len() as f64;
@@ -114,12 +114,12 @@
     /// Moves the measured capacity towards a new measurement.
     pub(crate) fn update_capacity(&mut self, measured: f64) {
         let change = measured - self.capacity;
-        self.capacity += change
-            * if change > 0.0 {
-                CAPACITY_RISE
-            } else {
-                CAPACITY_FALL
-            };
+        let weight = if change > 0.0 {
+            CAPACITY_RISE
+        } else {
+            CAPACITY_FALL
+        };
+        self.capacity += change * weight;
     }
 
     /// The least response time seen there lately, in nanoseconds.
@@ -127,12 +127,12 @@
         self.min_latency
     }
 
-    /// Takes in the response time of a served attempt, in nanoseconds.
+    /// Records the response time of a served attempt, in nanoseconds.
     pub(crate) fn record_latency(&mut self, latency: f64) {
         self.min_latency = Some(self.min_latency.map_or(latency, |least| least.min(latency)));
     }
 
-    /// Forgets the least response time slowly.
+    /// Lets the least response time grow slowly, so that an old one is forgotten.
     pub(crate) fn age_min_latency(&mut self) {
         self.min_latency = self.min_latency.map(|least| least * MIN_LATENCY_GROWTH);
     }
--- a/balancer/src/zones.rs
+++ b/balancer/src/zones.rs
@@ -3,12 +3,12 @@
 use crate::api::{BackendId, Nanos, ZoneId};
 use crate::zone::Zone;
 
-/// A zone that the embedder wants probed.
+/// A zone that is to be probed.
 #[derive(Clone, Copy)]
 pub(crate) struct WantedProbe {
     /// The zone.
     pub(crate) zone: ZoneId,
-    /// How long its answer is waited for.
+    /// How long to wait for the answer.
     pub(crate) timeout: Nanos,
 }
 
@@ -18,7 +18,7 @@
     pub(crate) zone: ZoneId,
     /// The backend.
     pub(crate) backend: BackendId,
-    /// How long its answer is waited for.
+    /// How long to wait for the answer.
     pub(crate) timeout: Nanos,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Zones {
-    /// So many zones of which nothing is known.
+    /// `count` zones of which nothing has been measured.
     pub(crate) fn new(count: u32) -> Self {
         Self {
             zones: vec![Zone::new(); count as usize],
