--- a/balancer/src/api/actions.rs
+++ b/balancer/src/api/actions.rs
@@ -16,14 +16,14 @@
         request: RequestId,
         /// The backend.
         backend: BackendId,
-        /// Its time-out; `None` until the client gives up.
+        /// Its timeout; `None` to wait until the client gives up.
         timeout: Option<Nanos>,
     },
     /// Final answer: rejected; the client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// Advice how long to stay away; 0 for none.
+        /// `Retry-After` for the client; 0 for none.
         retry_after: Nanos,
     },
     /// Final answer: failed; the request may have run.
@@ -61,11 +61,11 @@
 /// An event for operators. Its text is for people; its fields are for logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// The local zone has reached its spill threshold, or is under it again and serves all requests.
+    /// The local zone has reached its spill threshold, or is below it again and serves all requests.
     ZoneSpill {
         /// Whether it spills now.
         active: bool,
-        /// The best-scored other zone; home where there is none.
+        /// The best-scored other zone; the local zone where there is none.
         to: ZoneId,
     },
     /// A backend is an outlier and gets nothing for a while.
--- a/balancer/src/api/events.rs
+++ b/balancer/src/api/events.rs
@@ -76,7 +76,7 @@
     Success,
     /// The backend returned an error.
     Error,
-    /// What came back can't be used, and says nothing of the backend.
+    /// The answer is invalid, perhaps because of the request.
     InvalidResponse,
     /// Rejected by the backend without being executed.
     Rejected,
@@ -121,7 +121,7 @@
     pub request: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// What it concerns, as a number drawn from that thing's name.
+    /// Hash of the name of what it concerns.
     pub affinity_key: Option<u64>,
     /// Expected service time on a standard core.
     pub expected_service_time: Option<Nanos>,
@@ -162,12 +162,12 @@
         /// Its lines.
         endpoints: Vec<Endpoint>,
     },
-    /// A call to discovery failed or the watch broke.
+    /// A call to discovery failed, or the watch broke.
     DiscoveryFailed,
     /// A request has arrived; it gets exactly one final answer.
     RequestArrived(RequestArrival),
     /// The same, but its body is still on the way: its client's time begins with [`Event::UploadComplete`],
-    /// and until then no backend works on it. `not_after` is when it is given up if that never comes.
+    /// and until then no backend works on it. `expires_at` is when it is given up if that never comes.
     UploadStarted(RequestArrival),
     /// The last byte of a request's body has come.
     UploadComplete {
@@ -176,14 +176,14 @@
         /// When the client gives this attempt up.
         expires_at: Nanos,
     },
-    /// Bytes of a request's body have gone out that can't be had again: it can't be sent once more.
+    /// Bytes of a request's body have been sent and are not kept: the request can't be sent again.
     BodyConsumed {
         /// The request.
         request: RequestId,
     },
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// An answer that had begun to be passed on broke off at this backend.
+    /// This backend broke off an answer that was being forwarded.
     ResponseAborted {
         /// The backend.
         backend: BackendId,
@@ -204,24 +204,24 @@
         /// The backend's figures, if any came.
         report: LoadReport,
     },
-    /// The client has gone; nothing more is owed.
+    /// The client has disconnected; no answer is needed any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// What a zone may take from now on; at the start each has 1.
+    /// A zone's traffic share has changed; at the start each has 1.
     ZoneShareChanged {
         /// The zone.
         zone: ZoneId,
-        /// Of the home zone, the part of the requests that it takes; of another, its part, against the
-        /// others', of what home does not take. At 0 nothing new goes there.
+        /// For the local zone, the fraction of the requests that it takes; for another, its weight among the
+        /// others in the division of the rest. At 0 no new request goes there.
         share: f64,
     },
-    /// The next request that may be repeated elsewhere tries this zone, whatever its share.
+    /// The next idempotent request is to probe this zone, whatever its traffic share.
     ZoneProbeRequested {
         /// The zone.
         zone: ZoneId,
-        /// How long its answer is waited for.
+        /// How long to wait for the answer.
         timeout: Nanos,
     },
     /// A timer came due.
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -52,7 +52,7 @@
 }
 
 impl Balancer {
-    /// A node that knows nothing yet. `seed` drives its jitter, `now` is the embedder's time.
+    /// A balancer without backends. `seed` determines its random draws, `now` is the embedder's time.
     ///
     /// # Errors
     ///
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Handles one event and appends what is to be done. A clock that steps back stands still.
+    /// Handles one event and appends the actions to take. If `now` steps back, the balancer's time stands still.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.fleet.now = self.fleet.now.max(now);
         self.dispatch_event(event, actions);
@@ -82,7 +82,7 @@
         self.set_timer(actions);
     }
 
-    /// Passes an event on to the concern it is for.
+    /// Dispatches an event to the concern that handles it.
     fn dispatch_event(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => self.start(actions),
@@ -136,8 +136,8 @@
         self.requests.len()
     }
 
-    /// Whether an attempt may still be written, now that its connection is up: that can take longer than
-    /// backends remember the attempts before.
+    /// Whether an attempt may still be written, now that its connection is established: that can take longer
+    /// than backends remember the keys of earlier attempts.
     pub fn may_write(&self, now: Nanos, id: RequestId, attempt: u32) -> bool {
         let at = now.max(self.fleet.now);
         self.requests.get(id).is_some_and(|request| {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// A list of backends has come.
+    /// A list of backends has arrived.
     fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
         let is_current = update != EndpointUpdate::Cached;
         if is_current {
@@ -173,39 +173,46 @@
         }
     }
 
-    /// Moves the fractions that spill and that are admitted, in a large fleet.
+    /// Updates the fractions that spill and that are admitted, in a large fleet.
     fn update_spill_and_admission(&mut self) {
         let target = self.routing.best_target();
         self.admission
             .update_spill_and_admission(&self.fleet, &self.load_feedback, target);
     }
 
-    /// What a zone may take has changed. Where home is closed, what its own answers said of how much can be
-    /// admitted says nothing of the other zones.
+    /// A zone's traffic share has changed.
     fn on_zone_share_changed(&mut self, zone: ZoneId, share: f64, actions: &mut Vec<Action>) {
-        let change = self
+        let transition = self
             .fleet
             .zones
             .get_mut(zone)
             .map(|state| state.set_traffic_share(share));
-        if change == Some(ZoneTransition::Reopened) {
-            let backends = self
-                .fleet
-                .backends
-                .values_mut()
-                .filter(|backend| backend.zone() == zone);
-            backends.for_each(Backend::reset_after_zone_reopened);
-        }
-        if change == Some(ZoneTransition::Closed) {
-            if zone == self.fleet.local_zone() {
-                self.fleet.classes.reset_rates();
-                self.admission.reset_admitted_fractions();
-            }
-            self.hedge_out_of_closed_zone(zone, actions);
+        match transition {
+            Some(ZoneTransition::Closed) => self.on_zone_closed(zone, actions),
+            Some(ZoneTransition::Reopened) => self.on_zone_reopened(zone),
+            Some(ZoneTransition::Unchanged) | None => {}
         }
         self.dispatch_queued(actions);
     }
 
+    /// A zone takes no requests from now on.
+    fn on_zone_closed(&mut self, zone: ZoneId, actions: &mut Vec<Action>) {
+        if zone == self.fleet.local_zone() {
+            // How much could be admitted by the local zone's answers says nothing of the other zones.
+            self.fleet.classes.reset_rates();
+            self.admission.reset_admitted_fractions();
+        }
+        self.hedge_out_of_closed_zone(zone, actions);
+    }
+
+    /// A zone takes requests again.
+    fn on_zone_reopened(&mut self, zone: ZoneId) {
+        let backends = self.fleet.backends.values_mut();
+        backends
+            .filter(|backend| backend.zone() == zone)
+            .for_each(Backend::reset_after_zone_reopened);
+    }
+
     /// The timer has fired.
     fn on_timer(&mut self, actions: &mut Vec<Action>) {
         if self.discovery.take_due_poll(self.fleet.now) {
@@ -230,17 +237,7 @@
             zone.age_min_latency();
         }
         self.routing.score_zones(&self.fleet);
-        if self
-            .load_feedback
-            .is_report_feedback_due(&self.fleet.settings, now)
-        {
-            let zones = (0..self.fleet.settings.zone_count).map(ZoneId);
-            let utilizations: Vec<Option<f64>> =
-                zones.map(|zone| utilization(&self.fleet, zone)).collect();
-            self.load_feedback
-                .apply_reports(&mut self.fleet, &utilizations);
-            self.update_spill_and_admission();
-        }
+        self.apply_report_feedback();
         if self.fleet.settings.is_large_fleet() {
             self.admission
                 .update_admitted_fractions(&self.fleet, &self.load_feedback);
@@ -250,6 +247,23 @@
         }
     }
 
+    /// Derives the zones' load from reports, where that is due.
+    fn apply_report_feedback(&mut self) {
+        let settings = &self.fleet.settings;
+        if !self
+            .load_feedback
+            .is_report_feedback_due(settings, self.fleet.now)
+        {
+            return;
+        }
+        let zones = (0..settings.zone_count).map(ZoneId);
+        let utilizations: Vec<Option<f64>> =
+            zones.map(|zone| utilization(&self.fleet, zone)).collect();
+        self.load_feedback
+            .apply_reports(&mut self.fleet, &utilizations);
+        self.update_spill_and_admission();
+    }
+
     /// Logs an event, unless another was logged a moment ago.
     fn log(&mut self, actions: &mut Vec<Action>, event: LogEvent) {
         if self.fleet.now >= self.next_log_at {
@@ -276,8 +290,8 @@
             .max(MIN_TIMER)
     }
 
-    /// Asks for the next timer only while something waits for one: at full size a timer that always ran cost
-    /// more than all requests together (it cut full-size days off as too slow).
+    /// Requests the next timer only while something waits for one: with many nodes, a timer that always runs costs more
+    /// than all requests together.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let now = self.fleet.now;
         let queue_check =
--- a/balancer/src/balancer/attempts.rs
+++ b/balancer/src/balancer/attempts.rs
@@ -5,7 +5,7 @@
 use crate::deadlines::{attempt_timeout, is_overdue};
 use crate::learning::AttemptObservation;
 use crate::outlier_detection::OutcomeEffect;
-use crate::request::{Attempt, Phase, Placement};
+use crate::request::{Attempt, Phase, Placement, Request};
 use crate::retry_safety::is_eligible;
 
 impl Balancer {
@@ -48,6 +48,7 @@
             zone: backend.zone(),
             cell: backend.entry().cell,
         };
+        let cost = request.slow_start_cost;
         request.phase = Phase::Open;
         request.attempts.push(Attempt {
             backend: to,
@@ -59,45 +60,33 @@
         });
         backend.outlier.on_send();
         if request.is_uploading {
-            backend.charge_slow_start_budget(now, &settings.rules, request.slow_start_cost);
-            return;
-        }
-        backend.start_request(now, &settings.rules, request.slow_start_cost);
-        if let Some(zone) = self.fleet.zones.get_mut(placement.zone) {
-            zone.start_attempt(now);
+            backend.charge_slow_start_budget(now, &settings.rules, cost);
+        } else {
+            self.fleet.start_attempt(to, placement.zone, cost);
         }
     }
 
-    /// A request's body is complete: its client's time begins, and so does the work where it was sent.
+    /// A request's body is complete: its client's time begins, and it counts as load where it was sent.
     pub(super) fn on_upload_complete(&mut self, id: RequestId, expires_at: Nanos) {
-        let (now, settings) = (self.fleet.now, &self.fleet.settings);
-        let Some(request) = self
-            .requests
-            .get_mut(id)
-            .filter(|request| request.is_uploading)
-        else {
+        let now = self.fleet.now;
+        let request = self.requests.get_mut(id);
+        let Some(request) = request.filter(|request| request.is_uploading) else {
             return;
         };
+        let objective = self.fleet.settings.class(request.class).latency_objective;
         request.is_uploading = false;
         request.expires_at = expires_at;
-        request.objective_deadline =
-            expires_at.min(now + settings.class(request.class).latency_objective);
+        request.objective_deadline = expires_at.min(now + objective);
         request.early_rejection_until = now + expires_at.saturating_sub(now) / 2;
-        let uploads = request
-            .attempts
-            .iter_mut()
-            .filter(|attempt| attempt.is_in_flight() && !attempt.is_counted);
-        for attempt in uploads {
-            let Some(backend) = self.fleet.backends.get_mut(attempt.backend) else {
+        let cost = request.slow_start_cost;
+        for attempt in request.uploads_mut() {
+            let zone = attempt.placement.zone;
+            let Some(load) = self.fleet.start_attempt(attempt.backend, zone, cost) else {
                 continue;
             };
             attempt.is_counted = true;
             attempt.sent_at = now;
-            attempt.load = backend.load(settings);
-            backend.start_request(now, &settings.rules, request.slow_start_cost);
-            if let Some(zone) = self.fleet.zones.get_mut(attempt.placement.zone) {
-                zone.start_attempt(now);
-            }
+            attempt.load = load;
         }
     }
 
@@ -106,28 +95,24 @@
         let Some(request) = self.requests.get_mut(result.request) else {
             return;
         };
-        let class = request.class;
-        let service_time = request.service_time;
-        let objective_deadline = request.objective_deadline;
-        let is_open = request.phase != Phase::Ended;
-        let own = request.attempts.get_mut(result.attempt as usize);
-        let Some(attempt) = own.filter(|attempt| attempt.is_in_flight()) else {
+        let Some(attempt) = request.end_attempt(result.attempt, result.outcome) else {
             return;
         };
-        attempt.outcome = Some(result.outcome);
-        let attempt = *attempt;
+        let class = request.class;
+        let is_open = request.phase != Phase::Ended;
         if attempt.is_counted {
-            if let Some(zone) = self.fleet.zones.get_mut(attempt.placement.zone) {
-                zone.end_attempt(self.fleet.now);
-            }
-            self.fleet.learn_from_attempt(&AttemptObservation {
-                backend: attempt.backend,
-                class,
-                service_time,
-                load: attempt.load,
-                elapsed: result.elapsed,
-                outcome: result.outcome,
-            });
+            let service_time = request.service_time;
+            self.fleet.end_attempt(
+                attempt.placement.zone,
+                &AttemptObservation {
+                    backend: attempt.backend,
+                    class,
+                    service_time,
+                    load: attempt.load,
+                    elapsed: result.elapsed,
+                    outcome: result.outcome,
+                },
+            );
         }
         if result.outcome != Outcome::TimedOut || is_overdue(&self.fleet, class, result.elapsed) {
             self.record_for_outlier_detection(attempt.backend, result.outcome, actions);
@@ -138,22 +123,32 @@
         if is_open && !result.request_ended {
             self.retry(result.request, actions);
         } else {
-            let counts_late = !self.fleet.settings.is_large_fleet();
-            let is_in_time = counts_late || self.fleet.now <= objective_deadline;
-            if is_open && result.outcome == Outcome::Success && is_in_time {
-                self.fleet
-                    .classes
-                    .get_mut(class)
-                    .record_served_in_time(self.fleet.now);
-            }
-            if is_open {
-                self.cancel_in_flight(result.request, actions);
-            }
-            self.requests.finish(result.request);
+            self.finish(result, actions);
         }
         self.dispatch_queued(actions);
     }
 
+    /// A request has its answer, by the attempt that has just ended or earlier.
+    fn finish(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(result.request) else {
+            return;
+        };
+        if request.phase != Phase::Ended {
+            if result.outcome == Outcome::Success && self.counts_as_in_time(request) {
+                let now = self.fleet.now;
+                let class = self.fleet.classes.get_mut(request.class);
+                class.record_served_in_time(now);
+            }
+            self.cancel_in_flight(result.request, actions);
+        }
+        self.requests.finish(result.request);
+    }
+
+    /// Whether an answer now counts as one in time. In a small fleet late ones count too.
+    fn counts_as_in_time(&self, request: &Request) -> bool {
+        !self.fleet.settings.is_large_fleet() || self.fleet.now <= request.objective_deadline
+    }
+
     /// Counts an outcome against its backend; ejects an outlier, readmits after served trials.
     pub(super) fn record_for_outlier_detection(
         &mut self,
@@ -168,22 +163,24 @@
         match backend.outlier.record(now, outcome, is_large_fleet) {
             OutcomeEffect::None => {}
             OutcomeEffect::Readmitted => self.log(actions, LogEvent::Readmitted { backend: id }),
-            OutcomeEffect::Failed => {
-                let failures = self.fleet.backends.failures();
-                let Some(failed) = self.fleet.backends.get_mut(id) else {
-                    return;
-                };
-                if let Some(duration) = failed.outlier.eject_if_outlier(now, outcome, &failures) {
-                    self.log(
-                        actions,
-                        LogEvent::Ejected {
-                            backend: id,
-                            duration,
-                            outcome,
-                        },
-                    );
-                }
-            }
+            OutcomeEffect::Failed => self.eject_if_outlier(id, outcome, actions),
+        }
+    }
+
+    /// Ejects a backend that has just failed, if it is an outlier or was on trial.
+    fn eject_if_outlier(&mut self, id: BackendId, outcome: Outcome, actions: &mut Vec<Action>) {
+        let now = self.fleet.now;
+        let failures = self.fleet.backends.failures();
+        let Some(backend) = self.fleet.backends.get_mut(id) else {
+            return;
+        };
+        if let Some(duration) = backend.outlier.eject_if_outlier(now, outcome, &failures) {
+            let event = LogEvent::Ejected {
+                backend: id,
+                duration,
+                outcome,
+            };
+            self.log(actions, event);
         }
     }
 
@@ -195,14 +192,13 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let in_flight = request
-            .attempts
-            .iter()
-            .zip(0..)
-            .filter(|(attempt, _)| attempt.is_in_flight());
-        actions.extend(in_flight.map(|(_, attempt)| Action::Cancel {
-            request: id,
-            attempt,
-        }));
+        for (number, attempt) in (0..).zip(&request.attempts) {
+            if attempt.is_in_flight() {
+                actions.push(Action::Cancel {
+                    request: id,
+                    attempt: number,
+                });
+            }
+        }
     }
 }
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -2,12 +2,13 @@
 
 use super::Balancer;
 use crate::api::{Action, BackendId, ClassId, Nanos, RequestArrival, RequestId};
-use crate::deadlines::{is_expired, is_worthless_late, objective_start};
+use crate::class_statistics::ClassStatistics;
+use crate::deadlines::{is_expired, is_past_objective, objective_start};
 use crate::dispatch_order::{MAX_DISPATCH_MISSES, dispatch_order};
 use crate::request::{Phase, Request};
 use crate::retry_safety::may_reject;
 use crate::tuning::IDLE_LOAD;
-use crate::zone_routing::prefers_home;
+use crate::zone_routing::prefers_local_zone;
 
 impl Balancer {
     /// A request has come in; with `is_upload` its body is still on the way.
@@ -17,39 +18,44 @@
         is_upload: bool,
         actions: &mut Vec<Action>,
     ) {
+        let id = arrival.request;
         let class = self.fleet.classes.known_id(arrival.class);
         let request = self.new_request(arrival, class, is_upload);
-        let is_past_objective = request.expires_at <= self.fleet.now
-            || (request.objective_deadline <= self.fleet.now
-                && is_worthless_late(&self.fleet, class));
-        let admitted_fraction = self.admission.admitted_fraction(class);
-        self.requests.insert(arrival.request, request);
+        let is_late = is_past_objective(&self.fleet, &request);
+        // Admitted by the figures of the last refresh, not of the one that this arrival may cause.
+        let class_fraction = self.admission.admitted_fraction(class);
+        self.requests.insert(id, request);
         self.retry_budget.earn();
         self.health_checks.earn();
         self.refresh(actions);
-        // Guards against jams that feed on their own repeats: what is past its objective, or more than the
-        // backends can do in time, is rejected before it costs them anything.
+        if self.admit(arrival, class, class_fraction, is_late) {
+            self.dispatch(id, actions);
+        } else {
+            let retry_after = self.fleet.settings.limits.max_retry_after;
+            self.end(id, retry_after, actions);
+        }
+    }
+
+    /// Counts an arrival and decides whether it is admitted. What comes past its objective, or is more than the
+    /// backends can answer in time, is rejected before it costs them anything: otherwise its retries would keep an
+    /// overload going.
+    fn admit(
+        &mut self,
+        arrival: &RequestArrival,
+        class: ClassId,
+        class_fraction: f64,
+        is_late: bool,
+    ) -> bool {
+        let now = self.fleet.now;
         let tenant = arrival.tenant.map_or(usize::MAX, |tenant| tenant as usize);
-        if !is_past_objective {
-            self.fleet
-                .classes
-                .get_mut(class)
-                .record_arrival(self.fleet.now);
-            self.admission.record_tenant_arrival(self.fleet.now, tenant);
+        if !is_late {
+            self.fleet.classes.get_mut(class).record_arrival(now);
+            self.admission.record_tenant_arrival(now, tenant);
         }
         let fraction =
             self.admission
-                .draw_fraction(&self.fleet, tenant, admitted_fraction, &mut self.random);
-        let is_admitted = !is_past_objective && (fraction >= 1.0 || self.random.draw() < fraction);
-        if !is_admitted {
-            self.end(
-                arrival.request,
-                self.fleet.settings.limits.max_retry_after,
-                actions,
-            );
-            return;
-        }
-        self.dispatch(arrival.request, actions);
+                .draw_fraction(&self.fleet, tenant, class_fraction, &mut self.random);
+        !is_late && (fraction >= 1.0 || self.random.draw() < fraction)
     }
 
     /// The state of a request that arrives now; its class learns from it.
@@ -61,25 +67,25 @@
     ) -> Request {
         let now = self.fleet.now;
         let class_settings = *self.fleet.settings.class(class);
-        let statistics = self.fleet.classes.get_mut(class);
-        let idle_service_time = statistics.base_time() * IDLE_LOAD;
-        let service_time = arrival
-            .expected_service_time
-            .map_or(idle_service_time, |hint| hint as f64)
-            .max(1.0);
-        statistics.record_service_time(service_time);
-        // A body on its way says nothing of the client's time, which has not begun.
-        let time_left = arrival.expires_at.saturating_sub(now);
         let client_timeout = if is_upload {
+            // A body on its way says nothing of the client's time, which has not begun.
             class_settings.deadline
         } else {
-            time_left
+            arrival.expires_at.saturating_sub(now)
         };
+        let statistics = self.fleet.classes.get_mut(class);
+        let service_time = expected_service_time(arrival, statistics);
+        statistics.record_service_time(service_time);
         statistics.record_client_timeout(client_timeout);
-        // Picking the requests with small hints for a small budget picks the hints that are too low.
+        // Expected service times that are too low would be the ones that fit into a small budget.
         let slow_start_cost = service_time.max(statistics.mean_service_time());
-        let objective_end = objective_start(&self.fleet, arrival, class, client_timeout)
-            + class_settings.latency_objective;
+        let objective_start = objective_start(&self.fleet, arrival, class, client_timeout);
+        let objective_end = objective_start + class_settings.latency_objective;
+        let objective_deadline = if is_upload {
+            arrival.expires_at
+        } else {
+            arrival.expires_at.min(objective_end)
+        };
         Request {
             class,
             affinity_key: arrival
@@ -87,11 +93,7 @@
                 .filter(|_| self.fleet.settings.key_affinity),
             service_time,
             slow_start_cost,
-            objective_deadline: if is_upload {
-                arrival.expires_at
-            } else {
-                arrival.expires_at.min(objective_end)
-            },
+            objective_deadline,
             early_rejection_until: now + client_timeout / 2,
             expires_at: arrival.expires_at,
             attempts: Vec::new(),
@@ -133,17 +135,14 @@
 
     /// The backend for a request, or none if it is better queued.
     fn choose(&mut self, id: RequestId) -> Option<BackendId> {
-        let prefers_home = prefers_home(
-            &self.fleet,
-            self.admission.spill_fraction(),
-            &mut self.random,
-        );
+        let spill_fraction = self.admission.spill_fraction();
+        let prefers_local = prefers_local_zone(&self.fleet, spill_fraction, &mut self.random);
         let request = self.requests.get(id)?;
         self.routing
-            .choose(&self.selection(), id, request, prefers_home)
+            .choose(&self.selection(), id, request, prefers_local)
     }
 
-    /// Sends what is queued as backends have capacity, the most valuable first.
+    /// Sends queued requests while backends have capacity, the most valuable first.
     pub(super) fn dispatch_queued(&mut self, actions: &mut Vec<Action>) {
         let mut misses = 0;
         for id in dispatch_order(&self.selection(), &self.requests) {
@@ -157,36 +156,51 @@
         }
     }
 
-    /// Rejects what can no longer be answered in time, or was never sent, while a rejection is still early.
+    /// Ends the queued requests that can no longer be answered in time, or that were never sent, while a
+    /// rejection is still early.
     pub(super) fn reject_expired(&mut self, actions: &mut Vec<Action>) {
-        let queued = self.requests.queued().iter().copied();
-        let expired: Vec<RequestId> = queued
-            .filter(|&id| {
-                self.requests.get(id).is_some_and(|request| {
-                    is_expired(&self.fleet, request, self.queue_check_period())
-                })
-            })
-            .collect();
-        for id in expired {
-            self.end(id, self.fleet.settings.limits.max_retry_after, actions);
+        let retry_after = self.fleet.settings.limits.max_retry_after;
+        for id in self.expired_requests() {
+            self.end(id, retry_after, actions);
         }
     }
 
-    /// The one place that ends requests: rejected where trying again does no harm, failed otherwise.
+    /// The queued requests that are better ended now than at the next check, in the order of the queue.
+    fn expired_requests(&self) -> Vec<RequestId> {
+        let period = self.queue_check_period();
+        let is_expired = |id: &RequestId| {
+            let request = self.requests.get(*id);
+            request.is_some_and(|request| is_expired(&self.fleet, request, period))
+        };
+        let queued = self.requests.queued().iter().copied();
+        queued.filter(is_expired).collect()
+    }
+
+    /// The one place that ends requests: rejected where a retry by the client does no harm, failed otherwise.
     pub(super) fn end(&mut self, id: RequestId, retry_after: Nanos, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         let settings = &self.fleet.settings;
-        actions.push(if may_reject(settings, request) {
+        let answer = if may_reject(settings, request) {
             Action::Reject {
                 request: id,
                 retry_after: retry_after.min(settings.limits.max_retry_after),
             }
         } else {
             Action::Fail { request: id }
-        });
+        };
+        actions.push(answer);
         self.cancel_in_flight(id, actions);
         self.requests.finish(id);
     }
 }
+
+/// Expected service time of an arrival in nanoseconds, by its hint or by its class; at least 1.
+fn expected_service_time(arrival: &RequestArrival, class: &ClassStatistics) -> f64 {
+    let on_idle_backend = class.base_time() * IDLE_LOAD;
+    arrival
+        .expected_service_time
+        .map_or(on_idle_backend, |hint| hint as f64)
+        .max(1.0)
+}
--- a/balancer/src/balancer/retries.rs
+++ b/balancer/src/balancer/retries.rs
@@ -6,7 +6,7 @@
 use crate::retry_safety::is_eligible;
 
 impl Balancer {
-    /// After an attempt that did not serve: another one, or the end of the request.
+    /// After an attempt that did not succeed: another one, or the end of the request.
     pub(super) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -14,36 +14,40 @@
         if request.has_attempt_in_flight() {
             return;
         }
-        let is_late = self.fleet.now >= request.objective_deadline;
-        // What was rejected at once has cost little: its first retry is free.
-        let is_free = self.fleet.settings.is_large_fleet()
-            && request.attempts.len() == 1
-            && !request.may_have_run();
-        let is_paid = self.retry_budget.has_token() || is_free;
-        if is_late || !is_paid || !self.has_retry_target(request) {
-            let retry_after = if is_late {
-                self.fleet.settings.limits.max_retry_after
-            } else {
-                0
-            };
+        if self.fleet.now >= request.objective_deadline {
+            let retry_after = self.fleet.settings.limits.max_retry_after;
             self.end(id, retry_after, actions);
             return;
         }
-        // Where no backend has capacity this moment it is queued: most have some before the objective's end.
+        if !self.can_pay_for_retry(request) || !self.has_retry_target(request) {
+            self.end(id, 0, actions);
+            return;
+        }
+        // Queued where no backend has capacity now: most have some before the objective's end.
         self.retry_budget.spend();
         self.dispatch(id, actions);
     }
 
-    /// Whether a backend may get the request; what may only go to a closed zone is given up at once.
+    /// Whether the retry budget allows a retry of this request.
+    fn can_pay_for_retry(&self, request: &Request) -> bool {
+        // What was rejected at once has cost little: its first retry is free.
+        let is_free = self.fleet.settings.is_large_fleet()
+            && request.attempts.len() == 1
+            && !request.may_have_run();
+        is_free || self.retry_budget.has_token()
+    }
+
+    /// Whether a backend may get the request; one that may only go to a closed zone is given up at once.
     fn has_retry_target(&self, request: &Request) -> bool {
-        self.fleet.backends.values().any(|backend| {
-            self.fleet.zones.traffic_share(backend.zone()) > 0.0
-                && is_eligible(&self.fleet, request, backend)
+        let fleet = &self.fleet;
+        fleet.backends.values().any(|backend| {
+            fleet.zones.traffic_share(backend.zone()) > 0.0 && is_eligible(fleet, request, backend)
         })
     }
 
-    /// A zone has closed: what waits for its answer and is idempotent is sent elsewhere too, as far as saved
-    /// retries go. The first attempt goes on where requests may be hedged: it may still be answered.
+    /// A zone has closed: idempotent requests that wait for an answer from there are sent to another zone too,
+    /// as far as the retry budget goes. The first attempt goes on where requests may be hedged: it may still be
+    /// answered.
     pub(super) fn hedge_out_of_closed_zone(&mut self, zone: ZoneId, actions: &mut Vec<Action>) {
         let waiting = self
             .requests
@@ -55,7 +59,7 @@
                 break;
             }
             if !self.fleet.settings.limits.hedging {
-                // The end of its attempt sends it again.
+                // The end of its attempt makes the retry.
                 self.cancel_in_flight(id, actions);
             } else if self.send_to_chosen(id, actions) {
                 self.retry_budget.spend();
@@ -65,8 +69,9 @@
 
     /// Whether a request waits for an answer from a closed zone only, and may run twice.
     fn is_hedged_out_of(&self, request: &Request, zone: ZoneId) -> bool {
+        let class = self.fleet.settings.class(request.class);
         request.waits_only_for(zone)
-            && self.fleet.settings.class(request.class).idempotency == Idempotency::Idempotent
+            && class.idempotency == Idempotency::Idempotent
             && request.phase == Phase::Open
             && self.fleet.now < request.objective_deadline
     }
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -1,15 +1,15 @@
-//! What this node knows of the fleet: its settings, the time, backends, zones and request classes.
+//! State that all decisions read: settings, time, backends, zones and request classes.
 
-use crate::api::{ClassSettings, Nanos, Settings, ZoneId};
+use crate::api::{BackendId, ClassSettings, Nanos, Settings, ZoneId};
 use crate::backends::Backends;
 use crate::class_statistics::{ClassStatistics, Classes};
 use crate::zones::Zones;
 
-/// The state that all decisions read. Each part changes its own state only, by its methods.
+/// This node's view of the fleet. Each part changes its own state only, by its methods.
 pub(crate) struct Fleet {
     /// Settings of the node; they never change.
     pub(crate) settings: Settings,
-    /// Time of the event being handled; it never goes back.
+    /// Time of the event being handled; it never decreases.
     pub(crate) now: Nanos,
     /// The backends, by id.
     pub(crate) backends: Backends,
@@ -20,7 +20,7 @@
 }
 
 impl Fleet {
-    /// A fleet of which only the settings are known.
+    /// A fleet without backends; of its zones and classes nothing has been measured.
     pub(crate) fn new(settings: Settings, now: Nanos) -> Self {
         Self {
             now,
@@ -44,6 +44,23 @@
             .filter(move |&zone| zone != local)
     }
 
+    /// Counts an attempt with a backend and its zone, now that the backend has the complete request. Returns
+    /// the backend's load before it; `None` if there is no such backend.
+    pub(crate) fn start_attempt(
+        &mut self,
+        id: BackendId,
+        zone: ZoneId,
+        slow_start_cost: f64,
+    ) -> Option<f64> {
+        let backend = self.backends.get_mut(id)?;
+        let load = backend.load(&self.settings);
+        backend.start_request(self.now, &self.settings.rules, slow_start_cost);
+        if let Some(zone) = self.zones.get_mut(zone) {
+            zone.start_attempt(self.now);
+        }
+        Some(load)
+    }
+
     /// Statistics and settings of each class, by id.
     pub(crate) fn classes_with_settings(
         &self,
--- a/balancer/src/learning.rs
+++ b/balancer/src/learning.rs
@@ -1,12 +1,13 @@
 //! Learning from attempts and reports: slowness, base times, throughput and the zones' capacity.
 
-use crate::api::{BackendId, ClassId, Nanos, Outcome};
+use crate::api::{BackendId, ClassId, Nanos, Outcome, ZoneId};
+use crate::backend::Backend;
 use crate::class_statistics::MAX_OBSERVATION_RATIO;
 use crate::fleet::Fleet;
 use crate::tuning::UTILIZATION_MAX_AGE;
 
 /// Least utilization of a backend that counts as used capacity.
-const MIN_USED: f64 = 0.05;
+const MIN_USED_UTILIZATION: f64 = 0.05;
 
 /// The end of an attempt whose backend had the complete request.
 pub(crate) struct AttemptObservation {
@@ -28,23 +29,39 @@
 #[derive(Clone, Copy, Default)]
 struct CapacitySample {
     throughput: f64,
-    used: f64,
+    used_size: f64,
 }
 
 impl CapacitySample {
     /// Throughput for each unit of used capacity.
-    fn per_unit(self) -> f64 {
-        if self.used > 0.0 {
-            self.throughput / self.used
+    fn throughput_per_unit(self) -> f64 {
+        if self.used_size > 0.0 {
+            self.throughput / self.used_size
         } else {
             0.0
         }
     }
+
+    /// The sum of both.
+    fn plus(self, other: &Self) -> Self {
+        Self {
+            throughput: self.throughput + other.throughput,
+            used_size: self.used_size + other.used_size,
+        }
+    }
 }
 
 impl Fleet {
+    /// Counts the end of an attempt in a zone, and learns from it.
+    pub(crate) fn end_attempt(&mut self, zone: ZoneId, observation: &AttemptObservation) {
+        if let Some(zone) = self.zones.get_mut(zone) {
+            zone.end_attempt(self.now);
+        }
+        self.learn_from_attempt(observation);
+    }
+
     /// Learns slowness, base time and throughput from one attempt.
-    pub(crate) fn learn_from_attempt(&mut self, observation: &AttemptObservation) {
+    fn learn_from_attempt(&mut self, observation: &AttemptObservation) {
         let Some(backend) = self.backends.get_mut(observation.backend) else {
             return;
         };
@@ -67,7 +84,7 @@
                     zone.record_latency(elapsed);
                 }
             }
-            // No answer at all tells of a delay of at least the time waited.
+            // Without an answer the delay is at least the time waited.
             Outcome::TimedOut if slowness > known_slowness => {
                 backend.record_slowness(self.now, slowness);
             }
@@ -81,33 +98,34 @@
         let samples = self.capacity_samples();
         let total = samples
             .iter()
-            .fold(CapacitySample::default(), |total, sample| CapacitySample {
-                throughput: total.throughput + sample.throughput,
-                used: total.used + sample.used,
-            });
-        let per_node_capacity = total.per_unit() / f64::from(self.settings.node_count);
+            .fold(CapacitySample::default(), CapacitySample::plus);
+        let per_node_capacity = total.throughput_per_unit() / f64::from(self.settings.node_count);
         for ((_, zone), sample) in self.zones.iter_mut().zip(samples) {
-            zone.update_capacity(sample.per_unit().max(per_node_capacity));
+            zone.update_capacity(sample.throughput_per_unit().max(per_node_capacity));
         }
     }
 
-    /// Throughput and capacity used of warm backends with fresh reports, by zone.
+    /// Throughput and capacity used of warm backends with recent reports, by zone.
     fn capacity_samples(&self) -> Vec<CapacitySample> {
         let mut samples = vec![CapacitySample::default(); self.zones.count()];
-        for backend in self.backends.values() {
-            let is_warm = backend.warm_up_fraction(self.now, &self.settings.rules) >= 1.0;
-            if !is_warm
-                || !backend
-                    .utilization()
-                    .is_younger_than(self.now, UTILIZATION_MAX_AGE)
-            {
-                continue;
-            }
+        let measured = self
+            .backends
+            .values()
+            .filter(|backend| self.shows_capacity(backend));
+        for backend in measured {
             if let Some(sample) = samples.get_mut(backend.zone().index()) {
+                let utilization = backend.utilization().value().max(MIN_USED_UTILIZATION);
                 sample.throughput += backend.throughput(self.now);
-                sample.used += backend.size() * backend.utilization().value().max(MIN_USED);
+                sample.used_size += backend.size() * utilization;
             }
         }
         samples
     }
+
+    /// Whether a backend's figures tell of its full capacity: it is warm and has reported lately.
+    fn shows_capacity(&self, backend: &Backend) -> bool {
+        let is_warm = backend.warm_up_fraction(self.now, &self.settings.rules) >= 1.0;
+        let utilization = backend.utilization();
+        is_warm && utilization.is_younger_than(self.now, UTILIZATION_MAX_AGE)
+    }
 }
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -3,7 +3,7 @@
 //! ```text
 //! Open <--> Queued      waiting for an answer, or for a backend with capacity
 //! Open --> Streaming    its answer has begun
-//! any  --> Ended        answered or given up; kept until its last attempt has ended
+//! any  --> Ended        answered, failed or abandoned; kept until its last attempt has ended
 //! ```
 
 use crate::api::{BackendId, ClassId, Nanos, Outcome, ZoneId};
@@ -30,7 +30,7 @@
     pub(crate) load: f64,
     /// How it ended; `None` while it is in flight.
     pub(crate) outcome: Option<Outcome>,
-    /// Its backend has the complete request, so that it counts as load there.
+    /// Whether its backend has the complete request, so that it counts as load there.
     pub(crate) is_counted: bool,
 }
 
@@ -54,14 +54,14 @@
     }
 }
 
-/// Where a request stands.
+/// Phase of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// It has an attempt in flight, or is about to.
     Open,
     /// It waits for a backend with capacity.
     Queued,
-    /// Its answer is being passed on.
+    /// Its answer is being forwarded.
     Streaming,
     /// It has its final answer, or its client has gone.
     Ended,
@@ -71,7 +71,7 @@
 pub(crate) struct Request {
     /// Its class.
     pub(crate) class: ClassId,
-    /// What it concerns, where backends keep their work by key.
+    /// Hash of what it concerns, where a backend that has served the same key does less work.
     pub(crate) affinity_key: Option<u64>,
     /// Expected service time, in nanoseconds on a standard core.
     pub(crate) service_time: f64,
@@ -85,11 +85,11 @@
     pub(crate) expires_at: Nanos,
     /// Its attempts, in the order of the sends.
     pub(crate) attempts: Vec<Attempt>,
-    /// Its body is still on the way.
+    /// Whether its body is still on the way.
     pub(crate) is_uploading: bool,
-    /// Some of its body can't be had again.
+    /// Whether part of its body can't be sent again.
     pub(crate) is_body_consumed: bool,
-    /// Where it stands.
+    /// Its phase.
     pub(crate) phase: Phase,
 }
 
@@ -104,6 +104,23 @@
         self.attempts.iter().any(Attempt::may_have_run)
     }
 
+    /// Ends an attempt that is in flight, by its number, and returns it.
+    pub(crate) fn end_attempt(&mut self, number: u32, outcome: Outcome) -> Option<Attempt> {
+        let attempt = self.attempts.get_mut(number as usize)?;
+        if !attempt.is_in_flight() {
+            return None;
+        }
+        attempt.outcome = Some(outcome);
+        Some(*attempt)
+    }
+
+    /// The attempts in flight that do not count as load yet.
+    pub(crate) fn uploads_mut(&mut self) -> impl Iterator<Item = &mut Attempt> {
+        self.attempts
+            .iter_mut()
+            .filter(|attempt| attempt.is_in_flight() && !attempt.is_counted)
+    }
+
     /// Whether an attempt was sent to this backend.
     pub(crate) fn has_tried(&self, backend: BackendId) -> bool {
         self.attempts
--- a/balancer/src/request_table.rs
+++ b/balancer/src/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that the node keeps, and those of them that wait for a backend.
+//! All requests of the node, and the queue of those that wait for a backend.
 
 use std::collections::BTreeMap;
 
@@ -45,11 +45,8 @@
 
     /// Queues an open request; one in another phase stays as it is.
     pub(crate) fn enqueue(&mut self, id: RequestId) {
-        if let Some(request) = self
-            .requests
-            .get_mut(&id)
-            .filter(|request| request.phase == Phase::Open)
-        {
+        let request = self.requests.get_mut(&id);
+        if let Some(request) = request.filter(|request| request.phase == Phase::Open) {
             request.phase = Phase::Queued;
             self.queue.push(id);
         }
@@ -65,20 +62,17 @@
         });
     }
 
-    /// Notes that some of a request's body can't be sent again.
+    /// Records that part of a request's body can't be sent again.
     pub(crate) fn mark_body_consumed(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_body_consumed = true;
         }
     }
 
-    /// Notes that the answer of a request has begun.
+    /// Records that the answer to a request has begun, unless it has ended.
     pub(crate) fn mark_streaming(&mut self, id: RequestId) {
-        if let Some(request) = self
-            .requests
-            .get_mut(&id)
-            .filter(|request| request.phase != Phase::Ended)
-        {
+        let request = self.requests.get_mut(&id);
+        if let Some(request) = request.filter(|request| request.phase != Phase::Ended) {
             request.phase = Phase::Streaming;
         }
     }
--- a/balancer/src/retry_safety.rs
+++ b/balancer/src/retry_safety.rs
@@ -1,5 +1,5 @@
-//! Retry safety: whether a request may be sent to a backend at all, by what may have run, by drains and by
-//! slow-start budgets.
+//! Retry safety: whether a request may be sent to a backend at all, by its earlier attempts, by the backend's state in
+//! the list and by its slow-start budget.
 
 use crate::api::{DedupScope, EndpointState, Idempotency, Nanos, Settings};
 use crate::backend::Backend;
@@ -14,25 +14,25 @@
         zone: entry.zone,
         cell: entry.cell,
     };
-    // A draining backend gets nothing new: a wanted margin to the drain grace.
+    // The rules let a draining backend get requests for a grace period; none is sent, as a margin.
     entry.state == EndpointState::InService
         && is_attempt_allowed(fleet, request)
         && is_retry_safe(&fleet.settings, request, None, placement, fleet.now)
         && has_slow_start_budget(fleet, backend, request.slow_start_cost)
 }
 
-/// Whether a request may have a further attempt, wherever it goes.
+/// Whether a request may have an attempt, its first one or another, wherever it goes.
 fn is_attempt_allowed(fleet: &Fleet, request: &Request) -> bool {
     let limits = &fleet.settings.limits;
-    let is_pending =
-        matches!(request.phase, Phase::Open | Phase::Queued) && fleet.now < request.expires_at;
+    let is_unanswered = matches!(request.phase, Phase::Open | Phase::Queued);
+    let has_time_left = fleet.now < request.expires_at;
     let has_attempts_left = request.attempts.len() < limits.max_attempts as usize;
     let may_overlap = limits.hedging || !request.has_attempt_in_flight();
-    !request.is_body_consumed && is_pending && has_attempts_left && may_overlap
+    is_unanswered && has_time_left && !request.is_body_consumed && has_attempts_left && may_overlap
 }
 
-/// Whether a send there at that time would have no second effect, by the attempts that may have run, without
-/// the one of the number `excluded`.
+/// Whether an attempt at `target` at this time can't execute the request twice, by the attempts that may have run.
+/// The attempt numbered `excluded` is the one in question and does not count.
 fn is_retry_safe(
     settings: &Settings,
     request: &Request,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Whether two backends share which idempotency keys they have seen.
+/// Whether two backends deduplicate idempotency keys together.
 fn is_same_dedup_scope(scope: DedupScope, one: Placement, other: Placement) -> bool {
     match scope {
         DedupScope::All => true,
@@ -72,20 +72,20 @@
     }
 }
 
-/// Whether an attempt may still be written, now that its connection is up: that can take longer than backends
-/// remember the attempts before.
+/// Whether an attempt may still be written, now that its connection is established: that can take longer than backends
+/// remember the keys of earlier attempts.
 pub(crate) fn may_write(settings: &Settings, request: &Request, attempt: usize, at: Nanos) -> bool {
     if request.phase == Phase::Ended {
         return false;
     }
-    let own = request
+    let in_flight = request
         .attempts
         .get(attempt)
         .filter(|own| own.is_in_flight());
-    own.is_some_and(|own| is_retry_safe(settings, request, Some(attempt), own.placement, at))
+    in_flight.is_some_and(|own| is_retry_safe(settings, request, Some(attempt), own.placement, at))
 }
 
-/// Whether a request may be answered by a rejection, which tells the client that trying again does no harm.
+/// Whether a request may be answered by a rejection, which tells the client that it may safely retry.
 pub(crate) fn may_reject(settings: &Settings, request: &Request) -> bool {
     match settings.class(request.class).idempotency {
         Idempotency::Idempotent
--- a/balancer/src/zone_routing.rs
+++ b/balancer/src/zone_routing.rs
@@ -2,7 +2,7 @@
 
 mod decisions;
 
-pub(crate) use decisions::{prefers_home, utilization};
+pub(crate) use decisions::{prefers_local_zone, utilization};
 
 use crate::api::{Nanos, ZoneId};
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Whether the zones are to be scored again.
+    /// Whether it is time to score the zones again.
     pub(crate) fn is_scoring_due(&self, now: Nanos) -> bool {
         now >= self.next_scoring_at
     }
