--- a/core/membership/src/api.rs
+++ b/core/membership/src/api.rs
@@ -6,6 +6,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::datagram_auth::Key;
+use crate::drop_reason::DropReason;
 use badgerpost_time::Nanos;
 
 /// Longest body of a gossip item, in bytes: dozens of items have to fit into one datagram.
@@ -77,17 +78,6 @@
     Leave,
 }
 
-/// Why a datagram was dropped.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DropReason {
-    /// Of another protocol version, too long or too short.
-    Malformed,
-    /// Its authentication code is wrong: the sender does not have the fleet's key.
-    Unauthenticated,
-    /// A member sent it, and its content can't be decoded.
-    Undecodable,
-}
-
 /// An output of the core.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
--- a/core/membership/src/datagram_auth.rs
+++ b/core/membership/src/datagram_auth.rs
@@ -8,7 +8,7 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-use crate::api::DropReason;
+use crate::drop_reason::DropReason;
 
 /// Protocol version; datagrams of others are dropped.
 const VERSION: u8 = 1;
--- a/core/membership/src/lib.rs
+++ b/core/membership/src/lib.rs
@@ -10,6 +10,7 @@
 mod api;
 mod broadcast_schedule;
 mod datagram_auth;
+mod drop_reason;
 mod gossip_handler;
 mod gossip_store;
 mod member_identity;
@@ -18,8 +19,9 @@
 mod swim_output;
 mod timer_queue;
 
-pub use api::{Action, DropReason, Event, MAX_ITEM_LENGTH, MemberId, Settings, Topic};
+pub use api::{Action, Event, MAX_ITEM_LENGTH, MemberId, Settings, Topic};
 pub use badgerpost_time::Nanos;
 pub use datagram_auth::{Key, KeyError, MAX_DATAGRAM_LENGTH};
+pub use drop_reason::DropReason;
 pub use gossip_store::{GossipItem, GossipKey, GossipStore, GossipVersion};
 pub use membership::Membership;
--- a/core/membership/src/membership.rs
+++ b/core/membership/src/membership.rs
@@ -7,8 +7,9 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::api::{Action, DropReason, Event, Settings, Topic};
+use crate::api::{Action, Event, Settings, Topic};
 use crate::broadcast_schedule::BroadcastSchedule;
+use crate::drop_reason::DropReason;
 use crate::gossip_handler::{GossipHandler, GossipState};
 use crate::gossip_store::{GossipItem, GossipVersion};
 use crate::member_identity::MemberIdentity;
