--- a/core/membership/src/membership.rs
+++ b/core/membership/src/membership.rs
@@ -18,7 +18,7 @@
 use crate::timer_queue::TimerQueue;
 use badgerpost_time::{Nanos, SECOND};
 
-/// Time between two requests to the seeds, while no other member is known.
+/// Time between two announcements to the seeds, while no other member is known.
 const JOIN_RETRY_INTERVAL: Nanos = SECOND;
 
 /// Whether this member takes part in the fleet.
@@ -30,12 +30,12 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Not started yet: answers other members, but asks no seeds.
+    /// Not started yet: answers other members, but does not announce itself.
     Created,
     /// Started.
     Joined {
-        /// When the seeds are asked again, if no other member is known by then.
-        ask_seeds_at: Nanos,
+        /// When it announces itself to the seeds again, if no other member is known by then.
+        next_announcement_at: Nanos,
     },
     /// Has left the fleet; ignores all events.
     Left,
@@ -98,7 +98,7 @@
         }
         let mut output = SwimOutput::default();
         match event {
-            Event::Start => self.ask_seeds(now, &mut output),
+            Event::Start => self.announce_to_seeds(now, &mut output),
             Event::Datagram(datagram) => {
                 if let Err(reason) = self.receive(datagram, &mut output) {
                     actions.push(Action::DatagramDropped(reason));
@@ -109,21 +109,21 @@
             Event::Leave => self.leave(&mut output),
         }
         if self.state != State::Left {
-            self.run_due(now, &mut output);
+            self.run_due_tasks(now, &mut output);
         }
         self.emit(now, output, actions);
     }
 
-    /// Enters `Joined`, or stays there: asks the seeds to let this member join.
-    fn ask_seeds(&mut self, now: Nanos, output: &mut SwimOutput) {
+    /// Enters `Joined`, or stays there: announces this member to the seeds.
+    fn announce_to_seeds(&mut self, now: Nanos, output: &mut SwimOutput) {
         self.state = State::Joined {
-            ask_seeds_at: now.saturating_add(JOIN_RETRY_INTERVAL),
+            next_announcement_at: now.saturating_add(JOIN_RETRY_INTERVAL),
         };
         for seed in &self.settings.seeds {
             if *seed == self.settings.advertise {
                 continue;
             }
-            // A request that fails is repeated with the next timer, like one that is lost.
+            // An announcement that fails is repeated with the next timer, like one that is lost.
             let _ = self
                 .foca
                 .announce(MemberIdentity::unknown(*seed), &mut *output);
@@ -167,15 +167,15 @@
         self.state = State::Left;
     }
 
-    /// Does what is due: foca's timers, requests to the seeds, broadcasts.
-    fn run_due(&mut self, now: Nanos, output: &mut SwimOutput) {
+    /// Runs the tasks that are due: foca's timers, announcements to the seeds, broadcasts.
+    fn run_due_tasks(&mut self, now: Nanos, output: &mut SwimOutput) {
         // New timers are collected in the output, so this ends.
         while let Some(timer) = self.timers.pop_due(now) {
             // Foca resumes by itself after any error of a timer.
             let _ = self.foca.handle_timer(timer, &mut *output);
         }
-        if self.next_seed_request().is_some_and(|at| at <= now) {
-            self.ask_seeds(now, output);
+        if self.next_announcement_at().is_some_and(|at| at <= now) {
+            self.announce_to_seeds(now, output);
         }
         if !self.gossip.borrow().unreported.is_empty() {
             self.broadcasts.request(now);
@@ -186,10 +186,12 @@
         }
     }
 
-    /// When the seeds are to be asked next; never while another member is known.
-    fn next_seed_request(&self) -> Option<Nanos> {
+    /// When this member announces itself to the seeds next; never while another member is known.
+    fn next_announcement_at(&self) -> Option<Nanos> {
         match self.state {
-            State::Joined { ask_seeds_at } if self.foca.num_members() == 0 => Some(ask_seeds_at),
+            State::Joined {
+                next_announcement_at,
+            } if self.foca.num_members() == 0 => Some(next_announcement_at),
             State::Joined { .. } | State::Created | State::Left => None,
         }
     }
@@ -282,7 +284,7 @@
         }
         let candidates = [
             self.timers.next_due_at(),
-            self.next_seed_request(),
+            self.next_announcement_at(),
             self.broadcasts.due_at(),
         ];
         let Some(at) = candidates.into_iter().flatten().min() else {
