--- a/core/zone-health/src/monitor.rs
+++ b/core/zone-health/src/monitor.rs
@@ -1,21 +1,20 @@
 //! One node's monitor of all zones: takes events in, assesses the zones, and emits their shares, recovery probes and
 //! gossip.
 
+mod gossip;
+mod zone_assessment;
+
 use crate::action::Action;
-use crate::assessment::EvidenceSnapshot;
 use crate::attempt_tracker::AttemptTracker;
 use crate::clock::MonitorClock;
 use crate::event::{AttemptSignal, Event, Settings};
-use crate::evidence::{OutstandingAttempt, SilenceEvidence};
-use crate::ids::{AttemptKey, GossipZone, MemberId, ZoneIndex};
-use crate::observation::ZoneObservation;
-use crate::observation_publisher::{Recipients, is_negligible, sent_evidence};
-use crate::peer_observations::{PeerObservations, refresh_interval};
-use crate::peer_summary::{OwnObservation, PeerSummary};
+use crate::evidence::OutstandingAttempt;
+use crate::ids::{AttemptKey, ZoneIndex};
+use crate::peer_observations::PeerObservations;
 use crate::random::LinearCongruentialGenerator;
 use crate::recovery_probes::ProbeContext;
 use crate::zone_entry::ZoneEntry;
-use crate::zone_state::{SLOWDOWN_TOLERANCE, ZoneState};
+use crate::zone_state::ZoneState;
 use crate::zone_table::ZoneTable;
 use badgerpost_time::{MILLISECOND, Nanos};
 
@@ -27,10 +26,6 @@
 const MINIMUM_TIMER_DELAY: Nanos = MILLISECOND;
 /// Time between two assessments in a burst of ended attempts or of gossip.
 const MINIMUM_ASSESSMENT_INTERVAL: Nanos = MILLISECOND;
-/// Slowdown of responses that does not count as silence when it comes to suspecting a zone.
-const SUSPICION_SLOWDOWN_TOLERANCE: f64 = 2.0;
-/// Number of members, on average, that repeat their observations for a new member.
-const MEMBERS_REPEATING_FOR_NEWCOMER: f64 = 8.0;
 /// Upper bound of the nodes assumed to share recovery probes without gossip, where no other node's probe helps.
 const MAXIMUM_PROBING_NODES_WITHOUT_GOSSIP: f64 = 8.0;
 
@@ -249,188 +244,6 @@
         self.zones.restore_all(self.clock.awake_now());
     }
 
-    /// Adds or removes a member. Some members, drawn at random, repeat their observations for a new one.
-    fn peer_changed(&mut self, member: MemberId, home_zone: GossipZone, is_up: bool) {
-        self.peers.update_member(member, home_zone, is_up);
-        if !is_up {
-            return;
-        }
-        let peer_count = self.peers.len() as f64;
-        if self.random.next_fraction() * peer_count < MEMBERS_REPEATING_FOR_NEWCOMER {
-            self.zones.expire_observations();
-            self.has_pending_gossip = true;
-        }
-    }
-
-    /// Stores another node's observation. A burst of them is assessed once.
-    fn peer_observed(
-        &mut self,
-        member: MemberId,
-        zone: GossipZone,
-        sent_at: Nanos,
-        observation: ZoneObservation,
-    ) -> AssessmentNeed {
-        let is_known_zone = self.zones.contains(zone.into());
-        let now = self.clock.now();
-        if !is_known_zone || !self.peers.record(now, member, zone, sent_at, observation) {
-            return AssessmentNeed::None;
-        }
-        self.has_pending_gossip = true;
-        AssessmentNeed::UnlessJustDone
-    }
-
-    /// Assesses all zones and emits what has changed.
-    fn assess_zones(&mut self, actions: &mut Vec<Action>) {
-        self.last_assessment_at = self.clock.now();
-        self.has_pending_gossip = false;
-        if !self.is_cut_off {
-            for zone in self.zones.indices() {
-                self.assess_zone(zone, actions);
-            }
-            self.detect_cut_off();
-        }
-        self.zones
-            .publish_shares(self.clock.now(), self.is_cut_off, actions);
-    }
-
-    /// Assesses one zone, unless it is overridden.
-    fn assess_zone(&mut self, zone: ZoneIndex, actions: &mut Vec<Action>) {
-        let probes = self.draw_probe_context();
-        if self
-            .zones
-            .entry(zone)
-            .active_override(self.clock.now())
-            .is_some()
-        {
-            return;
-        }
-        let awake_now = self.clock.awake_now();
-        let snapshot = self.evidence_snapshot(zone);
-        self.zones
-            .entry_mut(zone)
-            .state
-            .assess(awake_now, snapshot, probes);
-        let failure_rate_elsewhere = self.zones.worst_failure_rate_elsewhere(awake_now, zone);
-        let state = &mut self.zones.entry_mut(zone).state;
-        if state.shares_common_failures(failure_rate_elsewhere) {
-            state.exonerate(awake_now);
-        }
-        if let Some(peers) = snapshot.peers {
-            self.publish_observation(zone, peers, actions);
-        }
-        if self
-            .zones
-            .entry_mut(zone)
-            .state
-            .take_due_probe(awake_now, probes)
-        {
-            let timeout = self.attempts.probe_timeout();
-            actions.push(Action::RequestProbe { zone, timeout });
-        }
-    }
-
-    /// If no zone is left that can take requests, makes all healthy: either this node itself is cut off, or nothing is
-    /// gained by avoiding them.
-    fn detect_cut_off(&mut self) {
-        if self.zones.can_any_take_traffic(self.clock.now()) {
-            return;
-        }
-        self.is_cut_off = self.zones.is_any_withheld();
-        self.zones.restore_all(self.clock.awake_now());
-    }
-
-    /// Evidence of a zone's silence, allowing for responses `slowdown` times as slow as usual.
-    fn silence_evidence(&self, zone: ZoneIndex, slowdown: f64) -> SilenceEvidence {
-        let entry = self.zones.entry(zone);
-        entry.state.evidence.silence_evidence(
-            self.attempts.outstanding_in(zone),
-            self.clock.awake_now(),
-            self.attempts.silence_test(entry.server_count(), slowdown),
-        )
-    }
-
-    /// All evidence about a zone, of this node and of the others.
-    fn evidence_snapshot(&self, zone: ZoneIndex) -> EvidenceSnapshot {
-        let awake_now = self.clock.awake_now();
-        let entry = self.zones.entry(zone);
-        let silence = self.silence_evidence(zone, SUSPICION_SLOWDOWN_TOLERANCE);
-        let tolerance = entry.state.slowdown_tolerance();
-        let tolerant_silence = self.silence_evidence(zone, tolerance).evidence;
-        let failures = entry.failure_evidence(awake_now);
-        let has_answers = entry.has_recent_answer(awake_now);
-        let own = OwnObservation {
-            silence: tolerant_silence,
-            failures,
-            has_answers,
-        };
-        let peers = self.summarize_peers(zone, own);
-        // A node with recent responses from the zone believes no other that it is silent.
-        let peers_silence = peers
-            .filter(|_| !has_answers)
-            .map_or(0.0, |peers| peers.silence);
-        EvidenceSnapshot {
-            silence: silence.evidence + peers_silence,
-            tolerant_silence: tolerant_silence + peers_silence,
-            failures: failures + peers.map_or(0.0, |peers| peers.failures),
-            has_alternative: self.zones.has_alternative(self.clock.now(), zone),
-            silent_duration: awake_now.saturating_sub(silence.first_sent_at),
-            peers,
-            has_answers,
-            own_evidence: silence.evidence.max(failures),
-        }
-    }
-
-    /// The other nodes' observations of a zone; none without other nodes.
-    fn summarize_peers(&self, zone: ZoneIndex, own: OwnObservation) -> Option<PeerSummary> {
-        if self.peers.is_empty() {
-            return None;
-        }
-        let summary =
-            self.peers
-                .summarize(self.clock.now(), zone.into(), self.local_zone().into(), own);
-        Some(summary)
-    }
-
-    /// What this node observes of a zone, as it is sent to the other nodes.
-    fn observation(&self, zone: ZoneIndex) -> ZoneObservation {
-        let awake_now = self.clock.awake_now();
-        let entry = self.zones.entry(zone);
-        let silence = self.silence_evidence(zone, SLOWDOWN_TOLERANCE).evidence;
-        let silence_evidence = sent_evidence(silence);
-        let failure_evidence = sent_evidence(entry.failure_evidence(awake_now));
-        let has_evidence = !is_negligible(silence_evidence) || !is_negligible(failure_evidence);
-        ZoneObservation {
-            observer_zone: self.local_zone().into(),
-            silence_evidence,
-            failure_evidence,
-            has_answers: !has_evidence && entry.has_recent_answer(awake_now),
-            state: entry.state.observed_state(awake_now),
-            is_first_hand: entry.state.is_first_hand(),
-        }
-    }
-
-    /// Sends the other nodes this node's observation of a zone, if it is news to them.
-    fn publish_observation(
-        &mut self,
-        zone: ZoneIndex,
-        peers: PeerSummary,
-        actions: &mut Vec<Action>,
-    ) {
-        let now = self.clock.now();
-        let observation = self.observation(zone);
-        let recipients = Recipients {
-            is_zone_doubted: peers.is_doubted,
-            refresh_interval: refresh_interval(self.peers.len()),
-        };
-        let publisher = &mut self.zones.entry_mut(zone).observation_publisher;
-        if publisher.publish(now, observation, recipients) {
-            actions.push(Action::Gossip {
-                zone: zone.into(),
-                observation,
-            });
-        }
-    }
-
     /// Moves the timer to when the zones must be assessed next, if that is earlier than the pending timer.
     fn schedule_timer(&mut self, actions: &mut Vec<Action>) {
         let now = self.clock.now();
--- /dev/null
+++ b/core/zone-health/src/monitor/gossip.rs
@@ -0,0 +1,101 @@
+//! Gossip: the other members and their observations, and what this node tells them.
+
+use super::{AssessmentNeed, ZoneMonitor};
+use crate::action::Action;
+use crate::ids::{GossipZone, MemberId, ZoneIndex};
+use crate::observation::ZoneObservation;
+use crate::observation_publisher::{Recipients, is_negligible, sent_evidence};
+use crate::peer_observations::refresh_interval;
+use crate::peer_summary::{OwnObservation, PeerSummary};
+use crate::zone_state::SLOWDOWN_TOLERANCE;
+use badgerpost_time::Nanos;
+
+/// Number of members, on average, that repeat their observations for a new member.
+const MEMBERS_REPEATING_FOR_NEWCOMER: f64 = 8.0;
+
+impl ZoneMonitor {
+    /// Adds or removes a member. Some members, drawn at random, repeat their observations for a new one.
+    pub(super) fn peer_changed(&mut self, member: MemberId, home_zone: GossipZone, is_up: bool) {
+        self.peers.update_member(member, home_zone, is_up);
+        if !is_up {
+            return;
+        }
+        let peer_count = self.peers.len() as f64;
+        if self.random.next_fraction() * peer_count < MEMBERS_REPEATING_FOR_NEWCOMER {
+            self.zones.expire_observations();
+            self.has_pending_gossip = true;
+        }
+    }
+
+    /// Stores another node's observation. A burst of them is assessed once.
+    pub(super) fn peer_observed(
+        &mut self,
+        member: MemberId,
+        zone: GossipZone,
+        sent_at: Nanos,
+        observation: ZoneObservation,
+    ) -> AssessmentNeed {
+        let is_known_zone = self.zones.contains(zone.into());
+        let now = self.clock.now();
+        if !is_known_zone || !self.peers.record(now, member, zone, sent_at, observation) {
+            return AssessmentNeed::None;
+        }
+        self.has_pending_gossip = true;
+        AssessmentNeed::UnlessJustDone
+    }
+
+    /// The other nodes' observations of a zone; none without other nodes.
+    pub(super) fn summarize_peers(
+        &self,
+        zone: ZoneIndex,
+        own: OwnObservation,
+    ) -> Option<PeerSummary> {
+        if self.peers.is_empty() {
+            return None;
+        }
+        let summary =
+            self.peers
+                .summarize(self.clock.now(), zone.into(), self.local_zone().into(), own);
+        Some(summary)
+    }
+
+    /// What this node observes of a zone, as it is sent to the other nodes.
+    fn observation(&self, zone: ZoneIndex) -> ZoneObservation {
+        let awake_now = self.clock.awake_now();
+        let entry = self.zones.entry(zone);
+        let silence = self.silence_evidence(zone, SLOWDOWN_TOLERANCE).evidence;
+        let silence_evidence = sent_evidence(silence);
+        let failure_evidence = sent_evidence(entry.failure_evidence(awake_now));
+        let has_evidence = !is_negligible(silence_evidence) || !is_negligible(failure_evidence);
+        ZoneObservation {
+            observer_zone: self.local_zone().into(),
+            silence_evidence,
+            failure_evidence,
+            has_answers: !has_evidence && entry.has_recent_answer(awake_now),
+            state: entry.state.observed_state(awake_now),
+            is_first_hand: entry.state.is_first_hand(),
+        }
+    }
+
+    /// Sends the other nodes this node's observation of a zone, if it is news to them.
+    pub(super) fn publish_observation(
+        &mut self,
+        zone: ZoneIndex,
+        peers: PeerSummary,
+        actions: &mut Vec<Action>,
+    ) {
+        let now = self.clock.now();
+        let observation = self.observation(zone);
+        let recipients = Recipients {
+            is_zone_doubted: peers.is_doubted,
+            refresh_interval: refresh_interval(self.peers.len()),
+        };
+        let publisher = &mut self.zones.entry_mut(zone).observation_publisher;
+        if publisher.publish(now, observation, recipients) {
+            actions.push(Action::Gossip {
+                zone: zone.into(),
+                observation,
+            });
+        }
+    }
+}
--- /dev/null
+++ b/core/zone-health/src/monitor/zone_assessment.rs
@@ -0,0 +1,114 @@
+//! Assessment of the zones: the evidence about each, the transition that follows from it, and the actions.
+
+use super::ZoneMonitor;
+use crate::action::Action;
+use crate::assessment::EvidenceSnapshot;
+use crate::evidence::SilenceEvidence;
+use crate::ids::ZoneIndex;
+use crate::peer_summary::OwnObservation;
+
+/// Slowdown of responses that does not count as silence when it comes to suspecting a zone.
+const SUSPICION_SLOWDOWN_TOLERANCE: f64 = 2.0;
+
+impl ZoneMonitor {
+    /// Assesses all zones and emits what has changed.
+    pub(super) fn assess_zones(&mut self, actions: &mut Vec<Action>) {
+        self.last_assessment_at = self.clock.now();
+        self.has_pending_gossip = false;
+        if !self.is_cut_off {
+            for zone in self.zones.indices() {
+                self.assess_zone(zone, actions);
+            }
+            self.detect_cut_off();
+        }
+        self.zones
+            .publish_shares(self.clock.now(), self.is_cut_off, actions);
+    }
+
+    /// Assesses one zone, unless it is overridden.
+    fn assess_zone(&mut self, zone: ZoneIndex, actions: &mut Vec<Action>) {
+        let probes = self.draw_probe_context();
+        if self
+            .zones
+            .entry(zone)
+            .active_override(self.clock.now())
+            .is_some()
+        {
+            return;
+        }
+        let awake_now = self.clock.awake_now();
+        let snapshot = self.evidence_snapshot(zone);
+        self.zones
+            .entry_mut(zone)
+            .state
+            .assess(awake_now, snapshot, probes);
+        let failure_rate_elsewhere = self.zones.worst_failure_rate_elsewhere(awake_now, zone);
+        let state = &mut self.zones.entry_mut(zone).state;
+        if state.shares_common_failures(failure_rate_elsewhere) {
+            state.exonerate(awake_now);
+        }
+        if let Some(peers) = snapshot.peers {
+            self.publish_observation(zone, peers, actions);
+        }
+        if self
+            .zones
+            .entry_mut(zone)
+            .state
+            .take_due_probe(awake_now, probes)
+        {
+            let timeout = self.attempts.probe_timeout();
+            actions.push(Action::RequestProbe { zone, timeout });
+        }
+    }
+
+    /// If no zone is left that can take requests, makes all healthy: either this node itself is cut off, or nothing is
+    /// gained by avoiding them.
+    fn detect_cut_off(&mut self) {
+        if self.zones.can_any_take_traffic(self.clock.now()) {
+            return;
+        }
+        self.is_cut_off = self.zones.is_any_withheld();
+        self.zones.restore_all(self.clock.awake_now());
+    }
+
+    /// Evidence of a zone's silence, allowing for responses `slowdown` times as slow as usual.
+    pub(super) fn silence_evidence(&self, zone: ZoneIndex, slowdown: f64) -> SilenceEvidence {
+        let entry = self.zones.entry(zone);
+        entry.state.evidence.silence_evidence(
+            self.attempts.outstanding_in(zone),
+            self.clock.awake_now(),
+            self.attempts.silence_test(entry.server_count(), slowdown),
+        )
+    }
+
+    /// All evidence about a zone, of this node and of the others.
+    fn evidence_snapshot(&self, zone: ZoneIndex) -> EvidenceSnapshot {
+        let awake_now = self.clock.awake_now();
+        let entry = self.zones.entry(zone);
+        let silence = self.silence_evidence(zone, SUSPICION_SLOWDOWN_TOLERANCE);
+        let tolerance = entry.state.slowdown_tolerance();
+        let tolerant_silence = self.silence_evidence(zone, tolerance).evidence;
+        let failures = entry.failure_evidence(awake_now);
+        let has_answers = entry.has_recent_answer(awake_now);
+        let own = OwnObservation {
+            silence: tolerant_silence,
+            failures,
+            has_answers,
+        };
+        let peers = self.summarize_peers(zone, own);
+        // A node with recent responses from the zone believes no other that it is silent.
+        let peers_silence = peers
+            .filter(|_| !has_answers)
+            .map_or(0.0, |peers| peers.silence);
+        EvidenceSnapshot {
+            silence: silence.evidence + peers_silence,
+            tolerant_silence: tolerant_silence + peers_silence,
+            failures: failures + peers.map_or(0.0, |peers| peers.failures),
+            has_alternative: self.zones.has_alternative(self.clock.now(), zone),
+            silent_duration: awake_now.saturating_sub(silence.first_sent_at),
+            peers,
+            has_answers,
+            own_evidence: silence.evidence.max(failures),
+        }
+    }
+}
