--- a/core/zone-health/src/zone_state.rs
+++ b/core/zone-health/src/zone_state.rs
@@ -23,37 +23,19 @@
 use crate::evidence::Evidence;
 use crate::observation::ObservedState;
 use crate::peer_summary::PeerSummary;
+use crate::recovery::{Recovery, StepEvidence, StepOutcome};
 use crate::recovery_probes::{Ejection, ProbeContext, ProbeProgress};
-use badgerpost_time::{MILLISECOND, Nanos, SECOND};
+use crate::suspicion::{MAXIMUM_SUSPICION_PERIOD, Suspicion, SuspicionOutcome};
+use badgerpost_time::{Nanos, SECOND};
 
-/// A suspicion of silence that peers alone caused is withdrawn below this evidence.
-const WITHDRAWAL_THRESHOLD: f64 = SUSPECT_THRESHOLD / 2.0;
 /// Own evidence at which a node reports a state as first-hand.
 const FIRST_HAND_THRESHOLD: f64 = 2.0;
-/// Evidence at which a recovery goes back one step.
-const STEP_BACK_THRESHOLD: f64 = 2.5;
 /// Slowdown of responses that does not count as silence when it comes to ejecting a zone.
 pub(crate) const SLOWDOWN_TOLERANCE: f64 = 4.0;
 /// The same for restarted servers, which have an eighth of their capacity at first.
 const RESTART_SLOWDOWN_TOLERANCE: f64 = 8.0;
-/// How long a suspicion must last before the zone is ejected: a short network interruption ends within this time.
-const SUSPICION_PERIOD: Nanos = 300 * MILLISECOND;
-/// How long a suspicion lasts if too few outstanding attempts are left to tell a silent zone from a slow one.
-const MAXIMUM_SUSPICION_PERIOD: Nanos = SECOND;
 /// Once a zone has stayed healthy for this long, its earlier ejections no longer prolong the next one.
 const EJECTION_MEMORY: Nanos = 60 * SECOND;
-/// The fraction of its requests that a zone gets in each step of its recovery.
-const RECOVERY_FRACTIONS: [f64; 5] = [0.05, 0.1, 0.2, 0.4, 0.7];
-/// How long a recovery step lasts at the least: long enough that responses have come.
-const STEP_PERIOD: Nanos = 300 * MILLISECOND;
-/// How long a recovery step lasts before evidence may end it: half of its period.
-const STEP_BACK_DELAY: Nanos = STEP_PERIOD / 2;
-/// How long slow responses delay the next recovery step at the most: silence is still watched then.
-const MAXIMUM_STEP_PERIOD: Nanos = 2 * SECOND;
-/// Slowdown of responses that delays the next recovery step ...
-const SLOWDOWN_LIMIT: f64 = 3.0;
-/// ... if it is also this many times the slowdown of the first step: restarted servers are slow without load.
-const SLOWDOWN_GROWTH_LIMIT: f64 = 2.0;
 /// Failure rate in other zones from which on no single zone is held responsible ...
 const COMMON_FAILURE_RATE: f64 = 0.15;
 /// ... if it is also at least this fraction of the failure rate for which the zone was suspected.
@@ -63,21 +45,6 @@
 /// How long a node that recovered a zone itself ignores peers that have not yet.
 const RECOVERED_PERIOD: Nanos = 4 * SECOND;
 
-/// A suspicion against a zone.
-#[derive(Clone, Copy, Debug, PartialEq)]
-struct Suspicion {
-    since: Nanos,
-    reason: ZoneStateReason,
-}
-
-/// A recovery in progress.
-#[derive(Clone, Copy, Debug, PartialEq)]
-struct Recovery {
-    /// Index of the current step in [`RECOVERY_FRACTIONS`].
-    step: usize,
-    step_since: Nanos,
-}
-
 /// The state proper; see the module's diagram.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ZoneStage {
@@ -101,8 +68,6 @@
     healthy_since: Nanos,
     /// Until when evidence of failures is ignored.
     failure_amnesty_until: Nanos,
-    /// Usable responses when the current recovery step began.
-    successes_at_step_start: u32,
     /// Slowdown of responses in the first recovery step.
     first_step_slowdown: f64,
     /// Whether the zone recovers with restarted servers.
@@ -122,7 +87,6 @@
             ejection_count: 0,
             healthy_since: 0,
             failure_amnesty_until: 0,
-            successes_at_step_start: 0,
             first_step_slowdown: 1.0,
             has_restarted_servers: false,
             failure_rate_at_suspicion: 0.0,
@@ -145,10 +109,7 @@
         match self.stage {
             ZoneStage::Healthy => 1.0,
             ZoneStage::Suspected(_) | ZoneStage::Ejected(_) => 0.0,
-            ZoneStage::Recovering(recovery) => RECOVERY_FRACTIONS
-                .get(recovery.step)
-                .copied()
-                .unwrap_or(1.0),
+            ZoneStage::Recovering(recovery) => recovery.traffic_fraction(),
         }
     }
 
@@ -156,7 +117,7 @@
     pub(crate) fn reason(&self) -> ZoneStateReason {
         match self.stage {
             ZoneStage::Healthy => ZoneStateReason::Healthy,
-            ZoneStage::Suspected(suspicion) => suspicion.reason,
+            ZoneStage::Suspected(suspicion) => suspicion.reason(),
             ZoneStage::Ejected(ejection) if ejection.has_answered_probe() => {
                 ZoneStateReason::Probing
             }
@@ -171,10 +132,9 @@
             ZoneStage::Healthy => ObservedState::Healthy,
             ZoneStage::Suspected(_) => ObservedState::Suspected,
             ZoneStage::Ejected(ejection) => ejection.observed_state(now),
-            ZoneStage::Recovering(recovery) => ObservedState::Recovering {
-                step: u8::try_from(recovery.step).unwrap_or(u8::MAX),
-                has_answers: self.has_answers_in_step(),
-            },
+            ZoneStage::Recovering(recovery) => {
+                recovery.observed_state(self.evidence.success_count())
+            }
         }
     }
 
@@ -192,9 +152,9 @@
     pub(crate) fn next_assessment_at(&self) -> Option<Nanos> {
         match self.stage {
             ZoneStage::Healthy => None,
-            ZoneStage::Suspected(suspicion) => Some(suspicion.since + SUSPICION_PERIOD),
+            ZoneStage::Suspected(suspicion) => Some(suspicion.next_assessment_at()),
             ZoneStage::Ejected(ejection) => Some(ejection.next_probe_at()),
-            ZoneStage::Recovering(recovery) => Some(recovery.step_since + STEP_PERIOD),
+            ZoneStage::Recovering(recovery) => Some(recovery.next_assessment_at()),
         }
     }
 
@@ -241,7 +201,7 @@
         self.failure_rate_at_suspicion = self.evidence.recent_failure_rate();
         self.evidence.reset_success_count();
         self.is_first_hand = own_evidence >= FIRST_HAND_THRESHOLD;
-        self.stage = ZoneStage::Suspected(Suspicion { since: now, reason });
+        self.stage = ZoneStage::Suspected(Suspicion::new(now, reason));
     }
 
     /// Healthy → Suspected or Recovering, as the peers decided while this node had no responses or was not running.
@@ -250,10 +210,8 @@
         if peers.is_ejected_by_quorum {
             // Withdrawn if the peers withdraw theirs, confirmed as theirs are.
             self.evidence.reset_success_count();
-            self.stage = ZoneStage::Suspected(Suspicion {
-                since: now,
-                reason: ZoneStateReason::Silent { evidence: 0.0 },
-            });
+            let reason = ZoneStateReason::Silent { evidence: 0.0 };
+            self.stage = ZoneStage::Suspected(Suspicion::new(now, reason));
         } else if peers.is_recovering_by_quorum {
             self.start_recovery(now);
             self.catch_up(now, peers.median_step);
@@ -273,29 +231,13 @@
         suspicion: Suspicion,
         probes: ProbeContext,
     ) {
-        let duration = now.saturating_sub(suspicion.since);
-        let is_silent = matches!(suspicion.reason, ZoneStateReason::Silent { .. });
-        if is_silent && self.is_withdrawn(snapshot) {
-            self.stage = ZoneStage::Healthy;
-            return;
-        }
-        let is_confirmed = !is_silent || snapshot.tolerant_silence >= SUSPECT_THRESHOLD;
-        if duration >= MAXIMUM_SUSPICION_PERIOD || (duration >= SUSPICION_PERIOD && is_confirmed) {
-            self.eject(now, suspicion.reason, probes);
+        match suspicion.assess(now, snapshot, self.evidence.success_count()) {
+            SuspicionOutcome::Continue => {}
+            SuspicionOutcome::Withdraw => self.stage = ZoneStage::Healthy,
+            SuspicionOutcome::Confirm => self.eject(now, suspicion.reason(), probes),
         }
     }
 
-    /// Whether a suspicion of silence is refuted by a response, or no longer held by any peer with own evidence.
-    ///
-    /// Peers' evidence expires once they send the zone nothing, so its absence alone withdraws nothing.
-    fn is_withdrawn(&self, snapshot: &EvidenceSnapshot) -> bool {
-        let is_dropped_by_peers = snapshot
-            .peers
-            .is_some_and(|peers| !peers.is_held_first_hand)
-            && snapshot.silence < WITHDRAWAL_THRESHOLD;
-        self.evidence.success_count() > 0 || is_dropped_by_peers
-    }
-
     /// Suspected or Recovering → Ejected.
     fn eject(&mut self, now: Nanos, reason: ZoneStateReason, probes: ProbeContext) {
         let ejection = Ejection::new(
@@ -333,73 +275,53 @@
         recovery: Recovery,
         probes: ProbeContext,
     ) {
-        let duration = now.saturating_sub(recovery.step_since);
-        let median_step = snapshot.peers.and_then(|peers| peers.median_step);
-        // Restarted servers are slow, not silent.
-        let evidence = assessment.failures.max(snapshot.tolerant_silence);
-        if evidence >= SUSPECT_THRESHOLD {
-            self.failure_rate_at_suspicion = self.evidence.recent_failure_rate();
-            self.is_first_hand = snapshot.own_evidence >= FIRST_HAND_THRESHOLD;
-            self.eject(now, assessment.reason, probes);
-        } else if evidence >= STEP_BACK_THRESHOLD && duration >= STEP_BACK_DELAY {
-            self.enter_step(now, recovery.step.saturating_sub(1));
-        } else if median_step.is_some_and(|median| recovery.step < median) {
-            // All nodes recover in step, and one with few requests goes with the others.
-            self.catch_up(now, median_step);
-        } else if median_step.is_none_or(|median| recovery.step <= median)
-            && self.is_step_complete(snapshot, duration)
-        {
-            self.advance_step(now, recovery.step);
+        let evidence = StepEvidence {
+            // Restarted servers are slow, not silent.
+            against_zone: assessment.failures.max(snapshot.tolerant_silence),
+            peers: snapshot.peers,
+            success_count: self.evidence.success_count(),
+            slowdown: self.evidence.slowdown(),
+            first_step_slowdown: self.first_step_slowdown,
+        };
+        match recovery.assess(now, &evidence) {
+            StepOutcome::Continue => {}
+            StepOutcome::Eject => {
+                self.failure_rate_at_suspicion = self.evidence.recent_failure_rate();
+                self.is_first_hand = snapshot.own_evidence >= FIRST_HAND_THRESHOLD;
+                self.eject(now, assessment.reason, probes);
+            }
+            StepOutcome::Enter(step) => self.enter_step(now, step),
+            StepOutcome::Complete => self.complete_step(now, recovery),
         }
     }
 
-    /// Whether a recovery step that has lasted for this duration has shown that the zone can take more.
-    fn is_step_complete(&self, snapshot: &EvidenceSnapshot, duration: Nanos) -> bool {
-        let has_answers = self.has_answers_in_step()
-            || snapshot
-                .peers
-                .is_some_and(|peers| peers.has_answers_at_step);
-        let slowdown_limit = SLOWDOWN_LIMIT.max(SLOWDOWN_GROWTH_LIMIT * self.first_step_slowdown);
-        let is_fast_enough = self.evidence.slowdown() < slowdown_limit;
-        duration >= STEP_PERIOD
-            && has_answers
-            && (is_fast_enough || duration >= MAXIMUM_STEP_PERIOD)
-    }
-
     /// Recovering → the next step, or Healthy after the last one.
-    fn advance_step(&mut self, now: Nanos, step: usize) {
-        if step == 0 {
+    fn complete_step(&mut self, now: Nanos, recovery: Recovery) {
+        if recovery.is_first_step() {
             self.first_step_slowdown = self.evidence.slowdown();
         }
-        self.enter_step(now, step + 1);
-        if step + 1 >= RECOVERY_FRACTIONS.len() {
-            self.stage = ZoneStage::Healthy;
-            self.healthy_since = now;
+        match recovery.next_step() {
+            Some(step) => self.enter_step(now, step),
+            None => {
+                self.stage = ZoneStage::Healthy;
+                self.healthy_since = now;
+            }
         }
     }
 
     /// Goes forward to the peers' median recovery step, if the zone is recovering and behind it.
     fn catch_up(&mut self, now: Nanos, median_step: Option<usize>) {
         if let ZoneStage::Recovering(recovery) = self.stage
-            && let Some(median_step) = median_step
-            && recovery.step < median_step
+            && let Some(step) = recovery.step_to_catch_up(median_step)
         {
-            self.enter_step(now, median_step.min(RECOVERY_FRACTIONS.len() - 1));
+            self.enter_step(now, step);
         }
     }
 
     /// Begins a recovery step.
     fn enter_step(&mut self, now: Nanos, step: usize) {
-        self.successes_at_step_start = self.evidence.success_count();
-        self.stage = ZoneStage::Recovering(Recovery {
-            step,
-            step_since: now,
-        });
-    }
-
-    /// Whether a usable response has come in the current recovery step.
-    fn has_answers_in_step(&self) -> bool {
-        self.evidence.success_count() > self.successes_at_step_start
+        let success_count = self.evidence.success_count();
+        self.stage = ZoneStage::Recovering(Recovery::at_step(step, now, success_count));
     }
 
     /// Any state → Recovering, in the first step, with the servers that the zone had before.
@@ -425,7 +347,7 @@
     /// Whether the zone is suspected or ejected for failures that other zones have by now, too.
     pub(crate) fn shares_common_failures(&self, failure_rate_elsewhere: f64) -> bool {
         let reason = match self.stage {
-            ZoneStage::Suspected(suspicion) => suspicion.reason,
+            ZoneStage::Suspected(suspicion) => suspicion.reason(),
             ZoneStage::Ejected(ejection) => ejection.reason(),
             ZoneStage::Healthy | ZoneStage::Recovering(_) => return false,
         };
--- a/core/zone-health/src/zone_state/tests.rs
+++ b/core/zone-health/src/zone_state/tests.rs
@@ -1,6 +1,9 @@
 //! Each transition of the state diagram, caused by hand-made evidence.
 
 use super::*;
+use crate::recovery::{RECOVERY_FRACTIONS, STEP_BACK_DELAY, STEP_BACK_THRESHOLD, STEP_PERIOD};
+use crate::suspicion::SUSPICION_PERIOD;
+use badgerpost_time::MILLISECOND;
 
 const START: Nanos = 100 * SECOND;
 /// A node that shares the recovery probes with nobody and draws no delay.
