--- a/core/http-framing/src/line.rs
+++ b/core/http-framing/src/line.rs
@@ -31,8 +31,8 @@
 
     /// Whether the line ends with these bytes, of which there may be eight, before its line end.
     pub(crate) fn ends_with(&self, bytes: &[u8]) -> bool {
-        let kept = self.length.min(TAIL_LENGTH);
-        without_line_end(&self.tail[TAIL_LENGTH - kept..]).ends_with(bytes)
+        let tail_start = TAIL_LENGTH - self.length.min(TAIL_LENGTH);
+        without_line_end(&self.tail[tail_start..]).ends_with(bytes)
     }
 
     /// Bytes received, including the line's end.
--- a/core/lifecycle/src/machine.rs
+++ b/core/lifecycle/src/machine.rs
@@ -76,8 +76,8 @@
     /// on the same listening socket, if there is one.
     #[must_use]
     pub fn accepts(&self) -> bool {
-        let leaves_to_successor = self.is_listener_shared && self.stage.is_shutting_down();
-        self.stage.accepts() && !leaves_to_successor
+        let is_left_to_successor = self.is_listener_shared && self.stage.is_shutting_down();
+        self.stage.accepts() && !is_left_to_successor
     }
 
     /// Applies one event. A request for what is already the case changes nothing and is granted.
--- a/core/zone-health/src/monitor/zone_assessment.rs
+++ b/core/zone-health/src/monitor/zone_assessment.rs
@@ -44,7 +44,7 @@
             .assess(awake_now, snapshot, probes);
         let failure_rate_elsewhere = self.zones.worst_failure_rate_elsewhere(awake_now, zone);
         let state = &mut self.zones.entry_mut(zone).state;
-        if state.shares_common_failures(failure_rate_elsewhere) {
+        if state.is_failure_common(failure_rate_elsewhere) {
             state.exonerate(awake_now);
         }
         if let Some(peers) = snapshot.peers {
--- a/core/zone-health/src/peer_observations.rs
+++ b/core/zone-health/src/peer_observations.rs
@@ -53,7 +53,7 @@
     pub(crate) fn update_member(&mut self, member: MemberId, home_zone: GossipZone, is_up: bool) {
         if !is_up {
             self.members.remove(&member);
-        } else if self.has_room_for(member) {
+        } else if self.has_capacity_for(member) {
             self.members.insert(member, Member::new(home_zone, true));
         }
         let refreshes = OBSERVATION_LIFETIME_REFRESHES * refresh_interval(self.members.len());
@@ -69,7 +69,7 @@
         sent_at: Nanos,
         observation: ZoneObservation,
     ) -> bool {
-        if now.abs_diff(sent_at) > MAXIMUM_CLOCK_DIFFERENCE || !self.has_room_for(member) {
+        if now.abs_diff(sent_at) > MAXIMUM_CLOCK_DIFFERENCE || !self.has_capacity_for(member) {
             return false;
         }
         // The first observation may arrive before the news that the node is a member.
@@ -85,7 +85,7 @@
         true
     }
 
-    fn has_room_for(&self, member: MemberId) -> bool {
+    fn has_capacity_for(&self, member: MemberId) -> bool {
         self.members.len() < MAXIMUM_MEMBERS || self.members.contains_key(&member)
     }
 
--- a/core/zone-health/src/recovery_probes.rs
+++ b/core/zone-health/src/recovery_probes.rs
@@ -93,7 +93,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Ejection {
     /// The zone stays ejected at least until then.
-    hold_until: Nanos,
+    earliest_end_at: Nanos,
     reason: ZoneStateReason,
     next_probe_at: Nanos,
     /// Probes answered in a row.
@@ -112,11 +112,11 @@
         probes: ProbeContext,
     ) -> Self {
         let doublings = earlier_ejections.min(MAXIMUM_EJECTION_DOUBLINGS);
-        let hold_until = now + (EJECTION_BASE << doublings);
+        let earliest_end_at = now + (EJECTION_BASE << doublings);
         Self {
-            hold_until,
+            earliest_end_at,
             reason,
-            next_probe_at: hold_until + probes.random_delay(),
+            next_probe_at: earliest_end_at + probes.random_delay(),
             answered_probes: 0,
             last_failed_probe_at: None,
             has_drawn_to_follow: false,
@@ -173,13 +173,13 @@
             _ => self.required_probes().min(server_count.max(1)),
         };
         self.answered_probes += 1;
-        if self.answered_probes >= required_probes && now >= self.hold_until {
+        if self.answered_probes >= required_probes && now >= self.earliest_end_at {
             return ProbeProgress::Sufficient;
         }
         self.next_probe_at = self
             .next_probe_at
             .min(now + NEXT_PROBE_DELAY)
-            .max(self.hold_until);
+            .max(self.earliest_end_at);
         ProbeProgress::Insufficient
     }
 
@@ -196,7 +196,7 @@
         }
         self.has_drawn_to_follow = true;
         if probes.is_drawn_to_follow() {
-            self.next_probe_at = self.next_probe_at.min(now.max(self.hold_until));
+            self.next_probe_at = self.next_probe_at.min(now.max(self.earliest_end_at));
         }
     }
 
@@ -210,7 +210,7 @@
             .last_failed_probe_at
             .map_or(Nanos::MAX, |failed_at| now.saturating_sub(failed_at));
         let failed_probe_age = peers.failed_probe_age.min(own_failed_probe_age);
-        now >= self.hold_until
+        now >= self.earliest_end_at
             && peers.probing_peers >= MINIMUM_PROBING_PEERS
             && peers.answered_probes >= self.required_probes()
             && failed_probe_age >= failed_probe_period
--- a/core/zone-health/src/zone_state.rs
+++ b/core/zone-health/src/zone_state.rs
@@ -345,7 +345,7 @@
     }
 
     /// Whether the zone is suspected or ejected for failures that other zones have by now, too.
-    pub(crate) fn shares_common_failures(&self, failure_rate_elsewhere: f64) -> bool {
+    pub(crate) fn is_failure_common(&self, failure_rate_elsewhere: f64) -> bool {
         let reason = match self.stage {
             ZoneStage::Suspected(suspicion) => suspicion.reason(),
             ZoneStage::Ejected(ejection) => ejection.reason(),
--- a/core/zone-health/src/zone_state/tests.rs
+++ b/core/zone-health/src/zone_state/tests.rs
@@ -172,8 +172,8 @@
     };
     zone.assess(START, failures, PROBES);
     assert!(!zone.is_healthy());
-    assert!(!zone.shares_common_failures(COMMON_FAILURE_RATE / 2.0));
-    assert!(zone.shares_common_failures(COMMON_FAILURE_RATE));
+    assert!(!zone.is_failure_common(COMMON_FAILURE_RATE / 2.0));
+    assert!(zone.is_failure_common(COMMON_FAILURE_RATE));
     zone.exonerate(START);
     zone.assess(START + FAILURE_AMNESTY - 1, failures, PROBES);
     assert!(zone.is_healthy());
