--- a/adapters/http/src/lib.rs
+++ b/adapters/http/src/lib.rs
@@ -1,5 +1,8 @@
-//! The HTTP/1.1 front: clients ([`server`]), backends ([`upstream`]) and the platform's list of servers
-//! ([`discovery`]) on sockets. What is sent where, again or not at all, the engine's module decides.
+//! The HTTP/1.1 adapter: serves clients ([`server`]), makes attempts at backends ([`upstream`]) and watches the platform's
+//! endpoint list ([`discovery`]). Which backend a request is sent to, and whether it is retried, the engine decides.
+//!
+//! A client's request passes through `server`, `connection_limiter`, `client_connection`, `routes`, `api` and from there
+//! to the engine, which calls `upstream` for each attempt.
 
 mod answer;
 mod api;
@@ -28,25 +31,25 @@
 use badgerpost_engine::{Engine, Protocol};
 use hyper::{HeaderMap, Method, Uri};
 
-/// A body up to here is held whole, so that it can be sent again, and an answer cut short can be repeated; a larger one
-/// is passed on as it comes.
-pub const MAX_BODY: usize = 64 * 1024;
+/// Largest body in bytes that is buffered: such a request can be sent again, and such a response can be replaced by that of
+/// another attempt if it is truncated. A larger body is streamed.
+pub(crate) const MAX_BUFFERED_BODY: usize = 64 * 1024;
 
-/// A client's request in the form in which it is passed on.
+/// A client's request as it is forwarded to backends.
 pub struct ForwardedRequest {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub target: Uri,
-    /// The headers that go on unchanged.
+    /// The end-to-end headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     body: upload::RequestBody,
-    /// How long its client waits from its last byte on, in milliseconds.
+    /// How long the client waits from the last byte of the request on, in milliseconds.
     pub budget_ms: u64,
 }
 
-/// The front's types.
+/// The types of HTTP requests and responses, for the engine.
 pub struct Http;
 
 impl Protocol for Http {
--- a/adapters/http/src/request_body.rs
+++ b/adapters/http/src/request_body.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming};
 
-use crate::MAX_BODY;
+use crate::MAX_BUFFERED_BODY;
 use crate::bad_request::BadRequest;
 use crate::memory_budget::{BufferedBytes, BytesCollector};
 use crate::server_context::ServerContext;
@@ -41,7 +41,7 @@
             continue;
         };
         collected.add(data);
-        if collected.len() >= MAX_BODY && !body.is_end_stream() {
+        if collected.len() >= MAX_BUFFERED_BODY && !body.is_end_stream() {
             let first = BufferedBytes::new(collected.into_bytes(), Some(reservation));
             return Ok(RequestBody::Streaming(Upload::new(
                 first, body, length, clock,
@@ -54,8 +54,10 @@
 
 /// Bytes to reserve for a body of this length; one of unknown length may be as large as the largest.
 fn buffer_size(length: Option<u64>) -> usize {
-    length.map_or(MAX_BODY, |length| {
-        usize::try_from(length).unwrap_or(usize::MAX).min(MAX_BODY)
+    length.map_or(MAX_BUFFERED_BODY, |length| {
+        usize::try_from(length)
+            .unwrap_or(usize::MAX)
+            .min(MAX_BUFFERED_BODY)
     })
 }
 
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -10,7 +10,7 @@
 
 use super::pool::LeasedConnection;
 use super::{AttemptEnd, load_report};
-use crate::MAX_BODY;
+use crate::MAX_BUFFERED_BODY;
 use crate::answer::{BackendResponse, StreamingResponse};
 use crate::memory_budget::{BufferedBytes, BytesCollector, Reservation};
 
@@ -44,14 +44,14 @@
         return AttemptEnd::bare(Outcome::InvalidResponse);
     }
     let head = ResponseHead::new(&parts, body.size_hint().exact());
-    let max_body = MAX_BODY as u64;
+    let max_body = MAX_BUFFERED_BODY as u64;
     let buffer_bytes = head.length.map_or(max_body, |length| length.min(max_body)) as usize;
     let reservation = leased.pool.response_budget.reserve(buffer_bytes);
     let is_large = reservation.is_none() || head.length.is_some_and(|length| length > max_body);
     let enough_bytes = if is_large {
         STREAMING_START_BYTES
     } else {
-        MAX_BODY + 1
+        MAX_BUFFERED_BODY + 1
     };
     let mut received = BytesCollector::default();
     match read_body(&mut body, head.length, enough_bytes, &mut received).await {
