--- a/daemon/src/descriptor_quota.rs
+++ b/daemon/src/descriptor_quota.rs
@@ -1,32 +1,34 @@
-//! This process's share of the node's descriptors: all of them, or half while another version runs beside it.
+//! This process's quota of the node's descriptors: all of them, or half while another version runs beside it.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The most of either kind of connection. Clones share it.
+use crate::config::ConnectionLimits;
+
+/// The most connections of each kind that this process may have at the moment. Clones share it.
 #[derive(Clone)]
 pub struct DescriptorQuota {
-    all: (usize, usize),
-    /// Clients' connections.
+    limits: ConnectionLimits,
+    /// Connections with clients.
     pub clients: Rc<Cell<usize>>,
-    /// Servers' connections.
-    pub servers: Rc<Cell<usize>>,
+    /// Connections with backends.
+    pub backends: Rc<Cell<usize>>,
 }
 
 impl DescriptorQuota {
-    /// All of them.
-    pub fn new(clients: usize, servers: usize) -> Self {
+    /// All that the node may have.
+    pub fn new(limits: ConnectionLimits) -> Self {
         Self {
-            all: (clients, servers),
-            clients: Rc::new(Cell::new(clients)),
-            servers: Rc::new(Cell::new(servers)),
+            limits,
+            clients: Rc::new(Cell::new(limits.clients)),
+            backends: Rc::new(Cell::new(limits.backends)),
         }
     }
 
-    /// Half of them from now on, or all.
-    pub fn halve(&self, halved: bool) {
-        let part = if halved { 2 } else { 1 };
-        self.clients.set(self.all.0 / part);
-        self.servers.set(self.all.1 / part);
+    /// Sets whether another process has the other half.
+    pub fn set_halved(&self, is_halved: bool) {
+        let divisor = if is_halved { 2 } else { 1 };
+        self.clients.set(self.limits.clients / divisor);
+        self.backends.set(self.limits.backends / divisor);
     }
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,11 +1,12 @@
 //! badgerpost, a load-balancing node: the decisions of `badgerpost_balancer` on real sockets. This file is the command
-//! line; `config.rs` reads what the node is told, `serve.rs` wires the parts and heeds signals.
+//! line; `config.rs` reads the configuration, `node.rs` wires the parts and runs them.
 
+mod background_tasks;
 mod config;
 mod descriptor_quota;
 mod handover;
 mod listening;
-mod serve;
+mod node;
 
 use std::io::{self, Write};
 use std::path::PathBuf;
@@ -46,26 +47,28 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let Some(edge) = arguments.edge_config else {
+    let Some(platform_file) = arguments.edge_config else {
         eprintln!(
             "badgerpost: no configuration: EDGE_CONFIG is not set and --edge-config is not given\n"
         );
         eprintln!("{}", Arguments::command().render_help());
         return ExitCode::from(2);
     };
-    let config = match Config::read(&edge, arguments.config.as_deref()) {
+    let config = match Config::read(&platform_file, arguments.config.as_deref()) {
         Ok(config) => config,
         Err(error) => return failed(&error),
     };
     if let Some(Command::Check) = arguments.command {
-        config.plan().iter().for_each(|line| println!("{line}"));
+        for line in config.summary() {
+            println!("{line}");
+        }
         return ExitCode::SUCCESS;
     }
-    let log = match log_to_standard_error(config.own.log.format) {
+    let log = match log_to_standard_error(config.operator.log.format) {
         Ok(log) => log,
         Err(error) => return failed(&error),
     };
-    let result = serve::start(config, edge);
+    let result = node::run(config, platform_file);
     log.flush();
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- /dev/null
+++ b/daemon/src/node/console.rs
@@ -0,0 +1,90 @@
+//! Wires the operators' console, which runs on a thread of its own, to the node.
+
+use std::net::{SocketAddr, TcpListener};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+
+use badgerpost_admin::{AdminApi, LifecycleHandle, ZoneOverrideCommand};
+use badgerpost_engine::{ForcedZoneState, ZoneOverride, nanos};
+use badgerpost_http::HttpEngine;
+use tokio::sync::mpsc;
+
+use super::NodeError;
+use crate::background_tasks::BackgroundTasks;
+use crate::listening::retry_transient;
+
+/// The console reports the node as ready once it has an endpoint list, or this long after its start: with discovery
+/// down the node serves by the list that it had before.
+const READY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval at which the node's readiness is checked.
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the metrics' backend counts are updated.
+const BACKEND_COUNT_INTERVAL: Duration = Duration::from_millis(200);
+/// The most zone overrides that wait for the serving thread, which takes them at once.
+const MAX_QUEUED_OVERRIDES: usize = 16;
+
+/// Opens the console and starts the tasks that it needs on the serving thread.
+pub async fn start_console(
+    address: SocketAddr,
+    lifecycle: &LifecycleHandle,
+    engine: &HttpEngine,
+    tasks: &mut BackgroundTasks,
+) -> Result<(), NodeError> {
+    let listener = retry_transient(engine.clock(), || TcpListener::bind(address))
+        .await
+        .map_err(|source| NodeError::Console { address, source })?;
+    let is_ready = Arc::new(AtomicBool::new(false));
+    tracing::info!(console = %listener.local_addr()?, "operators may call");
+    let (overrides, queued_overrides) = mpsc::channel(MAX_QUEUED_OVERRIDES);
+    let console = AdminApi {
+        life: lifecycle.clone(),
+        tally: engine.metrics(),
+        ready: is_ready.clone(),
+        orders: overrides,
+    };
+    console.start(listener)?;
+    tasks.spawn(
+        "zone overrides",
+        apply_zone_overrides(engine.clone(), queued_overrides),
+    );
+    tasks.spawn(
+        "readiness and backend counts",
+        update_console(engine.clone(), is_ready),
+    );
+    Ok(())
+}
+
+/// Applies the operators' zone overrides.
+async fn apply_zone_overrides(
+    engine: HttpEngine,
+    mut overrides: mpsc::Receiver<ZoneOverrideCommand>,
+) {
+    while let Some(ZoneOverrideCommand { zone, order }) = overrides.recv().await {
+        let zone_override = order.map(|(closed, span)| ZoneOverride {
+            state: if closed {
+                ForcedZoneState::Closed
+            } else {
+                ForcedZoneState::Open
+            },
+            duration: nanos(span),
+        });
+        engine.override_zone(&zone, zone_override);
+    }
+}
+
+/// Publishes that the node is ready, and then keeps the metrics' backend counts up to date. Never returns.
+async fn update_console(engine: HttpEngine, is_ready: Arc<AtomicBool>) {
+    let clock = engine.clock().clone();
+    let has_endpoint_list = async {
+        while !engine.has_endpoint_list() {
+            clock.sleep(READY_CHECK_INTERVAL).await;
+        }
+    };
+    let _ = clock.timeout(READY_TIMEOUT, has_endpoint_list).await;
+    is_ready.store(true, Ordering::Relaxed);
+    loop {
+        engine.update_backend_counts();
+        clock.sleep(BACKEND_COUNT_INTERVAL).await;
+    }
+}
--- /dev/null
+++ b/daemon/src/node/lifecycle_timers.rs
@@ -0,0 +1,26 @@
+//! Runs the timers of the node's lifecycle, which itself reads no clock.
+
+use badgerpost_admin::LifecycleHandle;
+use badgerpost_engine::Clock;
+use badgerpost_lifecycle::Event;
+
+/// Delivers [`Event::TimerFired`] for the timer that the lifecycle requested last. Never returns.
+pub async fn run_lifecycle_timers(lifecycle: LifecycleHandle, clock: Clock) {
+    let mut requests = lifecycle.wakes();
+    loop {
+        let request = *requests.borrow_and_update();
+        let Some(timer) = request else {
+            let _ = requests.changed().await;
+            continue;
+        };
+        // A later request replaces this one.
+        tokio::select! {
+            biased;
+            Ok(()) = requests.changed() => {}
+            () = clock.sleep(timer.after) => {
+                lifecycle.tell(Event::TimerFired(timer.token));
+                let _ = requests.wait_for(|next| *next != request).await;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/daemon/src/node/startup.rs
@@ -0,0 +1,243 @@
+//! The steps of a node's start, and what they have in common.
+
+use std::cell::Cell;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+
+use badgerpost_admin::LifecycleHandle;
+use badgerpost_balancer::Settings;
+use badgerpost_engine::{Clock, nanos, spawn};
+use badgerpost_gossip::{GossipService, LocalMember};
+use badgerpost_http::discovery::EndpointWatcher;
+use badgerpost_http::memory_budget::MemoryBudget;
+use badgerpost_http::server::{self, Limits, ServerHandle};
+use badgerpost_http::upstream::HttpTransport;
+use badgerpost_http::{Http, HttpEngine};
+use badgerpost_settings::Site;
+use tokio::signal::unix::Signal;
+use tokio::sync::watch;
+use tokio::task::JoinHandle;
+
+use super::NodeError;
+use super::client_listener::ClientListener;
+use super::console::start_console;
+use super::lifecycle_timers::run_lifecycle_timers;
+use super::postgres::start_postgres;
+use super::reload::reload_on_signal;
+use super::shutdown::Shutdown;
+use super::virtual_clock_control::VirtualClockControl;
+use crate::background_tasks::BackgroundTasks;
+use crate::config::{Config, ConfigError, OperatorConfig, PlatformConfig};
+use crate::descriptor_quota::DescriptorQuota;
+
+/// The readiness check for HTTP clients succeeds once the node knows a backend, or this long after its start.
+const READY_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// A node whose parts are being started.
+pub struct Startup {
+    /// The platform's configuration.
+    pub platform: PlatformConfig,
+    operator: OperatorConfig,
+    /// The number of the node's zone.
+    zone: u8,
+    /// How many nodes the fleet has.
+    node_count: u32,
+    seed: u64,
+    quota: DescriptorQuota,
+    memory_budget: MemoryBudget,
+    clock: Clock,
+    /// Present if a test controls the clock.
+    pub virtual_clock: Option<VirtualClockControl>,
+    lifecycle: LifecycleHandle,
+    stopping: watch::Sender<bool>,
+    /// The tasks started so far.
+    pub background_tasks: BackgroundTasks,
+}
+
+impl Startup {
+    /// Takes what the steps need from the configuration, and connects to the controller of a virtual clock.
+    pub fn parse(config: Config, settings: &Settings) -> Result<Self, NodeError> {
+        let Config { platform, operator } = config;
+        let seed = platform.seed()?;
+        let quota = DescriptorQuota::new(platform.connection_limits()?);
+        let virtual_clock = operator
+            .virtual_clock
+            .map(VirtualClockControl::connect)
+            .transpose()?;
+        let clock = virtual_clock
+            .as_ref()
+            .map_or_else(Clock::system, VirtualClockControl::clock);
+        let memory_budget = MemoryBudget::new(platform.body_buffer_bytes());
+        Ok(Self {
+            platform,
+            operator,
+            zone: settings.local_zone.0 as u8,
+            node_count: settings.node_count,
+            seed,
+            quota,
+            memory_budget,
+            clock,
+            virtual_clock,
+            lifecycle: LifecycleHandle::default(),
+            stopping: watch::Sender::new(false),
+            background_tasks: BackgroundTasks::default(),
+        })
+    }
+
+    /// Starts the engine of the HTTP fleet and its connection pool.
+    pub fn start_engine(&mut self, site: Site) -> Result<HttpEngine, NodeError> {
+        let transport = HttpTransport::new(
+            site.connections,
+            self.clock.clone(),
+            self.quota.backends.clone(),
+            self.memory_budget.clone(),
+        );
+        self.background_tasks.spawn(
+            "connection pool sweep",
+            HttpTransport::sweep(transport.pool()),
+        );
+        let engine = HttpEngine::new(
+            site.settings,
+            site.names,
+            self.seed,
+            self.clock.clone(),
+            Rc::new(transport),
+        )
+        .map_err(ConfigError::from)?;
+        if self.operator.monitors_zones() {
+            engine.start_zone_monitoring(self.seed);
+        }
+        Ok(engine)
+    }
+
+    /// The client of service discovery. The engine starts with the endpoint list that the platform knows.
+    pub fn endpoint_watcher(&mut self, engine: &HttpEngine) -> EndpointWatcher<Http> {
+        let known = self.platform.known.take();
+        EndpointWatcher::new(engine.clone(), self.platform.discovery, known, self.seed)
+    }
+
+    /// Opens the listener for HTTP clients. Whoever started the process waits for the log line.
+    pub async fn take_over_or_bind(&self) -> Result<ClientListener, NodeError> {
+        let opened =
+            ClientListener::take_over_or_bind(&self.platform, &self.quota, &self.clock).await?;
+        tracing::info!(
+            node = self.platform.name,
+            listen = %opened.address,
+            discovery = %self.platform.discovery,
+            "serving"
+        );
+        Ok(opened)
+    }
+
+    /// Starts the client of service discovery, and the reloads that may change discovery's address.
+    pub fn start_discovery(
+        &mut self,
+        watcher: EndpointWatcher<Http>,
+        reload_signal: Signal,
+        platform_file: PathBuf,
+    ) {
+        let (address_sender, address) = watch::channel(self.platform.discovery);
+        self.background_tasks
+            .spawn("endpoint watch", watcher.run(address));
+        self.background_tasks.spawn(
+            "configuration reload",
+            reload_on_signal(reload_signal, address_sender, platform_file),
+        );
+    }
+
+    /// Starts the timers of the engine and of the lifecycle.
+    pub fn start_timers(&mut self, engine: &HttpEngine) {
+        let timers = engine.clone();
+        self.background_tasks.spawn("engine timers", async move {
+            timers.run_timers().await;
+        });
+        self.background_tasks.spawn(
+            "lifecycle timers",
+            run_lifecycle_timers(self.lifecycle.clone(), self.clock.clone()),
+        );
+    }
+
+    /// Starts the operators' console, if there is one.
+    pub async fn start_console(&mut self, engine: &HttpEngine) -> Result<(), NodeError> {
+        let Some(address) = self.platform.console else {
+            return Ok(());
+        };
+        let tasks = &mut self.background_tasks;
+        start_console(address, &self.lifecycle, engine, tasks).await
+    }
+
+    /// Starts gossip with the other nodes of the fleet, if it is on.
+    pub async fn start_gossip(&mut self, engine: &HttpEngine) -> Result<(), NodeError> {
+        let Some(peers) = &self.operator.peers else {
+            return Ok(());
+        };
+        let local_member = LocalMember {
+            name: &self.platform.name,
+            zone: self.zone,
+            nodes: self.node_count,
+            seed: self.seed,
+        };
+        let key = peers.key().map_err(ConfigError::from)?;
+        let service = GossipService::open(peers, key, local_member, engine.clone())
+            .await
+            .map_err(|source| NodeError::Gossip {
+                address: peers.listen,
+                source,
+            })?;
+        self.background_tasks
+            .spawn("gossip", service.run(self.stopping.subscribe()));
+        Ok(())
+    }
+
+    /// Starts the HTTP server, the handover of its listener and the PostgreSQL server. Returns what ends them.
+    pub async fn start_servers(
+        &mut self,
+        engine: HttpEngine,
+        client_listener: ClientListener,
+    ) -> Result<Shutdown, NodeError> {
+        let longest_deadline = engine.longest_deadline();
+        let last_response_at = Rc::new(Cell::new(None));
+        let handle = ServerHandle {
+            stage: self.lifecycle.stage(),
+            ready_by: self.clock.now().saturating_add(nanos(READY_TIMEOUT)),
+            leaves: last_response_at.clone(),
+            accepts: self.lifecycle.accepts(),
+        };
+        let limits = Limits {
+            clients: self.quota.clients.clone(),
+            bodies: self.memory_budget.clone(),
+        };
+        let http_server = spawn(server::run(
+            client_listener.listener,
+            engine,
+            limits,
+            handle,
+        ));
+        if let Some(handover) = client_listener.handover {
+            self.background_tasks
+                .spawn("listener handover", handover.run(self.lifecycle.clone()));
+        }
+        let postgres_server = self.start_postgres().await?;
+        Ok(Shutdown {
+            clock: self.clock.clone(),
+            lifecycle: self.lifecycle.clone(),
+            stopping: self.stopping.clone(),
+            last_response_at,
+            longest_deadline,
+            http_server,
+            postgres_server,
+        })
+    }
+
+    /// Starts the PostgreSQL server, if it is on.
+    async fn start_postgres(&mut self) -> Result<Option<JoinHandle<()>>, NodeError> {
+        let Some(config) = self.operator.postgres.take() else {
+            return Ok(None);
+        };
+        let stopping = self.stopping.subscribe();
+        let tasks = &mut self.background_tasks;
+        let server = start_postgres(config, self.seed, &self.clock, stopping, tasks).await?;
+        Ok(Some(spawn(server)))
+    }
+}
