--- /dev/null
+++ b/adapters/admin/src/api.rs
@@ -0,0 +1,137 @@
+//! The console's requests and their responses.
+
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+
+use badgerpost_engine::Metrics;
+use badgerpost_lifecycle::Event;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::header::{ALLOW, CONNECTION, HeaderValue};
+use hyper::{Method, Request, Response, StatusCode};
+use tokio::sync::mpsc;
+
+use crate::metrics_page::metrics_page;
+use crate::zone_override::parse_zone_override;
+use crate::{LifecycleHandle, ZoneOverrideCommand};
+
+/// What the console reads of its node, and what it acts on.
+pub struct AdminApi {
+    /// The node's lifecycle.
+    pub lifecycle: LifecycleHandle,
+    /// The node's metrics.
+    pub metrics: Arc<Metrics>,
+    /// Whether this process can serve.
+    pub is_ready: Arc<AtomicBool>,
+    /// Takes the operators' zone overrides.
+    pub zone_overrides: mpsc::Sender<ZoneOverrideCommand>,
+}
+
+/// What a path stands for.
+#[derive(Clone, Copy)]
+enum Route {
+    Status,
+    Metrics,
+    Standby,
+    Active,
+    ZoneOverride,
+}
+
+impl Route {
+    /// The route of a path, or none if there is no such call.
+    fn of(path: &str) -> Option<Self> {
+        match path {
+            "/status" => Some(Self::Status),
+            "/status/metrics" => Some(Self::Metrics),
+            "/standby" => Some(Self::Standby),
+            "/active" => Some(Self::Active),
+            _ if path.starts_with("/zones/") => Some(Self::ZoneOverride),
+            _ => None,
+        }
+    }
+
+    /// The one method that the route has.
+    fn method(self) -> Method {
+        match self {
+            Self::Status | Self::Metrics => Method::GET,
+            Self::Standby | Self::Active | Self::ZoneOverride => Method::POST,
+        }
+    }
+}
+
+impl AdminApi {
+    /// The response to a request.
+    pub(crate) fn respond(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+        let path = request.uri().path();
+        let Some(route) = Route::of(path) else {
+            return text(StatusCode::NOT_FOUND, "no such call\n");
+        };
+        if *request.method() != route.method() {
+            return method_not_allowed(&route.method());
+        }
+        match route {
+            Route::Status => self.status(),
+            Route::Metrics => text(StatusCode::OK, metrics_page(&self.metrics)),
+            Route::Standby => self.change_lifecycle(path, Event::Standby),
+            Route::Active => self.change_lifecycle(path, Event::Active),
+            Route::ZoneOverride => self.override_zone(path),
+        }
+    }
+
+    fn status(&self) -> Response<Full<Bytes>> {
+        if self.is_ready.load(Ordering::Relaxed) {
+            text(StatusCode::OK, "serving\n")
+        } else {
+            text(StatusCode::SERVICE_UNAVAILABLE, "not yet\n")
+        }
+    }
+
+    fn change_lifecycle(&self, path: &str, event: Event) -> Response<Full<Bytes>> {
+        let transition = self.lifecycle.handle(event);
+        tracing::info!(
+            call = path,
+            stage = ?transition.stage,
+            granted = transition.granted,
+            "console call handled"
+        );
+        let status = if transition.granted {
+            StatusCode::OK
+        } else {
+            StatusCode::CONFLICT
+        };
+        text(status, format!("{}\n", transition.stage.as_str()))
+    }
+
+    fn override_zone(&self, path: &str) -> Response<Full<Bytes>> {
+        let Some(command) = parse_zone_override(path, &self.metrics) else {
+            return text(
+                StatusCode::NOT_FOUND,
+                "no such zone or order, or no watch over zones\n",
+            );
+        };
+        tracing::info!(call = path, "zone override requested");
+        match self.zone_overrides.try_send(command) {
+            Ok(()) => text(StatusCode::OK, "taken\n"),
+            Err(_) => text(StatusCode::SERVICE_UNAVAILABLE, "too many orders\n"),
+        }
+    }
+}
+
+fn method_not_allowed(allowed: &Method) -> Response<Full<Bytes>> {
+    let mut response = text(StatusCode::METHOD_NOT_ALLOWED, format!("{allowed} only\n"));
+    if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
+        response.headers_mut().insert(ALLOW, allowed);
+    }
+    response
+}
+
+/// A response with a text. Each closes its connection.
+fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
+    response
+}
--- a/adapters/admin/src/lifecycle_handle.rs
+++ b/adapters/admin/src/lifecycle_handle.rs
@@ -1,64 +1,50 @@
-//! The node's life cycle where several threads tell and read it: the state machine behind a lock that is held for no
-//! longer than one step, and its stage on a watch.
+//! The node's lifecycle where several threads change and read it: the state machine behind a lock that is held for one
+//! step, and its outputs as watch channels.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use badgerpost_lifecycle::{Event, Lifecycle, Stage, Timer, Transition};
 use tokio::sync::watch;
 
-/// A wake-up that the state machine wants.
-pub type PendingTimer = Timer;
-
-/// A handle on the life cycle. Cheap to clone.
+/// A handle on the lifecycle. Cheap to clone.
 #[derive(Clone)]
 pub struct LifecycleHandle(Arc<Shared>);
 
 struct Shared {
-    machine: Mutex<Lifecycle>,
+    lifecycle: Mutex<Lifecycle>,
     stage: watch::Sender<Stage>,
-    wake: watch::Sender<Option<PendingTimer>>,
+    timer_request: watch::Sender<Option<Timer>>,
     accepts: watch::Sender<bool>,
 }
 
 impl Default for LifecycleHandle {
     fn default() -> Self {
-        let machine = Mutex::new(Lifecycle::new());
-        let (stage, wake, accepts) = (
-            watch::Sender::new(Stage::Active),
-            watch::Sender::new(None),
-            watch::Sender::new(true),
-        );
         Self(Arc::new(Shared {
-            machine,
-            stage,
-            wake,
-            accepts,
+            lifecycle: Mutex::new(Lifecycle::new()),
+            stage: watch::Sender::new(Stage::Active),
+            timer_request: watch::Sender::new(None),
+            accepts: watch::Sender::new(true),
         }))
     }
 }
 
 impl LifecycleHandle {
-    /// Tells the node something; whether what was asked for holds now.
-    pub fn tell(&self, event: Event) -> Transition {
-        // A panic under the lock would have left a whole state: each step is one assignment.
-        let mut machine = self
-            .0
-            .machine
+    /// Applies an event.
+    pub fn handle(&self, event: Event) -> Transition {
+        let shared = &*self.0;
+        // A thread that panicked with the lock held leaves the state usable: each step is a single assignment.
+        let mut lifecycle = shared
+            .lifecycle
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let step = machine.handle(event);
-        // Told under the lock, so that stages are seen in the order in which they came about.
-        self.0
-            .stage
-            .send_if_modified(|stage| std::mem::replace(stage, step.stage) != step.stage);
-        let accepts = machine.accepts();
-        self.0
-            .accepts
-            .send_if_modified(|before| std::mem::replace(before, accepts) != accepts);
-        if step.timer.is_some() {
-            self.0.wake.send_replace(step.timer);
+        let transition = lifecycle.handle(event);
+        // Published under the lock, so that stages are seen in the order of their changes.
+        set_if_changed(&shared.stage, transition.stage);
+        set_if_changed(&shared.accepts, lifecycle.accepts());
+        if transition.timer.is_some() {
+            shared.timer_request.send_replace(transition.timer);
         }
-        step
+        transition
     }
 
     /// The stage, and its changes.
@@ -66,13 +52,18 @@
         self.0.stage.subscribe()
     }
 
-    /// Whether new connections are taken, and changes of that.
+    /// Whether new connections are accepted, and changes of that.
     pub fn accepts(&self) -> watch::Receiver<bool> {
         self.0.accepts.subscribe()
     }
 
-    /// The wake-up wanted last; who keeps the time tells [`Event::TimerFired`] when it is due.
-    pub fn wakes(&self) -> watch::Receiver<Option<PendingTimer>> {
-        self.0.wake.subscribe()
+    /// The timer requested last. Whoever runs it delivers [`Event::TimerFired`] when it fires.
+    pub fn timer_request(&self) -> watch::Receiver<Option<Timer>> {
+        self.0.timer_request.subscribe()
     }
 }
+
+/// Publishes a value unless it is the one published last.
+fn set_if_changed<T: PartialEq + Copy>(sender: &watch::Sender<T>, value: T) {
+    sender.send_if_modified(|current| std::mem::replace(current, value) != value);
+}
--- /dev/null
+++ b/adapters/admin/src/metrics_page.rs
@@ -0,0 +1,45 @@
+//! The metrics as the console shows them: a line each, `node.NAME=VALUE`. Their names stand here and nowhere else.
+
+use std::fmt::{Display, Write};
+
+use badgerpost_engine::Metrics;
+
+/// The page under construction.
+#[derive(Default)]
+struct Page(String);
+
+impl Page {
+    fn line(&mut self, name: &str, value: impl Display) {
+        // Writing to a string can't fail.
+        let _ = writeln!(self.0, "node.{name}={value}");
+    }
+}
+
+/// All metrics of a node.
+pub(crate) fn metrics_page(metrics: &Metrics) -> String {
+    let mut page = Page::default();
+    for (class, counts) in metrics.classes() {
+        page.line(&format!("transactions.{class}.answered"), counts.served);
+        page.line(&format!("transactions.{class}.deferred"), counts.rejected);
+        page.line(&format!("transactions.{class}.errored"), counts.failed);
+    }
+    page.line("sends", metrics.attempts_sent());
+    page.line("current", metrics.requests_in_progress());
+    let backends = metrics.backend_counts();
+    page.line("cluster_size", backends.listed);
+    page.line("cluster_unhealthy", backends.avoided);
+    for zone in metrics.zones() {
+        let thousandths = (zone.share * 1000.0).round() as u64;
+        page.line(&format!("zone.{}.share", zone.name), thousandths);
+        page.line(&format!("zone.{}.why", zone.name), zone.reason);
+    }
+    let peers = metrics.peers_snapshot();
+    if peers.members > 0 {
+        page.line("peers.members", peers.members);
+        page.line("peers.bytes_in", peers.received_bytes);
+        page.line("peers.bytes_out", peers.sent_bytes);
+        page.line("peers.strangers", peers.unauthenticated);
+        page.line("peers.malformed", peers.malformed);
+    }
+    page.0
+}
--- /dev/null
+++ b/adapters/admin/src/server.rs
@@ -0,0 +1,90 @@
+//! The console's listener and its thread.
+
+use std::convert::Infallible;
+use std::io;
+use std::net::TcpListener;
+use std::rc::Rc;
+use std::time::Duration;
+
+use badgerpost_engine::TcpStream;
+use hyper::Request;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::TokioIo;
+use tokio::task::{LocalSet, spawn_local};
+
+use crate::AdminApi;
+use crate::connections::{ConnectionSlot, Connections};
+
+/// A connection is closed after this long, whatever its client does: clients wait for one second.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Wait before the next accept after one failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// The most bytes of a request's head, which has a line or two.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+
+impl AdminApi {
+    /// Serves on a thread of its own until the process ends.
+    ///
+    /// # Errors
+    ///
+    /// The thread or its runtime can't be started.
+    pub fn start(self, listener: TcpListener) -> io::Result<()> {
+        listener.set_nonblocking(true)?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
+        let serve = move || {
+            LocalSet::new().block_on(&runtime, async {
+                match tokio::net::TcpListener::from_std(listener) {
+                    Ok(listener) => self.serve(listener).await,
+                    Err(error) => tracing::error!(%error, "the console can't listen"),
+                }
+            });
+        };
+        std::thread::Builder::new()
+            .name("console".to_owned())
+            .spawn(serve)?;
+        Ok(())
+    }
+
+    /// Accepts connections. Never returns.
+    async fn serve(self, listener: tokio::net::TcpListener) {
+        let api = Rc::new(self);
+        let connections = Rc::<Connections>::default();
+        loop {
+            match listener.accept().await {
+                Ok((stream, _)) => {
+                    let slot = Connections::open(&connections);
+                    spawn_local(serve_connection(api.clone(), stream.into(), slot));
+                }
+                Err(error) => {
+                    tracing::warn!(%error, "accepting a console connection failed");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+                }
+            }
+        }
+    }
+}
+
+/// Serves one connection until its request is answered, or it has to be closed.
+async fn serve_connection(api: Rc<AdminApi>, stream: TcpStream, mut slot: ConnectionSlot) {
+    tokio::select! {
+        biased;
+        () = answer_request(&api, stream) => {}
+        () = slot.displaced() => {}
+        () = tokio::time::sleep(CONNECTION_TIMEOUT) => {}
+    }
+}
+
+async fn answer_request(api: &AdminApi, stream: TcpStream) {
+    let service =
+        service_fn(async |request: Request<Incoming>| Ok::<_, Infallible>(api.respond(&request)));
+    let mut builder = http1::Builder::new();
+    builder.keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
+    let connection = builder.serve_connection(TokioIo::new(stream), service);
+    if let Err(error) = connection.await {
+        tracing::debug!(%error, "console connection failed");
+    }
+}
--- a/adapters/admin/src/zone_override.rs
+++ b/adapters/admin/src/zone_override.rs
@@ -1,40 +1,47 @@
-//! Orders about zones, as they stand in a call's path.
+//! Zone overrides as they stand in a request's path.
 
 use std::time::Duration;
 
-use badgerpost_engine::Metrics;
+use badgerpost_engine::{ForcedZoneState, Metrics, ZoneOverride, nanos};
 
-/// No order lasts longer: one that was forgotten ends by itself.
-const LONGEST: u64 = 3600;
+/// The longest override, in seconds: one that is forgotten ends by itself.
+const MAX_OVERRIDE_SECONDS: u64 = 3600;
 
 /// What operators want of a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneOverrideCommand {
-    /// The zone.
+    /// The zone's name.
     pub zone: String,
-    /// Closed (`true`) or held open, and for how long; none ends such an order.
-    pub order: Option<(bool, Duration)>,
+    /// The override; none ends one.
+    pub zone_override: Option<ZoneOverride>,
 }
 
-/// Reads `/zones/Z/close/SECONDS`, `/zones/Z/open/SECONDS` or `/zones/Z/auto`, for a zone that is watched.
-pub(crate) fn order(path: &str, tally: &Metrics) -> Option<ZoneOverrideCommand> {
-    let (zone, rest) = path.strip_prefix("/zones/")?.split_once('/')?;
-    let known = tally.zones().iter().any(|known| known.name == zone);
-    let span = |text: &str| {
-        let seconds = text
-            .parse()
-            .ok()
-            .filter(|seconds| (1..=LONGEST).contains(seconds))?;
-        Some(Duration::from_secs(seconds))
-    };
-    let order = match rest.split_once('/') {
-        Some(("close", seconds)) => Some((true, span(seconds)?)),
-        Some(("open", seconds)) => Some((false, span(seconds)?)),
-        None if rest == "auto" => None,
+/// Parses `/zones/Z/close/SECONDS`, `/zones/Z/open/SECONDS` or `/zones/Z/auto`, for a zone that is monitored.
+pub(crate) fn parse_zone_override(path: &str, metrics: &Metrics) -> Option<ZoneOverrideCommand> {
+    let (zone, action) = path.strip_prefix("/zones/")?.split_once('/')?;
+    let zone_override = match action.split_once('/') {
+        Some(("close", seconds)) => Some(ZoneOverride {
+            state: ForcedZoneState::Closed,
+            duration: nanos(parse_duration(seconds)?),
+        }),
+        Some(("open", seconds)) => Some(ZoneOverride {
+            state: ForcedZoneState::Open,
+            duration: nanos(parse_duration(seconds)?),
+        }),
+        None if action == "auto" => None,
         _ => return None,
     };
-    known.then(|| ZoneOverrideCommand {
+    let is_monitored = metrics.zones().iter().any(|known| known.name == zone);
+    is_monitored.then(|| ZoneOverrideCommand {
         zone: zone.to_owned(),
-        order,
+        zone_override,
     })
 }
+
+/// A duration in seconds, from 1 to the longest.
+fn parse_duration(seconds: &str) -> Option<Duration> {
+    let seconds = seconds.parse().ok()?;
+    (1..=MAX_OVERRIDE_SECONDS)
+        .contains(&seconds)
+        .then(|| Duration::from_secs(seconds))
+}
--- a/daemon/src/handover/predecessor.rs
+++ b/daemon/src/handover/predecessor.rs
@@ -87,7 +87,7 @@
                     Action::SendListener(_) => has_sent_listener = true,
                     Action::SetShared(shared) => {
                         tracing::info!(shared, "the next version takes connections here");
-                        lifecycle.tell(LifecycleEvent::ListenerShared(shared));
+                        lifecycle.handle(LifecycleEvent::ListenerShared(shared));
                     }
                     _ => {}
                 }
--- a/daemon/src/node/console.rs
+++ b/daemon/src/node/console.rs
@@ -6,7 +6,6 @@
 use std::time::Duration;
 
 use badgerpost_admin::{AdminApi, LifecycleHandle, ZoneOverrideCommand};
-use badgerpost_engine::{ForcedZoneState, ZoneOverride, nanos};
 use badgerpost_http::HttpEngine;
 use tokio::sync::mpsc;
 
@@ -38,10 +37,10 @@
     tracing::info!(console = %listener.local_addr()?, "operators may call");
     let (overrides, queued_overrides) = mpsc::channel(MAX_QUEUED_OVERRIDES);
     let console = AdminApi {
-        life: lifecycle.clone(),
-        tally: engine.metrics(),
-        ready: is_ready.clone(),
-        orders: overrides,
+        lifecycle: lifecycle.clone(),
+        metrics: engine.metrics(),
+        is_ready: is_ready.clone(),
+        zone_overrides: overrides,
     };
     console.start(listener)?;
     tasks.spawn(
@@ -60,16 +59,8 @@
     engine: HttpEngine,
     mut overrides: mpsc::Receiver<ZoneOverrideCommand>,
 ) {
-    while let Some(ZoneOverrideCommand { zone, order }) = overrides.recv().await {
-        let zone_override = order.map(|(closed, span)| ZoneOverride {
-            state: if closed {
-                ForcedZoneState::Closed
-            } else {
-                ForcedZoneState::Open
-            },
-            duration: nanos(span),
-        });
-        engine.override_zone(&zone, zone_override);
+    while let Some(command) = overrides.recv().await {
+        engine.override_zone(&command.zone, command.zone_override);
     }
 }
 
--- a/daemon/src/node/lifecycle_timers.rs
+++ b/daemon/src/node/lifecycle_timers.rs
@@ -6,7 +6,7 @@
 
 /// Delivers [`Event::TimerFired`] for the timer that the lifecycle requested last. Never returns.
 pub async fn run_lifecycle_timers(lifecycle: LifecycleHandle, clock: Clock) {
-    let mut requests = lifecycle.wakes();
+    let mut requests = lifecycle.timer_request();
     loop {
         let request = *requests.borrow_and_update();
         let Some(timer) = request else {
@@ -18,7 +18,7 @@
             biased;
             Ok(()) = requests.changed() => {}
             () = clock.sleep(timer.after) => {
-                lifecycle.tell(Event::TimerFired(timer.token));
+                lifecycle.handle(Event::TimerFired(timer.token));
                 let _ = requests.wait_for(|next| *next != request).await;
             }
         }
--- a/daemon/src/node/shutdown.rs
+++ b/daemon/src/node/shutdown.rs
@@ -73,7 +73,7 @@
         let grace = self.longest_deadline.min(MAX_COUNTED_DEADLINE) + LAST_RESPONSE_GRACE;
         let last_response_at = self.clock.now().saturating_add(nanos(grace));
         self.last_response_at.set(Some(last_response_at));
-        self.lifecycle.tell(Event::Stop);
+        self.lifecycle.handle(Event::Stop);
         self.stopping.send_replace(true);
         let mut stage = self.lifecycle.stage();
         let _ = stage.wait_for(|stage| *stage == Stage::Closed).await;
