--- a/adapters/gossip/src/config.rs
+++ b/adapters/gossip/src/config.rs
@@ -7,134 +7,153 @@
 use badgerpost_settings::private_file::{self, PrivateFileError};
 use serde::Deserialize;
 
-/// More seeds than this are a mistake: a few of them are enough to join.
-const SEEDS_MOST: usize = 16;
+/// The most seeds. A few of them are enough to join; more are a mistake.
+const MAX_SEEDS: usize = 16;
+/// The most zones: a datagram has one byte for a zone's number.
+const MAX_ZONES: u32 = 255;
 
-/// How a node talks to the others of its fleet.
+/// Gossip between the nodes of a fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Where it takes their datagrams.
+    /// Where the node receives datagrams.
     pub listen: SocketAddr,
-    /// Where they send them, if that is another address.
+    /// Where the other nodes send them, if that is another address.
     pub advertise: Option<SocketAddr>,
-    /// Some of the others, which are asked first.
+    /// Addresses of some other nodes, which are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// The file with the key that they all have; mode 0600.
+    /// The file with the fleet's key; mode 0600.
     pub key_file: PathBuf,
 }
 
 /// Why the section can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The platform says no.
+    /// The platform does not permit it.
     #[error("peers: the platform forbids it: settings.policy-limits.peers is not true")]
     Forbidden,
-    /// The key's file can't be read.
+    /// The key file can't be read.
     #[error("peers.key_file: {}: {source}", path.display())]
-    Unread {
+    UnreadableKeyFile {
         /// The file.
         path: PathBuf,
-        /// What happened.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// Others may read it.
+    /// Others than its owner may read the key file.
     #[error("peers.key_file: {}: others may read it; its mode must be 0600", .0.display())]
-    Open(PathBuf),
-    /// It holds no key.
+    KeyFileAccessibleByOthers(PathBuf),
+    /// The key file holds no key.
     #[error("peers.key_file: {}: {source}", path.display())]
-    Key {
+    InvalidKey {
         /// The file.
         path: PathBuf,
         /// What is wrong.
         source: KeyError,
     },
-    /// Nobody could reach that.
-    #[error("peers.{key}: {at}: {wrong}")]
-    Address {
-        /// The key.
+    /// No node could be reached there.
+    #[error("peers.{key}: {address}: {expected}")]
+    InvalidAddress {
+        /// The configuration key.
         key: &'static str,
-        /// What it says.
-        at: SocketAddr,
-        /// Why not.
-        wrong: &'static str,
+        /// Its value.
+        address: SocketAddr,
+        /// What it has to be.
+        expected: &'static str,
     },
-    /// Too many.
-    #[error("peers.seeds: {0} addresses; at most {SEEDS_MOST}")]
-    Seeds(usize),
-    /// Without its zones a node has nothing to say.
+    /// There are too many seeds.
+    #[error("peers.seeds: {0} addresses; at most {MAX_SEEDS}")]
+    TooManySeeds(usize),
+    /// Zone monitoring, the only source of gossip, is off.
     #[error("peers: needs `[zones] watch = true`: there is nothing else to say yet")]
-    NothingToSay,
-    /// More zones than a datagram has numbers for.
-    #[error("peers: the settings list {0} zones; at most 255")]
-    Zones(u32),
+    ZonesNotMonitored,
+    /// There are more zones than a datagram can number.
+    #[error("peers: the settings list {0} zones; at most {MAX_ZONES}")]
+    TooManyZones(u32),
 }
 
 impl Config {
-    /// Checks it, against what the platform allows and what else is switched on.
-    pub fn check(&self, allowed: bool, watched: bool, zones: u32) -> Result<(), ConfigError> {
-        if !allowed {
+    /// Checks the section against what the platform permits and what else is switched on.
+    ///
+    /// # Errors
+    ///
+    /// The first reason found for which it can't be used.
+    pub fn check(
+        &self,
+        is_permitted: bool,
+        monitors_zones: bool,
+        zone_count: u32,
+    ) -> Result<(), ConfigError> {
+        if !is_permitted {
             return Err(ConfigError::Forbidden);
         }
-        if !watched {
-            return Err(ConfigError::NothingToSay);
+        if !monitors_zones {
+            return Err(ConfigError::ZonesNotMonitored);
         }
-        if zones > 255 {
-            return Err(ConfigError::Zones(zones));
+        if zone_count > MAX_ZONES {
+            return Err(ConfigError::TooManyZones(zone_count));
         }
-        if self.seeds.len() > SEEDS_MOST {
-            return Err(ConfigError::Seeds(self.seeds.len()));
+        if self.seeds.len() > MAX_SEEDS {
+            return Err(ConfigError::TooManySeeds(self.seeds.len()));
         }
+        self.check_addresses()?;
+        self.key().map(|_| ())
+    }
+
+    /// Checks that datagrams can be sent to the addresses.
+    fn check_addresses(&self) -> Result<(), ConfigError> {
         if self.advertise.is_none() && self.listen.port() == 0 {
-            let wrong = "a port that the others know, or `advertise`";
-            return Err(ConfigError::Address {
+            return Err(ConfigError::InvalidAddress {
                 key: "listen",
-                at: self.listen,
-                wrong,
+                address: self.listen,
+                expected: "a port that the others know, or `advertise`",
             });
         }
-        let advertised = [("advertise", self.advertised())];
-        for (key, at) in advertised
+        let seeds = self.seeds.iter().map(|seed| ("seeds", *seed));
+        let unreachable = [("advertise", self.advertised())]
             .into_iter()
-            .chain(self.seeds.iter().map(|at| ("seeds", *at)))
-        {
-            if at.ip().is_unspecified() || at.port() == 0 {
-                return Err(ConfigError::Address {
-                    key,
-                    at,
-                    wrong: "an address and port of one node",
-                });
-            }
+            .chain(seeds)
+            .find(|(_, address)| address.ip().is_unspecified() || address.port() == 0);
+        match unreachable {
+            Some((key, address)) => Err(ConfigError::InvalidAddress {
+                key,
+                address,
+                expected: "an address and port of one node",
+            }),
+            None => Ok(()),
         }
-        self.key().map(|_| ())
     }
 
-    /// Where the others send.
+    /// Where the other nodes send datagrams.
     pub fn advertised(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
-    /// All addresses that it names, with their keys.
+    /// All addresses of the section, with their configuration keys.
     pub fn addresses(&self) -> impl Iterator<Item = (&'static str, SocketAddr)> {
         let own = [
             ("peers.listen", self.listen),
             ("peers.advertise", self.advertised()),
         ];
-        own.into_iter()
-            .chain(self.seeds.iter().map(|at| ("peers.seeds", *at)))
+        let seeds = self.seeds.iter().map(|seed| ("peers.seeds", *seed));
+        own.into_iter().chain(seeds)
     }
 
-    /// The key.
+    /// The fleet's key.
+    ///
+    /// # Errors
+    ///
+    /// The key file can't be read, may be read by others, or holds no key.
     pub fn key(&self) -> Result<Key, ConfigError> {
         let path = || self.key_file.clone();
         let text = private_file::read(&self.key_file).map_err(|error| match error {
-            PrivateFileError::Unreadable(source) => ConfigError::Unread {
+            PrivateFileError::Unreadable(source) => ConfigError::UnreadableKeyFile {
                 path: path(),
                 source,
             },
-            PrivateFileError::AccessibleByOthers => ConfigError::Open(path()),
+            PrivateFileError::AccessibleByOthers => ConfigError::KeyFileAccessibleByOthers(path()),
         })?;
-        Key::parse(&text).map_err(|source| ConfigError::Key {
+        Key::parse(&text).map_err(|source| ConfigError::InvalidKey {
             path: path(),
             source,
         })
--- a/adapters/gossip/src/lib.rs
+++ b/adapters/gossip/src/lib.rs
@@ -1,5 +1,5 @@
-//! The datagrams between the nodes of a fleet: one socket, the membership of `core/membership` behind it, and what the watch
-//! over the zones says and hears through it. Off unless the operators' own file has a section `[peers]`.
+//! Gossip between the nodes of a fleet: one socket for datagrams, the membership of `core/membership` behind it, and the
+//! observations that zone monitoring exchanges through it. Off unless the operators' own file has a section `[peers]`.
 
 mod config;
 mod service;
--- a/adapters/gossip/src/service.rs
+++ b/adapters/gossip/src/service.rs
@@ -1,4 +1,4 @@
-//! The socket, and the task that moves what goes through it. Nothing is decided here.
+//! The socket, and the task that runs the membership on it. Nothing is decided here.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,178 +7,190 @@
     Clock, DroppedDatagram, Engine, LogLimiter, PeerUpdate, Protocol, ZoneGossip, activity,
 };
 use badgerpost_membership::{
-    Action, DropReason, Event, MAX_DATAGRAM_LENGTH, MemberId, Settings, Topic,
+    Action, DropReason, Event, Key, MAX_DATAGRAM_LENGTH, MemberId, Membership, Nanos, Settings,
+    Topic,
 };
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 
 use crate::config::Config;
 
-/// Words that wait for the task, which takes them at once: some for each zone.
-const WORDS: usize = 64;
+/// The most observations that wait for the task, which takes them at once: some for each zone.
+const MAX_QUEUED_OBSERVATIONS: usize = 64;
 
-/// Who this node is among the others.
+/// This node as a member of its fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalMember<'a> {
     /// Its name.
     pub name: &'a str,
-    /// Its zone, by position.
+    /// The number of its zone.
     pub zone: u8,
-    /// How many nodes are expected.
-    pub nodes: u32,
-    /// Drives its draws.
+    /// The number of nodes that the fleet is expected to have.
+    pub node_count: u32,
+    /// The seed of the membership's random draws.
     pub seed: u64,
 }
 
-/// A node's talk with the others.
-pub struct GossipService<F: Protocol> {
+/// Gossip of one node with the others.
+pub struct GossipService<P: Protocol> {
     socket: UdpSocket,
-    core: badgerpost_membership::Membership,
-    engine: Engine<F>,
+    membership: Membership,
+    engine: Engine<P>,
     clock: Clock,
-    words: mpsc::Receiver<ZoneGossip>,
-    wake: Option<u64>,
-    limiter: LogLimiter,
+    observations: mpsc::Receiver<ZoneGossip>,
+    /// When the membership's timer fires.
+    timer_at: Option<Nanos>,
+    drop_log: LogLimiter,
 }
 
-impl<F: Protocol + 'static> GossipService<F> {
-    /// Opens the socket; the engine's words for the others go through it from now on.
+impl<P: Protocol + 'static> GossipService<P> {
+    /// Opens the socket. From now on the engine's observations for the other nodes go through it.
+    ///
+    /// # Errors
+    ///
+    /// The socket can't be opened.
     pub async fn open(
         config: &Config,
-        key: badgerpost_membership::Key,
-        me: LocalMember<'_>,
-        engine: Engine<F>,
+        key: Key,
+        local_member: LocalMember<'_>,
+        engine: Engine<P>,
     ) -> io::Result<Self> {
         let socket = UdpSocket::bind(config.listen).await?;
         let clock = engine.clock().clone();
         let settings = Settings {
-            member: MemberId::from_name(me.name),
+            member: MemberId::from_name(local_member.name),
             advertise: config.advertised(),
-            zone: me.zone,
+            zone: local_member.zone,
             incarnation: clock.now(),
             seeds: config.seeds.clone(),
             key,
-            node_count: me.nodes,
-            seed: me.seed,
+            node_count: local_member.node_count,
+            seed: local_member.seed,
         };
-        let (talk, words) = mpsc::channel(WORDS);
-        engine.set_gossip_sender(talk);
+        let (gossip_sender, observations) = mpsc::channel(MAX_QUEUED_OBSERVATIONS);
+        engine.set_gossip_sender(gossip_sender);
         engine.metrics().set_peers(1);
         tracing::info!(listen = %socket.local_addr()?, advertise = %config.advertised(), "peers may call");
-        let (core, limiter) = (
-            badgerpost_membership::Membership::new(settings),
-            LogLimiter::new(clock.clone()),
-        );
         Ok(Self {
             socket,
-            core,
+            membership: Membership::new(settings),
             engine,
+            drop_log: LogLimiter::new(clock.clone()),
             clock,
-            words,
-            wake: None,
-            limiter,
+            observations,
+            timer_at: None,
         })
     }
 
-    /// Talks until the node stops.
+    /// Exchanges datagrams until `stopping` is true, and then announces that this node leaves.
     pub async fn run(mut self, mut stopping: watch::Receiver<bool>) {
-        // A new socket takes nothing until the system has said once that it does.
+        // A new socket sends nothing until the system has reported once that it is writable.
         if let Err(error) = self.socket.writable().await {
             tracing::warn!(%error, "datagrams can't be sent yet");
         }
-        self.tell(Event::Start);
-        // One byte more than fits shows that it does not.
+        self.handle(Event::Start);
+        // One byte more than the longest datagram, so that a longer one shows.
         let mut buffer = [0; MAX_DATAGRAM_LENGTH + 1];
         loop {
-            let wake = self.wake;
-            let clock = self.clock.clone();
-            let due = async move {
-                match wake {
-                    Some(at) => clock.sleep_until(at).await,
-                    None => std::future::pending().await,
-                }
-            };
+            let timer = wait_until(self.clock.clone(), self.timer_at);
             tokio::select! {
                 biased;
                 _ = stopping.wait_for(|stopping| *stopping) => {
-                    self.tell(Event::Leave);
+                    self.handle(Event::Leave);
                     return;
                 }
-                Some(gossip) = self.words.recv() => self.tell(Event::Broadcast { topic: Topic(gossip.zone), body: &gossip.observation }),
-                came = self.socket.recv_from(&mut buffer) => match came {
-                    Ok((length, _)) => {
-                        activity::read(length);
-                        self.engine.metrics().peer_bytes_received(length as u64);
-                        self.tell(Event::Datagram(&buffer[..length]));
-                    }
-                    // Of a datagram that went out before: its receiver is not there, which shows by itself.
-                    Err(error) => tracing::debug!(%error, "datagram not taken"),
+                Some(gossip) = self.observations.recv() => self.broadcast(&gossip),
+                received = self.socket.recv_from(&mut buffer) => match received {
+                    Ok((length, _)) => self.datagram_received(&buffer[..length]),
+                    // Reported for a datagram sent before: nobody listens at its address, which the membership notices.
+                    Err(error) => tracing::debug!(%error, "datagram not received"),
                 },
-                () = due => {
-                    self.wake = None;
-                    self.tell(Event::TimerFired);
+                () = timer => {
+                    self.timer_at = None;
+                    self.handle(Event::TimerFired);
                 }
             }
         }
     }
 
-    fn tell(&mut self, event: Event<'_>) {
+    fn broadcast(&mut self, gossip: &ZoneGossip) {
+        self.handle(Event::Broadcast {
+            topic: Topic(gossip.zone),
+            body: &gossip.observation,
+        });
+    }
+
+    fn datagram_received(&mut self, datagram: &[u8]) {
+        activity::read(datagram.len());
+        self.engine
+            .metrics()
+            .peer_bytes_received(datagram.len() as u64);
+        self.handle(Event::Datagram(datagram));
+    }
+
+    /// Passes an event to the membership and carries out its actions.
+    fn handle(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.core.handle(self.clock.now(), event, &mut actions);
+        self.membership
+            .handle(self.clock.now(), event, &mut actions);
         for action in actions {
-            match action {
-                Action::Send { to, datagram } => self.send(to, &datagram),
-                Action::SetTimer { at } => self.wake = Some(at),
-                Action::MemberChanged {
-                    member,
-                    zone,
-                    address: at,
-                    is_up: up,
-                } => {
-                    tracing::info!(peer = %at, zone, up, members = self.core.member_count(), "peer changed");
-                    self.engine
-                        .metrics()
-                        .set_peers(self.core.member_count() as u64 + 1);
-                    self.engine.peer_updated(&PeerUpdate::Member {
-                        member: member.0,
-                        zone,
-                        is_up: up,
-                    });
-                }
-                Action::Received {
-                    member,
-                    topic,
-                    sent_at: sent,
-                    body,
-                } => {
-                    self.engine.peer_updated(&PeerUpdate::Gossip {
-                        member: member.0,
-                        sent_at: sent,
-                        gossip: ZoneGossip {
-                            zone: topic.0,
-                            observation: body,
-                        },
-                    });
-                }
-                Action::DatagramDropped(dropped) => {
-                    self.engine.metrics().datagram_dropped(match dropped {
-                        DropReason::Unauthenticated => DroppedDatagram::Unauthenticated,
-                        _ => DroppedDatagram::Malformed,
-                    });
-                    self.limiter.log(
-                        |silenced| tracing::warn!(reason = ?dropped, silenced, "datagram dropped"),
-                    );
-                }
-            }
+            self.perform(action);
+        }
+    }
+
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::Send { to, datagram } => self.send(to, &datagram),
+            Action::SetTimer { at } => self.timer_at = Some(at),
+            Action::MemberChanged {
+                member,
+                zone,
+                address,
+                is_up,
+            } => self.member_changed(member, zone, address, is_up),
+            Action::Received {
+                member,
+                topic,
+                sent_at,
+                body,
+            } => self.engine.peer_updated(&PeerUpdate::Gossip {
+                member: member.0,
+                sent_at,
+                gossip: ZoneGossip {
+                    zone: topic.0,
+                    observation: body,
+                },
+            }),
+            Action::DatagramDropped(reason) => self.datagram_dropped(reason),
         }
     }
 
+    fn member_changed(&self, member: MemberId, zone: u8, address: SocketAddr, is_up: bool) {
+        let members = self.membership.member_count();
+        tracing::info!(peer = %address, zone, up = is_up, members, "peer changed");
+        self.engine.metrics().set_peers(members as u64 + 1);
+        self.engine.peer_updated(&PeerUpdate::Member {
+            member: member.0,
+            zone,
+            is_up,
+        });
+    }
+
+    fn datagram_dropped(&mut self, reason: DropReason) {
+        self.engine.metrics().datagram_dropped(match reason {
+            DropReason::Unauthenticated => DroppedDatagram::Unauthenticated,
+            _ => DroppedDatagram::Malformed,
+        });
+        self.drop_log
+            .log(|silenced| tracing::warn!(?reason, silenced, "datagram dropped"));
+    }
+
     fn send(&self, to: SocketAddr, datagram: &[u8]) {
-        // With its clock in other hands the node must reach nothing but a rehearsal's stand-ins.
+        // With a virtual clock the node must reach nothing outside this machine.
         if self.clock.is_controlled() && !to.ip().is_loopback() {
             return;
         }
-        // What does not go out at once is lost like what the network loses; the protocol bears that.
+        // What can't be sent at once is lost like what the network loses, which the protocol tolerates.
         match self.socket.try_send_to(datagram, to) {
             Ok(length) => {
                 activity::written(length);
@@ -188,3 +200,11 @@
         }
     }
 }
+
+/// Waits until this time; forever without one.
+async fn wait_until(clock: Clock, at: Option<Nanos>) {
+    match at {
+        Some(at) => clock.sleep_until(at).await,
+        None => std::future::pending().await,
+    }
+}
--- a/daemon/src/node/startup.rs
+++ b/daemon/src/node/startup.rs
@@ -175,7 +175,7 @@
         let local_member = LocalMember {
             name: &self.platform.name,
             zone: self.zone,
-            nodes: self.node_count,
+            node_count: self.node_count,
             seed: self.seed,
         };
         let key = peers.key().map_err(ConfigError::from)?;
