--- a/daemon/src/node/virtual_clock_control.rs
+++ b/daemon/src/node/virtual_clock_control.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use badgerpost_engine::{Clock, VirtualClock};
-use badgerpost_virtual_clock::{Control, ControlError};
+use badgerpost_virtual_clock::{ControlConnection, ControlError};
 use tokio::task::{JoinHandle, spawn_local};
 
 use crate::config::VirtualClockConfig;
@@ -12,7 +12,7 @@
 /// A virtual clock, and the connection to the controller that moves it.
 pub struct VirtualClockControl {
     virtual_clock: Rc<VirtualClock>,
-    control: Control,
+    control: ControlConnection,
 }
 
 impl VirtualClockControl {
@@ -26,7 +26,7 @@
         tracing::warn!(%control, "STEPPED CLOCK in a rehearsal's hands; not for service");
         Ok(Self {
             virtual_clock: VirtualClock::at(start_ns),
-            control: Control::connect(control)?,
+            control: ControlConnection::connect(control)?,
         })
     }
 
--- a/testkit/scenarios/src/bin/faulty_node.rs
+++ b/testkit/scenarios/src/bin/faulty_node.rs
@@ -11,7 +11,7 @@
 
 use badgerpost_engine::{Clock, VirtualClock, activity, spawn};
 use badgerpost_fakes::message::{self, Inbox, Message, Side};
-use badgerpost_virtual_clock::Control;
+use badgerpost_virtual_clock::ControlConnection;
 use serde::Deserialize;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -122,7 +122,7 @@
     let hands = match own {
         Some(Own { rehearsal }) => Some((
             VirtualClock::at(rehearsal.start_ns),
-            Control::connect(rehearsal.control)?,
+            ControlConnection::connect(rehearsal.control)?,
         )),
         None => None,
     };
--- a/virtual-clock/src/control.rs
+++ b/virtual-clock/src/control.rs
@@ -1,6 +1,7 @@
-//! The node's end of a control connection. It is read with the thread blocked, on purpose: while the kit has
-//! not said how the time goes on, nothing may run.
+//! The node's end of a control connection. It is read by blocking calls on the serving thread: until the controller has
+//! sent the next step, nothing may run.
 
+use std::convert::Infallible;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -11,168 +12,179 @@
 
 use crate::protocol::{ControllerMessage, MAX_LINE_LENGTH, MalformedLine, NodeMessage};
 
-/// Turns of the scheduler in which no task ran, each with a look at the sockets, that make a node idle. One
-/// would do; the others are for what a look has brought while the turn was counted.
-const QUIET_TURNS: u32 = 3;
-/// What was announced and is not here yet is looked for so often, after so long a rest each: bytes, and ends of
-/// connections, that the kit has sent already and that take microseconds, but longer on a machine with other work. Some
-/// would never come, as nobody reads them: those behind a request that is still open. Looks are counted, not time: a
-/// process that did not run for a while has not looked.
-const LOOKS: u32 = 10_000;
-const REST: Duration = Duration::from_micros(300);
+/// Turns of the scheduler without a task's poll, each with a check of the sockets, after which a node is idle. One would
+/// do; the others are for what a check has brought while the turn was counted.
+const IDLE_TURNS: u32 = 3;
+/// How often a step checks for bytes, and ends of connections, that were announced and have not arrived. The controller
+/// has sent them already, and they take microseconds, or longer on a machine with other work. Some never arrive, as
+/// nobody reads them: those behind a request that is still open. Checks are counted, not time: a process that did not run
+/// for a while has not checked.
+const MAX_ARRIVAL_CHECKS: u32 = 10_000;
+/// Wait between two of these checks.
+const ARRIVAL_CHECK_INTERVAL: Duration = Duration::from_micros(300);
 
-/// Why a node can't be stepped on.
+/// Why a node can't be stepped, or not any further.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// It is not one of this machine's own.
+    /// The controller's address is not one of this machine's own.
     #[error(
         "rehearsal.control: {0} is not a loopback address; a clock is given into no other hands"
     )]
-    Address(SocketAddr),
+    NotLoopback(SocketAddr),
     /// The connection failed or broke.
     #[error("the rehearsal at {at}: {source}")]
     Socket {
-        /// The kit's address.
+        /// The controller's address.
         at: SocketAddr,
-        /// What happened.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The kit has closed it: the rehearsal is over.
+    /// The controller has closed the connection: the run is over.
     #[error("the rehearsal at {0} is over")]
-    Over(SocketAddr),
-    /// The kit said something else.
+    Closed(SocketAddr),
+    /// The controller has sent a line that is not a message.
     #[error("the rehearsal at {at}: {source}")]
-    Bad {
-        /// The kit's address.
+    Malformed {
+        /// The controller's address.
         at: SocketAddr,
-        /// What it said.
+        /// The line.
         source: MalformedLine,
     },
 }
 
 /// A control connection.
-pub struct Control {
-    at: SocketAddr,
+pub struct ControlConnection {
+    controller: SocketAddr,
     reader: BufReader<TcpStream>,
 }
 
-impl Control {
-    /// Connects to the kit.
-    pub fn connect(at: SocketAddr) -> Result<Self, ControlError> {
-        if !at.ip().is_loopback() {
-            return Err(ControlError::Address(at));
+impl ControlConnection {
+    /// Connects to the controller.
+    ///
+    /// # Errors
+    ///
+    /// The address is not a loopback address, or the connection fails.
+    pub fn connect(controller: SocketAddr) -> Result<Self, ControlError> {
+        if !controller.ip().is_loopback() {
+            return Err(ControlError::NotLoopback(controller));
         }
         let connect = || {
-            let stream = TcpStream::connect(at)?;
+            let stream = TcpStream::connect(controller)?;
             stream.set_nodelay(true)?;
             Ok(stream)
         };
-        let stream = connect().map_err(|source| ControlError::Socket { at, source })?;
+        let stream = connect().map_err(|source| ControlError::Socket {
+            at: controller,
+            source,
+        })?;
         Ok(Self {
-            at,
+            controller,
             reader: BufReader::new(stream),
         })
     }
 
-    fn say(&mut self, line: &NodeMessage) -> Result<(), ControlError> {
-        let written = self.reader.get_mut().write_all(line.to_string().as_bytes());
-        written.map_err(|source| ControlError::Socket {
-            at: self.at,
-            source,
-        })
+    fn send(&mut self, message: &NodeMessage) -> Result<(), ControlError> {
+        let line = message.to_string();
+        let result = self.reader.get_mut().write_all(line.as_bytes());
+        result.map_err(|source| self.socket_error(source))
     }
 
-    fn hear(&mut self) -> Result<ControllerMessage, ControlError> {
+    fn receive(&mut self) -> Result<ControllerMessage, ControlError> {
         let mut line = String::new();
-        let read = (&mut self.reader)
+        let result = (&mut self.reader)
             .take(MAX_LINE_LENGTH as u64)
             .read_line(&mut line);
-        match read {
-            Ok(0) => Err(ControlError::Over(self.at)),
-            Ok(_) => line.parse().map_err(|source| ControlError::Bad {
-                at: self.at,
-                source,
-            }),
-            Err(source) => Err(ControlError::Socket {
-                at: self.at,
+        match result {
+            Ok(0) => Err(ControlError::Closed(self.controller)),
+            Ok(_) => line.parse().map_err(|source| ControlError::Malformed {
+                at: self.controller,
                 source,
             }),
+            Err(source) => Err(self.socket_error(source)),
+        }
+    }
+
+    fn socket_error(&self, source: io::Error) -> ControlError {
+        ControlError::Socket {
+            at: self.controller,
+            source,
         }
     }
 
-    /// Follows the kit's steps until the rehearsal is over.
+    /// Follows the controller's steps until it closes the connection, or something fails. `name` and `listen` introduce
+    /// the node to it.
     pub async fn follow(
         mut self,
         name: &str,
         listen: SocketAddr,
-        steps: Rc<VirtualClock>,
+        virtual_clock: Rc<VirtualClock>,
     ) -> ControlError {
-        match self.steps(name, listen, &steps).await {
+        match self.run_steps(name, listen, &virtual_clock).await {
             Ok(never) => match never {},
             Err(error) => error,
         }
     }
 
-    async fn steps(
+    async fn run_steps(
         &mut self,
         name: &str,
         listen: SocketAddr,
-        steps: &VirtualClock,
-    ) -> Result<std::convert::Infallible, ControlError> {
-        settle(0, 0).await;
-        self.say(&NodeMessage::Hello {
+        virtual_clock: &VirtualClock,
+    ) -> Result<Infallible, ControlError> {
+        run_until_idle(0, 0).await;
+        self.send(&NodeMessage::Hello {
             name: name.to_owned(),
             listen,
         })?;
         // What was done before the first step counts with it.
         let mut before = activity::Activity::default();
-        // Ends that the kit has seen and that were waited for in vain: of connections that were never looked at here.
-        let mut unseen = 0;
+        // Ends that the controller has seen and that never came here: of connections that this node never read from.
+        let mut unseen_ends = 0;
         loop {
-            let ControllerMessage::Step { now, bytes, ended } = self.hear()?;
-            let read = activity::snapshot().read;
-            steps.advance(now);
-            settle(read.saturating_add(bytes), ended.saturating_sub(unseen)).await;
+            let ControllerMessage::Step { now, bytes, ended } = self.receive()?;
+            let read_before = activity::snapshot().read;
+            virtual_clock.advance(now);
+            run_until_idle(
+                read_before.saturating_add(bytes),
+                ended.saturating_sub(unseen_ends),
+            )
+            .await;
             let after = activity::snapshot();
-            unseen = unseen.max(ended.saturating_sub(after.ended));
-            let bytes_read = after.read - before.read;
-            let bytes_written = after.written - before.written;
-            before = after;
-            let connections_ended = after.ended + unseen;
-            self.say(&NodeMessage::Idle {
-                next: steps.next_due(),
-                read: bytes_read,
-                written: bytes_written,
-                ended: connections_ended,
+            unseen_ends = unseen_ends.max(ended.saturating_sub(after.ended));
+            self.send(&NodeMessage::Idle {
+                next: virtual_clock.next_due(),
+                read: after.read - before.read,
+                written: after.written - before.written,
+                ended: after.ended + unseen_ends,
             })?;
+            before = after;
         }
     }
 }
 
-/// Runs until no task is ready, no socket has news, no connection is being made, and this thread has read so many bytes
-/// and seen so many connections end since it began, if it ever does. To be called on the thread's runtime, from a task
-/// that [`activity`] does not count.
-pub async fn settle(read: u64, ended: u64) {
-    let mut looks = 0;
-    loop {
-        let mut quiet = 0;
-        while quiet < QUIET_TURNS {
-            let before = activity::snapshot().polls;
-            yield_now().await;
-            quiet = if activity::snapshot().polls == before {
-                quiet + 1
-            } else {
-                0
-            };
-        }
-        let so_far = activity::snapshot();
-        if looks >= LOOKS
-            || (so_far.read >= read && so_far.ended >= ended && so_far.connecting == 0)
-        {
+/// Runs until no task is ready, no socket has news, no connection is being established, and this thread has read
+/// `min_read` bytes and seen `min_ended` connections end since it began, or has checked for these often enough. To be
+/// called on the thread's runtime, from a task that [`activity`] does not count.
+pub async fn run_until_idle(min_read: u64, min_ended: u64) {
+    for _ in 0..MAX_ARRIVAL_CHECKS {
+        run_ready_tasks().await;
+        let counts = activity::snapshot();
+        if counts.read >= min_read && counts.ended >= min_ended && counts.connecting == 0 {
             return;
         }
-        looks += 1;
-        std::thread::sleep(REST);
+        std::thread::sleep(ARRIVAL_CHECK_INTERVAL);
+    }
+    run_ready_tasks().await;
+}
+
+/// Yields until no task was polled in [`IDLE_TURNS`] turns of the scheduler.
+async fn run_ready_tasks() {
+    let mut idle_turns = 0;
+    while idle_turns < IDLE_TURNS {
+        let polls_before = activity::snapshot().polls;
+        yield_now().await;
+        let was_idle = activity::snapshot().polls == polls_before;
+        idle_turns = if was_idle { idle_turns + 1 } else { 0 };
     }
 }
 
--- a/virtual-clock/src/control/tests.rs
+++ b/virtual-clock/src/control/tests.rs
@@ -29,7 +29,7 @@
         let clock = Clock::controlled(steps.clone());
         LocalSet::new().block_on(&runtime, async move {
             spawn(task(clock));
-            Control::connect(at)
+            ControlConnection::connect(at)
                 .unwrap()
                 .follow("n0", at, steps)
                 .await
@@ -112,7 +112,10 @@
     assert_eq!(step(&mut reader, 400, 2), idle(None, 0, 2));
     let began = std::time::Instant::now();
     assert_eq!(step(&mut reader, 500, 2), idle(None, 0, 2));
-    assert!(began.elapsed() < REST * LOOKS / 2, "waited again");
+    assert!(
+        began.elapsed() < ARRIVAL_CHECK_INTERVAL * MAX_ARRIVAL_CHECKS / 2,
+        "waited again"
+    );
     drop(reader);
     node.join().unwrap();
 }
@@ -120,5 +123,7 @@
 #[test]
 fn a_clock_is_given_into_no_other_hands() {
     let far = SocketAddr::from(([192, 0, 2, 1], 9));
-    assert!(matches!(Control::connect(far), Err(ControlError::Address(at)) if at == far));
+    assert!(
+        matches!(ControlConnection::connect(far), Err(ControlError::NotLoopback(at)) if at == far)
+    );
 }
--- a/virtual-clock/src/protocol.rs
+++ b/virtual-clock/src/protocol.rs
@@ -1,12 +1,12 @@
-//! The words on a control connection: one line each, in ASCII, ended by a line feed. Times are Unix times in
+//! The messages on a control connection: one line each, in ASCII, ended by a line feed. Times are Unix times in
 //! nanoseconds.
 //!
 //! ```text
-//! node: hello 2 n0 127.0.0.1:40123       its name and where it listens for clients; once, first
-//! kit:  step 1700000000000000000 312 4   run at this time, with so many bytes newly written to its sockets, and so
-//!                                        many connections ended since its start
-//! node: idle 1700000000010000000 312 87 4    next wait's end or "-"; bytes read and written in this step, and
-//!                                        connections that have ended since its start, by its own count
+//! node:       hello 2 n0 127.0.0.1:40123          its name and where it listens for clients; once, first
+//! controller: step 1700000000000000000 312 4      run at this time, with so many bytes newly written to its sockets,
+//!                                                 and so many connections ended since its start
+//! node:       idle 1700000000010000000 312 87 4   when its next timer is due, or "-"; bytes read and written in this
+//!                                                 step, and connections ended since its start, by its own count
 //! ```
 
 use std::fmt;
@@ -15,12 +15,12 @@
 
 use badgerpost_balancer::Nanos;
 
-/// The protocol's version; a peer of another one is turned down.
+/// The protocol's version; a peer of another one is rejected.
 pub const PROTOCOL_VERSION: u32 = 2;
-/// No line is longer.
+/// The most bytes of a line, its end included.
 pub const MAX_LINE_LENGTH: usize = 512;
 
-/// What a kit says.
+/// A message of the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControllerMessage {
     /// Run at this time until nothing is ready.
@@ -29,12 +29,12 @@
         now: Nanos,
         /// Bytes newly written to the node's sockets.
         bytes: u64,
-        /// Connections with the kit that have ended since the node's start, from whichever side.
+        /// Connections with the controller that have ended since the node's start, from whichever side.
         ended: u64,
     },
 }
 
-/// What a node says.
+/// A message of the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeMessage {
     /// The first line.
@@ -46,18 +46,18 @@
     },
     /// A step is done: nothing is ready any more.
     Idle {
-        /// When the node next waits for the time.
+        /// When the node's next timer is due.
         next: Option<Nanos>,
         /// Bytes that it has read from its sockets in this step.
         read: u64,
         /// Bytes that it has written to them.
         written: u64,
-        /// Connections with the kit that have ended since its start, from whichever side.
+        /// Connections with the controller that have ended since its start, from whichever side.
         ended: u64,
     },
 }
 
-/// A line that is none of these.
+/// A line that is not a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a line of the control protocol, version {PROTOCOL_VERSION}: {0:?}")]
 pub struct MalformedLine(pub String);
@@ -91,21 +91,22 @@
     }
 }
 
-fn words<const N: usize>(line: &str) -> Option<[&str; N]> {
-    let mut words = line.trim_end().split(' ');
-    let mut found = [""; N];
-    for word in &mut found {
-        *word = words.next()?;
+/// The fields of a line, which must have exactly so many.
+fn split_fields<const N: usize>(line: &str) -> Option<[&str; N]> {
+    let mut remaining = line.trim_end().split(' ');
+    let mut fields = [""; N];
+    for field in &mut fields {
+        *field = remaining.next()?;
     }
-    words.next().is_none().then_some(found)
+    remaining.next().is_none().then_some(fields)
 }
 
 impl FromStr for ControllerMessage {
     type Err = MalformedLine;
 
     fn from_str(line: &str) -> Result<Self, MalformedLine> {
-        let step = || {
-            let ["step", now, bytes, ended] = words(line)? else {
+        let parse = || {
+            let ["step", now, bytes, ended] = split_fields(line)? else {
                 return None;
             };
             Some(Self::Step {
@@ -114,7 +115,7 @@
                 ended: ended.parse().ok()?,
             })
         };
-        step().ok_or_else(|| MalformedLine(line.to_owned()))
+        parse().ok_or_else(|| MalformedLine(line.to_owned()))
     }
 }
 
@@ -122,8 +123,8 @@
     type Err = MalformedLine;
 
     fn from_str(line: &str) -> Result<Self, MalformedLine> {
-        let read = || match line.split(' ').next()? {
-            "hello" => match words(line)? {
+        let parse = || match line.split(' ').next()? {
+            "hello" => match split_fields(line)? {
                 [_, version, name, listen] if version.parse() == Ok(PROTOCOL_VERSION) => {
                     Some(Self::Hello {
                         name: name.to_owned(),
@@ -133,7 +134,7 @@
                 _ => None,
             },
             "idle" => {
-                let [_, next, read, written, ended] = words(line)?;
+                let [_, next, read, written, ended] = split_fields(line)?;
                 Some(Self::Idle {
                     next: if next == "-" {
                         None
@@ -147,7 +148,7 @@
             }
             _ => None,
         };
-        read().ok_or_else(|| MalformedLine(line.to_owned()))
+        parse().ok_or_else(|| MalformedLine(line.to_owned()))
     }
 }
 
