--- a/engine/src/clock.rs
+++ b/engine/src/clock.rs
@@ -25,18 +25,18 @@
     Virtual(Rc<VirtualClock>),
 }
 
-/// A wait's place in the queue of a [`VirtualClock`]: waits end by time, then in the order in which they began.
+/// A sleep's place in the queue of a [`VirtualClock`]: sleeps end by time, then in the order in which they began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct WaitKey {
+struct SleepKey {
     at: Nanos,
     number: u64,
 }
 
-/// A clock that moves only by [`advance`](Self::advance), and the waits on it.
+/// A clock that moves only by [`advance`](Self::advance), and the sleeps on it.
 pub struct VirtualClock {
     now: Cell<Nanos>,
-    waits: RefCell<BTreeMap<WaitKey, Waker>>,
-    next_wait_number: Cell<u64>,
+    sleepers: RefCell<BTreeMap<SleepKey, Waker>>,
+    next_sleep_number: Cell<u64>,
 }
 
 impl VirtualClock {
@@ -44,41 +44,41 @@
     pub fn at(now: Nanos) -> Rc<Self> {
         Rc::new(Self {
             now: Cell::new(now),
-            waits: RefCell::default(),
-            next_wait_number: Cell::new(0),
+            sleepers: RefCell::default(),
+            next_sleep_number: Cell::new(0),
         })
     }
 
-    /// When the next wait ends, if there is any.
-    pub fn next_due(&self) -> Option<Nanos> {
-        self.waits.borrow().keys().next().map(|key| key.at)
+    /// When the next sleep ends, if there is any.
+    pub fn next_deadline(&self) -> Option<Nanos> {
+        self.sleepers.borrow().keys().next().map(|key| key.at)
     }
 
-    /// Moves the clock forward to this time, and wakes the waits that are due, in order. A time in the past leaves
+    /// Moves the clock forward to this time, and wakes the sleeps that have ended, in order. A time in the past leaves
     /// the clock where it is.
     pub fn advance(&self, to: Nanos) {
         self.now.set(self.now.get().max(to));
-        // A waker may end other waits, so nothing is borrowed while it is called.
-        while let Some(waker) = self.take_due_waker() {
+        // A waker may end other sleeps, so nothing is borrowed while it is called.
+        while let Some(waker) = self.take_expired_waker() {
             waker.wake();
         }
     }
 
-    /// Removes the next wait if it is due.
-    fn take_due_waker(&self) -> Option<Waker> {
-        let mut waits = self.waits.borrow_mut();
-        let next = waits.first_entry()?;
+    /// Removes the next sleep from the queue if it has ended.
+    fn take_expired_waker(&self) -> Option<Waker> {
+        let mut sleepers = self.sleepers.borrow_mut();
+        let next = sleepers.first_entry()?;
         if next.key().at > self.now.get() {
             return None;
         }
         Some(next.remove())
     }
 
-    /// A place in the queue behind all other waits that end at this time.
-    fn next_wait_key(&self, at: Nanos) -> WaitKey {
-        let number = self.next_wait_number.get();
-        self.next_wait_number.set(number + 1);
-        WaitKey { at, number }
+    /// A place in the queue behind all other sleeps that end at this time.
+    fn new_sleep_key(&self, at: Nanos) -> SleepKey {
+        let number = self.next_sleep_number.get();
+        self.next_sleep_number.set(number + 1);
+        SleepKey { at, number }
     }
 }
 
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Limits `work` to this duration. Work that completes at that very moment is in time.
+    /// Limits a future to this duration. One that completes at that very moment is in time.
     ///
     /// # Errors
     ///
@@ -154,18 +154,18 @@
     pub async fn timeout<F: Future>(
         &self,
         duration: Duration,
-        work: F,
+        future: F,
     ) -> Result<F::Output, Elapsed> {
-        limit(work, self.sleep(duration)).await
+        limit(future, self.sleep(duration)).await
     }
 
-    /// Limits `work` until this time. Work that completes at that very moment is in time.
+    /// Limits a future until this time. One that completes at that very moment is in time.
     ///
     /// # Errors
     ///
     /// The time is up first.
-    pub async fn timeout_at<F: Future>(&self, at: Nanos, work: F) -> Result<F::Output, Elapsed> {
-        limit(work, self.sleep_until(at)).await
+    pub async fn timeout_at<F: Future>(&self, at: Nanos, future: F) -> Result<F::Output, Elapsed> {
+        limit(future, self.sleep_until(at)).await
     }
 }
 
@@ -180,11 +180,11 @@
     i64::try_from(difference).unwrap_or(if difference < 0 { i64::MIN } else { i64::MAX })
 }
 
-/// Awaits `work` for as long as `limit` takes.
-async fn limit<F: Future>(work: F, limit: Sleep) -> Result<F::Output, Elapsed> {
+/// Awaits a future for as long as `limit` takes.
+async fn limit<F: Future>(future: F, limit: Sleep) -> Result<F::Output, Elapsed> {
     tokio::select! {
         biased;
-        output = work => Ok(output),
+        output = future => Ok(output),
         () = limit => Err(Elapsed),
     }
 }
@@ -195,8 +195,8 @@
 pub struct Elapsed;
 
 pin_project_lite::pin_project! {
-    /// A wait on a [`Clock`].
-    #[must_use = "a wait does nothing unless it is awaited"]
+    /// A sleep on a [`Clock`].
+    #[must_use = "a sleep does nothing unless it is awaited"]
     pub struct Sleep {
         #[pin]
         kind: SleepKind,
@@ -207,27 +207,27 @@
     #[project = SleepKindProjection]
     enum SleepKind {
         System { #[pin] sleep: tokio::time::Sleep },
-        Virtual { wait: VirtualWait },
+        Virtual { sleep: VirtualSleep },
     }
 }
 
 impl Sleep {
-    /// A wait on the system's clock.
+    /// A sleep on the system's clock.
     fn system(sleep: tokio::time::Sleep) -> Self {
         Self {
             kind: SleepKind::System { sleep },
         }
     }
 
-    /// A wait on a virtual clock.
+    /// A sleep on a virtual clock.
     fn on(clock: Rc<VirtualClock>, at: Nanos) -> Self {
-        let wait = VirtualWait {
+        let sleep = VirtualSleep {
             clock,
             at,
             key: None,
         };
         Self {
-            kind: SleepKind::Virtual { wait },
+            kind: SleepKind::Virtual { sleep },
         }
     }
 }
@@ -238,20 +238,20 @@
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         match self.project().kind.project() {
             SleepKindProjection::System { sleep } => sleep.poll(cx),
-            SleepKindProjection::Virtual { wait } => wait.poll(cx),
+            SleepKindProjection::Virtual { sleep } => sleep.poll(cx),
         }
     }
 }
 
-/// A wait on a [`VirtualClock`]. It is queued from its first poll until it ends or is dropped.
-struct VirtualWait {
+/// A sleep on a [`VirtualClock`]. It is queued from its first poll until it ends or is dropped.
+struct VirtualSleep {
     clock: Rc<VirtualClock>,
     at: Nanos,
     /// None while not queued.
-    key: Option<WaitKey>,
+    key: Option<SleepKey>,
 }
 
-impl VirtualWait {
+impl VirtualSleep {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         if self.clock.now.get() >= self.at {
             self.dequeue();
@@ -259,20 +259,20 @@
         }
         let key = *self
             .key
-            .get_or_insert_with(|| self.clock.next_wait_key(self.at));
+            .get_or_insert_with(|| self.clock.new_sleep_key(self.at));
         let waker = cx.waker().clone();
-        self.clock.waits.borrow_mut().insert(key, waker);
+        self.clock.sleepers.borrow_mut().insert(key, waker);
         Poll::Pending
     }
 
     fn dequeue(&mut self) {
         if let Some(key) = self.key.take() {
-            self.clock.waits.borrow_mut().remove(&key);
+            self.clock.sleepers.borrow_mut().remove(&key);
         }
     }
 }
 
-impl Drop for VirtualWait {
+impl Drop for VirtualSleep {
     fn drop(&mut self) {
         self.dequeue();
     }
--- a/engine/src/clock/tests.rs
+++ b/engine/src/clock/tests.rs
@@ -17,18 +17,18 @@
     let mut long = Box::pin(clock.sleep(Duration::from_millis(5)));
     let mut short = Box::pin(clock.sleep_until(3 * MILLISECOND));
     assert!(!is_ready(&mut long) && !is_ready(&mut short));
-    assert_eq!(virtual_clock.next_due(), Some(3 * MILLISECOND));
+    assert_eq!(virtual_clock.next_deadline(), Some(3 * MILLISECOND));
     virtual_clock.advance(3 * MILLISECOND);
     assert!(is_ready(&mut short) && !is_ready(&mut long));
     assert_eq!(
-        (clock.now(), virtual_clock.next_due()),
+        (clock.now(), virtual_clock.next_deadline()),
         (3 * MILLISECOND, Some(6 * MILLISECOND))
     );
     // Never back.
     virtual_clock.advance(MILLISECOND);
     assert_eq!(clock.now(), 3 * MILLISECOND);
     drop(long);
-    assert_eq!(virtual_clock.next_due(), None);
+    assert_eq!(virtual_clock.next_deadline(), None);
 }
 
 #[test]
--- a/engine/src/driver.rs
+++ b/engine/src/driver.rs
@@ -138,7 +138,7 @@
     /// Handles all timers that are due.
     pub(crate) fn fire_timers(&mut self, pending_io: &mut PendingIo<P>) {
         let now = self.clock.now();
-        while let Some(purpose) = self.timers.take_due(now) {
+        while let Some(purpose) = self.timers.pop_expired(now) {
             match purpose {
                 TimerPurpose::ZoneMonitor => {
                     self.with_zone_monitoring(pending_io, ZoneMonitoring::on_timer);
--- a/engine/src/start_times.rs
+++ b/engine/src/start_times.rs
@@ -61,7 +61,7 @@
     listed_ms: u64,
     /// By the engine's clock.
     started_at: Signed,
-    seen_at: Signed,
+    first_listed_at: Signed,
     is_by_wall_clock: bool,
 }
 
@@ -115,7 +115,7 @@
             return None;
         }
         if !self.is_known(name, listed_ms) {
-            let start = self.judge(listed_ms, at);
+            let start = self.estimate(listed_ms, at);
             self.starts.insert(name.to_owned(), start);
         }
         let start = self.starts.get(name)?;
@@ -136,7 +136,8 @@
         known.is_some_and(|start| start.listed_ms == listed_ms)
     }
 
-    fn judge(&self, listed_ms: u64, at: ListTime) -> KnownStart {
+    /// A start that was not known before, with its time by the evidence that there is.
+    fn estimate(&self, listed_ms: u64, at: ListTime) -> KnownStart {
         let started = unix_time(listed_ms);
         let age = if at.is_first {
             self.age_in_first_list(started, at)
@@ -147,7 +148,7 @@
         KnownStart {
             listed_ms,
             started_at: now.saturating_sub(age.max(0)),
-            seen_at: now,
+            first_listed_at: now,
             is_by_wall_clock: at.is_first,
         }
     }
@@ -168,16 +169,16 @@
         let earliest = self.earliest_list_time(at);
         let behind = earliest.saturating_sub(at.wall_time());
         if behind > MAX_STEP_OF_SECONDS {
-            let an_hour_on = at.wall_time().saturating_add(HOUR);
-            return an_hour_on.max(earliest).saturating_sub(started);
+            let one_hour_later = at.wall_time().saturating_add(HOUR);
+            return one_hour_later.max(earliest).saturating_sub(started);
         }
         let age = at.wall_time().max(earliest).saturating_sub(started);
-        let an_hour_less = age.saturating_sub(HOUR);
-        let is_recent = (-HOUR_TOLERANCE..self.slow_start_duration).contains(&an_hour_less);
+        let age_less_one_hour = age.saturating_sub(HOUR);
+        let is_recent = (-HOUR_TOLERANCE..self.slow_start_duration).contains(&age_less_one_hour);
         // A later start than that shows that the clock is not an hour ahead.
         let may_be_ahead = behind <= HOUR_TOLERANCE - HOUR;
         if is_recent && may_be_ahead {
-            an_hour_less
+            age_less_one_hour
         } else {
             age
         }
@@ -192,8 +193,8 @@
     /// The wall clock has stepped back, and no start in the future proves it wrong: what it said of the first list's
     /// starts was too old by that much. One that steps forward tells nothing, as starts only become older by it.
     fn correct_for_step(&mut self, at: ListTime) {
-        let back = self.believed_lead.saturating_sub(at.wall_clock_lead);
-        if back < MIN_STEP || at.wall_time() < self.earliest_list_time(at) {
+        let stepped_back_by = self.believed_lead.saturating_sub(at.wall_clock_lead);
+        if stepped_back_by < MIN_STEP || at.wall_time() < self.earliest_list_time(at) {
             return;
         }
         self.believed_lead = at.wall_clock_lead;
@@ -201,9 +202,12 @@
         let recent = self
             .starts
             .values_mut()
-            .filter(|start| start.is_by_wall_clock && start.seen_at > oldest);
+            .filter(|start| start.is_by_wall_clock && start.first_listed_at > oldest);
         for start in recent {
-            start.started_at = start.started_at.saturating_add(back).min(start.seen_at);
+            start.started_at = start
+                .started_at
+                .saturating_add(stepped_back_by)
+                .min(start.first_listed_at);
         }
     }
 }
--- a/engine/src/tcp_stream.rs
+++ b/engine/src/tcp_stream.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Calls `write` until it does not say "not now", waiting for the socket in between.
+    /// Calls `write` until the socket takes bytes or fails, waiting for its readiness in between.
     fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
@@ -82,7 +82,7 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             let result = write(&self.0);
-            if !is_interrupted(&result) && !is_not_now(&result) {
+            if !is_interrupted(&result) && !would_block(&result) {
                 return Poll::Ready(result);
             }
         }
@@ -94,8 +94,8 @@
     matches!(result, Err(error) if error.kind() == io::ErrorKind::Interrupted)
 }
 
-/// Whether a call has done nothing, and an event tells when to make it again.
-fn is_not_now<T>(result: &io::Result<T>) -> bool {
+/// Whether a call has done nothing, and readiness is reported once it can be made again.
+fn would_block<T>(result: &io::Result<T>) -> bool {
     matches!(result, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
@@ -110,7 +110,7 @@
             ready!(self.0.poll_read_ready(cx))?;
             // Unlike `poll_read`, this clears the readiness only when there is nothing to read.
             let result = self.0.try_read(buffer.initialize_unfilled_to(size));
-            if is_interrupted(&result) || is_not_now(&result) {
+            if is_interrupted(&result) || would_block(&result) {
                 continue;
             }
             buffer.advance(result?);
@@ -139,9 +139,9 @@
     fn poll_write_vectored(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        parts: &[IoSlice<'_>],
+        slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_write_with(cx, |socket| socket.try_write_vectored(parts))
+        self.poll_write_with(cx, |socket| socket.try_write_vectored(slices))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/engine/src/timers.rs
+++ b/engine/src/timers.rs
@@ -41,7 +41,7 @@
     }
 
     /// Removes the next timer and returns its purpose, if it is due.
-    pub(crate) fn take_due(&mut self, now: Nanos) -> Option<TimerPurpose> {
+    pub(crate) fn pop_expired(&mut self, now: Nanos) -> Option<TimerPurpose> {
         if self.next_at().is_none_or(|at| at > now) {
             return None;
         }
--- a/engine/src/zone_monitoring.rs
+++ b/engine/src/zone_monitoring.rs
@@ -84,6 +84,12 @@
     pub(crate) timer: Option<TimerChange>,
 }
 
+impl ZoneOutput {
+    fn notify_balancer(&mut self, event: BalancerEvent) {
+        self.balancer_events.push(event);
+    }
+}
+
 /// A timer that replaces an earlier one.
 pub(crate) struct TimerChange {
     /// When it fires.
@@ -256,20 +262,12 @@
     fn apply(&mut self, action: &Action, output: &mut ZoneOutput) {
         match *action {
             Action::SetShare { zone, share } => {
-                output
-                    .balancer_events
-                    .push(BalancerEvent::ZoneShareChanged {
-                        zone: ZoneId(zone.0),
-                        share,
-                    });
+                let zone = ZoneId(zone.0);
+                output.notify_balancer(BalancerEvent::ZoneShareChanged { zone, share });
             }
             Action::RequestProbe { zone, timeout } => {
-                output
-                    .balancer_events
-                    .push(BalancerEvent::ZoneProbeRequested {
-                        zone: ZoneId(zone.0),
-                        timeout,
-                    });
+                let zone = ZoneId(zone.0);
+                output.notify_balancer(BalancerEvent::ZoneProbeRequested { zone, timeout });
             }
             Action::Gossip {
                 zone,
--- a/virtual-clock/src/control.rs
+++ b/virtual-clock/src/control.rs
@@ -152,7 +152,7 @@
             let after = activity::snapshot();
             unseen_ends = unseen_ends.max(ended.saturating_sub(after.ended));
             self.send(&NodeMessage::Idle {
-                next: virtual_clock.next_due(),
+                next: virtual_clock.next_deadline(),
                 read: after.read - before.read,
                 written: after.written - before.written,
                 ended: after.ended + unseen_ends,
