--- a/adapters/admin/src/connections.rs
+++ b/adapters/admin/src/connections.rs
@@ -68,3 +68,6 @@
             .retain(|connection| connection.id != self.id);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/daemon/src/background_tasks.rs
+++ b/daemon/src/background_tasks.rs
@@ -53,3 +53,6 @@
         Err(error) => tracing::error!(task, %error, "task panicked"),
     }
 }
+
+#[cfg(test)]
+mod tests;
