--- a/adapters/admin/src/api.rs
+++ b/adapters/admin/src/api.rs
@@ -12,9 +12,9 @@
 use hyper::{Method, Request, Response, StatusCode};
 use tokio::sync::mpsc;
 
+use crate::lifecycle_handle::LifecycleHandle;
 use crate::metrics_page::metrics_page;
-use crate::zone_override::parse_zone_override;
-use crate::{LifecycleHandle, ZoneOverrideCommand};
+use crate::zone_override::{ZoneOverrideCommand, parse_zone_override};
 
 /// What the console reads of its node, and what it acts on.
 pub struct AdminApi {
--- a/adapters/admin/src/server.rs
+++ b/adapters/admin/src/server.rs
@@ -14,7 +14,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::task::{LocalSet, spawn_local};
 
-use crate::AdminApi;
+use crate::api::AdminApi;
 use crate::connections::{ConnectionSlot, Connections};
 
 /// A connection is closed after this long, whatever its client does: clients wait for one second.
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -15,6 +15,9 @@
 pub use operator::{LogFormat, OperatorConfig, VirtualClockConfig};
 pub use platform::{ConnectionLimits, PlatformConfig};
 
+use loopback::check_loopback;
+use summary::{operator_summary, platform_summary};
+
 /// Both files, checked.
 pub struct Config {
     /// The platform's.
@@ -55,8 +58,15 @@
             )?;
         }
         if self.operator.virtual_clock.is_some() {
-            self.check_loopback()?;
+            check_loopback(&self.platform, &self.operator)?;
         }
         Ok(())
     }
+
+    /// What would run with this configuration, in lines for people.
+    pub fn summary(&self) -> Vec<String> {
+        let mut lines = platform_summary(&self.platform);
+        lines.extend(operator_summary(&self.operator));
+        lines
+    }
 }
--- a/daemon/src/config/platform.rs
+++ b/daemon/src/config/platform.rs
@@ -7,7 +7,7 @@
 use badgerpost_settings::Site;
 use serde::Deserialize;
 
-use super::ConfigError;
+use super::error::ConfigError;
 
 /// The fewest descriptors that a node works with.
 const MIN_DESCRIPTORS: usize = 32;
--- a/daemon/src/handover/predecessor.rs
+++ b/daemon/src/handover/predecessor.rs
@@ -9,12 +9,12 @@
 use tokio::net::{UnixListener, UnixStream};
 
 use super::connection::HandoverConnection;
-use super::{EXCHANGE_TIMEOUT, Handover};
+use super::context::{EXCHANGE_TIMEOUT, HandoverContext};
 
 /// Wait before the next accept after one failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-impl Handover {
+impl HandoverContext {
     /// Opens the Unix socket to which successors connect.
     pub(super) fn open_unix_listener(&self) -> Option<UnixListener> {
         // What is there is of a version that has ended, or that knows of this one already.
--- a/daemon/src/handover/successor.rs
+++ b/daemon/src/handover/successor.rs
@@ -7,7 +7,7 @@
 use tokio::net::UnixStream;
 
 use super::connection::HandoverConnection;
-use super::{EXCHANGE_TIMEOUT, Handover};
+use super::context::{EXCHANGE_TIMEOUT, HandoverContext};
 
 /// A listening socket from the predecessor, and the connection that shows when the predecessor has ended.
 pub struct ReceivedListener {
@@ -27,9 +27,9 @@
     Failed,
 }
 
-impl Handover {
-    /// Requests the listening socket of the version that runs already, if there is one.
-    pub async fn request_listener(&self) -> Option<ReceivedListener> {
+impl HandoverContext {
+    /// Requests the predecessor's listening socket, if there is a predecessor.
+    pub(super) async fn request_listener(&self) -> Option<ReceivedListener> {
         let mut connection = HandoverConnection::new(self.connect().await?);
         let mut successor = Successor::new(self.listen);
         let mut timeout = std::pin::pin!(self.clock.sleep(EXCHANGE_TIMEOUT));
--- a/daemon/src/node/client_listener.rs
+++ b/daemon/src/node/client_listener.rs
@@ -6,7 +6,7 @@
 use badgerpost_engine::Clock;
 use tokio::net::TcpListener;
 
-use super::NodeError;
+use super::error::NodeError;
 use crate::config::PlatformConfig;
 use crate::descriptor_quota::DescriptorQuota;
 use crate::handover::{Handover, ReceivedListener};
--- a/daemon/src/node/console.rs
+++ b/daemon/src/node/console.rs
@@ -9,7 +9,7 @@
 use badgerpost_http::HttpEngine;
 use tokio::sync::mpsc;
 
-use super::NodeError;
+use super::error::NodeError;
 use crate::background_tasks::BackgroundTasks;
 use crate::listening::retry_transient;
 
--- a/daemon/src/node/postgres.rs
+++ b/daemon/src/node/postgres.rs
@@ -14,7 +14,7 @@
 use badgerpost_postgres::upstream::PostgresTransport;
 use tokio::sync::watch;
 
-use super::NodeError;
+use super::error::NodeError;
 use crate::background_tasks::BackgroundTasks;
 use crate::config::ConfigError;
 use crate::listening::listen;
--- a/daemon/src/node/startup.rs
+++ b/daemon/src/node/startup.rs
@@ -19,9 +19,9 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::NodeError;
 use super::client_listener::ClientListener;
 use super::console::start_console;
+use super::error::NodeError;
 use super::lifecycle_timers::run_lifecycle_timers;
 use super::postgres::start_postgres;
 use super::reload::reload_on_signal;
--- a/engine/src/event_log.rs
+++ b/engine/src/event_log.rs
@@ -70,7 +70,7 @@
     tracing::warn!(
         target: LOG_TARGET,
         request = client_id,
-        reason = "the module left it open",
+        reason = "the balancer left it open",
         "request failed at its deadline"
     );
 }
