--- a/adapters/http/src/lib.rs
+++ b/adapters/http/src/lib.rs
@@ -2,17 +2,27 @@
 //! ([`discovery`]) on sockets. What is sent where, again or not at all, the engine's module decides.
 
 mod answer;
+mod api;
+mod api_request;
+mod bad_request;
 mod client_connection;
+mod client_response;
 mod connection_ages;
 mod connection_limiter;
+mod connection_state;
 pub mod discovery;
 pub mod endpoint_list;
 mod headers;
 pub mod memory_budget;
 mod observed_stream;
 mod poll_schedule;
+mod request_body;
 mod request_queue;
+mod routes;
 pub mod server;
+mod server_context;
+mod timeouts;
+mod tracked_connection;
 mod upload;
 pub mod upstream;
 
@@ -47,5 +57,3 @@
 
 /// The engine of an HTTP fleet.
 pub type HttpEngine = Engine<Http>;
-type Launch = badgerpost_engine::AttemptCommand<Http>;
-type Ending = badgerpost_engine::AttemptEnd<answer::BackendResponse>;
--- a/balancer/src/backend.rs
+++ b/balancer/src/backend.rs
@@ -1,4 +1,4 @@
-//! One backend as this node sees it: its list entry, own requests in flight and measured figures.
+//! One backend as this node sees it: its list entry, this node's requests in flight there, and measured figures.
 //!
 //! Ejection, warm-up sends and load feedback keep their per-backend state in types of their own.
 
@@ -13,7 +13,7 @@
 const MAX_UTILIZATION: f64 = 1.5;
 /// Least weight of one utilization sample, so that quick reports are not lost.
 const UTILIZATION_MIN_WEIGHT: f64 = 0.05;
-/// Time constant of slowness: tens of answers, yet within a noisy neighbour's seconds on and off.
+/// Time constant of slowness: tens of answers, yet shorter than the seconds for which a noisy neighbour is active.
 const SLOWNESS_TIME_CONSTANT: Nanos = SECOND;
 /// Least weight of one slowness sample.
 const SLOWNESS_MIN_WEIGHT: f64 = 0.1;
@@ -27,7 +27,7 @@
     in_flight: u32,
     utilization: Ewma,
     slowness: Ewma,
-    served_work: DecayingRate,
+    throughput: DecayingRate,
     subset_rank: u64,
     warming_sends: WarmingSends,
     health_checked_at: Option<Nanos>,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes over a new list entry; a changed start time means a new process, of which nothing is known.
+    /// Replaces its list entry; a changed start time means a new process, of which nothing is known.
     pub(crate) fn update_entry(
         &mut self,
         entry: Endpoint,
@@ -89,7 +89,7 @@
         self.entry.state == EndpointState::InService
     }
 
-    /// Own requests that it works on.
+    /// This node's requests that it works on.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight
     }
@@ -99,7 +99,7 @@
         self.subset_rank
     }
 
-    /// Work sent there while it warms up.
+    /// Requests sent there while it warms up.
     pub(crate) fn warming_sends(&self) -> &WarmingSends {
         &self.warming_sends
     }
@@ -114,9 +114,9 @@
         &self.slowness
     }
 
-    /// Work that it has served for this node per second, in nanoseconds on a standard core.
-    pub(crate) fn served_work(&self, now: Nanos) -> f64 {
-        self.served_work.per_second(now)
+    /// Service time that it completes for this node per second, in nanoseconds on a standard core.
+    pub(crate) fn throughput(&self, now: Nanos) -> f64 {
+        self.throughput.per_second(now)
     }
 
     /// When its health was last checked.
@@ -129,21 +129,22 @@
         let Some(started_at) = self.entry.started_at else {
             return 1.0;
         };
-        let age = now.saturating_sub(started_at) as f64 / rules.slow_start_duration.max(1) as f64;
-        (rules.slow_start_capacity + (1.0 - rules.slow_start_capacity) * age)
-            .clamp(MIN_WARM_UP_FRACTION, 1.0)
+        let age = now.saturating_sub(started_at) as f64;
+        let progress = age / rules.slow_start_duration.max(1) as f64;
+        let initial = rules.slow_start_capacity;
+        (initial + (1.0 - initial) * progress).clamp(MIN_WARM_UP_FRACTION, 1.0)
     }
 
-    /// Counts a request that it starts to work on; while it warms up, its work counts against the budget.
-    pub(crate) fn start_request(&mut self, now: Nanos, rules: &SafetyLimits, work: f64) {
+    /// Counts a request that it starts to work on; while it warms up, the request is charged to its budget.
+    pub(crate) fn start_request(&mut self, now: Nanos, rules: &SafetyLimits, cost: f64) {
         self.in_flight += 1;
-        self.record_slow_start_work(now, rules, work);
+        self.charge_slow_start_budget(now, rules, cost);
     }
 
-    /// Counts work against the slow-start budget, if the backend is warming up.
-    pub(crate) fn record_slow_start_work(&mut self, now: Nanos, rules: &SafetyLimits, work: f64) {
+    /// Charges a send to the slow-start budget if the backend is warming up; `cost` is its service time.
+    pub(crate) fn charge_slow_start_budget(&mut self, now: Nanos, rules: &SafetyLimits, cost: f64) {
         if self.warm_up_fraction(now, rules) < 1.0 {
-            self.warming_sends.record(now, work);
+            self.warming_sends.record(now, cost);
         }
     }
 
@@ -158,12 +159,12 @@
         self.health_checked_at = Some(now.max(1));
     }
 
-    /// Takes a load report in; impossible figures are passed over.
+    /// Records a load report; impossible figures are ignored.
     pub(crate) fn record_report(&mut self, now: Nanos, report: LoadReport) {
-        if let Some(utilization) = report
+        let plausible = report
             .utilization
-            .filter(|value| (0.0..=MAX_UTILIZATION).contains(value))
-        {
+            .filter(|value| (0.0..=MAX_UTILIZATION).contains(value));
+        if let Some(utilization) = plausible {
             self.record_utilization(now, utilization);
         }
     }
@@ -184,12 +185,12 @@
             .update(now, slowness, SLOWNESS_TIME_CONSTANT, SLOWNESS_MIN_WEIGHT);
     }
 
-    /// Adds work that it has served.
-    pub(crate) fn record_served_work(&mut self, now: Nanos, work: f64) {
-        self.served_work.add(now, work);
+    /// Adds the service time of a request that it has served.
+    pub(crate) fn record_throughput(&mut self, now: Nanos, service_time: f64) {
+        self.throughput.add(now, service_time);
     }
 
-    /// Forgets failures and slowness, as they were the fault of its zone, which is open again.
+    /// Forgets failures and slowness: its zone caused them, and takes requests again.
     pub(crate) fn reset_after_zone_reopened(&mut self) {
         self.outlier.reset();
         self.slowness = Ewma::default();
--- a/core/postgres-session/src/server_messages.rs
+++ b/core/postgres-session/src/server_messages.rs
@@ -8,7 +8,7 @@
 use bytes::{BufMut, BytesMut};
 
 use crate::frame::Frame;
-use crate::message_tags::backend;
+use crate::message_tags::{authentication, backend};
 
 /// Why a client gets an error of this process's own instead of a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,13 +27,13 @@
     /// The transaction has failed; only its end is accepted.
     InFailedTransaction,
     /// This process is shutting down; the session ends.
-    Stopping,
+    ShuttingDown,
     /// The client does not follow the protocol; the session ends.
-    Protocol,
+    ProtocolViolation,
     /// Authentication failed; the session ends.
-    Identity,
+    AuthenticationFailed,
     /// The client is not authorized; the session ends.
-    NotAllowed,
+    NotAuthorized,
     /// The limit of client connections is reached; the session ends.
     TooManyClients,
     /// No server can be reached; the session ends.
@@ -56,13 +56,13 @@
             // in_failed_sql_transaction
             Self::InFailedTransaction => "25P02",
             // admin_shutdown
-            Self::Stopping => "57P01",
+            Self::ShuttingDown => "57P01",
             // protocol_violation
-            Self::Protocol => "08P01",
+            Self::ProtocolViolation => "08P01",
             // invalid_password
-            Self::Identity => "28P01",
+            Self::AuthenticationFailed => "28P01",
             // invalid_authorization_specification
-            Self::NotAllowed => "28000",
+            Self::NotAuthorized => "28000",
             Self::TooManyClients => "53300",
             // cannot_connect_now
             Self::NoServer => "57P03",
@@ -76,10 +76,10 @@
     pub fn is_fatal(self) -> bool {
         matches!(
             self,
-            Self::Stopping
-                | Self::Protocol
-                | Self::Identity
-                | Self::NotAllowed
+            Self::ShuttingDown
+                | Self::ProtocolViolation
+                | Self::AuthenticationFailed
+                | Self::NotAuthorized
                 | Self::TooManyClients
                 | Self::NoServer
         )
@@ -96,10 +96,10 @@
             Self::InFailedTransaction => {
                 "current transaction is aborted, commands ignored until end of transaction block"
             }
-            Self::Stopping => "terminating connection: the node stops",
-            Self::Protocol => "the message does not belong here",
-            Self::Identity => "authentication failed",
-            Self::NotAllowed => "this client may not come here",
+            Self::ShuttingDown => "terminating connection: the node stops",
+            Self::ProtocolViolation => "the message does not belong here",
+            Self::AuthenticationFailed => "authentication failed",
+            Self::NotAuthorized => "this client may not come here",
             Self::TooManyClients => "sorry, too many clients already",
             Self::NoServer => "the database system is not reachable now",
             Self::Unsupported => "this is not supported by the node",
@@ -149,13 +149,38 @@
     for (code, text) in fields {
         if let Some(text) = text {
             // A zero would end the field early.
-            put_field(&mut body, code, &text.replace('\0', ""));
+            write_field(&mut body, code, &text.replace('\0', ""));
         }
     }
     body.put_u8(0);
     Frame::new(backend::ERROR_RESPONSE, body.freeze())
 }
 
+/// A server's `ErrorResponse`, as far as this process reads it. Bytes that are no UTF-8 are replaced.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ServerError {
+    /// Its SQLSTATE; empty if there is none.
+    pub code: String,
+    /// Its message; empty if there is none.
+    pub message: String,
+}
+
+impl ServerError {
+    /// Reads an `ErrorResponse`.
+    #[must_use]
+    pub fn read(error: &Frame) -> Self {
+        let field = |wanted: u8| {
+            let mut fields = error.body.split(|byte| *byte == 0);
+            let text = fields.find_map(|field| field.strip_prefix(&[wanted]));
+            String::from_utf8_lossy(text.unwrap_or_default()).into_owned()
+        };
+        Self {
+            code: field(error_field::CODE),
+            message: field(error_field::MESSAGE),
+        }
+    }
+}
+
 /// A server's `ErrorResponse` with the severity of one that ends the session.
 #[must_use]
 pub fn with_fatal_severity(error: &Frame) -> Frame {
@@ -187,7 +212,7 @@
     let mut body = BytesMut::new();
     for field in error.body.split(|byte| *byte == 0) {
         if let Some((code, text)) = field.split_first() {
-            put_field(
+            write_field(
                 &mut body,
                 *code,
                 &change(*code, &String::from_utf8_lossy(text)),
@@ -198,7 +223,7 @@
     Frame::new(error.tag, body.freeze())
 }
 
-fn put_field(body: &mut BytesMut, code: u8, text: &str) {
+fn write_field(body: &mut BytesMut, code: u8, text: &str) {
     body.put_u8(code);
     body.put_slice(text.as_bytes());
     body.put_u8(0);
@@ -240,6 +265,30 @@
     }
 }
 
+/// `AuthenticationOk`.
+#[must_use]
+pub fn authentication_ok() -> Frame {
+    authentication_request(authentication::OK, &[])
+}
+
+/// An authentication message with this code; see [`authentication`].
+#[must_use]
+pub fn authentication_request(code: u32, data: &[u8]) -> Frame {
+    Frame::new(
+        backend::AUTHENTICATION,
+        [&code.to_be_bytes(), data].concat(),
+    )
+}
+
+/// `BackendKeyData` with the key by which a client cancels what runs in its session.
+#[must_use]
+pub fn backend_key_data(process_id: u32, secret_key: [u8; 4]) -> Frame {
+    Frame::new(
+        backend::BACKEND_KEY_DATA,
+        [process_id.to_be_bytes(), secret_key].concat(),
+    )
+}
+
 /// `CommandComplete` with this command tag.
 #[must_use]
 pub fn command_complete(command_tag: &str) -> Frame {
@@ -270,6 +319,13 @@
             value: strings.next()?,
         })
     }
+
+    /// The message that reports this value.
+    #[must_use]
+    pub fn to_frame(&self) -> Frame {
+        let body = format!("{}\0{}\0", self.name, self.value).into_bytes();
+        Frame::new(backend::PARAMETER_STATUS, body)
+    }
 }
 
 #[cfg(test)]
--- a/daemon/src/config/loopback.rs
+++ b/daemon/src/config/loopback.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use badgerpost_http::endpoint_list::List;
+use badgerpost_http::endpoint_list::EndpointList;
 
 use super::error::ConfigError;
 use super::operator::OperatorConfig;
@@ -52,7 +52,7 @@
     platform
         .known
         .iter()
-        .flat_map(List::endpoints)
+        .flat_map(EndpointList::endpoints)
         .map(|(name, address)| (format!("the known server {name}"), address))
 }
 
--- a/daemon/src/config/platform.rs
+++ b/daemon/src/config/platform.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use badgerpost_http::endpoint_list::List;
+use badgerpost_http::endpoint_list::EndpointList;
 use badgerpost_settings::Site;
 use serde::Deserialize;
 
@@ -39,7 +39,7 @@
     seed: String,
     limits: ResourceLimits,
     /// The endpoint list as the node last had it.
-    pub known: Option<List>,
+    pub known: Option<EndpointList>,
     settings: serde_json::Value,
 }
 
--- a/daemon/src/node/postgres.rs
+++ b/daemon/src/node/postgres.rs
@@ -40,7 +40,7 @@
     } else {
         EndpointUpdate::Snapshot
     };
-    engine.endpoints_updated(update, &config.listed());
+    engine.endpoints_updated(update, &config.endpoints());
     let timers = engine.clone();
     tasks.spawn("PostgreSQL engine timers", async move {
         timers.run_timers().await;
--- a/daemon/src/node/shutdown.rs
+++ b/daemon/src/node/shutdown.rs
@@ -57,7 +57,7 @@
     /// Set to true as the node stops, for parts that don't follow the lifecycle.
     pub stopping: watch::Sender<bool>,
     /// When the last response has to have left; none until the node stops.
-    pub last_response_at: Rc<Cell<Option<Nanos>>>,
+    pub respond_by: Rc<Cell<Option<Nanos>>>,
     /// The longest that a client of any class waits.
     pub longest_deadline: Duration,
     /// The HTTP server.
@@ -71,8 +71,8 @@
     pub async fn run(self) {
         // What comes until then is answered by then, also where no backend answers this node.
         let grace = self.longest_deadline.min(MAX_COUNTED_DEADLINE) + LAST_RESPONSE_GRACE;
-        let last_response_at = self.clock.now().saturating_add(nanos(grace));
-        self.last_response_at.set(Some(last_response_at));
+        let respond_by = self.clock.now().saturating_add(nanos(grace));
+        self.respond_by.set(Some(respond_by));
         self.lifecycle.handle(Event::Stop);
         self.stopping.send_replace(true);
         let mut stage = self.lifecycle.stage();
--- a/daemon/src/node/startup.rs
+++ b/daemon/src/node/startup.rs
@@ -11,7 +11,7 @@
 use badgerpost_gossip::{GossipService, LocalMember};
 use badgerpost_http::discovery::EndpointWatcher;
 use badgerpost_http::memory_budget::MemoryBudget;
-use badgerpost_http::server::{self, Limits, ServerHandle};
+use badgerpost_http::server::{self, ServerHandle, ServerLimits};
 use badgerpost_http::upstream::HttpTransport;
 use badgerpost_http::{Http, HttpEngine};
 use badgerpost_settings::Site;
@@ -197,16 +197,16 @@
         client_listener: ClientListener,
     ) -> Result<Shutdown, NodeError> {
         let longest_deadline = engine.longest_deadline();
-        let last_response_at = Rc::new(Cell::new(None));
+        let respond_by = Rc::new(Cell::new(None));
         let handle = ServerHandle {
             stage: self.lifecycle.stage(),
             ready_by: self.clock.now().saturating_add(nanos(READY_TIMEOUT)),
-            leaves: last_response_at.clone(),
+            respond_by: respond_by.clone(),
             accepts: self.lifecycle.accepts(),
         };
-        let limits = Limits {
-            clients: self.quota.clients.clone(),
-            bodies: self.memory_budget.clone(),
+        let limits = ServerLimits {
+            max_connections: self.quota.clients.clone(),
+            memory_budget: self.memory_budget.clone(),
         };
         let http_server = spawn(server::run(
             client_listener.listener,
@@ -223,7 +223,7 @@
             clock: self.clock.clone(),
             lifecycle: self.lifecycle.clone(),
             stopping: self.stopping.clone(),
-            last_response_at,
+            respond_by,
             longest_deadline,
             http_server,
             postgres_server,
