--- a/adapters/http/src/api.rs
+++ b/adapters/http/src/api.rs
@@ -52,7 +52,7 @@
         class: class.id,
         tenant: parameters.tenant,
         affinity_key: parameters.affinity_key,
-        expected_work: parameters.expected_work,
+        expected_service_time: parameters.expected_work,
         is_retry: parameters.is_retry,
         budget: submission.remaining_budget(),
         payload: ForwardedRequest {
--- a/adapters/postgres/src/relay/transactions.rs
+++ b/adapters/postgres/src/relay/transactions.rs
@@ -71,7 +71,7 @@
             class: class.id,
             tenant: None,
             affinity_key: None,
-            expected_work: None,
+            expected_service_time: None,
             is_retry: false,
             budget: class.deadline,
             payload: request,
--- a/engine/src/driver/requests.rs
+++ b/engine/src/driver/requests.rs
@@ -34,7 +34,7 @@
             request,
             class: incoming.class,
             affinity_key: incoming.affinity_key,
-            expected_service_time: incoming.expected_work,
+            expected_service_time: incoming.expected_service_time,
             is_retry: incoming.is_retry,
             tenant: incoming.tenant,
             expires_at,
--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -97,7 +97,7 @@
         class: ClassId(0),
         tenant: None,
         affinity_key: None,
-        expected_work: None,
+        expected_service_time: None,
         is_retry: false,
         budget,
         payload: (),
--- a/engine/src/protocol.rs
+++ b/engine/src/protocol.rs
@@ -24,7 +24,7 @@
     /// A hash of the name of what the request is about ([`badgerpost_settings::name_hash`]).
     pub affinity_key: Option<u64>,
     /// The client's estimate of the time that a backend works on the request.
-    pub expected_work: Option<Nanos>,
+    pub expected_service_time: Option<Nanos>,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
     /// How long the client waits from now on.
