--- a/adapters/admin/src/lib.rs
+++ b/adapters/admin/src/lib.rs
@@ -1,5 +1,6 @@
-//! The operators' console: HTTP/1.1, one request to a connection. It runs on a thread and runtime of its own, reads what
-//! the node publishes and passes events to the lifecycle, so that no request waits for the thread that serves clients.
+//! The operators' console: HTTP/1.1, one request to a connection. It runs on a thread and runtime of its own, reads
+//! what the node publishes and passes events to the lifecycle, so that no request waits for the thread that serves
+//! clients.
 //!
 //! | request | what it does |
 //! | --- | --- |
--- a/adapters/gossip/src/lib.rs
+++ b/adapters/gossip/src/lib.rs
@@ -1,5 +1,6 @@
-//! Gossip between the nodes of a fleet: one socket for datagrams, the membership of `core/membership` behind it, and the
-//! observations that zone monitoring exchanges through it. Off unless the operators' own file has a section `[peers]`.
+//! Gossip between the nodes of a fleet: one socket for datagrams, the membership of `core/membership` behind it, and
+//! the observations that zone monitoring exchanges through it. Off unless the operators' own file has a section
+//! `[peers]`.
 
 mod config;
 mod service;
--- a/daemon/src/handover.rs
+++ b/daemon/src/handover.rs
@@ -1,5 +1,5 @@
-//! Handover of the listening socket between the versions of a node, over a Unix socket in `$TMPDIR` that they share. Runs
-//! the state machines of `badgerpost-socket-handover`; nothing is decided here.
+//! Handover of the listening socket between the versions of a node, over a Unix socket in `$TMPDIR` that they share.
+//! Runs the state machines of `badgerpost-socket-handover`; nothing is decided here.
 //!
 //! No failure here keeps a node from starting: it is logged, and the process listens beside the other one.
 
--- a/engine/src/backends.rs
+++ b/engine/src/backends.rs
@@ -205,10 +205,10 @@
         Some(id)
     }
 
-    /// The number of names and the number of entries. They differ only if something was left behind.
+    /// Whether neither a name nor an entry is left.
     #[cfg(test)]
-    pub(crate) fn counts(&self) -> (usize, usize) {
-        (self.ids.len(), self.entries.len())
+    pub(crate) fn is_empty(&self) -> bool {
+        self.ids.is_empty() && self.entries.is_empty()
     }
 }
 
--- a/engine/src/clock.rs
+++ b/engine/src/clock.rs
@@ -112,8 +112,8 @@
         }
     }
 
-    /// By how many nanoseconds the wall clock is ahead of this one now; negative where it is behind. It may have stepped
-    /// since the start.
+    /// By how many nanoseconds the wall clock is ahead of this one now; negative where it is behind. It may have
+    /// stepped since the start.
     pub(crate) fn wall_clock_lead(&self) -> i64 {
         match &self.0 {
             Source::System { .. } => signed_difference(unix_time(), self.now()),
--- a/engine/src/driver/queries.rs
+++ b/engine/src/driver/queries.rs
@@ -72,8 +72,8 @@
             .requests
             .get(attempt.request)
             .is_some_and(|request| request.is_awaited(now));
-        // Nothing of the grace period is used on purpose: it covers what the backend's drain takes to be known here, and
-        // a node that is held up before its bytes go out.
+        // Nothing of the grace period is used on purpose: it covers what the backend's drain takes to be known here,
+        // and a node that is held up before its bytes go out.
         let accepts_requests = self
             .backends
             .get(attempt.backend)
--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -306,6 +306,6 @@
     let open = driver.requests.len();
     assert_eq!(reserved, ids.recently_ended.len() + open);
     assert!(reserved <= MAX_RECENT_IDS + 1 + open, "{reserved}");
-    assert_eq!(driver.backends.counts(), (0, 0));
+    assert!(driver.backends.is_empty());
     assert!(open <= 1, "{open} requests");
 }
--- a/engine/src/start_times.rs
+++ b/engine/src/start_times.rs
@@ -3,16 +3,17 @@
 //!
 //! The evidence, from the strongest:
 //!
-//! 1. A start that was seen before keeps its time, whatever any clock says later, also if its backend has left the list
-//!    meanwhile.
+//! 1. A start that was seen before keeps its time, whatever any clock says later, also if its backend has left the
+//!    list meanwhile.
 //! 2. A list can't name a start that lies in the future: the latest start that was ever listed bounds the time of
-//!    whoever wrote the list from below. A start that is new in a change is as old as it is by that bound at least, and
-//!    is not taken for older. Only where the wall clock makes it younger, and not a start in the future, it is believed.
-//! 3. The first list has no list before it to tell new starts from old ones. There the wall clock is believed, unless a
-//!    start in the future proves that it is behind. One that is behind by more than a minute is taken for an hour
-//!    behind; and a start of just over an hour ago for a recent one that is seen by a clock an hour ahead, since next to
-//!    nothing starts in these few seconds by chance. A clock that turns out to have been ahead makes starts of the first
-//!    list younger while their backends may still be in slow start.
+//!    whoever wrote the list from below. A start that is new in a change is as old as it is by that bound at least,
+//!    and is not taken for older. Only where the wall clock makes it younger, and not a start in the future, it is
+//!    believed.
+//! 3. The first list has no list before it to tell new starts from old ones. There the wall clock is believed, unless
+//!    a start in the future proves that it is behind. One that is behind by more than a minute is taken for an hour
+//!    behind; and a start of just over an hour ago for a recent one that is seen by a clock an hour ahead, since next
+//!    to nothing starts in these few seconds by chance. A clock that turns out to have been ahead makes starts of the
+//!    first list younger while their backends may still be in slow start.
 
 use std::collections::HashMap;
 
--- a/engine/src/tcp_stream.rs
+++ b/engine/src/tcp_stream.rs
@@ -53,7 +53,8 @@
         self.0.set_zero_linger()
     }
 
-    /// Waits until there is something to read, and reads nothing. Returns the number of bytes seen, 0 at the peer's end.
+    /// Waits until there is something to read, and reads nothing. Returns the number of bytes seen, 0 at the peer's
+    /// end.
     pub fn poll_peek(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         let mut seen = ReadBuf::new(buffer);
         loop {
--- a/virtual-clock/src/control.rs
+++ b/virtual-clock/src/control.rs
@@ -12,13 +12,13 @@
 
 use crate::protocol::{ControllerMessage, MAX_LINE_LENGTH, MalformedLine, NodeMessage};
 
-/// Turns of the scheduler without a task's poll, each with a check of the sockets, after which a node is idle. One would
-/// do; the others are for what a check has brought while the turn was counted.
+/// Turns of the scheduler without a task's poll, each with a check of the sockets, after which a node is idle. One
+/// would do; the others are for what a check has brought while the turn was counted.
 const IDLE_TURNS: u32 = 3;
-/// How often a step checks for bytes, and ends of connections, that were announced and have not arrived. The controller
-/// has sent them already, and they take microseconds, or longer on a machine with other work. Some never arrive, as
-/// nobody reads them: those behind a request that is still open. Checks are counted, not time: a process that did not run
-/// for a while has not checked.
+/// How often a step checks for bytes, and ends of connections, that were announced and have not arrived. The
+/// controller has sent them already, and they take microseconds, or longer on a machine with other work. Some never
+/// arrive, as nobody reads them: those behind a request that is still open. Checks are counted, not time: a process
+/// that did not run for a while has not checked.
 const MAX_ARRIVAL_CHECKS: u32 = 10_000;
 /// Wait between two of these checks.
 const ARRIVAL_CHECK_INTERVAL: Duration = Duration::from_micros(300);
