--- a/core/zone-health/src/monitor.rs
+++ b/core/zone-health/src/monitor.rs
@@ -195,10 +195,10 @@
             return AssessmentNeed::None;
         };
         let probes = self.draw_probe_context();
-        let awake_now = self.clock.awake_now();
+        // Computed first: a reconnection discards the evidence.
         let usual_failure_rate =
             self.zones
-                .failure_rate_elsewhere(awake_now, attempt.zone, attempt.class);
+                .failure_rate_elsewhere(self.clock.awake_now(), attempt.zone, attempt.class);
         if let Some(utilization) = utilization {
             let now = self.clock.now();
             let entry = self.zones.entry_mut(attempt.zone);
@@ -207,6 +207,26 @@
         if is_response(signal) && self.is_cut_off {
             self.reconnected();
         }
+        if signal == AttemptSignal::NotSent {
+            return AssessmentNeed::None;
+        }
+        self.record_evidence(attempt, signal, usual_failure_rate, probes);
+        let is_healthy = self.zones.entry(attempt.zone).state.is_healthy();
+        if signal == AttemptSignal::Answered && is_healthy {
+            return AssessmentNeed::None;
+        }
+        AssessmentNeed::UnlessJustDone
+    }
+
+    /// Records the end of an attempt as evidence about its zone.
+    fn record_evidence(
+        &mut self,
+        attempt: OutstandingAttempt,
+        signal: AttemptSignal,
+        usual_failure_rate: f64,
+        probes: ProbeContext,
+    ) {
+        let awake_now = self.clock.awake_now();
         let duration = awake_now.saturating_sub(attempt.sent_at);
         let entry = self.zones.entry_mut(attempt.zone);
         match signal {
@@ -230,12 +250,8 @@
                 }
             }
             AttemptSignal::Inconclusive => entry.state.evidence.record_response(awake_now),
-            AttemptSignal::NotSent => return AssessmentNeed::None,
+            AttemptSignal::NotSent => {}
         }
-        if signal == AttemptSignal::Answered && entry.state.is_healthy() {
-            return AssessmentNeed::None;
-        }
-        AssessmentNeed::UnlessJustDone
     }
 
     /// Ends the time during which this node was cut off: the silence of that time is evidence against no zone.
