--- a/balancer/src/admission/objective.rs
+++ b/balancer/src/admission/objective.rs
@@ -77,7 +77,7 @@
 /// The longest queue of this node's own requests at a backend of a zone, for each unit of size.
 fn max_own_queue(settings: &Settings, zone: ZoneId) -> f64 {
     if settings.is_large_fleet() {
-        // There own requests say nothing of a queue, and what is admitted at all is bounded.
+        // One node's requests tell nothing of the queue there, and admission bounds the load.
         return f64::INFINITY;
     }
     if zone == settings.local_zone {
--- a/balancer/src/admission/overload.rs
+++ b/balancer/src/admission/overload.rs
@@ -17,7 +17,7 @@
 const CALM_QUEUE_FRACTION: f64 = 0.5;
 /// Part of the mean objective that a zone's load may fill before arrivals are rejected.
 const MAX_LOAD_FRACTION: f64 = 0.7;
-/// Arrivals admitted for each one that was lately answered in time (adaptive throttling).
+/// Arrivals admitted for each one recently answered in time (adaptive throttling).
 const OVERDRAW: f64 = 1.15;
 /// Added to both rates of that ratio, in requests per second, so that few requests don't decide.
 const RATE_PRIOR: f64 = 0.5;
--- a/balancer/src/api/events.rs
+++ b/balancer/src/api/events.rs
@@ -29,15 +29,14 @@
     pub name_hash: u64,
     /// Whether it may get requests.
     pub state: EndpointState,
-    /// Its size against the others', or what [`WeightSource`](crate::WeightSource) says; 0 or less counts as
-    /// 1.
+    /// Its size relative to others, as [`WeightSource`](crate::WeightSource) says; 0 or less counts as 1.
     pub size: f64,
-    /// When it last started, if lately.
+    /// When its process started, if recently.
     pub started_at: Option<Nanos>,
 }
 
 impl Endpoint {
-    /// Its size, or 1 where that says nothing.
+    /// Its size, or 1 where that is not a positive number.
     pub fn size_or_one(&self) -> f64 {
         if self.size.is_finite() && self.size > 0.0 {
             self.size
--- a/balancer/src/api/settings.rs
+++ b/balancer/src/api/settings.rs
@@ -4,7 +4,7 @@
 
 use super::ids::{ClassId, Nanos, ZoneId};
 
-/// Which backends recognize a repeated idempotency key.
+/// Which backends deduplicate idempotency keys together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every backend.
@@ -20,10 +20,10 @@
 pub enum Idempotency {
     /// Executing it again has no further effect.
     Idempotent,
-    /// It carries an idempotency key: repeats are dropped inside `scope` for `window` from the first attempt
-    /// that may have run.
+    /// It carries an idempotency key: retries are deduplicated within `scope` for `window` from the first
+    /// attempt that may have run.
     Keyed {
-        /// The backends that share which keys they have seen.
+        /// The backends that deduplicate together.
         scope: DedupScope,
         /// How long they remember a key.
         window: Nanos,
@@ -94,7 +94,7 @@
     pub health_checks: bool,
     /// Attempts may be cancelled.
     pub cancellation: bool,
-    /// Longest Retry-After that a client honours; 0 where it is not passed on.
+    /// Longest Retry-After that a client honours; 0 where none is sent.
     pub max_retry_after: Nanos,
 }
 
@@ -103,7 +103,7 @@
 pub struct SafetyLimits {
     /// A final answer is accepted this long after the client's deadline.
     pub answer_grace: Nanos,
-    /// A polling node that has not polled for this long is taken to know the list of that time.
+    /// A polling node that has not polled for this long counts as notified of the list as it was then.
     pub poll_interval: Nanos,
     /// Sends to a draining backend must have ended this long after the node was notified.
     pub drain_grace: Nanos,
@@ -206,56 +206,84 @@
     ///
     /// [`SettingsError`] names the first field that can't be used.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let fail = |field, problem| Err(SettingsError { field, problem });
-        let rate = |v: f64| v.is_finite() && v >= 0.0;
-        if self.zone_count == 0 {
-            return fail("zones", "there must be at least one");
+        self.validate_topology()?;
+        if self.classes.is_empty() {
+            return invalid("classes", "there must be at least one");
         }
-        if self.local_zone.0 >= self.zone_count {
-            return fail("home", "is not one of the zones");
+        self.classes.iter().try_for_each(ClassSettings::validate)?;
+        if self.limits.max_attempts == 0 {
+            return invalid("limits.attempts", "must be at least 1");
         }
-        if self.node_count == 0 {
-            return fail("nodes", "there must be at least one");
+        self.rules.validate()?;
+        if !self.tenant_quotas.iter().copied().all(is_non_negative) {
+            return invalid("tenants", "must be finite and not negative");
         }
-        if self.classes.is_empty() {
-            return fail("classes", "there must be at least one");
+        if !is_non_negative(self.max_queue_per_size) {
+            return invalid("queue_most", "must be finite and not negative");
         }
-        for class in &self.classes {
-            if class.latency_objective == 0 || class.deadline == 0 {
-                return fail("classes", "aim and deadline must be above 0");
-            }
-            if !rate(class.priority_weight) || !rate(class.late_value_fraction) {
-                return fail(
-                    "classes",
-                    "worth and late share must be finite and not negative",
-                );
-            }
+        if !is_non_negative(self.over_quota_value) {
+            return invalid("over_share_worth", "must be finite and not negative");
         }
-        if self.limits.max_attempts == 0 {
-            return fail("limits.attempts", "must be at least 1");
+        if !is_non_negative(self.worst_class_goal) {
+            return invalid("worst_class_goal", "must be finite and not negative");
         }
-        if !rate(self.rules.overload_multiple) || self.rules.overload_multiple == 0.0 {
-            return fail("rules.tip_multiple", "must be finite and above 0");
+        Ok(())
+    }
+
+    /// Checks the numbers of zones and nodes.
+    fn validate_topology(&self) -> Result<(), SettingsError> {
+        if self.zone_count == 0 {
+            return invalid("zones", "there must be at least one");
+        }
+        if self.local_zone.0 >= self.zone_count {
+            return invalid("home", "is not one of the zones");
         }
-        if !rate(self.rules.slow_start_capacity) || self.rules.slow_start_capacity > 1.0 {
-            return fail("rules.start_capacity", "must lie between 0 and 1");
+        if self.node_count == 0 {
+            return invalid("nodes", "there must be at least one");
         }
-        if !self.tenant_quotas.iter().all(|&quota| rate(quota)) {
-            return fail("tenants", "must be finite and not negative");
+        Ok(())
+    }
+}
+
+impl ClassSettings {
+    /// Checks one class.
+    fn validate(&self) -> Result<(), SettingsError> {
+        if self.latency_objective == 0 || self.deadline == 0 {
+            return invalid("classes", "aim and deadline must be above 0");
         }
-        if !rate(self.max_queue_per_size) {
-            return fail("queue_most", "must be finite and not negative");
+        if !is_non_negative(self.priority_weight) || !is_non_negative(self.late_value_fraction) {
+            return invalid(
+                "classes",
+                "worth and late share must be finite and not negative",
+            );
         }
-        if !rate(self.over_quota_value) {
-            return fail("over_share_worth", "must be finite and not negative");
+        Ok(())
+    }
+}
+
+impl SafetyLimits {
+    /// Checks the limits of slow start.
+    fn validate(&self) -> Result<(), SettingsError> {
+        if !is_non_negative(self.overload_multiple) || self.overload_multiple == 0.0 {
+            return invalid("rules.tip_multiple", "must be finite and above 0");
         }
-        if !rate(self.worst_class_goal) {
-            return fail("worst_class_goal", "must be finite and not negative");
+        if !is_non_negative(self.slow_start_capacity) || self.slow_start_capacity > 1.0 {
+            return invalid("rules.start_capacity", "must lie between 0 and 1");
         }
         Ok(())
     }
 }
 
+/// Whether a number is finite and at least 0.
+fn is_non_negative(number: f64) -> bool {
+    number.is_finite() && number >= 0.0
+}
+
+/// The error for a field. Field and problem are worded as operators' tools know them.
+fn invalid(field: &'static str, problem: &'static str) -> Result<(), SettingsError> {
+    Err(SettingsError { field, problem })
+}
+
 /// A settings field that can't be used, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
--- a/balancer/src/backends.rs
+++ b/balancer/src/backends.rs
@@ -71,8 +71,8 @@
             .collect()
     }
 
-    /// How many listed backends get nothing new now: those that drain, are ejected or on trial, or have
-    /// rejected work a moment ago.
+    /// How many listed backends get no new requests now: those that drain, are ejected or on trial, or have
+    /// rejected a request a moment ago.
     pub(crate) fn count_avoided(&self, now: Nanos) -> usize {
         self.values()
             .filter(|backend| backend.outlier.is_avoided(backend.entry().state, now))
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -125,8 +125,8 @@
         }
     }
 
-    /// How many listed backends get nothing new now: those that drain, are ejected or on trial, or have
-    /// rejected work a moment ago.
+    /// How many listed backends get no new requests now: those that drain, are ejected or on trial, or have
+    /// rejected a request a moment ago.
     pub fn avoided(&self, now: Nanos) -> usize {
         self.fleet.backends.count_avoided(now)
     }
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -68,7 +68,7 @@
         let now = self.fleet.now;
         let class_settings = *self.fleet.settings.class(class);
         let client_timeout = if is_upload {
-            // A body on its way says nothing of the client's time, which has not begun.
+            // The client's time begins when the body is complete.
             class_settings.deadline
         } else {
             arrival.expires_at.saturating_sub(now)
--- a/balancer/src/balancer/retries.rs
+++ b/balancer/src/balancer/retries.rs
@@ -37,7 +37,7 @@
         is_free || self.retry_budget.has_token()
     }
 
-    /// Whether a backend may get the request; one that may only go to a closed zone is given up at once.
+    /// Whether a backend may get the request. A request that may only go to a closed zone is ended at once.
     fn has_retry_target(&self, request: &Request) -> bool {
         let fleet = &self.fleet;
         fleet.backends.values().any(|backend| {
--- a/balancer/src/class_statistics.rs
+++ b/balancer/src/class_statistics.rs
@@ -78,7 +78,7 @@
         self.mean_service_time += (service_time - self.mean_service_time) * weight;
     }
 
-    /// The longest timeout that a client has set for one attempt of its own.
+    /// The longest timeout that a client has set for one of its attempts.
     pub(crate) fn longest_client_timeout(&self) -> Nanos {
         self.longest_client_timeout
     }
@@ -145,7 +145,7 @@
         self.classes.iter()
     }
 
-    /// Requests of all classes that come to this node, per second.
+    /// Arrivals of all classes at this node, per second.
     pub(crate) fn total_arrivals(&self, now: Nanos) -> f64 {
         self.iter().map(|class| class.arrivals(now)).sum()
     }
--- a/balancer/src/deadlines.rs
+++ b/balancer/src/deadlines.rs
@@ -13,7 +13,7 @@
 const MIN_SERVICE_TIME_FRACTION: f64 = 0.5;
 /// A time-out after at least this many base times counts against its backend.
 const OVERDUE_BASE_TIMES: f64 = 3.0;
-/// Under overload, an answer after the objective is given up if it keeps at most this fraction of its value.
+/// Under overload, an attempt ends at the objective if a later answer keeps at most this fraction of its value.
 const MAX_DROPPED_LATE_VALUE: f64 = 0.5;
 
 /// Whether an answer of this class after its objective is worth nothing.
@@ -51,7 +51,7 @@
 
 /// The timeout of an attempt whose answer after the objective has too little value for a backend to work on it.
 ///
-/// Only in a large fleet: in a small one, what is admitted by the node's own figures hardly waits that long, and the
+/// Only in a large fleet: in a small one, requests admitted by the node's own figures hardly wait that long, and the
 /// retries cost more.
 pub(crate) fn attempt_timeout(
     fleet: &Fleet,
--- a/balancer/src/dispatch_order.rs
+++ b/balancer/src/dispatch_order.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// The queued requests, the most valuable first; of one value, those first whose key a backend knows.
+/// The queued requests, the most valuable first; of one value, those with key affinity first.
 pub(crate) fn dispatch_order(
     selection: &EndpointSelection,
     requests: &RequestTable,
--- a/balancer/src/endpoint_selection.rs
+++ b/balancer/src/endpoint_selection.rs
@@ -11,7 +11,7 @@
 
 /// Jitter of the expected delay as a fraction of it, so that nodes with the same view do not herd.
 const DELAY_JITTER: f64 = 0.1;
-/// Expected delay at a backend that knows the key, against one that does not.
+/// Factor on the expected delay at the backend that the request's key has affinity to.
 const AFFINITY_DELAY_FACTOR: f64 = 0.5;
 /// Delay added for a failure rate of 1, in units of the delay without failures.
 const FAILURE_PENALTY: f64 = 8.0;
--- a/balancer/src/expected_delay.rs
+++ b/balancer/src/expected_delay.rs
@@ -8,13 +8,13 @@
     /// Load in requests for each unit of size: this node's, times the nodes that send there likewise; in a large
     /// fleet, what the list has shown all nodes.
     pub(crate) fn load(&self, settings: &Settings) -> f64 {
-        let own = f64::from(self.in_flight()) / self.size();
+        let own_load = f64::from(self.in_flight()) / self.size();
         if !settings.is_large_fleet() {
-            return IDLE_LOAD + settings.nodes_per_zone() * own;
+            return IDLE_LOAD + settings.nodes_per_zone() * own_load;
         }
         match self.feedback.reported_queue() {
-            Some(queue) => IDLE_LOAD + queue.max(own),
-            None => IDLE_LOAD + own,
+            Some(queue) => IDLE_LOAD + queue.max(own_load),
+            None => IDLE_LOAD + own_load,
         }
     }
 
--- a/balancer/src/feedback_weights.rs
+++ b/balancer/src/feedback_weights.rs
@@ -18,22 +18,22 @@
 }
 
 impl FeedbackWeights {
-    /// Requests held for each core, by the list's latest load-adjusted size.
+    /// Requests held for each core, by the load-adjusted size in the latest list.
     pub(crate) fn reported_queue(&self) -> Option<f64> {
         self.reported_queue
     }
 
-    /// Takes over what the latest list says.
+    /// Sets the queue that the latest list shows, if it shows any.
     pub(crate) fn set_reported_queue(&mut self, reported_queue: Option<f64>) {
         self.reported_queue = reported_queue;
     }
 
-    /// Weight by lasting differences that the lists have shown.
+    /// Weight by lasting differences between the lists' queues and even ones.
     pub(crate) fn learned_weight(&self) -> f64 {
         self.learned_weight
     }
 
-    /// Weight by the difference in the latest list.
+    /// Weight by the difference in the latest list alone.
     pub(crate) fn feedback_weight(&self) -> f64 {
         self.feedback_weight
     }
--- a/balancer/src/load_feedback.rs
+++ b/balancer/src/load_feedback.rs
@@ -53,7 +53,7 @@
         self.refresh_interval_seconds
     }
 
-    /// Whether a list has come lately.
+    /// Whether a list has arrived recently.
     pub(crate) fn is_fresh(&self, now: Nanos) -> bool {
         self.listed_at
             .is_some_and(|at| now.saturating_sub(at) < UTILIZATION_MAX_AGE)
--- a/balancer/src/outlier_detection/transitions.rs
+++ b/balancer/src/outlier_detection/transitions.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: backends that keep failing are ejected for a while and readmitted by trial requests.
+//! Outlier detection: backends that keep failing are ejected for a while and readmitted after trial requests.
 //!
 //! ```text
 //! Healthy --failures in a row, above the fleet's rate--> Ejected --time is up, next send--> HalfOpen
@@ -33,7 +33,7 @@
 const INVALID_RESPONSE_WEIGHT: f64 = 0.5;
 
 impl OutlierState {
-    /// Whether it may get a request now, with so many of this node's requests in flight there.
+    /// Whether it may get a request now, with this number of the node's requests in flight there.
     pub(crate) fn is_available(&self, now: Nanos, in_flight: u32) -> bool {
         if now < self.paused_until {
             return false;
--- a/balancer/src/retry_safety.rs
+++ b/balancer/src/retry_safety.rs
@@ -81,8 +81,9 @@
     let in_flight = request
         .attempts
         .get(attempt)
-        .filter(|own| own.is_in_flight());
-    in_flight.is_some_and(|own| is_retry_safe(settings, request, Some(attempt), own.placement, at))
+        .filter(|found| found.is_in_flight());
+    in_flight
+        .is_some_and(|found| is_retry_safe(settings, request, Some(attempt), found.placement, at))
 }
 
 /// Whether a request may be answered by a rejection, which tells the client that it may safely retry.
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -39,7 +39,7 @@
     let rules = &fleet.settings.rules;
     let zone = fleet.zones.get(backend.zone());
     let window_seconds = rules.overload_window as f64 / SECOND as f64;
-    // Of all nodes, one in so many has the backend in its subset, and may send that much more.
+    // Of all nodes, one in `subsets` has the backend in its subset, and may send that much more.
     let subsets = (zone.endpoint_count() / SUBSET_SIZE as f64).max(1.0);
     let subset_factor = if fleet.settings.is_large_fleet() {
         subsets
--- a/balancer/src/zone.rs
+++ b/balancer/src/zone.rs
@@ -1,4 +1,4 @@
-//! One zone as this node sees it: own load, listed backends, measured capacity and traffic share.
+//! One zone as this node sees it: this node's load, listed backends, measured capacity and traffic share.
 
 use crate::api::Nanos;
 use crate::ewma::{Ewma, UTILIZATION_TIME_CONSTANT};
@@ -122,7 +122,7 @@
         self.capacity += change * weight;
     }
 
-    /// The least response time seen there lately, in nanoseconds.
+    /// The recent least response time there, in nanoseconds.
     pub(crate) fn min_latency(&self) -> Option<f64> {
         self.min_latency
     }
