--- a/adapters/postgres/src/cancellation.rs
+++ b/adapters/postgres/src/cancellation.rs
@@ -19,7 +19,7 @@
 use crate::login::BackendKey;
 use crate::stream::Stream;
 
-/// Limit on the time in which a server takes a cancel request.
+/// Timeout of a cancel request to a server.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Bytes of a session's secret key.
--- a/adapters/postgres/src/client.rs
+++ b/adapters/postgres/src/client.rs
@@ -69,7 +69,7 @@
         self.write(&out).await
     }
 
-    /// Tells the client why it gets no session. Returns the cause, or the socket's error if the client can't be told.
+    /// Sends the client the reason why it gets no session. Returns the cause, or the socket's error if sending fails.
     pub async fn reject(
         &mut self,
         reason: ErrorReason,
--- a/adapters/postgres/src/client_registry.rs
+++ b/adapters/postgres/src/client_registry.rs
@@ -187,7 +187,7 @@
         self.entry().activity.set(activity);
     }
 
-    /// Resolves once an operator has asked for the session's end.
+    /// Resolves once an operator has requested the end of the session.
     pub async fn disconnected(&self) {
         self.entry().disconnect.notified().await;
     }
--- a/adapters/postgres/src/config.rs
+++ b/adapters/postgres/src/config.rs
@@ -132,7 +132,7 @@
     /// A response within this time has its full value.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: u64,
-    /// A transaction that takes longer is given up.
+    /// A transaction that takes longer is aborted.
     pub deadline_ms: u64,
     /// The value of its transactions, compared with those of other classes.
     #[serde(rename = "worth", default = "default_priority_weight")]
--- a/adapters/postgres/src/config_error.rs
+++ b/adapters/postgres/src/config_error.rs
@@ -62,10 +62,10 @@
 /// What is wrong with a line of the users' file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UserLineError {
-    /// It has only one word.
+    /// It has no space between a name and a verifier.
     #[error("a name and a verifier")]
     NoVerifier,
-    /// The second word is no verifier of a supported kind.
+    /// What follows the name is no verifier of a supported kind.
     #[error("only SCRAM-SHA-256 verifiers are taken, no passwords, no md5")]
     UnsupportedVerifier,
 }
--- a/adapters/postgres/src/console.rs
+++ b/adapters/postgres/src/console.rs
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-/// What a client is told first. It can't cancel anything, so its key is empty.
+/// The first messages to a client. It can't cancel anything, so its key is empty.
 fn greeting() -> Vec<Frame> {
     let mut frames = vec![authentication_ok()];
     frames.extend(PARAMETERS.map(|(name, value)| {
@@ -94,7 +94,7 @@
         loop {
             match self.client.decoder.next_from_client()? {
                 Some(DecodeResult::Frame(frame)) => return Ok(Some(frame)),
-                // Copied data that nobody asked for.
+                // Copied data without a COPY.
                 Some(DecodeResult::Chunk { .. }) => continue,
                 None => {}
             }
--- a/adapters/postgres/src/login.rs
+++ b/adapters/postgres/src/login.rs
@@ -30,7 +30,7 @@
 const READ_BUFFER_SIZE: usize = 8 * 1024;
 /// Bytes of the process number and the secret key of a `BackendKeyData`.
 const BACKEND_KEY_LENGTH: usize = 8;
-/// The answer to an `SSLRequest` of a server that goes on in TLS.
+/// The answer of a server that accepts an `SSLRequest`.
 const TLS_ACCEPTED: &[u8; 1] = b"S";
 /// The node's `application_name` at servers.
 const APPLICATION_NAME: &str = "badgerpost";
--- a/adapters/postgres/src/login/authentication.rs
+++ b/adapters/postgres/src/login/authentication.rs
@@ -57,7 +57,7 @@
     }
 
     fn check_complete(&self) -> Result<(), ConnectError> {
-        // A server that was asked for its signature and never gave it is not the one that it seems to be.
+        // Without its signature a server has not proven that it knows the password: it may be an impostor.
         match self.exchange {
             Some(_) => Err(ProtocolViolation::NoServerSignature.into()),
             None => Ok(()),
--- a/adapters/postgres/src/pool.rs
+++ b/adapters/postgres/src/pool.rs
@@ -31,7 +31,7 @@
 
 pub use self::connection::{ConnectionTarget, PoolKey, ServerAddress, ServerConnection};
 
-/// Limit on the time in which a server accepts a connection and logs the node in.
+/// Timeout of connecting and logging in to a server.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Servers with figures before those that have left and have no connections are forgotten.
 const SERVERS_BEFORE_CLEANUP: usize = 256;
--- a/adapters/postgres/src/pool/maintenance.rs
+++ b/adapters/postgres/src/pool/maintenance.rs
@@ -16,7 +16,7 @@
 /// Most targets for which connections are opened ahead of need.
 const MAX_RECENT_TARGETS: usize = 64;
 
-/// The targets used last, and when. The one used longest ago makes room for a new one.
+/// The targets used last, and when. The least recently used one is replaced by a new one.
 #[derive(Default)]
 pub(super) struct RecentTargets(RefCell<BTreeMap<ConnectionTarget, Nanos>>);
 
--- a/adapters/postgres/src/pool/server_parameters.rs
+++ b/adapters/postgres/src/pool/server_parameters.rs
@@ -11,7 +11,7 @@
 use super::{CONNECT_TIMEOUT, ConnectionTarget, Pool, PoolKey, ServerAddress};
 use crate::login::Parameters;
 
-/// Wait before servers are asked again, while none has reported anything yet.
+/// Wait before the next attempt to connect, while no server has reported its parameters yet.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Rank of a connection that is opened for the parameters' sake: before all transactions.
 const HIGHEST_RANK: u64 = 0;
@@ -86,7 +86,11 @@
             match self.acquire(&key, HIGHEST_RANK, deadline).await {
                 Ok(connection) => return self.release(fleet, connection),
                 Err(error) => {
-                    tracing::warn!(endpoint = %key.address.endpoint, %error, "no first connection to a PostgreSQL server");
+                    tracing::warn!(
+                        endpoint = %key.address.endpoint,
+                        %error,
+                        "no first connection to a PostgreSQL server"
+                    );
                 }
             }
         }
--- a/adapters/postgres/src/relay.rs
+++ b/adapters/postgres/src/relay.rs
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Handles all messages that were received completely, as far as the other side takes what follows from them.
+    /// Handles all messages that were received completely, until too much is unsent to the other side.
     fn process_buffered(&mut self) -> Progress {
         let mut progress = Progress::Stalled;
         while !self.ended
--- a/adapters/postgres/src/relay/streams.rs
+++ b/adapters/postgres/src/relay/streams.rs
@@ -20,7 +20,7 @@
 const READ_BUFFER_SIZE: usize = 16 * 1024;
 /// An empty buffer of a larger capacity is freed: most sessions are idle most of the time.
 const MAX_IDLE_CAPACITY: usize = 4 * 1024;
-/// Limit on the time in which a client takes the last bytes of its session.
+/// Timeout of sending the last bytes of a session and closing the client's connection.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 thread_local! {
--- a/adapters/postgres/src/relay/transactions.rs
+++ b/adapters/postgres/src/relay/transactions.rs
@@ -15,7 +15,7 @@
 use crate::config::idempotent_class_name;
 use crate::lease::{LeaseRequest, ServerLease};
 
-/// What a client is told of when to retry after it has waited for a paused pool, in milliseconds.
+/// Retry-after of a transaction that has waited for a paused pool in vain, in milliseconds.
 const PAUSED_RETRY_AFTER_MS: u64 = 1000;
 /// Steps of rank for each unit of a class's priority weight.
 const RANKS_PER_WEIGHT: f64 = 1e6;
--- a/adapters/postgres/src/server.rs
+++ b/adapters/postgres/src/server.rs
@@ -3,7 +3,7 @@
 //!
 //! - `startup`: a client's first packets, TLS among them
 //! - `admission`: authentication, access rules, limits
-//! - `greeting`: what an admitted client is told first
+//! - `greeting`: the first messages to an admitted client
 
 mod admission;
 mod greeting;
@@ -35,7 +35,7 @@
 use crate::tls::{Acceptor, ClientTls};
 use crate::unauthenticated_clients::{PendingClient, UnauthenticatedClients};
 
-/// Limit on the time in which a client is admitted.
+/// Timeout of a client's admission.
 const ADMISSION_TIMEOUT: Duration = Duration::from_secs(5);
 /// Wait before the next accept after one failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
--- a/adapters/postgres/src/server/admission.rs
+++ b/adapters/postgres/src/server/admission.rs
@@ -1,5 +1,5 @@
 //! Admission of a client: authentication, access rules, limits, and the settings that it asks for. A client that is not
-//! admitted is told why.
+//! admitted receives an error with the reason.
 
 use std::net::SocketAddr;
 
@@ -172,7 +172,7 @@
     }
 }
 
-/// Tells an authenticated client why it gets no session.
+/// Sends a client the reason why it gets no session.
 async fn reject(client: &mut Client, reason: ErrorReason, detail: &'static str) -> ClientError {
     client
         .reject(reason, Some(detail), ClientError::NotAllowed(detail))
--- a/adapters/postgres/src/server/startup.rs
+++ b/adapters/postgres/src/server/startup.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// Goes on in TLS; `None` if the client has broken the protocol, which it is told.
+/// Switches to TLS; `None` if the client violates the protocol, of which it is notified.
 async fn start_tls(
     mut client: Client,
     reader: &mut StartupReader,
--- a/adapters/postgres/src/upstream.rs
+++ b/adapters/postgres/src/upstream.rs
@@ -61,7 +61,8 @@
         () = fleet.clock().sleep_until(deadline) => return Err(Outcome::NotSent),
     };
     let connection = acquired.map_err(|error| {
-        tracing::debug!(server = fleet.endpoint_name(backend), %endpoint, %error, "no connection to a PostgreSQL server");
+        let server = fleet.endpoint_name(backend);
+        tracing::debug!(server, %endpoint, %error, "no connection to a PostgreSQL server");
         outcome_of(&error)
     })?;
     // The wait or the login may have outlasted the request, or the server's entry on the endpoint list.
--- a/core/postgres-session/src/session.rs
+++ b/core/postgres-session/src/session.rs
@@ -277,7 +277,7 @@
                 self.unnamed_statement = Some(text);
             }
             NameChange::Remove(name) if name.is_empty() => self.unnamed_statement = None,
-            // There was room for it when the message was sent.
+            // The limit was checked when the message was sent.
             NameChange::Set { name, text } => drop(self.named_statements.insert(name, text)),
             NameChange::Remove(name) => self.named_statements.remove(&name),
         }
--- a/core/postgres-session/src/session/event.rs
+++ b/core/postgres-session/src/session/event.rs
@@ -24,7 +24,7 @@
     Attached(ServerState),
     /// The server sent a message or a part of one.
     Server(DecodeResult),
-    /// The server connection is lost, or was given up.
+    /// The server connection is lost, or its attempt was cancelled or has timed out.
     ServerLost,
     /// The request for a server is rejected for lack of capacity.
     Rejected {
--- a/core/postgres-session/src/session/local_responses.rs
+++ b/core/postgres-session/src/session/local_responses.rs
@@ -178,7 +178,7 @@
         self.finish_first_batch(actions);
     }
 
-    /// Adds the statement of a `Parse` to the client's. Returns false if there is no room for it.
+    /// Adds the statement of a `Parse` to the client's. Returns false if the client has too many.
     fn prepare_locally(&mut self, frame: &Frame) -> bool {
         if let Ok(ParseMessage { name, text }) = ParseMessage::read(frame) {
             if !self.named_statements.has_capacity(&name) {
--- a/core/postgres-session/src/session/server_loss.rs
+++ b/core/postgres-session/src/session/server_loss.rs
@@ -9,7 +9,7 @@
 use crate::sql_analysis::TransactionStep;
 
 impl Session {
-    /// The server connection is lost, or of no use: another one is awaited, or the session ends.
+    /// The server connection is lost or can't be used: another one is awaited, or the session ends.
     pub(super) fn on_server_lost(&mut self, actions: &mut Vec<Action>) {
         let ServerLink::Attached(server) = &mut self.server_link else {
             return;
--- a/core/postgres-session/src/session/server_responses.rs
+++ b/core/postgres-session/src/session/server_responses.rs
@@ -226,7 +226,7 @@
         let answers_sync = matches!(expected, Some(ExpectedResponse::Sync));
         let is_expected = (answers_query || answers_sync) && !server.skips_to_sync;
         let (true, Some(status)) = (is_expected, status) else {
-            // A server that rejects what it accepted before, or answers what it was not asked, is of no use.
+            // A server that rejects what it accepted before, or responds without a request, can't be used.
             return self.on_server_lost(actions);
         };
         let Some(batch) = self.remove_first_batch() else {
