--- a/adapters/postgres/src/login.rs
+++ b/adapters/postgres/src/login.rs
@@ -113,7 +113,7 @@
 
     fn record_parameter(&mut self, frame: &Frame) {
         if let Some(ParameterStatus { name, value }) = ParameterStatus::read(frame) {
-            self.state.settings.reported(&name, &value);
+            self.state.settings.record_report(&name, &value);
             self.parameters
                 .insert(name.into_owned(), value.into_owned());
         }
--- a/core/postgres-session/fuzz/fuzz_targets/session.rs
+++ b/core/postgres-session/fuzz/fuzz_targets/session.rs
@@ -4,4 +4,4 @@
 #[path = "../harness.rs"]
 mod harness;
 
-libfuzzer_sys::fuzz_target!(|input: &[u8]| harness::play(input));
+libfuzzer_sys::fuzz_target!(|input: &[u8]| harness::run(input));
--- a/core/postgres-session/fuzz/harness.rs
+++ b/core/postgres-session/fuzz/harness.rs
@@ -14,7 +14,7 @@
 ///
 /// # Panics
 /// If the session breaks its contract, or panics itself.
-pub fn play(input: &[u8]) {
+pub fn run(input: &[u8]) {
     read_startup(input);
     let mut harness = Harness::default();
     let mut rest = input;
--- a/core/postgres-session/src/session/forwarding.rs
+++ b/core/postgres-session/src/session/forwarding.rs
@@ -25,7 +25,7 @@
             return;
         }
         let mut server = ServerConnection::new(state);
-        if let Some(sql) = server.state.settings.adopt(&self.settings) {
+        if let Some(sql) = server.state.settings.sql_to_apply(&self.settings) {
             server.is_checking_settings = !self.settings.is_accepted_by_server();
             server.expected.push_back(ExpectedResponse::Setup);
             let setup = query_frame(sql.as_bytes());
@@ -100,7 +100,7 @@
             server.state.prepared.clear();
         }
         if effects.resets_all_settings {
-            server.state.settings.forget();
+            server.state.settings.forget_unreported();
         }
     }
 
--- a/core/postgres-session/src/session/server_responses.rs
+++ b/core/postgres-session/src/session/server_responses.rs
@@ -165,8 +165,8 @@
         let Some(ParameterStatus { name, value }) = ParameterStatus::read(frame) else {
             return;
         };
-        server.state.settings.reported(&name, &value);
-        if self.settings.reported(&name, &value) {
+        server.state.settings.record_report(&name, &value);
+        if self.settings.record_report(&name, &value) {
             send_to_client(frame, actions);
         }
     }
--- a/core/postgres-session/src/settings.rs
+++ b/core/postgres-session/src/settings.rs
@@ -193,7 +193,7 @@
 
     /// Notes the value that a server reports while this client uses it. Returns whether the client has to learn of it:
     /// the value has changed, or the setting is not followed.
-    pub fn reported(&mut self, name: &str, value: &str) -> bool {
+    pub fn record_report(&mut self, name: &str, value: &str) -> bool {
         let name = name.to_ascii_lowercase();
         match self.wanted.get_mut(&name) {
             Some(known) if known == value => false,
@@ -226,13 +226,13 @@
 
 impl ServerSettings {
     /// Notes the value that the server reports.
-    pub fn reported(&mut self, name: &str, value: &str) {
+    pub fn record_report(&mut self, name: &str, value: &str) {
         self.reported
             .insert(name.to_ascii_lowercase(), value.to_owned());
     }
 
     /// RESET ALL or DISCARD ALL has run, or may have: the values that are not reported are unknown.
-    pub fn forget(&mut self) {
+    pub fn forget_unreported(&mut self) {
         for value in self.applied.values_mut() {
             *value = None;
         }
@@ -240,7 +240,7 @@
 
     /// The statements, as one text, that give this connection's settings the client's values; `None` if they have
     /// them. The statements count as run: if they fail, the connection must be dropped.
-    pub fn adopt(&mut self, client: &ClientSettings) -> Option<String> {
+    pub fn sql_to_apply(&mut self, client: &ClientSettings) -> Option<String> {
         let mut sql = String::new();
         for (name, value) in &client.wanted {
             if self.current(name) != Some(value) {
--- a/core/postgres-session/src/settings/tests.rs
+++ b/core/postgres-session/src/settings/tests.rs
@@ -49,22 +49,22 @@
         |pairs: &[(&str, &str)]| ClientSettings::new(&map(pairs), &greeting).expect("good");
     let mut server = ServerSettings::default();
     for (name, value) in &greeting {
-        server.reported(name, value);
+        server.record_report(name, value);
     }
-    server.reported("application_name", "badgerpost");
+    server.record_report("application_name", "badgerpost");
     let plain = client(&[
         ("user", "u"),
         ("application_name", "badgerpost"),
         ("DateStyle", "iso"),
     ]);
-    assert!(plain.is_accepted_by_server() && server.adopt(&plain).is_none());
+    assert!(plain.is_accepted_by_server() && server.sql_to_apply(&plain).is_none());
     let mut own = client(&[
         ("application_name", "badgerpost"),
         ("options", "-c search_path=a,b -c x.y=o'n"),
         ("timezone", "Europe/Budapest"),
     ]);
     assert!(!own.is_accepted_by_server());
-    let to_own = server.adopt(&own).expect("differences");
+    let to_own = server.sql_to_apply(&own).expect("differences");
     assert!(
         to_own.contains("set_config('search_path','a,b',false)") && to_own.contains("'o''n'"),
         "{to_own}"
@@ -74,24 +74,26 @@
         "{to_own}"
     );
     // The server reports the change.
-    server.reported("TimeZone", "Europe/Budapest");
-    assert!(!own.reported("TimeZone", "Europe/Budapest") && server.adopt(&own).is_none());
+    server.record_report("TimeZone", "Europe/Budapest");
+    assert!(
+        !own.record_report("TimeZone", "Europe/Budapest") && server.sql_to_apply(&own).is_none()
+    );
     // The next client gets its own settings.
-    let to_plain = server.adopt(&plain).expect("differences");
+    let to_plain = server.sql_to_apply(&plain).expect("differences");
     assert!(
         to_plain.contains("RESET \"search_path\";RESET \"x\".\"y\";"),
         "{to_plain}"
     );
     assert!(to_plain.contains("'timezone','UTC'"), "{to_plain}");
-    server.reported("TimeZone", "UTC");
-    assert!(server.adopt(&plain).is_none());
+    server.record_report("TimeZone", "UTC");
+    assert!(server.sql_to_apply(&plain).is_none());
     // After a RESET ALL the settings that are not reported are set again.
-    server.adopt(&own);
-    server.reported("TimeZone", "Europe/Budapest");
-    server.forget();
+    server.sql_to_apply(&own);
+    server.record_report("TimeZone", "Europe/Budapest");
+    server.forget_unreported();
     assert!(
         server
-            .adopt(&own)
+            .sql_to_apply(&own)
             .is_some_and(|sql| sql.contains("search_path"))
     );
 }
@@ -103,11 +105,11 @@
         &map(&[("TimeZone", "UTC")]),
     )
     .expect("good");
-    assert!(client.reported("TimeZone", "CET") && !client.reported("TimeZone", "CET"));
+    assert!(client.record_report("TimeZone", "CET") && !client.record_report("TimeZone", "CET"));
     client.reset(&["timezone".to_owned()], false);
     assert!(client.iter().any(|pair| pair == ("timezone", "PST8PDT")));
     assert!(
-        client.reported("in_hot_standby", "on"),
+        client.record_report("in_hot_standby", "on"),
         "a setting that is not followed is passed on"
     );
     let long = ClientSettings::new(&map(&[("a", &"x".repeat(MAX_VALUE_LENGTH + 1))]), &map(&[]));
--- a/core/postgres-session/tests/corpus.rs
+++ b/core/postgres-session/tests/corpus.rs
@@ -30,7 +30,7 @@
     let mut count = 0;
     for entry in std::fs::read_dir(folder).expect("the corpus") {
         let path = entry.expect("a file").path();
-        harness::play(&std::fs::read(&path).expect("its bytes"));
+        harness::run(&std::fs::read(&path).expect("its bytes"));
         count += 1;
     }
     assert!(count >= 5, "{count} inputs");
@@ -40,7 +40,7 @@
 fn random_messages_are_handled() {
     for seed in 0..20_000 {
         let input = random_input(&mut Random::new(seed, "fuzz"));
-        let played = std::panic::catch_unwind(|| harness::play(&input));
+        let played = std::panic::catch_unwind(|| harness::run(&input));
         assert!(played.is_ok(), "seed {seed}: {input:?}");
     }
 }
--- a/core/postgres-session/tests/reference.rs
+++ b/core/postgres-session/tests/reference.rs
@@ -336,9 +336,9 @@
     let links = (0..3).map(|_| {
         let mut state = ServerState::default();
         for (name, value) in &greeting {
-            state.settings.reported(name, value);
+            state.settings.record_report(name, value);
         }
-        state.settings.reported("application_name", "");
+        state.settings.record_report("application_name", "");
         Link {
             backend: Database::backend(database),
             state,
@@ -395,7 +395,7 @@
     direct_bytes
 }
 
-fn play(steps: &[Step]) -> Result<(), TestCaseError> {
+fn run(steps: &[Step]) -> Result<(), TestCaseError> {
     let direct_database = Offline::default();
     let pooled_database = Offline::default();
     let mut direct = create(&direct_database);
@@ -438,7 +438,7 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = proptest::collection::vec(step(), 1..25);
     runner
-        .run(&steps, |steps| play(&steps))
+        .run(&steps, |steps| run(&steps))
         .unwrap_or_else(|error| panic!("{error}"));
 }
 
@@ -461,7 +461,7 @@
         Step::Flush,
     ];
     for steps in [describe_then_rollback, pipeline] {
-        if let Err(error) = play(&steps) {
+        if let Err(error) = run(&steps) {
             panic!("{steps:?}: {error}");
         }
     }
@@ -478,7 +478,7 @@
         vec![Step::CopyBatch(2)],
         vec![Step::Query(5), Step::Query(11), Step::CopyBatch(1)],
     ] {
-        if let Err(error) = play(&steps) {
+        if let Err(error) = run(&steps) {
             panic!("{steps:?}: {error}");
         }
     }
