--- a/adapters/http/src/api_request.rs
+++ b/adapters/http/src/api_request.rs
@@ -9,8 +9,8 @@
 use crate::HttpEngine;
 use crate::bad_request::BadRequest;
 use crate::headers::{
-    AFFINITY_COOKIE, AGAIN, BUDGET_MS, CALL_CLASS, CALL_COST, CALL_ID, CALLER, check_idempotency,
-    cookie, required, single, whole_number,
+    AFFINITY_COOKIE, BUDGET_MS, CALL_CLASS, CALL_COST, CALL_ID, CALLER, RETRY_MARK,
+    check_idempotency, cookie, required, single, whole_number,
 };
 use crate::timeouts::NETWORK_ALLOWANCE;
 
@@ -74,7 +74,7 @@
             tenant,
             affinity_key: cookie(headers, AFFINITY_COOKIE).map(name_hash),
             expected_work: cost_us.and_then(|cost_us| expected_work(cost_us, class.deadline)),
-            is_retry: single(headers, AGAIN)? == Some("1"),
+            is_retry: single(headers, RETRY_MARK)? == Some("1"),
             budget: budget(budget_ms, class.deadline),
         })
     }
@@ -82,8 +82,8 @@
 
 /// The client's estimate of the work. One above the class's deadline says nothing.
 fn expected_work(cost_us: u64, deadline: Nanos) -> Option<Nanos> {
-    let work = cost_us.saturating_mul(MICROSECOND);
-    (work <= deadline).then_some(work)
+    let estimate = cost_us.saturating_mul(MICROSECOND);
+    (estimate <= deadline).then_some(estimate)
 }
 
 /// How long a client waits: no longer than its class's deadline, less what the network takes.
--- a/adapters/http/src/connection_limiter/tests.rs
+++ b/adapters/http/src/connection_limiter/tests.rs
@@ -69,7 +69,7 @@
         test.admit()
     });
     receive(&busy, b"GET /api HTTP/1.1\r\n\r\n");
-    busy.connection().head_taken().expect("plain framing");
+    busy.connection().head_parsed().expect("plain framing");
     busy.connection().request_complete();
     test.advance(5000);
     let mut next = pin!(test.limiter.admit());
@@ -81,11 +81,11 @@
 }
 
 #[test]
-fn a_connection_that_times_out_without_a_request_taken_is_closed_gracefully() {
+fn a_timeout_before_a_request_is_parsed_closes_gracefully_and_a_later_one_aborts() {
     let test = TestLimiter::new(2);
     let [silent, stalled] = [(); 2].map(|()| test.admit());
     receive(&stalled, b"POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\n");
-    stalled.connection().head_taken().expect("plain framing");
+    stalled.connection().head_parsed().expect("plain framing");
     let mut timeouts = pin!(test.limiter.clone().run_timeouts());
     assert!(poll(timeouts.as_mut()).is_pending());
     let is_closed = |permit: &ConnectionPermit| {
@@ -108,7 +108,7 @@
     let permits = [(); 3].map(|()| test.admit());
     let respond = |permit: &ConnectionPermit| {
         receive(permit, b"GET /api HTTP/1.1\r\n\r\n");
-        permit.connection().head_taken().expect("plain framing");
+        permit.connection().head_parsed().expect("plain framing");
         let mut tracker = RequestTracker::new(permit.connection().clone());
         permit
             .connection()
--- a/adapters/http/src/connection_state.rs
+++ b/adapters/http/src/connection_state.rs
@@ -2,7 +2,7 @@
 //! in which connections are closed to admit new ones.
 //!
 //! ```text
-//!        bytes arrive          head taken           body complete
+//!        bytes arrive          head parsed          body complete
 //!   New ------------> ReadingHead ----> ReadingBody ------------> AwaitingResponse
 //!                      ^    ^               |                          |
 //!         bytes arrive |    | pipelined     | early response           | response
@@ -13,7 +13,7 @@
 //!   any of these ----> Closing or LingeringClose, once no more requests are served
 //! ```
 //!
-//! A head is also taken in `Sending`, if its request was pipelined. The machine does no I/O and reads no clock.
+//! A head is also parsed in `Sending`, if its request was pipelined. The machine does no I/O and reads no clock.
 
 use badgerpost_engine::nanos;
 use badgerpost_time::{Nanos, SECOND};
@@ -32,7 +32,7 @@
     New { accepted_at: Nanos },
     /// The head of a request is arriving.
     ReadingHead { started_at: Nanos },
-    /// The head has been taken by the HTTP library; the body, if any, is arriving.
+    /// The head has been parsed by the HTTP library; the body, if any, is arriving.
     ReadingBody(BodyProgress),
     /// The request is complete, its response has not begun.
     AwaitingResponse,
@@ -53,7 +53,7 @@
 pub(crate) struct BodyProgress {
     /// When the last byte of the head arrived; the time of the head's processing if that had been pipelined.
     started_at: Nanos,
-    /// Bytes that have arrived since the head was taken.
+    /// Bytes that have arrived since the head was parsed.
     received_bytes: u64,
     /// Whether the request has been submitted with its body still arriving.
     is_submitted: bool,
@@ -137,8 +137,8 @@
         }
     }
 
-    /// The HTTP library has taken the head of the next request.
-    pub(crate) fn head_taken(self, now: Nanos, last_received_at: Nanos) -> Self {
+    /// The HTTP library has parsed the head of the next request.
+    pub(crate) fn head_parsed(self, now: Nanos, last_received_at: Nanos) -> Self {
         let started_at = match self {
             Self::ReadingHead { .. } => last_received_at,
             // The head had been pipelined.
--- a/adapters/http/src/connection_state/tests.rs
+++ b/adapters/http/src/connection_state/tests.rs
@@ -7,7 +7,7 @@
 /// A state in which a body of which `received_bytes` have arrived since the head, at 0, is read.
 fn reading_body(received_bytes: u64) -> ConnectionState {
     ConnectionState::ReadingHead { started_at: 0 }
-        .head_taken(0, 0)
+        .head_parsed(0, 0)
         .bytes_received(0, received_bytes)
 }
 
@@ -40,10 +40,10 @@
 #[test]
 fn a_pipelined_body_is_timed_from_the_processing_of_its_head() {
     let sending = ConnectionState::Sending { started_at: 0 };
-    let body = sending.head_taken(700 * MS, 100 * MS);
+    let body = sending.head_parsed(700 * MS, 100 * MS);
     assert_eq!(body.body_deadline(800 * MS), Some(3000 * MS));
     let alone = ConnectionState::ReadingHead { started_at: 0 };
-    let body = alone.head_taken(700 * MS, 100 * MS);
+    let body = alone.head_parsed(700 * MS, 100 * MS);
     assert_eq!(body.body_deadline(800 * MS), Some(2400 * MS));
 }
 
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn only_a_connection_without_a_request_taken_times_out_gracefully() {
+fn only_a_connection_with_no_parsed_request_times_out_gracefully() {
     let gracefully = |state: ConnectionState| state.times_out_gracefully();
     assert!(gracefully(ConnectionState::New { accepted_at: 0 }));
     assert!(gracefully(ConnectionState::ReadingHead { started_at: 0 }));
--- a/adapters/http/src/headers.rs
+++ b/adapters/http/src/headers.rs
@@ -15,7 +15,7 @@
 /// The client's deadline, in milliseconds from the last byte of the request.
 pub(crate) const BUDGET_MS: &str = "x-budget-ms";
 /// `1` if the client marks the request as a retry.
-pub(crate) const AGAIN: &str = "x-again";
+pub(crate) const RETRY_MARK: &str = "x-again";
 /// The client's estimate of the work, in microseconds.
 pub(crate) const CALL_COST: &str = "x-call-cost";
 /// The idempotency key.
--- a/adapters/http/src/request_queue.rs
+++ b/adapters/http/src/request_queue.rs
@@ -17,13 +17,13 @@
     started: u64,
     /// When the first byte of the last of these arrived.
     last_started_at: Nanos,
-    /// Whether the framing of each request is unambiguous, for those whose head is complete and has not been taken.
+    /// Whether the framing of each request is unambiguous, for those whose head is complete and has not been parsed.
     head_results: VecDeque<Result<(), FramingError>>,
     /// Number of requests whose last byte has arrived.
     completed: u64,
     /// When the last byte of each of these arrived, from the current request on.
     completed_at: VecDeque<Nanos>,
-    /// Number of the request whose head the HTTP library took last; 0 before the first.
+    /// Number of the request whose head the HTTP library parsed last; 0 before the first.
     current: u64,
 }
 
@@ -48,12 +48,12 @@
         }
     }
 
-    /// The HTTP library has taken the head of the next request, which becomes the current one.
+    /// The HTTP library has parsed the head of the next request, which becomes the current one.
     ///
     /// # Errors
     ///
     /// The framing of that request is ambiguous.
-    pub(crate) fn take(&mut self) -> Result<(), FramingError> {
+    pub(crate) fn advance(&mut self) -> Result<(), FramingError> {
         self.current += 1;
         while !self.completed_at.is_empty() && self.first_completed() < self.current {
             self.completed_at.pop_front();
--- a/adapters/http/src/request_queue/tests.rs
+++ b/adapters/http/src/request_queue/tests.rs
@@ -21,7 +21,7 @@
     }
     for number in 1..=3 {
         assert!(queue.has_next());
-        assert_eq!(queue.take(), Ok(()));
+        assert_eq!(queue.advance(), Ok(()));
         assert_eq!(queue.completed_at(), Some(10 * number + 5));
     }
     assert!(!queue.has_next());
@@ -30,13 +30,13 @@
 #[test]
 fn a_request_whose_body_is_on_its_way_is_complete_later() {
     let mut queue = recorded(&[(FramingEvent::Started, 1), (HEAD, 2)]);
-    assert_eq!(queue.take(), Ok(()));
+    assert_eq!(queue.advance(), Ok(()));
     assert_eq!(queue.completed_at(), None);
     queue.record(FramingEvent::MessageComplete, 9);
     assert_eq!(queue.completed_at(), Some(9));
     queue.record(FramingEvent::Started, 11);
     queue.record(HEAD, 12);
-    assert_eq!(queue.take(), Ok(()));
+    assert_eq!(queue.advance(), Ok(()));
     assert_eq!(queue.completed_at(), None, "that was the one before");
 }
 
@@ -44,7 +44,7 @@
 fn only_a_request_that_nothing_waits_before_is_incomplete() {
     let mut queue = recorded(&[(FramingEvent::Started, 1), (HEAD, 1)]);
     assert_eq!(queue.incomplete_since(), Some(1));
-    assert_eq!(queue.take(), Ok(()));
+    assert_eq!(queue.advance(), Ok(()));
     assert_eq!(queue.incomplete_since(), None);
     queue.record(FramingEvent::MessageComplete, 2);
     queue.record(FramingEvent::Started, 3);
--- a/adapters/http/src/routes.rs
+++ b/adapters/http/src/routes.rs
@@ -52,7 +52,7 @@
     let RoutedResponse {
         mut response,
         close_mode,
-    } = match connection.head_taken() {
+    } = match connection.head_parsed() {
         Ok(()) => route(context, connection, request).await,
         // Read in another way, the request could hide a second one: nothing of it is forwarded.
         Err(error) => BadRequest::from(error).into(),
--- a/adapters/http/src/tracked_connection.rs
+++ b/adapters/http/src/tracked_connection.rs
@@ -58,7 +58,9 @@
     /// The requests that have begun to arrive.
     requests: RefCell<RequestQueue>,
     close_mode: Cell<CloseMode>,
+    /// Notified when the connection has to be closed at once.
     abort: Notify,
+    /// Notified when the connection has to be closed in good order.
     graceful_close: Notify,
     idle_connections: Rc<IdleConnections>,
     clock: Clock,
@@ -88,15 +90,15 @@
 
 /// The request that is being served, and those behind it.
 impl TrackedConnection {
-    /// The HTTP library has taken the head of the next request.
+    /// The HTTP library has parsed the head of the next request.
     ///
     /// # Errors
     ///
     /// The request's framing is ambiguous.
-    pub(crate) fn head_taken(&self) -> Result<(), FramingError> {
+    pub(crate) fn head_parsed(&self) -> Result<(), FramingError> {
         let state = self.state.get();
-        self.enter(state.head_taken(self.clock.now(), self.last_received_at.get()));
-        self.requests.borrow_mut().take()
+        self.enter(state.head_parsed(self.clock.now(), self.last_received_at.get()));
+        self.requests.borrow_mut().advance()
     }
 
     /// How long ago the last byte of the request arrived; 0 before that.
@@ -110,12 +112,12 @@
         self.requests.borrow().completed_at().is_some()
     }
 
-    /// Whether another request has begun to arrive behind the one that was taken last. It is owed a response too.
+    /// Whether another request has begun to arrive behind the current one. It is owed a response too.
     pub(crate) fn has_pipelined_request(&self) -> bool {
         self.requests.borrow().has_next()
     }
 
-    /// Whether a request has begun to arrive whose head has not been taken.
+    /// Whether a request has begun to arrive whose head has not been parsed.
     pub(crate) fn has_partial_request(&self) -> bool {
         self.is_reading_head() && self.has_pipelined_request()
     }
