--- a/adapters/http/src/answer.rs
+++ b/adapters/http/src/answer.rs
@@ -1,196 +1,132 @@
-//! Answers on their way to a client: held whole, or passed on as they come from the backend, with back pressure.
+//! Responses on their way from a backend to a client.
 
 use std::pin::Pin;
 use std::rc::Rc;
+use std::sync::Arc;
 use std::task::{Context, Poll};
 
 use bytes::Bytes;
-use http_body_util::Full;
 use hyper::Version;
-use hyper::body::{Body, Frame, Incoming, SizeHint};
+use hyper::body::{Body, Frame, Incoming};
 
 use badgerpost_balancer::ClassId;
 use badgerpost_engine::{Metrics, RequestEnd};
 
 use crate::connection_limiter::Connection;
+use crate::forwarded_body::{BodySource, ForwardedBody, StreamingBody};
 use crate::memory_budget::BufferedBytes;
 
-/// A backend's answer to a request that it has served.
+/// A backend's response to a request that it has served.
 pub enum BackendResponse {
     /// Held whole.
     Buffered(BufferedBytes),
-    /// Begun, with more to come.
+    /// Forwarded as it arrives.
     Streaming(StreamingResponse),
 }
 
-/// An answer that has begun to come.
+/// Called once with how a response ended; with none if its client has disconnected.
+pub type EndHandler = Box<dyn FnOnce(Option<RequestEnd>)>;
+
+/// A response that has begun to arrive.
 pub struct StreamingResponse {
-    /// What has come.
-    pub first: BufferedBytes,
-    /// What is still to come.
+    /// What has arrived of its body.
+    pub received: BufferedBytes,
+    /// The rest of its body.
     pub rest: Incoming,
-    /// How much is still to come in all, `first` included, where the backend has told it.
-    pub left: Option<u64>,
-    /// Told how it ended, once; with none its client has gone.
-    pub ended: Box<dyn FnOnce(Option<RequestEnd>)>,
+    /// The length of all of its body, where the backend has told it.
+    pub length: Option<u64>,
+    /// Told how the response ended.
+    pub on_end: EndHandler,
 }
 
-/// The body of an answer to a client.
-pub enum ResponseBody {
-    /// Held whole, with what keeps its part of the budget.
-    Buffered {
-        /// The bytes.
-        body: Full<Bytes>,
-        /// Their part of the budget, until the last of them is with the connection.
-        _kept: BufferedBytes,
-    },
-    /// As it comes.
-    Streaming(StreamingResponseBody),
-}
+/// The body of a response to a client.
+pub type ResponseBody = ForwardedBody<ResponseSource>;
 
-impl From<Bytes> for ResponseBody {
-    fn from(bytes: Bytes) -> Self {
-        Self::from(BufferedBytes::new(bytes, None))
-    }
-}
+/// The body of a response that is forwarded as it arrives.
+pub type StreamingResponseBody = StreamingBody<ResponseSource>;
 
-impl From<BufferedBytes> for ResponseBody {
-    fn from(kept: BufferedBytes) -> Self {
-        Self::Buffered {
-            body: Full::new(kept.bytes.clone()),
-            _kept: kept,
-        }
-    }
-}
-
-/// An answer that is passed on; says how it ended where that counts.
-pub struct StreamingResponseBody {
-    first: Option<BufferedBytes>,
+/// The rest of a response that is forwarded as it arrives. Counts its end.
+pub struct ResponseSource {
     rest: Incoming,
-    left: Option<u64>,
-    ended: Option<Box<dyn FnOnce(Option<RequestEnd>)>>,
-    slot: Rc<Connection>,
-    tally: std::sync::Arc<Metrics>,
+    /// Present until the end.
+    on_end: Option<EndHandler>,
+    client: Rc<Connection>,
+    metrics: Arc<Metrics>,
     class: ClassId,
-    /// Its client knows its end by that of the connection only.
+    /// The client sees the end of the body by that of the connection only.
     ends_with_connection: bool,
 }
 
 impl StreamingResponseBody {
-    /// Passes on an answer to the client with this slot.
+    /// Forwards a response to this client.
     pub fn new(
-        begun: StreamingResponse,
-        slot: Rc<Connection>,
-        tally: std::sync::Arc<Metrics>,
+        response: StreamingResponse,
+        client: Rc<Connection>,
+        metrics: Arc<Metrics>,
         class: ClassId,
         version: Version,
     ) -> Self {
         let StreamingResponse {
-            first,
+            received,
             rest,
-            left,
-            ended,
-        } = begun;
-        slot.passing();
-        let first = Some(first).filter(|first| !first.bytes.is_empty());
-        Self {
-            first,
+            length,
+            on_end,
+        } = response;
+        client.passing();
+        let source = ResponseSource {
             rest,
-            left,
-            ended: Some(ended),
-            slot,
-            tally,
+            on_end: Some(on_end),
+            client,
+            metrics,
             class,
-            ends_with_connection: version == Version::HTTP_10 && left.is_none(),
-        }
+            ends_with_connection: version == Version::HTTP_10 && length.is_none(),
+        };
+        Self::from_source(source, received, length)
     }
+}
 
-    /// Takes its end, the first one.
+impl ResponseSource {
+    /// Reports the end; only the first one counts.
     fn end(&mut self, end: Option<RequestEnd>) {
-        let Some(ended) = self.ended.take() else {
+        let Some(on_end) = self.on_end.take() else {
             return;
         };
-        ended(end);
-        self.tally.request_ended(self.class, end);
-        self.slot.passed();
-    }
-
-    fn give(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
-        if let Some(left) = &mut self.left {
-            *left = left.saturating_sub(data.len() as u64);
-            if *left == 0 {
-                // With a length, nobody asks whether more follows.
-                self.end(Some(RequestEnd::Served));
-            }
-        }
-        Poll::Ready(Some(Ok(Frame::data(data))))
-    }
-
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
-        if let Some(first) = self.first.take() {
-            return self.give(first.bytes);
-        }
-        loop {
-            match std::task::ready!(Pin::new(&mut self.rest).poll_frame(cx)) {
-                None => {
-                    self.end(Some(RequestEnd::Served));
-                    return Poll::Ready(None);
-                }
-                // The client's connection ends in the midst of the body, so that it can tell.
-                Some(Err(error)) => {
-                    if self.ends_with_connection {
-                        self.slot.set_broken();
-                    }
-                    self.end(Some(RequestEnd::Failed));
-                    return Poll::Ready(Some(Err(error)));
-                }
-                Some(Ok(frame)) => {
-                    if let Ok(data) = frame.into_data() {
-                        return self.give(data);
-                    }
-                }
-            }
-        }
-    }
-}
-
-impl Drop for StreamingResponseBody {
-    /// The client has gone, or takes no more.
-    fn drop(&mut self) {
-        self.end(None);
+        on_end(end);
+        self.metrics.request_ended(self.class, end);
+        self.client.passed();
     }
 }
 
-impl Body for ResponseBody {
-    type Data = Bytes;
+impl BodySource for ResponseSource {
     type Error = hyper::Error;
 
+    fn check(&self) -> Result<(), hyper::Error> {
+        Ok(())
+    }
+
     fn poll_frame(
-        self: Pin<&mut Self>,
+        &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
-        match self.get_mut() {
-            Self::Buffered { body, .. } => Pin::new(body)
-                .poll_frame(cx)
-                .map_err(|never| match never {}),
-            Self::Streaming(passing) => passing.poll(cx),
+        let polled = Pin::new(&mut self.rest).poll_frame(cx);
+        if matches!(polled, Poll::Ready(Some(Err(_)))) {
+            // The client's connection ends in the midst of the body, so that the client can tell.
+            if self.ends_with_connection {
+                self.client.set_broken();
+            }
+            self.end(Some(RequestEnd::Failed));
         }
+        polled
     }
 
-    fn is_end_stream(&self) -> bool {
-        match self {
-            Self::Buffered { body, .. } => body.is_end_stream(),
-            Self::Streaming(passing) => passing.left == Some(0),
-        }
+    fn complete(&mut self) {
+        self.end(Some(RequestEnd::Served));
     }
+}
 
-    fn size_hint(&self) -> SizeHint {
-        match self {
-            Self::Buffered { body, .. } => body.size_hint(),
-            Self::Streaming(StreamingResponseBody {
-                left: Some(left), ..
-            }) => SizeHint::with_exact(*left),
-            Self::Streaming(_) => SizeHint::default(),
-        }
+impl Drop for ResponseSource {
+    /// The client has disconnected, or reads no more.
+    fn drop(&mut self) {
+        self.end(None);
     }
 }
--- a/adapters/http/src/lib.rs
+++ b/adapters/http/src/lib.rs
@@ -7,6 +7,7 @@
 mod connection_limiter;
 pub mod discovery;
 pub mod endpoint_list;
+mod forwarded_body;
 mod headers;
 pub mod memory_budget;
 mod observed_stream;
--- a/adapters/http/src/server.rs
+++ b/adapters/http/src/server.rs
@@ -287,7 +287,7 @@
         known.ended.set(true);
         let early = tokio::select! {
             biased;
-            () = upload.taken() => None,
+            () = upload.completed() => None,
             reply = waiting.wait() => Some(reply),
             stuck = stuck(node.clock(), slot, &upload, left()) => match stuck {
                 StalledBody::AtClient => return Err(BadRequest::NoBody),
@@ -324,9 +324,9 @@
 /// that its client knows, and nobody takes the rest, which then never ran anywhere.
 async fn stuck(clock: &Clock, slot: &Connection, upload: &Upload, left: Nanos) -> StalledBody {
     loop {
-        let client_due = upload.stalls_at(nanos(WHOLE_WITHIN), slot.paid());
+        let client_due = upload.client_stall_deadline(nanos(WHOLE_WITHIN), slot.paid());
         slot.set_blocked(client_due.is_none());
-        let (due, who) = match (client_due, upload.waits_since()) {
+        let (due, who) = match (client_due, upload.waiting_for_backend_since()) {
             (Some(due), _) => (due, StalledBody::AtClient),
             (None, since) => {
                 let since = since.unwrap_or(clock.now());
--- a/adapters/http/src/upload.rs
+++ b/adapters/http/src/upload.rs
@@ -1,6 +1,5 @@
-//! Request bodies on their way to a backend: held whole, or passed on as they come. What has come of a body before its
-//! first attempt is kept, so that an attempt that never got further can be followed by another; once a byte beyond that
-//! has gone out, the request can't be sent again.
+//! Request bodies on their way from a client to a backend. What has arrived of a body before the first attempt is kept,
+//! so that an attempt that got no further can be retried. Once a byte beyond that was forwarded, it can't be.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -9,138 +8,147 @@
 use std::task::{Context, Poll};
 
 use bytes::Bytes;
-use http_body_util::Full;
-use hyper::body::{Body, Frame, Incoming, SizeHint};
+use hyper::body::{Body, Frame, Incoming};
 use tokio::sync::Notify;
 
 use badgerpost_balancer::Nanos;
 use badgerpost_engine::{AttemptId, Clock};
 
 use crate::HttpEngine;
+use crate::forwarded_body::{BodySource, ForwardedBody, StreamingBody};
 use crate::memory_budget::BufferedBytes;
 
 /// A request's body.
 pub enum RequestBody {
     /// Held whole.
     Buffered(BufferedBytes),
-    /// Still on the way.
+    /// Being uploaded.
     Streaming(Rc<Upload>),
 }
 
+/// The body of a message to a backend.
+pub type OutgoingBody = ForwardedBody<UploadReader>;
+
 impl RequestBody {
-    /// Whether all of it has come.
-    pub fn is_whole(&self) -> bool {
+    /// Whether all of it has been read from the client.
+    pub fn is_complete(&self) -> bool {
         match self {
-            Self::Buffered(..) => true,
-            Self::Streaming(upload) => upload.is_whole(),
+            Self::Buffered(_) => true,
+            Self::Streaming(upload) => upload.is_complete(),
         }
     }
 
     /// Whether its client has broken it off.
     pub fn is_broken(&self) -> bool {
-        matches!(self, Self::Streaming(upload) if upload.broken.get())
+        matches!(self, Self::Streaming(upload) if upload.is_broken.get())
     }
 
     /// The body of a message to a backend. One made before for the same request ends with an error.
-    pub fn message(&self, node: &HttpEngine, ticket: AttemptId) -> OutgoingBody {
+    pub fn message(&self, node: &HttpEngine, attempt: AttemptId) -> OutgoingBody {
         match self {
-            Self::Buffered(kept) => OutgoingBody::Buffered(Full::new(kept.bytes.clone())),
+            Self::Buffered(buffered) => OutgoingBody::from(buffered.bytes.clone()),
             Self::Streaming(upload) => {
-                upload.turn.set(upload.turn.get() + 1);
-                OutgoingBody::Streaming(StreamingBody {
-                    first: Some(upload.first.bytes.clone()).filter(|first| !first.is_empty()),
-                    left: upload.length,
-                    turn: upload.turn.get(),
+                let received = BufferedBytes::new(upload.received.bytes.clone(), None);
+                let reader = UploadReader {
+                    number: upload.replace_reader(),
                     upload: upload.clone(),
                     node: node.clone(),
-                    ticket,
-                })
+                    attempt,
+                };
+                OutgoingBody::Streaming(StreamingBody::from_source(reader, received, upload.length))
             }
         }
     }
 
-    /// No message that has been made takes anything more of it.
+    /// Ends all messages that were made: none reads any more of the body.
     pub fn abandon(&self) {
         if let Self::Streaming(upload) = self {
-            upload.turn.set(upload.turn.get() + 1);
-            upload.set_starved(false);
+            upload.replace_reader();
+            upload.set_waiting_for_client(false);
         }
     }
 }
 
-/// A body that is still on the way.
+/// A request body that is being uploaded.
 pub struct Upload {
-    /// What had come before the first attempt, and its part of the budget.
-    first: BufferedBytes,
+    /// What had arrived before the first attempt.
+    received: BufferedBytes,
     rest: RefCell<Incoming>,
-    /// The whole body's length, where its client has told it.
+    /// The length of the whole body, where its client has told it.
     length: Option<u64>,
-    /// Which message may take of it: the one made last.
-    turn: Cell<u64>,
-    spent: Cell<bool>,
-    broken: Cell<bool>,
-    whole: Cell<bool>,
-    ended: Notify,
-    /// Since when whoever takes of it waits for its client; none where its client waits for somebody to take of it.
-    starved_since: Cell<Option<Nanos>>,
-    /// How long its client has been waited for before that.
+    /// The number of the reader that may read: the one made last.
+    current_reader: Cell<u64>,
+    /// A byte beyond `received` was read.
+    is_consumed: Cell<bool>,
+    is_broken: Cell<bool>,
+    is_complete: Cell<bool>,
+    completed: Notify,
+    /// Since when a reader waits for the client; none while the client waits for a reader.
+    waiting_for_client_since: Cell<Option<Nanos>>,
+    /// How long readers have waited for the client before that.
     client_wait: Cell<Nanos>,
-    /// When it was made, or last moved.
-    moved: Cell<Nanos>,
+    /// When the upload began, or the client last sent something that was read.
+    last_progress_at: Cell<Nanos>,
     clock: Clock,
 }
 
 impl Upload {
-    /// A body of which `first` has come.
+    /// An upload of which `received` has arrived.
     pub fn new(
-        first: BufferedBytes,
+        received: BufferedBytes,
         rest: Incoming,
         length: Option<u64>,
         clock: &Clock,
     ) -> Rc<Self> {
         Rc::new(Self {
-            starved_since: Cell::new(None),
-            client_wait: Cell::new(0),
-            moved: Cell::new(clock.now()),
-            clock: clock.clone(),
-            first,
+            received,
             rest: RefCell::new(rest),
             length,
-            turn: Cell::new(0),
-            spent: Cell::new(false),
-            broken: Cell::new(false),
-            whole: Cell::new(false),
-            ended: Notify::new(),
+            current_reader: Cell::new(0),
+            is_consumed: Cell::new(false),
+            is_broken: Cell::new(false),
+            is_complete: Cell::new(false),
+            completed: Notify::new(),
+            waiting_for_client_since: Cell::new(None),
+            client_wait: Cell::new(0),
+            last_progress_at: Cell::new(clock.now()),
+            clock: clock.clone(),
         })
     }
 
-    /// Whether its last byte has been taken.
-    pub fn is_whole(&self) -> bool {
-        self.whole.get()
+    /// Whether its last byte has been read.
+    pub fn is_complete(&self) -> bool {
+        self.is_complete.get()
+    }
+
+    /// Resolves once its last byte has been read.
+    pub async fn completed(&self) {
+        self.completed.notified().await;
     }
 
-    /// Since when its client waits for somebody to take of it; none while it is the client that is waited for.
-    pub fn waits_since(&self) -> Option<Nanos> {
-        let is_starved = self.starved_since.get().is_some();
-        (!is_starved).then_some(self.moved.get())
+    /// Since when its client waits for a backend to read on; none while the client is waited for.
+    pub fn waiting_for_backend_since(&self) -> Option<Nanos> {
+        let waits_for_client = self.waiting_for_client_since.get().is_some();
+        (!waits_for_client).then_some(self.last_progress_at.get())
     }
 
-    /// When its client has kept it waiting for too long: for `most` in one go, or for `most` and `paid` in all.
-    pub fn stalls_at(&self, most: Nanos, paid: Nanos) -> Option<Nanos> {
-        let since = self.starved_since.get()?;
-        let left = most
-            .saturating_add(paid)
+    /// When the client will have been waited for too long: `max_wait` at a stretch, or `max_wait` and `allowance` in
+    /// all. None while the client waits for a backend.
+    pub fn client_stall_deadline(&self, max_wait: Nanos, allowance: Nanos) -> Option<Nanos> {
+        let since = self.waiting_for_client_since.get()?;
+        let remaining = max_wait
+            .saturating_add(allowance)
             .saturating_sub(self.client_wait.get());
-        Some(since.saturating_add(left.min(most)))
+        Some(since.saturating_add(remaining.min(max_wait)))
     }
 
-    /// Notes whether its client is waited for now.
-    fn set_starved(&self, is_starved: bool) {
+    /// Records whether the client is waited for from now on.
+    fn set_waiting_for_client(&self, is_waiting: bool) {
         let now = self.clock.now();
-        match (self.starved_since.get(), is_starved) {
-            (None, true) => self.starved_since.set(Some(now)),
+        match (self.waiting_for_client_since.get(), is_waiting) {
+            (None, true) => self.waiting_for_client_since.set(Some(now)),
             (Some(since), false) => {
-                self.starved_since.set(None);
+                self.waiting_for_client_since.set(None);
                 let waited = now.saturating_sub(since);
                 self.client_wait
                     .set(self.client_wait.get().saturating_add(waited));
@@ -149,115 +157,64 @@
         }
     }
 
-    /// Resolves once its last byte has been taken.
-    pub async fn taken(&self) {
-        self.ended.notified().await;
+    /// Has only the next reader read; returns its number.
+    fn replace_reader(&self) -> u64 {
+        let number = self.current_reader.get() + 1;
+        self.current_reader.set(number);
+        number
     }
 
-    fn end(&self) {
-        if !self.whole.replace(true) {
-            self.ended.notify_one();
+    fn complete(&self) {
+        if !self.is_complete.replace(true) {
+            self.completed.notify_one();
         }
     }
 }
 
-/// The body of a message to a backend.
-pub enum OutgoingBody {
-    /// Held whole.
-    Buffered(Full<Bytes>),
-    /// As it comes.
-    Streaming(StreamingBody),
-}
-
-/// A body that is passed on as it comes.
-pub struct StreamingBody {
-    first: Option<Bytes>,
-    left: Option<u64>,
-    turn: u64,
+/// Reads an upload for one attempt, until another one does.
+pub struct UploadReader {
     upload: Rc<Upload>,
+    number: u64,
     node: HttpEngine,
-    ticket: AttemptId,
+    attempt: AttemptId,
 }
 
-impl StreamingBody {
-    fn give(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if let Some(left) = &mut self.left {
-            *left = left.saturating_sub(data.len() as u64);
-            if *left == 0 {
-                // With a length, nobody asks whether more follows.
-                self.upload.end();
-            }
-        }
-        Poll::Ready(Some(Ok(Frame::data(data))))
-    }
+impl BodySource for UploadReader {
+    type Error = io::Error;
 
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if self.turn != self.upload.turn.get() {
-            self.upload.set_starved(false);
-            return Poll::Ready(Some(Err(io::Error::other("the attempt has ended"))));
-        }
-        if let Some(first) = self.first.take() {
-            return self.give(first);
-        }
-        loop {
-            let polled = Pin::new(&mut *self.upload.rest.borrow_mut()).poll_frame(cx);
-            self.upload.set_starved(polled.is_pending());
-            let frame = std::task::ready!(polled);
-            self.upload.moved.set(self.upload.clock.now());
-            match frame {
-                None => {
-                    self.upload.end();
-                    return Poll::Ready(None);
-                }
-                Some(Err(error)) => {
-                    self.upload.broken.set(true);
-                    return Poll::Ready(Some(Err(io::Error::other(error))));
-                }
-                // Trailers are the client's connection's own.
-                Some(Ok(frame)) => {
-                    let Ok(data) = frame.into_data() else {
-                        continue;
-                    };
-                    if !self.upload.spent.replace(true) {
-                        self.node.body_consumed(self.ticket);
-                    }
-                    return self.give(data);
-                }
-            }
+    fn check(&self) -> Result<(), io::Error> {
+        if self.number == self.upload.current_reader.get() {
+            return Ok(());
         }
+        self.upload.set_waiting_for_client(false);
+        Err(io::Error::other("the attempt has ended"))
     }
-}
-
-impl Body for OutgoingBody {
-    type Data = Bytes;
-    type Error = io::Error;
 
     fn poll_frame(
-        self: Pin<&mut Self>,
+        &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        match self.get_mut() {
-            Self::Buffered(full) => Pin::new(full)
-                .poll_frame(cx)
-                .map_err(|never| match never {}),
-            Self::Streaming(passing) => passing.poll(cx),
-        }
-    }
-
-    fn is_end_stream(&self) -> bool {
-        match self {
-            Self::Buffered(full) => full.is_end_stream(),
-            Self::Streaming(passing) => passing.left == Some(0),
+        let upload = &self.upload;
+        let polled = Pin::new(&mut *upload.rest.borrow_mut()).poll_frame(cx);
+        upload.set_waiting_for_client(polled.is_pending());
+        let polled = std::task::ready!(polled);
+        upload.last_progress_at.set(upload.clock.now());
+        match polled {
+            None => Poll::Ready(None),
+            Some(Err(error)) => {
+                upload.is_broken.set(true);
+                Poll::Ready(Some(Err(io::Error::other(error))))
+            }
+            Some(Ok(frame)) => {
+                if frame.is_data() && !upload.is_consumed.replace(true) {
+                    self.node.body_consumed(self.attempt);
+                }
+                Poll::Ready(Some(Ok(frame)))
+            }
         }
     }
 
-    fn size_hint(&self) -> SizeHint {
-        match self {
-            Self::Buffered(full) => full.size_hint(),
-            Self::Streaming(StreamingBody {
-                left: Some(left), ..
-            }) => SizeHint::with_exact(*left),
-            Self::Streaming(_) => SizeHint::default(),
-        }
+    fn complete(&mut self) {
+        self.upload.complete();
     }
 }
--- a/adapters/http/src/upstream/attempt.rs
+++ b/adapters/http/src/upstream/attempt.rs
@@ -99,7 +99,7 @@
     /// run: the balancer may still reject it.
     fn broken_off(&self, outcome: Outcome) -> AttemptEnd {
         let has_run =
-            self.progress.get() == Progress::Written && self.command.payload.body.is_whole();
+            self.progress.get() == Progress::Written && self.command.payload.body.is_complete();
         AttemptEnd::bare(if has_run { outcome } else { Outcome::NotSent })
     }
 
@@ -178,7 +178,7 @@
         }
         let was_reset = end.outcome == Outcome::Reset;
         // A request that the backend never had all of has not run.
-        if was_reset && !body.is_whole() {
+        if was_reset && !body.is_complete() {
             return Some(AttemptEnd::bare(Outcome::ConnectFailed));
         }
         if let Some(idle_time) = idle_time {
--- a/adapters/http/src/upstream/health_check.rs
+++ b/adapters/http/src/upstream/health_check.rs
@@ -7,7 +7,6 @@
 use badgerpost_balancer::Outcome;
 use badgerpost_engine::{BackendAddress, HealthCheckResult};
 use bytes::Bytes;
-use http_body_util::Full;
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Uri};
 
@@ -82,7 +81,7 @@
 /// The request for a load report; none if the address makes no valid header.
 fn load_request(address: SocketAddr) -> Option<Request<OutgoingBody>> {
     let host = HeaderValue::from_str(&address.to_string()).ok()?;
-    let mut message = Request::new(OutgoingBody::Buffered(Full::new(Bytes::new())));
+    let mut message = Request::new(OutgoingBody::from(Bytes::new()));
     *message.uri_mut() = Uri::from_static(HEALTH_CHECK_PATH);
     message.headers_mut().insert(HOST, host);
     Some(message)
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -102,16 +102,16 @@
         // No client gets to see it, so that the rest is not waited for.
         return head.end(None);
     }
-    let ended = Box::new(move |end| match end {
+    let on_end = Box::new(move |end| match end {
         Some(RequestEnd::Served) => leased.release(),
         Some(_) => leased.node.response_aborted(leased.destination.backend),
         None => {}
     });
     head.end(Some(BackendResponse::Streaming(StreamingResponse {
-        first: BufferedBytes::new(received.into_bytes(), reservation),
+        received: BufferedBytes::new(received.into_bytes(), reservation),
         rest,
-        left: head.length,
-        ended,
+        length: head.length,
+        on_end,
     })))
 }
 
