--- a/adapters/http/src/answer.rs
+++ b/adapters/http/src/answer.rs
@@ -12,9 +12,9 @@
 use badgerpost_balancer::ClassId;
 use badgerpost_engine::{Metrics, RequestEnd};
 
-use crate::connection_limiter::Connection;
 use crate::forwarded_body::{BodySource, ForwardedBody, StreamingBody};
 use crate::memory_budget::BufferedBytes;
+use crate::tracked_connection::TrackedConnection;
 
 /// A backend's response to a request that it has served.
 pub enum BackendResponse {
@@ -50,7 +50,7 @@
     rest: Incoming,
     /// Present until the end.
     on_end: Option<EndHandler>,
-    client: Rc<Connection>,
+    client: Rc<TrackedConnection>,
     metrics: Arc<Metrics>,
     class: ClassId,
     /// The client sees the end of the body by that of the connection only.
@@ -61,7 +61,7 @@
     /// Forwards a response to this client.
     pub fn new(
         response: StreamingResponse,
-        client: Rc<Connection>,
+        client: Rc<TrackedConnection>,
         metrics: Arc<Metrics>,
         class: ClassId,
         version: Version,
@@ -72,7 +72,7 @@
             length,
             on_end,
         } = response;
-        client.passing();
+        client.stream_started();
         let source = ResponseSource {
             rest,
             on_end: Some(on_end),
@@ -93,7 +93,7 @@
         };
         on_end(end);
         self.metrics.request_ended(self.class, end);
-        self.client.passed();
+        self.client.stream_ended();
     }
 }
 
@@ -112,7 +112,7 @@
         if matches!(polled, Poll::Ready(Some(Err(_)))) {
             // The client's connection ends in the midst of the body, so that the client can tell.
             if self.ends_with_connection {
-                self.client.set_broken();
+                self.client.stream_truncated();
             }
             self.end(Some(RequestEnd::Failed));
         }
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -10,7 +10,7 @@
 
 use super::pool::LeasedConnection;
 use super::{AttemptEnd, load_report};
-use crate::MAX_BODY;
+use crate::MAX_BUFFERED_BODY;
 use crate::answer::{BackendResponse, StreamingResponse};
 use crate::memory_budget::{BufferedBytes, BytesCollector, Reservation};
 
@@ -44,21 +44,21 @@
         return AttemptEnd::bare(Outcome::InvalidResponse);
     }
     let head = ResponseHead::new(&parts, body.size_hint().exact());
-    let max_body = MAX_BODY as u64;
+    let max_body = MAX_BUFFERED_BODY as u64;
     let buffer_bytes = head.length.map_or(max_body, |length| length.min(max_body)) as usize;
-    let reservation = leased.pool.response_budget.take(buffer_bytes);
+    let reservation = leased.pool.response_budget.reserve(buffer_bytes);
     let is_large = reservation.is_none() || head.length.is_some_and(|length| length > max_body);
     let enough_bytes = if is_large {
         STREAMING_START_BYTES
     } else {
-        MAX_BODY + 1
+        MAX_BUFFERED_BODY + 1
     };
     let mut received = BytesCollector::default();
     match read_body(&mut body, head.length, enough_bytes, &mut received).await {
         Err(error) => AttemptEnd::bare(failure_outcome(&error)),
         Ok(BodyProgress::Partial) => streaming_end(&head, leased, received, reservation, body),
         Ok(BodyProgress::Complete)
-            if received.count() == 0 && ends_unannounced(&parts, head.length) =>
+            if received.len() == 0 && ends_unannounced(&parts, head.length) =>
         {
             AttemptEnd::bare(Outcome::InvalidResponse)
         }
@@ -82,8 +82,8 @@
             continue;
         };
         received.add(data);
-        let has_all = length == Some(received.count() as u64);
-        if !has_all && received.count() >= enough_bytes {
+        let has_all = length == Some(received.len() as u64);
+        if !has_all && received.len() >= enough_bytes {
             return Ok(BodyProgress::Partial);
         }
     }
--- a/adapters/postgres/tests/common/mod.rs
+++ b/adapters/postgres/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node's PostgreSQL front in this process, between real drivers and stand-in databases.
+//! A node's PostgreSQL adapter in this process, between real drivers and fake databases.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -9,6 +9,7 @@
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -26,7 +27,7 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 use tokio_postgres::error::SqlState;
-use tokio_postgres::{Client, NoTls};
+use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
 /// Nothing here takes that long.
 const PATIENCE: Duration = Duration::from_secs(60);
@@ -35,7 +36,7 @@
     pub at: SocketAddr,
     pub fleet: PostgresEngine,
     pub config: Config,
-    /// Held, as its end would stop the front.
+    /// Held, as its end would stop the server.
     _stop: watch::Sender<bool>,
 }
 
@@ -92,7 +93,7 @@
         let launcher = Rc::new(PostgresTransport(pool.clone()));
         let fleet =
             PostgresEngine::new(site.settings, site.names, 7, clock, launcher).expect("a fleet");
-        fleet.endpoints_updated(EndpointUpdate::Snapshot, &config.listed());
+        fleet.endpoints_updated(EndpointUpdate::Snapshot, &config.endpoints());
         let timers = fleet.clone();
         spawn(async move { timers.run_timers().await });
         let user = |name: &str| {
@@ -101,7 +102,7 @@
                 Verifier::from_password("secret", b"some salt"),
             )
         };
-        let front = PostgresServer::new(
+        let server = PostgresServer::new(
             config.clone(),
             [user("ann"), user("eve")].into(),
             fleet.clone(),
@@ -112,7 +113,7 @@
             .expect("a port");
         let at = listener.local_addr().expect("an address");
         let (stop, stopping) = watch::channel(false);
-        spawn(front.expect("a front").run(listener, stopping));
+        spawn(server.expect("a server").run(listener, stopping));
         Self {
             at,
             fleet,
@@ -189,3 +190,43 @@
 pub fn code(error: &tokio_postgres::Error) -> Option<&SqlState> {
     error.code()
 }
+
+/// The first value that a query returns.
+pub async fn one(client: &Client, sql: &str) -> String {
+    let rows = client
+        .simple_query(sql)
+        .await
+        .unwrap_or_else(|error| panic!("{sql}: {error}"));
+    let row = rows.iter().find_map(|message| match message {
+        SimpleQueryMessage::Row(row) => row.get(0).map(str::to_owned),
+        _ => None,
+    });
+    row.unwrap_or_default()
+}
+
+/// A folder in the temporary one, removed when it is dropped.
+pub struct TestFolder(PathBuf);
+
+impl TestFolder {
+    pub fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("badgerpost-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("a folder");
+        Self(path)
+    }
+
+    /// Writes a file that only its owner may access.
+    pub fn private_file(&self, name: &str, text: &str) -> PathBuf {
+        use std::os::unix::fs::PermissionsExt;
+        let path = self.0.join(name);
+        std::fs::write(&path, text).expect("written");
+        let owner_only = std::fs::Permissions::from_mode(0o600);
+        std::fs::set_permissions(&path, owner_only).expect("its owner's");
+        path
+    }
+}
+
+impl Drop for TestFolder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
--- a/balancer/src/zones.rs
+++ b/balancer/src/zones.rs
@@ -3,12 +3,12 @@
 use crate::api::{BackendId, Nanos, ZoneId};
 use crate::zone::Zone;
 
-/// A zone that the embedder wants probed.
+/// A zone that is to be probed.
 #[derive(Clone, Copy)]
 pub(crate) struct WantedProbe {
     /// The zone.
     pub(crate) zone: ZoneId,
-    /// How long its answer is waited for.
+    /// How long to wait for the answer.
     pub(crate) timeout: Nanos,
 }
 
@@ -18,7 +18,7 @@
     pub(crate) zone: ZoneId,
     /// The backend.
     pub(crate) backend: BackendId,
-    /// How long its answer is waited for.
+    /// How long to wait for the answer.
     pub(crate) timeout: Nanos,
 }
 
@@ -28,14 +28,14 @@
 }
 
 impl Zones {
-    /// So many zones of which nothing is known.
+    /// `count` zones of which nothing has been measured.
     pub(crate) fn new(count: u32) -> Self {
         Self {
             zones: vec![Zone::new(); count as usize],
         }
     }
 
-    /// A zone; one that is not in the settings has no capacity and no share.
+    /// A zone; one that is not in the settings has no capacity and a traffic share of 0.
     pub(crate) fn get(&self, id: ZoneId) -> Zone {
         self.zones.get(id.index()).copied().unwrap_or_default()
     }
@@ -55,9 +55,9 @@
         self.zones.len()
     }
 
-    /// The share of requests that a zone may take, 0 to 1.
-    pub(crate) fn share(&self, id: ZoneId) -> f64 {
-        self.get(id).share()
+    /// Part of the requests that a zone may take, 0 to 1.
+    pub(crate) fn traffic_share(&self, id: ZoneId) -> f64 {
+        self.get(id).traffic_share()
     }
 
     /// The first zone that is to be probed.
--- a/core/postgres-session/src/session/message_writer.rs
+++ b/core/postgres-session/src/session/message_writer.rs
@@ -6,7 +6,8 @@
 use bytes::{Bytes, BytesMut};
 
 use super::server_link::{
-    ExpectedParse, ExpectedResponse, NameChange, Origin, ServerConnection, StatementAlias,
+    ExpectedParse, ExpectedResponse, LocalResponse, NameChange, Origin, ServerConnection,
+    StatementAlias,
 };
 use crate::extended_query::{
     self, MalformedMessage, ParseMessage, StatementText, Target, TargetKind,
@@ -127,10 +128,10 @@
             return Ok(());
         }
         if self.names.get(&parse.name).is_some() {
-            self.parse_taken_name(parse);
+            self.parse_duplicate_name(parse);
             return Ok(());
         }
-        if !self.names.named.has_room(&parse.name) {
+        if !self.names.named.has_capacity(&parse.name) {
             return Err(MalformedMessage);
         }
         if self.server.state.prepared.contains(&parse.text) {
@@ -184,7 +185,7 @@
 
     /// A `Parse` under a name that the client has in use: the server itself says what is wrong with the text or,
     /// where nothing is, that the name is taken.
-    fn parse_taken_name(&mut self, parse: ParseMessage) {
+    fn parse_duplicate_name(&mut self, parse: ParseMessage) {
         let server_name = self.ensure_prepared(&parse.text);
         let frame = extended_query::parse(&server_name, &parse.text);
         let response = ExpectedParse {
@@ -211,13 +212,15 @@
             return;
         }
         self.names.set(parse.name.clone(), parse.text.clone());
-        self.server.expected.push_back(ExpectedResponse::Local {
-            response: Frame::new(backend::PARSE_COMPLETE, Bytes::new()),
-            name_change: NameChange::Set {
-                name: parse.name,
-                text: parse.text,
-            },
-        });
+        self.server
+            .expected
+            .push_back(ExpectedResponse::Local(LocalResponse {
+                frame: Frame::new(backend::PARSE_COMPLETE, Bytes::new()),
+                name_change: NameChange::Set {
+                    name: parse.name,
+                    text: parse.text,
+                },
+            }));
     }
 
     /// A `Parse` under a new name of a text that is not prepared on the server connection.
@@ -283,15 +286,17 @@
     /// The statement stays prepared on the server connection, for all clients that use the same text.
     fn close_named(&mut self, name: Bytes) {
         self.names.remove(name.clone());
-        self.server.expected.push_back(ExpectedResponse::Local {
-            response: Frame::new(backend::CLOSE_COMPLETE, Bytes::new()),
-            name_change: NameChange::Remove(name),
-        });
+        self.server
+            .expected
+            .push_back(ExpectedResponse::Local(LocalResponse {
+                frame: Frame::new(backend::CLOSE_COMPLETE, Bytes::new()),
+                name_change: NameChange::Remove(name),
+            }));
     }
 
     fn sync(&mut self, frame: &Frame) {
         // During a copy the server ignores it.
-        self.server.ignored_sync |= self.server.is_copying_in;
+        self.server.has_ignored_sync |= self.server.is_copying_in;
         self.send(frame, ExpectedResponse::Sync);
     }
 
