--- a/adapters/http/src/client_connection.rs
+++ b/adapters/http/src/client_connection.rs
@@ -85,14 +85,14 @@
         ServeEnd::Http(_) | ServeEnd::TimedOut | ServeEnd::Shutdown => connection.close_mode(),
     };
     match close_mode {
-        CloseMode::Reset => return Ok(stream.reset()?),
+        CloseMode::Reset => return Ok(stream.reset_on_close()?),
         CloseMode::Lingering => {
             connection.lingering_close_started();
-            stream.part_reading().await;
+            stream.close_lingering().await;
         }
         CloseMode::Graceful => {
             connection.close_started();
-            stream.part(context.clock()).await;
+            stream.close_gracefully(context.clock()).await;
         }
     }
     match end {
@@ -112,7 +112,7 @@
         .max_buf_size(MAX_HEAD_SIZE)
         .serve_connection(TokioIo::new(stream.clone()), service);
     // The HTTP library notices that the client disconnects only while no bytes have arrived behind the request.
-    let mut disconnected = std::pin::pin!(stream.left(context.clock()));
+    let mut disconnected = std::pin::pin!(stream.peer_closed(context.clock()));
     let disconnected_before_response = poll_fn(|cx| {
         if connection.awaits_response() {
             disconnected.as_mut().poll(cx)
--- a/adapters/http/src/connection_limiter/tests.rs
+++ b/adapters/http/src/connection_limiter/tests.rs
@@ -47,7 +47,7 @@
 }
 
 fn receive(permit: &ConnectionPermit, bytes: &[u8]) {
-    RequestTracker::new(permit.connection().clone()).bytes(bytes);
+    RequestTracker::new(permit.connection().clone()).bytes_read(bytes);
 }
 
 #[test]
--- a/adapters/http/src/observed_stream.rs
+++ b/adapters/http/src/observed_stream.rs
@@ -1,4 +1,5 @@
-//! Listens in on connections: what the HTTP library does not tell, or not in time.
+//! A socket whose bytes are observed on their way to the HTTP library, which does not tell of them, or not in time. It
+//! also sees a peer close while nobody reads, and closes without losing what was written last.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -13,91 +14,121 @@
 
 use badgerpost_engine::{Clock, TcpStream, activity};
 
-/// One who listens in on a connection.
+/// Observes one connection.
 pub trait StreamObserver {
-    /// These bytes have come.
-    fn bytes(&mut self, bytes: &[u8]);
+    /// These bytes have been read from the socket.
+    fn bytes_read(&mut self, bytes: &[u8]);
 
-    /// Bytes have been written.
-    fn written(&mut self) {}
+    /// Bytes have been written to the socket.
+    fn bytes_written(&mut self) {}
 
     /// All that was to be written is with the system.
     fn flushed(&mut self) {}
 }
 
-/// A socket that is listened in on. Clones are handles on the same one.
-pub struct ObservedStream<E>(Rc<RefCell<ObservedStreamState<E>>>);
+/// Observes nothing: the socket's bytes are counted and no more.
+pub struct NoopObserver;
+
+impl StreamObserver for NoopObserver {
+    fn bytes_read(&mut self, _bytes: &[u8]) {}
+}
 
-struct ObservedStreamState<E> {
+/// No more is read ahead: some requests. What a peer sends beyond that waits in the system.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
+/// How much is read ahead at a time.
+const READ_AHEAD_CHUNK_BYTES: usize = 2 * 1024;
+/// How much is read at a time to be dropped.
+const DISCARD_CHUNK_BYTES: usize = 16 * 1024;
+/// How often a peer's close is looked for where bytes that are not to be read hide it.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// An observed socket. Clones are handles on the same one.
+pub struct ObservedStream<O>(Rc<RefCell<ObservedStreamState<O>>>);
+
+struct ObservedStreamState<O> {
     stream: TcpStream,
-    ear: E,
-    /// Bytes that were read before anybody asked for them.
-    ahead: BytesMut,
+    observer: O,
+    /// Bytes that were read before the HTTP library asked for them.
+    read_ahead: BytesMut,
     connection: activity::Connection,
 }
 
-impl<E> Clone for ObservedStream<E> {
+impl<O> Clone for ObservedStream<O> {
     fn clone(&self) -> Self {
         Self(self.0.clone())
     }
 }
 
-/// So much is read ahead at most: a request of the next kind or two. What a peer sends beyond that waits in the system.
-const AHEAD_MOST: usize = 16 * 1024;
-/// With so much read ahead, or with bytes that are not to be read, a peer's end is looked for this often.
-const LOOK: Duration = Duration::from_millis(20);
+/// What is known of the peer's side of a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum PeerState {
+    /// It has closed its side, or the connection is broken.
+    Closed,
+    /// Bytes that are not to be read yet come first.
+    HasSentMore,
+}
+
+impl PeerState {
+    fn new(is_closed: bool) -> Self {
+        if is_closed {
+            Self::Closed
+        } else {
+            Self::HasSentMore
+        }
+    }
+}
 
-impl<E: StreamObserver> ObservedStream<E> {
-    /// Listens in on this socket.
-    pub fn new(stream: TcpStream, ear: E) -> Self {
+impl<O: StreamObserver> ObservedStream<O> {
+    /// Observes this socket.
+    pub fn new(stream: TcpStream, observer: O) -> Self {
         let connection = activity::Connection::default();
         Self(Rc::new(RefCell::new(ObservedStreamState {
             stream,
-            ear,
-            ahead: BytesMut::new(),
+            observer,
+            read_ahead: BytesMut::new(),
             connection,
         })))
     }
 
-    /// Resolves once the peer has closed its side, or broken the connection, whoever else reads here or does not: what
-    /// it sends is read ahead meanwhile. Polled by the task that reads.
-    pub async fn left(&self, clock: &Clock) {
-        while !poll_fn(|cx| self.0.borrow_mut().poll_left(cx)).await {
-            clock.sleep(LOOK).await;
+    /// Resolves once the peer has closed its side, or broken the connection. Needs nobody to read: what the peer sends is
+    /// read ahead. Polled by the task that reads.
+    pub async fn peer_closed(&self, clock: &Clock) {
+        while poll_fn(|cx| self.0.borrow_mut().poll_read_ahead(cx)).await != PeerState::Closed {
+            clock.sleep(CLOSE_CHECK_INTERVAL).await;
         }
     }
 
-    /// Says that nothing more follows and waits for the peer to end the connection too. Bytes that still come are left
-    /// unread: whoever sent them can tell from that that nobody has taken them.
-    pub async fn part(&self, clock: &Clock) {
-        self.shut().await;
-        while !poll_fn(|cx| self.0.borrow_mut().poll_parted(cx)).await {
-            clock.sleep(LOOK).await;
+    /// Closes the writing side, and waits for the peer to close too. Bytes that still come are left unread: from the
+    /// reset that follows, a peer can tell that what it sent was not handled.
+    pub async fn close_gracefully(&self, clock: &Clock) {
+        self.close_writing().await;
+        while poll_fn(|cx| self.0.borrow_mut().poll_peer_state(cx)).await != PeerState::Closed {
+            clock.sleep(CLOSE_CHECK_INTERVAL).await;
         }
     }
 
-    /// The same after an error, while its peer may still be writing: what still comes is read and dropped. A socket
-    /// that is closed over unread bytes resets its connection, and the answer may never be seen.
-    pub async fn part_reading(&self) {
-        self.shut().await;
-        let mut scrap = vec![0; 16 * 1024];
-        let mut line = self.clone();
-        while line.read(&mut scrap).await.is_ok_and(|read| read > 0) {}
+    /// A lingering close: closes the writing side, and reads and drops what still comes until the peer closes too. A
+    /// socket that is closed over unread bytes resets its connection, and the last response may be lost with it.
+    pub async fn close_lingering(&self) {
+        self.close_writing().await;
+        let mut discarded = vec![0; DISCARD_CHUNK_BYTES];
+        let mut stream = self.clone();
+        while stream.read(&mut discarded).await.is_ok_and(|read| read > 0) {}
     }
 
     /// Has the connection end by a reset, once its last handle is dropped.
-    pub fn reset(&self) -> io::Result<()> {
+    pub fn reset_on_close(&self) -> io::Result<()> {
         self.0.borrow().stream.set_reset_on_close()
     }
 
-    async fn shut(&self) {
-        // It may have been shut already, or be broken: then the wait for its end is over at once.
+    async fn close_writing(&self) {
+        // It may be closed already, or the connection broken: then the wait for the peer is over at once.
         let _ = poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().stream).poll_shutdown(cx)).await;
     }
 }
 
-impl<E: StreamObserver> ObservedStreamState<E> {
-    /// Reads from the socket, and tells the ear.
+impl<O: StreamObserver> ObservedStreamState<O> {
+    /// Reads from the socket, and notifies the observer.
     fn poll_socket(
         &mut self,
         cx: &mut Context<'_>,
@@ -107,93 +138,87 @@
         let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
         if buffer.filled().len() > before {
             activity::read(buffer.filled().len() - before);
-            self.ear.bytes(&buffer.filled()[before..]);
+            self.observer.bytes_read(&buffer.filled()[before..]);
         } else if read.is_ready() && buffer.remaining() > 0 {
-            // Nothing more, or an error.
+            // The peer has closed, or there was an error.
             self.connection.mark_ended();
         }
         read
     }
 
-    /// Reads ahead; true with the peer's end, false where there is no more room.
-    fn poll_left(&mut self, cx: &mut Context<'_>) -> Poll<bool> {
-        while self.ahead.len() < AHEAD_MOST {
-            let mut piece = [0; 2048];
-            let mut buffer = ReadBuf::new(&mut piece);
+    /// Reads ahead until the peer closes, or as much is read ahead as may be.
+    fn poll_read_ahead(&mut self, cx: &mut Context<'_>) -> Poll<PeerState> {
+        while self.read_ahead.len() < MAX_READ_AHEAD_BYTES {
+            let mut chunk = [0; READ_AHEAD_CHUNK_BYTES];
+            let mut buffer = ReadBuf::new(&mut chunk);
             let read = ready!(self.poll_socket(cx, &mut buffer));
             if read.is_err() || buffer.filled().is_empty() {
-                return Poll::Ready(true);
+                return Poll::Ready(PeerState::Closed);
             }
-            self.ahead.extend_from_slice(buffer.filled());
+            self.read_ahead.extend_from_slice(buffer.filled());
         }
-        Poll::Ready(self.stream.is_read_closed(cx))
+        Poll::Ready(PeerState::new(self.stream.is_read_closed(cx)))
     }
 
-    /// Waits for something to read, and reads nothing; true with the peer's end, false with bytes.
-    fn poll_parted(&mut self, cx: &mut Context<'_>) -> Poll<bool> {
+    /// Waits until the peer has closed, or there are bytes, and reads none of them.
+    fn poll_peer_state(&mut self, cx: &mut Context<'_>) -> Poll<PeerState> {
         let found = ready!(self.stream.poll_peek(cx, &mut [0])).unwrap_or_default();
-        let ended = found == 0 || self.stream.is_read_closed(cx);
-        if ended {
+        let is_closed = found == 0 || self.stream.is_read_closed(cx);
+        if is_closed {
             self.connection.mark_ended();
         }
-        Poll::Ready(ended)
+        Poll::Ready(PeerState::new(is_closed))
     }
 }
 
-/// One who does not listen: the socket's bytes are counted and no more.
-pub struct NoopObserver;
-
-impl StreamObserver for NoopObserver {
-    fn bytes(&mut self, _bytes: &[u8]) {}
-}
-
-fn counted(
-    ear: &mut impl StreamObserver,
+/// Counts a write, and notifies the observer of it.
+fn observe_write(
+    observer: &mut impl StreamObserver,
     write: Poll<io::Result<usize>>,
 ) -> Poll<io::Result<usize>> {
     if let Poll::Ready(Ok(written)) = &write {
         activity::written(*written);
-        ear.written();
+        observer.bytes_written();
     }
     write
 }
 
-impl<E: StreamObserver> AsyncRead for ObservedStream<E> {
+impl<O: StreamObserver> AsyncRead for ObservedStream<O> {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut line = self.0.borrow_mut();
-        if line.ahead.is_empty() {
-            return line.poll_socket(cx, buffer);
+        let mut state = self.0.borrow_mut();
+        if state.read_ahead.is_empty() {
+            return state.poll_socket(cx, buffer);
         }
-        let taken = line.ahead.len().min(buffer.remaining());
-        buffer.put_slice(&line.ahead.split_to(taken));
-        if line.ahead.is_empty() {
+        let count = state.read_ahead.len().min(buffer.remaining());
+        buffer.put_slice(&state.read_ahead.split_to(count));
+        if state.read_ahead.is_empty() {
             // Most connections never need it again.
-            line.ahead = BytesMut::new();
+            state.read_ahead = BytesMut::new();
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl<E: StreamObserver> AsyncWrite for ObservedStream<E> {
+impl<O: StreamObserver> AsyncWrite for ObservedStream<O> {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let line = &mut *self.0.borrow_mut();
-        let write = Pin::new(&mut line.stream).poll_write(cx, bytes);
-        counted(&mut line.ear, write)
+        let state = &mut *self.0.borrow_mut();
+        let write = Pin::new(&mut state.stream).poll_write(cx, bytes);
+        observe_write(&mut state.observer, write)
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let line = &mut *self.0.borrow_mut();
-        let flushed = Pin::new(&mut line.stream).poll_flush(cx);
+        let state = &mut *self.0.borrow_mut();
+        let flushed = Pin::new(&mut state.stream).poll_flush(cx);
         if flushed.is_ready() {
-            line.ear.flushed();
+            state.observer.flushed();
         }
         flushed
     }
@@ -205,11 +230,11 @@
     fn poll_write_vectored(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        parts: &[io::IoSlice<'_>],
+        slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let line = &mut *self.0.borrow_mut();
-        let write = Pin::new(&mut line.stream).poll_write_vectored(cx, parts);
-        counted(&mut line.ear, write)
+        let state = &mut *self.0.borrow_mut();
+        let write = Pin::new(&mut state.stream).poll_write_vectored(cx, slices);
+        observe_write(&mut state.observer, write)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/adapters/http/src/tracked_connection.rs
+++ b/adapters/http/src/tracked_connection.rs
@@ -283,7 +283,7 @@
 }
 
 impl StreamObserver for RequestTracker {
-    fn bytes(&mut self, bytes: &[u8]) {
+    fn bytes_read(&mut self, bytes: &[u8]) {
         let Self { connection, framer } = self;
         let now = connection.clock.now();
         connection.last_received_at.set(now);
@@ -295,7 +295,7 @@
         });
     }
 
-    fn written(&mut self) {
+    fn bytes_written(&mut self) {
         let now = self.connection.clock.now();
         self.connection
             .enter(self.connection.state.get().bytes_sent(now));
--- a/adapters/http/src/upstream/response_activity.rs
+++ b/adapters/http/src/upstream/response_activity.rs
@@ -87,14 +87,14 @@
 }
 
 impl StreamObserver for ResponseActivity {
-    fn bytes(&mut self, _bytes: &[u8]) {
+    fn bytes_read(&mut self, _bytes: &[u8]) {
         self.0.reads.fetch_add(1, Ordering::Relaxed);
         if !self.0.has_received.swap(true, Ordering::Relaxed) {
             self.0.first_bytes_received.notify_waiters();
         }
     }
 
-    fn written(&mut self) {
+    fn bytes_written(&mut self) {
         self.0.has_written.store(true, Ordering::Relaxed);
     }
 
