--- a/adapters/http/src/api.rs
+++ b/adapters/http/src/api.rs
@@ -8,8 +8,8 @@
 use hyper::body::Incoming;
 use hyper::{Request, Uri};
 
-use crate::answer::{BackendResponse, StreamingResponseBody};
 use crate::api_request::{RequestIdentity, RequestParameters};
+use crate::backend_response::{BackendResponse, StreamingResponseBody};
 use crate::bad_request::BadRequest;
 use crate::client_response::{self, ClientResponse};
 use crate::headers::{CALL_ID, end_to_end};
--- a/adapters/http/src/answer.rs
+++ b/adapters/http/src/backend_response.rs
@@ -32,7 +32,7 @@
     /// What has arrived of its body.
     pub received: BufferedBytes,
     /// The rest of its body.
-    pub rest: Incoming,
+    pub incoming: Incoming,
     /// The length of all of its body, where the backend has told it.
     pub length: Option<u64>,
     /// Told how the response ended.
@@ -47,7 +47,7 @@
 
 /// The rest of a response that is forwarded as it arrives. Counts its end.
 pub struct ResponseSource {
-    rest: Incoming,
+    incoming: Incoming,
     /// Present until the end.
     on_end: Option<EndHandler>,
     client: Rc<TrackedConnection>,
@@ -68,13 +68,13 @@
     ) -> Self {
         let StreamingResponse {
             received,
-            rest,
+            incoming,
             length,
             on_end,
         } = response;
         client.stream_started();
         let source = ResponseSource {
-            rest,
+            incoming,
             on_end: Some(on_end),
             client,
             metrics,
@@ -108,7 +108,7 @@
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
-        let polled = Pin::new(&mut self.rest).poll_frame(cx);
+        let polled = Pin::new(&mut self.incoming).poll_frame(cx);
         if matches!(polled, Poll::Ready(Some(Err(_)))) {
             // The client's connection ends in the midst of the body, so that the client can tell.
             if self.ends_with_connection {
--- a/adapters/http/src/client_response.rs
+++ b/adapters/http/src/client_response.rs
@@ -6,7 +6,9 @@
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-use crate::answer::{BackendResponse, ResponseBody, StreamingResponse, StreamingResponseBody};
+use crate::backend_response::{
+    BackendResponse, ResponseBody, StreamingResponse, StreamingResponseBody,
+};
 
 /// A response to a client.
 pub(crate) type ClientResponse = Response<ResponseBody>;
--- a/adapters/http/src/lib.rs
+++ b/adapters/http/src/lib.rs
@@ -4,9 +4,9 @@
 //! A client's request passes through `server`, `connection_limiter`, `client_connection`, `routes`, `api` and from there
 //! to the engine, which calls `upstream` for each attempt.
 
-mod answer;
 mod api;
 mod api_request;
+mod backend_response;
 mod bad_request;
 mod client_connection;
 mod client_response;
@@ -55,7 +55,7 @@
 
 impl Protocol for Http {
     type Request = ForwardedRequest;
-    type Response = answer::BackendResponse;
+    type Response = backend_response::BackendResponse;
 }
 
 /// The engine of an HTTP fleet.
--- a/adapters/http/src/upload.rs
+++ b/adapters/http/src/upload.rs
@@ -73,7 +73,7 @@
 pub struct Upload {
     /// What had arrived before the first attempt.
     received: BufferedBytes,
-    rest: RefCell<Incoming>,
+    incoming: RefCell<Incoming>,
     /// The length of the whole body, where its client has told it.
     length: Option<u64>,
     /// The number of the reader that may read: the one made last.
@@ -96,13 +96,13 @@
     /// An upload of which `received` has arrived.
     pub fn new(
         received: BufferedBytes,
-        rest: Incoming,
+        incoming: Incoming,
         length: Option<u64>,
         clock: &Clock,
     ) -> Rc<Self> {
         Rc::new(Self {
             received,
-            rest: RefCell::new(rest),
+            incoming: RefCell::new(incoming),
             length,
             current_reader: Cell::new(0),
             is_consumed: Cell::new(false),
@@ -195,7 +195,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let upload = &self.upload;
-        let polled = Pin::new(&mut *upload.rest.borrow_mut()).poll_frame(cx);
+        let polled = Pin::new(&mut *upload.incoming.borrow_mut()).poll_frame(cx);
         upload.set_waiting_for_client(polled.is_pending());
         let polled = std::task::ready!(polled);
         upload.last_progress_at.set(upload.clock.now());
--- a/adapters/http/src/upstream.rs
+++ b/adapters/http/src/upstream.rs
@@ -18,7 +18,7 @@
 use badgerpost_engine::{BackendAddress, Clock, Transport, spawn};
 use badgerpost_settings::ConnectionSettings;
 
-use crate::answer::BackendResponse;
+use crate::backend_response::BackendResponse;
 use crate::memory_budget::MemoryBudget;
 use crate::{Http, HttpEngine};
 
--- a/adapters/http/src/upstream/health_check.rs
+++ b/adapters/http/src/upstream/health_check.rs
@@ -14,7 +14,7 @@
 use super::response_reader::{failure_outcome, read_response};
 use super::{AttemptEnd, load_report};
 use crate::HttpEngine;
-use crate::answer::BackendResponse;
+use crate::backend_response::BackendResponse;
 use crate::upload::OutgoingBody;
 
 /// Where a backend tells its load.
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -11,7 +11,7 @@
 use super::pool::LeasedConnection;
 use super::{AttemptEnd, load_report};
 use crate::MAX_BUFFERED_BODY;
-use crate::answer::{BackendResponse, StreamingResponse};
+use crate::backend_response::{BackendResponse, StreamingResponse};
 use crate::memory_budget::{BufferedBytes, BytesCollector, Reservation};
 
 /// A large response is forwarded once this many bytes of it are here: one whose length is wrong has less to show by
@@ -96,7 +96,7 @@
     leased: LeasedConnection,
     received: BytesCollector,
     reservation: Option<Reservation>,
-    rest: Incoming,
+    incoming: Incoming,
 ) -> AttemptEnd {
     if head.outcome != Outcome::Success {
         // No client gets to see it, so that the rest is not waited for.
@@ -109,7 +109,7 @@
     });
     head.end(Some(BackendResponse::Streaming(StreamingResponse {
         received: BufferedBytes::new(received.into_bytes(), reservation),
-        rest,
+        incoming,
         length: head.length,
         on_end,
     })))
