--- /dev/null
+++ b/adapters/http/src/backend_response.rs
@@ -0,0 +1,132 @@
+//! Responses on their way from a backend to a client.
+
+use std::pin::Pin;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::task::{Context, Poll};
+
+use bytes::Bytes;
+use hyper::Version;
+use hyper::body::{Body, Frame, Incoming};
+
+use badgerpost_balancer::ClassId;
+use badgerpost_engine::{Metrics, RequestEnd};
+
+use crate::forwarded_body::{BodySource, ForwardedBody, StreamingBody};
+use crate::memory_budget::BufferedBytes;
+use crate::tracked_connection::TrackedConnection;
+
+/// A backend's response to a request that it has served.
+pub enum BackendResponse {
+    /// Held whole.
+    Buffered(BufferedBytes),
+    /// Forwarded as it arrives.
+    Streaming(StreamingResponse),
+}
+
+/// Called once with how a response ended; with none if its client has disconnected.
+pub type EndHandler = Box<dyn FnOnce(Option<RequestEnd>)>;
+
+/// A response that has begun to arrive.
+pub struct StreamingResponse {
+    /// What has arrived of its body.
+    pub received: BufferedBytes,
+    /// The rest of its body.
+    pub incoming: Incoming,
+    /// The length of all of its body, where the backend has told it.
+    pub length: Option<u64>,
+    /// Told how the response ended.
+    pub on_end: EndHandler,
+}
+
+/// The body of a response to a client.
+pub type ResponseBody = ForwardedBody<ResponseSource>;
+
+/// The body of a response that is forwarded as it arrives.
+pub type StreamingResponseBody = StreamingBody<ResponseSource>;
+
+/// The rest of a response that is forwarded as it arrives. Counts its end.
+pub struct ResponseSource {
+    incoming: Incoming,
+    /// Present until the end.
+    on_end: Option<EndHandler>,
+    client: Rc<TrackedConnection>,
+    metrics: Arc<Metrics>,
+    class: ClassId,
+    /// The client sees the end of the body by that of the connection only.
+    ends_with_connection: bool,
+}
+
+impl StreamingResponseBody {
+    /// Forwards a response to this client.
+    pub fn new(
+        response: StreamingResponse,
+        client: Rc<TrackedConnection>,
+        metrics: Arc<Metrics>,
+        class: ClassId,
+        version: Version,
+    ) -> Self {
+        let StreamingResponse {
+            received,
+            incoming,
+            length,
+            on_end,
+        } = response;
+        client.stream_started();
+        let source = ResponseSource {
+            incoming,
+            on_end: Some(on_end),
+            client,
+            metrics,
+            class,
+            ends_with_connection: version == Version::HTTP_10 && length.is_none(),
+        };
+        Self::from_source(source, received, length)
+    }
+}
+
+impl ResponseSource {
+    /// Reports the end; only the first one counts.
+    fn end(&mut self, end: Option<RequestEnd>) {
+        let Some(on_end) = self.on_end.take() else {
+            return;
+        };
+        on_end(end);
+        self.metrics.request_ended(self.class, end);
+        self.client.stream_ended();
+    }
+}
+
+impl BodySource for ResponseSource {
+    type Error = hyper::Error;
+
+    fn check(&self) -> Result<(), hyper::Error> {
+        Ok(())
+    }
+
+    fn poll_frame(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
+        let polled = Pin::new(&mut self.incoming).poll_frame(cx);
+        if matches!(polled, Poll::Ready(Some(Err(_)))) {
+            // The client's connection ends in the midst of the body, so that the client can tell.
+            if self.ends_with_connection {
+                self.client.stream_truncated();
+            }
+            self.end(Some(RequestEnd::Failed));
+        }
+        polled
+    }
+
+    fn complete(&mut self) {
+        self.end(Some(RequestEnd::Served));
+    }
+}
+
+impl Drop for ResponseSource {
+    /// The client has disconnected, or reads no more.
+    fn drop(&mut self) {
+        self.end(None);
+    }
+}
