--- a/balancer/tests/any_sequence.rs
+++ b/balancer/tests/any_sequence.rs
@@ -1,5 +1,5 @@
 //! Arbitrary legal sequences of events, with fixed seeds; the four rules are checked over the actions.
-//! Nothing is modelled: outcomes are drawn, not computed.
+//! No server is modelled: outcomes are drawn at random.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -38,22 +38,23 @@
 
 #[derive(Default)]
 struct Tracked {
-    effect: usize,
-    not_after: Nanos,
+    class: usize,
+    expires_at: Nanos,
     attempts: Vec<(BackendId, Nanos, Option<Outcome>)>,
     ended: bool,
-    /// Its body is on the way; some of it can't be had again.
+    /// Whether its body is on the way.
     uploading: bool,
-    spent: bool,
+    /// Whether part of its body can't be sent again.
+    is_body_consumed: bool,
 }
 
 struct Run {
     now: Nanos,
-    effects: Vec<Idempotency>,
+    class_idempotency: Vec<Idempotency>,
     listed: BTreeMap<BackendId, Endpoint>,
     requests: BTreeMap<RequestId, Tracked>,
-    cap: usize,
-    copies: bool,
+    max_attempts: usize,
+    hedging: bool,
 }
 
 impl Run {
@@ -70,14 +71,14 @@
                         .iter()
                         .any(|a| a.2.is_none_or(Outcome::may_have_run));
                     let free = matches!(
-                        self.effects[tracked.effect],
+                        self.class_idempotency[tracked.class],
                         Idempotency::Idempotent
                             | Idempotency::Keyed {
                                 scope: DedupScope::All,
                                 ..
                             }
                     );
-                    assert!(free || !ran, "refused what may have run");
+                    assert!(free || !ran, "rejected what may have run");
                     assert!(
                         !std::mem::replace(&mut tracked.ended, true),
                         "two final answers"
@@ -98,18 +99,24 @@
     fn check_send(&mut self, request: RequestId, backend: BackendId) {
         let tracked = self.requests.get_mut(&request).expect("a known request");
         assert!(!tracked.ended, "sent after its end");
-        assert!(self.now < tracked.not_after, "sent after its time");
-        assert!(!tracked.spent, "sent though its body can't be had again");
-        assert!(tracked.attempts.len() < self.cap, "past the cap");
-        let member = self.listed[&backend];
+        assert!(self.now < tracked.expires_at, "sent after it expired");
+        assert!(
+            !tracked.is_body_consumed,
+            "sent though its body can't be sent again"
+        );
+        assert!(
+            tracked.attempts.len() < self.max_attempts,
+            "more than the maximum of attempts"
+        );
+        let endpoint = self.listed[&backend];
         assert_eq!(
-            member.state,
+            endpoint.state,
             EndpointState::InService,
             "sent to a drained backend"
         );
         assert!(
-            self.copies || tracked.attempts.iter().all(|a| a.2.is_some()),
-            "two copies"
+            self.hedging || tracked.attempts.iter().all(|a| a.2.is_some()),
+            "two attempts in flight"
         );
         let ran: Vec<_> = tracked
             .attempts
@@ -117,9 +124,9 @@
             .filter(|a| a.2.is_none_or(Outcome::may_have_run))
             .collect();
         if let Some(&&(first, at, _)) = ran.first() {
-            match self.effects[tracked.effect] {
+            match self.class_idempotency[tracked.class] {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => panic!("an unsafe request was sent again"),
+                Idempotency::NonIdempotent => panic!("a non-idempotent request was sent again"),
                 Idempotency::Keyed {
                     scope: group,
                     window,
@@ -128,8 +135,8 @@
                     let first = self.listed[&first];
                     assert!(match group {
                         DedupScope::All => true,
-                        DedupScope::Zone => first.zone == member.zone,
-                        DedupScope::Cell => first.cell == member.cell,
+                        DedupScope::Zone => first.zone == endpoint.zone,
+                        DedupScope::Cell => first.cell == endpoint.cell,
                     });
                 }
             }
@@ -145,7 +152,7 @@
 fn drive(seed: u64) {
     let mut draw = Draw(seed);
     let window = (1 + draw.below(400)) * MILLISECOND;
-    let effects = vec![
+    let class_idempotency = vec![
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
         Idempotency::Keyed {
@@ -162,9 +169,9 @@
         },
     ];
     let mut given = Settings::new(ZoneId(0), 1 + draw.below(3) as u32);
-    given.classes = effects
+    given.classes = class_idempotency
         .iter()
-        .map(|&effect| class(50 + draw.below(500), 600, effect))
+        .map(|&idempotency| class(50 + draw.below(500), 600, idempotency))
         .collect();
     given.node_count = [1, 3, 1000][draw.below(3) as usize];
     given.weight_source = if draw.below(2) == 0 {
@@ -182,11 +189,11 @@
     };
     let mut run = Run {
         now: SECOND,
-        effects,
+        class_idempotency,
         listed: BTreeMap::new(),
         requests: BTreeMap::new(),
-        cap: given.limits.max_attempts as usize,
-        copies: given.limits.hedging,
+        max_attempts: given.limits.max_attempts as usize,
+        hedging: given.limits.hedging,
     };
     let zones = given.zone_count;
     let mut node = Node::new(given, vec![]);
@@ -194,15 +201,15 @@
         let event = match draw.below(15) {
             0..=3 => {
                 let request = RequestId(step);
-                let effect = draw.below(5) as usize;
+                let class = draw.below(5) as usize;
                 let uploading = draw.below(3) == 0;
-                let not_after =
+                let expires_at =
                     run.now + draw.below(if uploading { 1500 } else { 900 }) * MILLISECOND;
                 run.requests.insert(
                     request,
                     Tracked {
-                        effect,
-                        not_after,
+                        class,
+                        expires_at,
                         uploading,
                         ..Tracked::default()
                     },
@@ -210,12 +217,12 @@
                 let hint = (draw.below(2) == 0).then(|| draw.below(90) * MILLISECOND);
                 let arrival = RequestArrival {
                     request,
-                    class: ClassId(effect as u32),
+                    class: ClassId(class as u32),
                     affinity_key: (draw.below(2) == 0).then(|| draw.below(6)),
                     expected_service_time: hint,
                     is_retry: false,
                     tenant: None,
-                    expires_at: not_after,
+                    expires_at,
                 };
                 if uploading {
                     Event::UploadStarted(arrival)
@@ -223,18 +230,19 @@
                     Event::RequestArrived(arrival)
                 }
             }
-            // The body of an upload comes to its end, or some of it goes out; also of one that is none, or is over.
+            // The body of an upload is complete, or part of it is consumed; also of requests that are no uploads or
+            // have ended.
             12 | 13 => {
                 let request = RequestId(draw.below(step + 1));
-                let (whole, not_after) =
+                let (is_complete, expires_at) =
                     (draw.below(2) == 0, run.now + draw.below(900) * MILLISECOND);
                 let now = run.now;
                 if let Some(tracked) = run.requests.get_mut(&request) {
-                    if !whole {
-                        tracked.spent = true;
+                    if !is_complete {
+                        tracked.is_body_consumed = true;
                     } else if std::mem::take(&mut tracked.uploading) && !tracked.ended {
-                        tracked.not_after = not_after;
-                        // The server has it from now on, and remembers its key from now on.
+                        tracked.expires_at = expires_at;
+                        // The server has the request, and remembers its key, from now on.
                         tracked
                             .attempts
                             .iter_mut()
@@ -242,10 +250,10 @@
                             .for_each(|a| a.1 = now);
                     }
                 }
-                if whole {
+                if is_complete {
                     Event::UploadComplete {
                         request,
-                        expires_at: not_after,
+                        expires_at,
                     }
                 } else {
                     Event::BodyConsumed { request }
@@ -279,11 +287,11 @@
                     outcome,
                     elapsed,
                     request_ended: ended,
-                    report: util(figure),
+                    report: utilization_report(figure),
                 })
             }
             8 => {
-                let members: Vec<Endpoint> = (0..draw.below(8))
+                let endpoints: Vec<Endpoint> = (0..draw.below(8))
                     .map(|_| {
                         let backend = draw.below(8) as u32;
                         let stage = [
@@ -297,7 +305,7 @@
                             cell: u64::from(backend % 3),
                             started_at: (draw.below(3) == 0).then_some(run.now),
                             size: [1.0, 2.0, 0.0, f64::NAN][draw.below(4) as usize],
-                            ..member(backend, backend % (zones + 1))
+                            ..endpoint(backend, backend % (zones + 1))
                         }
                     })
                     .collect();
@@ -305,10 +313,13 @@
                 if full {
                     run.listed
                         .values_mut()
-                        .for_each(|member| member.state = EndpointState::Removed);
+                        .for_each(|endpoint| endpoint.state = EndpointState::Removed);
                 }
-                run.listed
-                    .extend(members.iter().map(|member| (member.backend, *member)));
+                run.listed.extend(
+                    endpoints
+                        .iter()
+                        .map(|endpoint| (endpoint.backend, *endpoint)),
+                );
                 let scope = if full {
                     EndpointUpdate::Snapshot
                 } else {
@@ -316,7 +327,7 @@
                 };
                 Event::EndpointsUpdated {
                     update: scope,
-                    endpoints: members,
+                    endpoints,
                 }
             }
             9 => match draw.below(4) {
@@ -330,7 +341,7 @@
                 }
                 2 => {
                     let (request, attempt) = (RequestId(draw.below(step + 1) + 90_000), 3);
-                    let (outcome, report) = (Outcome::Success, util(0.5));
+                    let (outcome, report) = (Outcome::Success, utilization_report(0.5));
                     Event::AttemptEnded(AttemptResult {
                         request,
                         attempt,
@@ -344,7 +355,7 @@
                     backend: BackendId(draw.below(12) as u32),
                     outcome: Outcome::Success,
                     elapsed: MILLISECOND,
-                    report: util(0.2),
+                    report: utilization_report(0.2),
                 },
             },
             _ => {
@@ -354,20 +365,20 @@
                 }
             }
         };
-        // The module's clock may be shown an earlier time; it must stand still, not fail.
+        // Time may step back; the module's time must stand still then.
         node.now = if draw.below(50) == 0 {
             run.now / 2
         } else {
             run.now
         };
-        let actions = node.tell(event);
+        let actions = node.handle(event);
         run.check(&actions);
     }
-    // Let everything come to its end: every attempt times out, then all must have been answered.
+    // At the end every attempt times out; then all requests must have a final answer.
     for _ in 0..200 {
         run.now += 10 * MILLISECOND;
         node.now = run.now;
-        let actions = node.tell(Event::TimerFired { token: 0 });
+        let actions = node.handle(Event::TimerFired { token: 0 });
         run.check(&actions);
         let due: Vec<(RequestId, usize)> = run
             .requests
@@ -376,7 +387,7 @@
                 t.attempts
                     .iter()
                     .enumerate()
-                    .map(move |(n, a)| (id, n, a.2, t.not_after))
+                    .map(move |(n, a)| (id, n, a.2, t.expires_at))
             })
             .filter(|(_, _, outcome, end)| outcome.is_none() && *end <= run.now)
             .map(|(id, n, _, _)| (id, n))
@@ -387,7 +398,7 @@
             let (ended, elapsed) = (tracked.ended, run.now - tracked.attempts[attempt].1);
             let (attempt, report) = (attempt as u32, LoadReport::default());
             let outcome = Outcome::TimedOut;
-            let actions = node.tell(Event::AttemptEnded(AttemptResult {
+            let actions = node.handle(Event::AttemptEnded(AttemptResult {
                 request,
                 attempt,
                 outcome,
@@ -423,9 +434,9 @@
     let run = || {
         let mut node = Node::new(
             settings(Idempotency::Idempotent),
-            (0..9).map(|b| member(b, b % 3)).collect(),
+            (0..9).map(|b| endpoint(b, b % 3)).collect(),
         );
-        node.serve(300, |to| util(0.3 + 0.08 * f64::from(to.0)))
+        node.serve_requests(300, |to| utilization_report(0.3 + 0.08 * f64::from(to.0)))
     };
     assert_eq!(run(), run());
 }
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test and the words for feeding it.
+//! A balancer under test, with its clock, and helpers that feed it events.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -10,30 +10,34 @@
 use badgerpost_balancer::*;
 pub use badgerpost_time::{MILLISECOND, SECOND};
 
+/// One node: a balancer, its time, and the id of the next request.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Nanos,
     pub next: u64,
 }
 
-pub fn class(aim_ms: u64, deadline_ms: u64, effect: Idempotency) -> ClassSettings {
+/// A class with defaults for the rest.
+pub fn class(objective_ms: u64, deadline_ms: u64, idempotency: Idempotency) -> ClassSettings {
     ClassSettings {
-        latency_objective: aim_ms * MILLISECOND,
+        latency_objective: objective_ms * MILLISECOND,
         deadline: deadline_ms * MILLISECOND,
-        idempotency: effect,
+        idempotency,
         ..ClassSettings::default()
     }
 }
 
-pub fn settings(effect: Idempotency) -> Settings {
+/// Settings of one of two nodes in three zones, with one class.
+pub fn settings(idempotency: Idempotency) -> Settings {
     Settings {
-        classes: vec![class(400, 1000, effect)],
+        classes: vec![class(400, 1000, idempotency)],
         node_count: 2,
         ..Settings::new(ZoneId(0), 3)
     }
 }
 
-pub fn member(backend: u32, zone: u32) -> Endpoint {
+/// A backend in service; its cell is its zone.
+pub fn endpoint(backend: u32, zone: u32) -> Endpoint {
     Endpoint {
         backend: BackendId(backend),
         zone: ZoneId(zone),
@@ -43,83 +47,91 @@
     }
 }
 
-pub fn util(util: f64) -> LoadReport {
+/// A report of this utilization.
+pub fn utilization_report(utilization: f64) -> LoadReport {
     LoadReport {
-        utilization: Some(util),
+        utilization: Some(utilization),
         ..LoadReport::default()
     }
 }
 
 impl Node {
-    pub fn new(settings: Settings, members: Vec<Endpoint>) -> Self {
-        Self::seeded(7, settings, members)
+    /// A node that has started, with these endpoints in its cache.
+    pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
+        Self::seeded(7, settings, endpoints)
     }
 
-    pub fn seeded(seed: u64, settings: Settings, members: Vec<Endpoint>) -> Self {
+    /// The same with a seed.
+    pub fn seeded(seed: u64, settings: Settings, endpoints: Vec<Endpoint>) -> Self {
         let balancer = Balancer::new(settings, seed, SECOND).expect("usable settings");
         let mut node = Self {
             balancer,
             now: SECOND,
             next: 0,
         };
-        node.tell(Event::Start);
-        node.tell(Event::EndpointsUpdated {
+        node.handle(Event::Start);
+        node.handle(Event::EndpointsUpdated {
             update: EndpointUpdate::Cached,
-            endpoints: members,
+            endpoints,
         });
         node
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Handles an event now and returns the actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn list(&mut self, scope: EndpointUpdate, members: Vec<Endpoint>) -> Vec<Action> {
-        self.tell(Event::EndpointsUpdated {
-            update: scope,
-            endpoints: members,
-        })
+    /// Delivers a list of endpoints.
+    pub fn update_endpoints(
+        &mut self,
+        update: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
+    ) -> Vec<Action> {
+        self.handle(Event::EndpointsUpdated { update, endpoints })
     }
 
-    /// A request of class 0 that its client gives up after `wait`.
-    pub fn ask(&mut self, wait: Nanos) -> (RequestId, Vec<Action>) {
-        self.ask_marked(wait, false)
+    /// A request of class 0 that its client gives up after `client_timeout`.
+    pub fn arrive(&mut self, client_timeout: Nanos) -> (RequestId, Vec<Action>) {
+        self.arrive_marked(client_timeout, false)
     }
 
-    /// The same, marked as a client's repeat.
-    pub fn ask_again(&mut self, wait: Nanos) -> (RequestId, Vec<Action>) {
-        self.ask_marked(wait, true)
+    /// The same, marked as a client's retry.
+    pub fn arrive_as_retry(&mut self, client_timeout: Nanos) -> (RequestId, Vec<Action>) {
+        self.arrive_marked(client_timeout, true)
     }
 
-    fn ask_marked(&mut self, wait: Nanos, repeat: bool) -> (RequestId, Vec<Action>) {
+    fn arrive_marked(&mut self, client_timeout: Nanos, is_retry: bool) -> (RequestId, Vec<Action>) {
         let request = RequestId(self.next);
         self.next += 1;
-        let not_after = self.now + wait;
+        let expires_at = self.now + client_timeout;
         let arrival = RequestArrival {
             request,
             class: ClassId(0),
             affinity_key: None,
             expected_service_time: None,
-            is_retry: repeat,
+            is_retry,
             tenant: None,
-            expires_at: not_after,
+            expires_at,
         };
-        (request, self.tell(Event::RequestArrived(arrival)))
+        (request, self.handle(Event::RequestArrived(arrival)))
     }
 
-    pub fn settle(
+    /// Ends an attempt after 30 ms; a success ends the request.
+    pub fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: u32,
         outcome: Outcome,
         report: LoadReport,
     ) -> Vec<Action> {
-        self.settle_after(request, attempt, outcome, 30 * MILLISECOND, report)
+        self.end_attempt_after(request, attempt, outcome, 30 * MILLISECOND, report)
     }
 
-    pub fn settle_after(
+    /// Ends an attempt after this time; a success ends the request.
+    pub fn end_attempt_after(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -128,7 +140,7 @@
         report: LoadReport,
     ) -> Vec<Action> {
         let ended = outcome == Outcome::Success;
-        self.tell(Event::AttemptEnded(AttemptResult {
+        self.handle(Event::AttemptEnded(AttemptResult {
             request,
             attempt,
             outcome,
@@ -138,19 +150,20 @@
         }))
     }
 
-    /// Lets time pass with the housekeeping timer coming due.
-    pub fn pass(&mut self, span: Nanos) -> Vec<Action> {
-        let end = self.now + span;
+    /// Advances the time in steps of 10 ms, each with a fired timer.
+    pub fn advance(&mut self, duration: Nanos) -> Vec<Action> {
+        let end = self.now + duration;
         let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 10 * MILLISECOND).min(end);
-            actions.extend(self.tell(Event::TimerFired { token: 0 }));
+            actions.extend(self.handle(Event::TimerFired { token: 0 }));
         }
         actions
     }
 
-    /// Asks `count` times, one in 10 ms; every send is served after 40 ms with the report of its backend.
-    pub fn serve(
+    /// Sends `count` requests, one in 10 ms; every attempt succeeds after 40 ms with the report of its backend. Returns
+    /// the backends of the attempts, in the order of their ends.
+    pub fn serve_requests(
         &mut self,
         count: usize,
         report: impl Fn(BackendId) -> LoadReport,
@@ -159,18 +172,18 @@
         let mut out: Vec<(RequestId, u32, BackendId, Nanos)> = Vec::new();
         for turn in 0..count + 40 {
             let mut actions = if turn < count {
-                self.ask(SECOND).1
+                self.arrive(SECOND).1
             } else {
                 Vec::new()
             };
-            actions.extend(self.pass(10 * MILLISECOND));
+            actions.extend(self.advance(10 * MILLISECOND));
             let (due, rest) = out
                 .into_iter()
                 .partition(|send| self.now >= send.3 + 40 * MILLISECOND);
             out = rest;
             for (request, attempt, to, _) in Vec::from_iter::<Vec<_>>(due) {
                 used.push(to);
-                actions.extend(self.settle_after(
+                actions.extend(self.end_attempt_after(
                     request,
                     attempt,
                     Outcome::Success,
@@ -192,6 +205,7 @@
     }
 }
 
+/// The backends of all sends.
 pub fn sends(actions: &[Action]) -> Vec<BackendId> {
     let to = |action: &Action| match action {
         Action::Send { backend, .. } => Some(*backend),
@@ -200,17 +214,20 @@
     actions.iter().filter_map(to).collect()
 }
 
-pub fn sent(actions: &[Action]) -> Option<BackendId> {
+/// The backend of the first send.
+pub fn first_send(actions: &[Action]) -> Option<BackendId> {
     sends(actions).first().copied()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+/// Whether a request was rejected.
+pub fn has_rejection(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+/// Whether a request failed.
+pub fn has_failure(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Fail { .. }))
--- a/balancer/tests/contract.rs
+++ b/balancer/tests/contract.rs
@@ -21,34 +21,39 @@
 }
 
 fn three_zones() -> Vec<Endpoint> {
-    vec![member(0, 0), member(1, 0), member(2, 1), member(3, 2)]
+    vec![
+        endpoint(0, 0),
+        endpoint(1, 0),
+        endpoint(2, 1),
+        endpoint(3, 2),
+    ]
 }
 
 #[test]
 fn a_request_without_any_backend_is_rejected_in_time() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), vec![]);
-    let (_, actions) = node.ask(300 * MILLISECOND);
+    let (_, actions) = node.arrive(300 * MILLISECOND);
     assert!(
-        sent(&actions).is_none() && !refused(&actions) && !failed(&actions),
-        "held at first"
+        first_send(&actions).is_none() && !has_rejection(&actions) && !has_failure(&actions),
+        "queued at first"
     );
-    assert!(refused(&node.pass(300 * MILLISECOND)));
+    assert!(has_rejection(&node.advance(300 * MILLISECOND)));
 }
 
 #[test]
 fn the_request_deadline_binds_and_not_the_class_deadline() {
     let mut node = Node::new(settings(Idempotency::Idempotent), vec![]);
-    node.ask(50 * MILLISECOND);
-    assert!(refused(&node.pass(60 * MILLISECOND)));
+    node.arrive(50 * MILLISECOND);
+    assert!(has_rejection(&node.advance(60 * MILLISECOND)));
 }
 
 #[test]
 fn a_time_out_at_the_deadline_gets_a_final_answer() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
-    let (request, actions) = node.ask(100 * MILLISECOND);
-    assert!(sent(&actions).is_some());
+    let (request, actions) = node.arrive(100 * MILLISECOND);
+    assert!(first_send(&actions).is_some());
     node.now += 100 * MILLISECOND;
-    assert!(failed(&node.settle(
+    assert!(has_failure(&node.end_attempt(
         request,
         0,
         Outcome::TimedOut,
@@ -59,46 +64,49 @@
 #[test]
 fn an_event_of_an_ended_request_is_ignored() {
     let mut node = Node::new(settings(Idempotency::Idempotent), three_zones());
-    let (request, _) = node.ask(SECOND);
-    node.settle(request, 0, Outcome::Success, util(0.1));
+    let (request, _) = node.arrive(SECOND);
+    node.end_attempt(request, 0, Outcome::Success, utilization_report(0.1));
     assert!(
-        node.settle(request, 0, Outcome::Error, util(0.1))
+        node.end_attempt(request, 0, Outcome::Error, utilization_report(0.1))
             .is_empty()
     );
-    assert!(node.tell(Event::ClientDisconnected { request }).is_empty());
-    let (gone, _) = node.ask(SECOND);
-    node.tell(Event::ClientDisconnected { request: gone });
-    let actions = node.settle(gone, 0, Outcome::Error, util(0.1));
-    assert!(sent(&actions).is_none() && !refused(&actions) && !failed(&actions));
+    assert!(
+        node.handle(Event::ClientDisconnected { request })
+            .is_empty()
+    );
+    let (gone, _) = node.arrive(SECOND);
+    node.handle(Event::ClientDisconnected { request: gone });
+    let actions = node.end_attempt(gone, 0, Outcome::Error, utilization_report(0.1));
+    assert!(first_send(&actions).is_none() && !has_rejection(&actions) && !has_failure(&actions));
 }
 
 #[test]
 fn a_non_idempotent_request_is_retried_only_when_it_never_ran() {
     for outcome in NOT_RAN {
         let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
-        let (request, _) = node.ask(SECOND);
+        let (request, _) = node.arrive(SECOND);
         assert!(
-            sent(&node.settle(request, 0, outcome, LoadReport::default())).is_some(),
+            first_send(&node.end_attempt(request, 0, outcome, LoadReport::default())).is_some(),
             "{outcome:?}"
         );
     }
     for outcome in RAN {
         let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
-        let (request, _) = node.ask(SECOND);
-        let actions = node.settle(request, 0, outcome, LoadReport::default());
+        let (request, _) = node.arrive(SECOND);
+        let actions = node.end_attempt(request, 0, outcome, LoadReport::default());
         assert!(
-            sent(&actions).is_none() && failed(&actions) && !refused(&actions),
+            first_send(&actions).is_none() && has_failure(&actions) && !has_rejection(&actions),
             "{outcome:?}"
         );
     }
 }
 
-/// A connection can come up behind the window: decided within it, the repeat is written after it.
+/// A connection can be established after the window: a retry decided within it is not written after it.
 #[test]
 fn a_keyed_request_is_written_again_within_its_window_only() {
     for outcome in RAN {
         let mut node = Node::new(settings(keyed(DedupScope::Zone)), three_zones());
-        let (request, _) = node.ask(SECOND);
+        let (request, _) = node.arrive(SECOND);
         let first = node.now;
         assert!(
             node.balancer
@@ -106,7 +114,9 @@
             "nothing has run before it"
         );
         node.now += 150 * MILLISECOND;
-        assert!(sent(&node.settle(request, 0, outcome, LoadReport::default())).is_some());
+        assert!(
+            first_send(&node.end_attempt(request, 0, outcome, LoadReport::default())).is_some()
+        );
         assert!(
             !node.balancer.may_write(node.now, request, 0),
             "that one has ended"
@@ -122,17 +132,17 @@
                 .may_write(first + 200 * MILLISECOND, request, 1),
             "{outcome:?}"
         );
-        node.tell(Event::ClientDisconnected { request });
+        node.handle(Event::ClientDisconnected { request });
         assert!(
             !node.balancer.may_write(node.now, request, 1),
-            "nobody waits for it"
+            "its client has disconnected"
         );
     }
     for outcome in NOT_RAN {
         let mut node = Node::new(settings(keyed(DedupScope::Zone)), three_zones());
-        let (request, _) = node.ask(SECOND);
+        let (request, _) = node.arrive(SECOND);
         let first = node.now;
-        node.settle(request, 0, outcome, LoadReport::default());
+        node.end_attempt(request, 0, outcome, LoadReport::default());
         assert!(
             node.balancer
                 .may_write(first + 900 * MILLISECOND, request, 1),
@@ -145,8 +155,8 @@
 fn a_keyed_request_stays_in_its_dedup_scope_and_window() {
     for outcome in RAN {
         let mut node = Node::new(settings(keyed(DedupScope::Zone)), three_zones());
-        let (request, first) = node.ask(SECOND);
-        let again = sent(&node.settle(request, 0, outcome, LoadReport::default()));
+        let (request, first) = node.arrive(SECOND);
+        let again = first_send(&node.end_attempt(request, 0, outcome, LoadReport::default()));
         assert_ne!(again, None, "{outcome:?}");
         assert!(
             again.is_none_or(|to| to.0 < 2),
@@ -156,11 +166,11 @@
         let mut single = settings(keyed(DedupScope::Zone));
         single.limits.hedging = false;
         let mut node = Node::new(single, three_zones());
-        let (request, _) = node.ask(SECOND);
-        node.pass(200 * MILLISECOND);
-        let late = node.settle(request, 0, outcome, LoadReport::default());
+        let (request, _) = node.arrive(SECOND);
+        node.advance(200 * MILLISECOND);
+        let late = node.end_attempt(request, 0, outcome, LoadReport::default());
         assert!(
-            sent(&late).is_none() && failed(&late),
+            first_send(&late).is_none() && has_failure(&late),
             "sent past the window after {outcome:?}"
         );
     }
@@ -168,41 +178,41 @@
 
 #[test]
 fn a_request_keyed_by_cell_does_not_leave_the_cell() {
-    let members = vec![
+    let endpoints = vec![
         Endpoint {
             cell: 1,
-            ..member(0, 0)
+            ..endpoint(0, 0)
         },
         Endpoint {
             cell: 2,
-            ..member(1, 0)
+            ..endpoint(1, 0)
         },
     ];
-    let mut node = Node::new(settings(keyed(DedupScope::Cell)), members);
-    let (request, first) = node.ask(SECOND);
-    node.list(
+    let mut node = Node::new(settings(keyed(DedupScope::Cell)), endpoints);
+    let (request, first) = node.arrive(SECOND);
+    node.update_endpoints(
         EndpointUpdate::Delta,
         vec![Endpoint {
             state: EndpointState::Draining,
-            ..member(sent(&first).unwrap().0, 0)
+            ..endpoint(first_send(&first).unwrap().0, 0)
         }],
     );
-    let actions = node.settle(request, 0, Outcome::Reset, LoadReport::default());
-    assert!(sent(&actions).is_none() && failed(&actions));
+    let actions = node.end_attempt(request, 0, Outcome::Reset, LoadReport::default());
+    assert!(first_send(&actions).is_none() && has_failure(&actions));
 }
 
 #[test]
 fn a_request_keyed_for_all_may_be_rejected_after_it_ran() {
-    let mut node = Node::new(settings(keyed(DedupScope::All)), vec![member(0, 0)]);
-    let (request, _) = node.ask(SECOND);
-    node.list(
+    let mut node = Node::new(settings(keyed(DedupScope::All)), vec![endpoint(0, 0)]);
+    let (request, _) = node.arrive(SECOND);
+    node.update_endpoints(
         EndpointUpdate::Delta,
         vec![Endpoint {
             state: EndpointState::Removed,
-            ..member(0, 0)
+            ..endpoint(0, 0)
         }],
     );
-    assert!(refused(&node.settle(
+    assert!(has_rejection(&node.end_attempt(
         request,
         0,
         Outcome::Reset,
@@ -215,47 +225,53 @@
     let mut limits = settings(Idempotency::Idempotent);
     limits.limits.max_attempts = 2;
     let mut node = Node::new(limits, three_zones());
-    let (request, _) = node.ask(SECOND);
+    let (request, _) = node.arrive(SECOND);
     assert!(
-        sent(&node.settle(request, 0, Outcome::ConnectFailed, LoadReport::default())).is_some()
+        first_send(&node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default()))
+            .is_some()
     );
     assert!(
-        sent(&node.settle(request, 1, Outcome::ConnectFailed, LoadReport::default())).is_none()
+        first_send(&node.end_attempt(request, 1, Outcome::ConnectFailed, LoadReport::default()))
+            .is_none()
     );
 }
 
 #[test]
 fn nothing_is_sent_to_a_backend_listed_as_draining_or_removed() {
-    let two = vec![member(0, 0), member(1, 1)];
+    let two = vec![endpoint(0, 0), endpoint(1, 1)];
     let changes = |stage| {
         (
             EndpointUpdate::Delta,
             vec![Endpoint {
                 state: stage,
-                ..member(0, 0)
+                ..endpoint(0, 0)
             }],
         )
     };
     let lists = [
         changes(EndpointState::Draining),
         changes(EndpointState::Removed),
-        (EndpointUpdate::Snapshot, vec![member(1, 1)]),
+        (EndpointUpdate::Snapshot, vec![endpoint(1, 1)]),
         (
             EndpointUpdate::Cached,
             vec![
                 Endpoint {
                     state: EndpointState::Draining,
-                    ..member(0, 0)
+                    ..endpoint(0, 0)
                 },
-                member(1, 1),
+                endpoint(1, 1),
             ],
         ),
     ];
-    for (scope, members) in lists {
+    for (scope, endpoints) in lists {
         let mut node = Node::new(settings(Idempotency::Idempotent), two.clone());
-        node.list(scope, members);
+        node.update_endpoints(scope, endpoints);
         for _ in 0..20 {
-            assert_ne!(sent(&node.ask(SECOND).1), Some(BackendId(0)), "{scope:?}");
+            assert_ne!(
+                first_send(&node.arrive(SECOND).1),
+                Some(BackendId(0)),
+                "{scope:?}"
+            );
         }
     }
 }
@@ -266,8 +282,8 @@
     given.discovery = Discovery::Polled;
     let mut node = Node::new(given, three_zones());
     for _ in 0..8 {
-        node.tell(Event::DiscoveryFailed);
-        let actions = node.pass(8 * SECOND);
+        node.handle(Event::DiscoveryFailed);
+        let actions = node.advance(8 * SECOND);
         assert_eq!(
             actions
                 .iter()
@@ -278,41 +294,44 @@
     }
 }
 
-/// Work of about 30 ms each, all backends half used: a cold one must get a small share of it.
+/// Requests of about 30 ms each, all backends half used: a warming one must get few of them.
 #[test]
 fn a_warming_backend_gets_its_slow_start_budget_and_no_more() {
     let mut node = Node::new(
         settings(Idempotency::Idempotent),
-        vec![member(0, 0), member(1, 0)],
+        vec![endpoint(0, 0), endpoint(1, 0)],
     );
-    node.serve(200, |_| util(0.5));
+    node.serve_requests(200, |_| utilization_report(0.5));
     let cold = Endpoint {
         started_at: Some(node.now),
-        ..member(9, 0)
+        ..endpoint(9, 0)
     };
-    node.list(EndpointUpdate::Delta, vec![cold]);
+    node.update_endpoints(EndpointUpdate::Delta, vec![cold]);
     let mut to_cold = 0;
     for _ in 0..40 {
-        to_cold += usize::from(sent(&node.ask(SECOND).1) == Some(BackendId(9)));
+        to_cold += usize::from(first_send(&node.arrive(SECOND).1) == Some(BackendId(9)));
     }
-    // Half used backends take 33 requests a second together: capacity is about 33 a second each, a tenth
-    // of it over 2 s about 7, twice that the rule's limit for all nodes.
-    assert!((1..=7).contains(&to_cold), "{to_cold} to the cold backend");
+    // Two half-used backends serve 33 requests a second together, so the capacity of one is about 33 a second; a
+    // tenth of it over 2 s is about 7, and the rule's limit for all nodes twice that.
+    assert!(
+        (1..=7).contains(&to_cold),
+        "{to_cold} to the warming backend"
+    );
 }
 
 #[test]
 fn a_restarted_backend_warms_up_again() {
-    let mut node = Node::new(settings(Idempotency::Idempotent), vec![member(0, 0)]);
-    node.serve(50, |_| util(0.5));
-    node.list(
+    let mut node = Node::new(settings(Idempotency::Idempotent), vec![endpoint(0, 0)]);
+    node.serve_requests(50, |_| utilization_report(0.5));
+    node.update_endpoints(
         EndpointUpdate::Delta,
         vec![Endpoint {
             started_at: Some(node.now),
-            ..member(0, 0)
+            ..endpoint(0, 0)
         }],
     );
     let burst: usize = (0..30)
-        .filter(|_| sent(&node.ask(SECOND).1).is_some())
+        .filter(|_| first_send(&node.arrive(SECOND).1).is_some())
         .count();
     assert!(
         (1..=4).contains(&burst),
@@ -320,45 +339,45 @@
     );
 }
 
-/// Incident i911ba9: only requests with low hints fitted into the cold budget, and hints are rough, so the
-/// work behind them was far more than counted.
+/// Incident i911ba9: only requests with low hints fitted into the slow-start budget. Hints are rough, so their service
+/// times were much longer than counted.
 #[test]
-fn low_work_hints_do_not_stretch_the_slow_start_budget() {
+fn low_service_time_hints_do_not_stretch_the_slow_start_budget() {
     let given = Settings {
         classes: vec![class(60_000, 90_000, Idempotency::Idempotent)],
         ..settings(Idempotency::Idempotent)
     };
-    let mut node = Node::new(given, vec![member(0, 0), member(1, 0)]);
+    let mut node = Node::new(given, vec![endpoint(0, 0), endpoint(1, 0)]);
     let ask = |node: &mut Node, hint| {
         let request = RequestId(node.next);
         node.next += 1;
-        let (class, not_after) = (ClassId(0), node.now + 90 * SECOND);
+        let (class, expires_at) = (ClassId(0), node.now + 90 * SECOND);
         (
             request,
-            node.tell(Event::RequestArrived(RequestArrival {
+            node.handle(Event::RequestArrived(RequestArrival {
                 request,
                 class,
                 affinity_key: None,
                 expected_service_time: hint,
                 is_retry: false,
                 tenant: None,
-                expires_at: not_after,
+                expires_at,
             })),
         )
     };
     for _ in 0..600 {
         let (request, _) = ask(&mut node, Some(20 * MILLISECOND));
-        node.pass(20 * MILLISECOND);
-        node.settle(request, 0, Outcome::Success, util(0.5));
+        node.advance(20 * MILLISECOND);
+        node.end_attempt(request, 0, Outcome::Success, utilization_report(0.5));
     }
-    node.list(
+    node.update_endpoints(
         EndpointUpdate::Delta,
         vec![Endpoint {
             started_at: Some(node.now - 8 * SECOND),
-            ..member(9, 0)
+            ..endpoint(9, 0)
         }],
     );
-    let cold = |actions: Vec<Action>| usize::from(sent(&actions) == Some(BackendId(9)));
+    let cold = |actions: Vec<Action>| usize::from(first_send(&actions) == Some(BackendId(9)));
     let taken: usize = (0..500)
         .map(|turn| {
             cold(
@@ -374,7 +393,7 @@
             )
         })
         .sum();
-    // One warm backend does a second's work a second at half use, so the share is 0.4 x 2 x 0.34 x 2: in 2 s
-    // that is room for 1.07 s of work, 18 pairs counted as 20 and 39 ms.
-    assert!((1..=40).contains(&taken), "{taken} to the cold backend");
+    // Half-used backends get a second of service time per second, so the budget is 0.4 x 2 x 0.34 x 2: in 2 s that
+    // is 1.07 s of service time, 18 pairs counted as 20 and 39 ms.
+    assert!((1..=40).contains(&taken), "{taken} to the warming backend");
 }
--- a/balancer/tests/large_fleet.rs
+++ b/balancer/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Failures found where nodes are many: each sees little, shares nothing, and must not act as one.
+//! Faults found in large fleets, where each node sees little and nodes with the same view must not act as one.
 
 mod common;
 use badgerpost_balancer::*;
@@ -6,8 +6,8 @@
 
 const NODES: u32 = 300;
 
-/// Settings of one of many nodes in three zones, with live weights and late answers worth nothing.
-fn many() -> Settings {
+/// Settings of one of many nodes in three zones, with load-adjusted sizes and worthless late answers.
+fn large_fleet() -> Settings {
     Settings {
         node_count: NODES,
         weight_source: WeightSource::LoadAdjusted,
@@ -15,36 +15,36 @@
     }
 }
 
-/// A list of ten backends a zone, each holding what `held` says for its zone.
-fn listed(held: [f64; 3]) -> Vec<Endpoint> {
-    let weight = |zone: u32| 1.0 / (1.0 + held[zone as usize]);
+/// A list of ten backends a zone, each with the queue that `queues` gives for its zone.
+fn load_adjusted_list(queues: [f64; 3]) -> Vec<Endpoint> {
+    let weight = |zone: u32| 1.0 / (1.0 + queues[zone as usize]);
     (0..30)
         .map(|b| Endpoint {
             size: weight(b / 10),
-            ..member(b, b / 10)
+            ..endpoint(b, b / 10)
         })
         .collect()
 }
 
-fn node(seed: u64, given: Settings, members: Vec<Endpoint>) -> Node {
-    // An idle list first: the largest weight of a kind is its size.
-    let mut node = Node::seeded(seed, given, listed([0.0; 3]));
-    node.list(EndpointUpdate::Snapshot, members);
+fn node(seed: u64, given: Settings, endpoints: Vec<Endpoint>) -> Node {
+    // An idle list first: the largest size of a machine kind is that of an idle one.
+    let mut node = Node::seeded(seed, given, load_adjusted_list([0.0; 3]));
+    node.update_endpoints(EndpointUpdate::Snapshot, endpoints);
     node
 }
 
-/// Two requests a second, each served after `took`, under a list that is renewed every second.
-fn serve(node: &mut Node, seconds: u64, held: [f64; 3], took: Nanos) -> Vec<BackendId> {
+/// Two requests a second, each served after `took`, with a new list every second.
+fn serve(node: &mut Node, seconds: u64, queues: [f64; 3], took: Nanos) -> Vec<BackendId> {
     let mut used = Vec::new();
     for turn in 0..seconds * 2 {
         if turn % 2 == 0 {
-            node.list(EndpointUpdate::Snapshot, listed(held));
+            node.update_endpoints(EndpointUpdate::Snapshot, load_adjusted_list(queues));
         }
-        let (request, actions) = node.ask(SECOND);
+        let (request, actions) = node.arrive(SECOND);
         node.now += took;
-        if let Some(to) = sent(&actions) {
+        if let Some(to) = first_send(&actions) {
             used.push(to);
-            node.settle_after(request, 0, Outcome::Success, took, LoadReport::default());
+            node.end_attempt_after(request, 0, Outcome::Success, took, LoadReport::default());
         }
         node.now += SECOND / 2 - took;
     }
@@ -55,21 +55,21 @@
     backend.0 / 10
 }
 
-/// Live weights were taken for capacity: home never counted as used, and never spilled (first full score).
+/// Load-adjusted sizes were taken for capacity: the local zone never counted as used, and never spilled.
 #[test]
 fn load_adjusted_weights_show_the_utilization() {
-    let mut calm = node(1, many(), listed([1.0; 3]));
+    let mut calm = node(1, large_fleet(), load_adjusted_list([1.0; 3]));
     assert!(
         serve(&mut calm, 30, [1.0, 0.2, 0.2], 50 * MILLISECOND)
             .iter()
             .all(|to| zone(to) == 0)
     );
-    let mut full = node(1, many(), listed([9.0, 0.2, 3.5]));
+    let mut full = node(1, large_fleet(), load_adjusted_list([9.0, 0.2, 3.5]));
     let used = serve(&mut full, 30, [9.0, 0.2, 3.5], 50 * MILLISECOND);
     let spilled = used.iter().filter(|to| zone(to) == 1).count();
     assert!(
         spilled > used.len() / 3,
-        "{spilled} of {} left a full home",
+        "{spilled} of {} left a full local zone",
         used.len()
     );
     assert!(
@@ -78,11 +78,11 @@
     );
 }
 
-/// Nodes with the same view all left home at once and piled onto the next zone.
+/// Nodes with the same view all left the local zone at once and overloaded the next one.
 #[test]
 fn nodes_do_not_spill_as_one() {
     let first_spill = |seed| {
-        let mut node = node(seed, many(), listed([5.0, 0.2, 0.2]));
+        let mut node = node(seed, large_fleet(), load_adjusted_list([5.0, 0.2, 0.2]));
         serve(&mut node, 20, [5.0, 0.2, 0.2], 50 * MILLISECOND)
             .iter()
             .position(|to| zone(to) == 1)
@@ -93,18 +93,18 @@
     assert!(times.len() > 3, "spilled at the same request: {times:?}");
 }
 
-/// The busiest server had 13 times the mean: every node took the few that a late list showed as free.
+/// The busiest server had 13 times the mean load: every node chose the few that a late list showed as free.
 #[test]
 fn nodes_do_not_herd_onto_what_a_late_list_shows_as_free() {
-    let members: Vec<Endpoint> = (0..30)
+    let endpoints: Vec<Endpoint> = (0..30)
         .map(|b| Endpoint {
             size: if b == 3 { 1.0 } else { 0.25 },
-            ..member(b, b / 10)
+            ..endpoint(b, b / 10)
         })
         .collect();
     let to_free = (0..200).filter(|&seed| {
-        let mut node = node(seed, many(), members.clone());
-        sent(&node.ask(SECOND).1) == Some(BackendId(3))
+        let mut node = node(seed, large_fleet(), endpoints.clone());
+        first_send(&node.arrive(SECOND).1) == Some(BackendId(3))
     });
     let to_free = to_free.count();
     assert!(
@@ -113,7 +113,7 @@
     );
 }
 
-/// Portal at full size: 2,000 refused connections in 5 s, as every node opened one to every server.
+/// In a full-size run 2,000 connections were refused in 5 s, as every node opened one to every server.
 #[test]
 fn a_node_keeps_to_a_subset_and_widens_it_on_failure() {
     let distinct = |used: &[BackendId]| {
@@ -122,14 +122,14 @@
         seen.dedup();
         seen
     };
-    let mut node = node(5, many(), listed([0.5; 3]));
+    let mut node = node(5, large_fleet(), load_adjusted_list([0.5; 3]));
     let subset = distinct(&serve(&mut node, 60, [0.5; 3], 50 * MILLISECOND));
     assert_eq!(subset.len(), 4);
-    // None of the subset takes a connection: the request still finds a backend, once each has been tried.
+    // No backend of the subset accepts a connection: the request still finds one, once each has been tried.
     let mut widened = false;
     for _ in 0..10 {
-        let (request, actions) = node.ask(SECOND);
-        let (mut to, mut attempt) = (sent(&actions), 0);
+        let (request, actions) = node.arrive(SECOND);
+        let (mut to, mut attempt) = (first_send(&actions), 0);
         while let Some(tried) = to {
             widened |= !subset.contains(&tried.0);
             let failed = if subset.contains(&tried.0) {
@@ -137,7 +137,7 @@
             } else {
                 Outcome::Success
             };
-            to = sent(&node.settle_after(
+            to = first_send(&node.end_attempt_after(
                 request,
                 attempt,
                 failed,
@@ -150,14 +150,14 @@
     assert!(widened);
 }
 
-/// A full table of connections was taken for ill health and ejected for seconds.
+/// Backends with a full connection table were ejected for seconds.
 #[test]
 fn a_refused_connection_is_no_outlier_in_a_large_fleet() {
-    let mut node = node(5, many(), listed([0.5; 3]));
+    let mut node = node(5, large_fleet(), load_adjusted_list([0.5; 3]));
     let mut logs = 0;
     for _ in 0..40 {
-        let (request, _) = node.ask(SECOND);
-        let actions = node.settle_after(
+        let (request, _) = node.arrive(SECOND);
+        let actions = node.end_attempt_after(
             request,
             0,
             Outcome::ConnectFailed,
@@ -173,15 +173,15 @@
     assert_eq!(logs, 0);
 }
 
-/// Jitter of arrivals made first tries look like repeats bound by the deadline: a third was refused.
+/// Jitter of arrivals made first attempts look like retries near their deadline: a third was rejected.
 #[test]
 fn an_attempt_a_little_shorter_than_others_is_admitted() {
-    let mut node = node(3, many(), listed([0.5; 3]));
+    let mut node = node(3, large_fleet(), load_adjusted_list([0.5; 3]));
     for turn in 0..40 {
-        let (request, actions) = node.ask(500 * MILLISECOND - (turn % 7) * MILLISECOND);
-        assert!(sent(&actions).is_some(), "turn {turn}");
+        let (request, actions) = node.arrive(500 * MILLISECOND - (turn % 7) * MILLISECOND);
+        assert!(first_send(&actions).is_some(), "turn {turn}");
         node.now += 50 * MILLISECOND;
-        node.settle_after(
+        node.end_attempt_after(
             request,
             0,
             Outcome::Success,
@@ -192,52 +192,52 @@
     }
 }
 
-/// Repeats past the aim of the first try kept jams alive: serving them is worth nothing.
+/// Retries past the objective of the first attempt kept overloads going: serving them is worth nothing.
 #[test]
 fn a_retry_past_its_objective_is_rejected_where_late_answers_have_no_value() {
-    let mut node = node(3, many(), listed([0.5; 3]));
-    let (request, _) = node.ask(800 * MILLISECOND);
-    node.settle(request, 0, Outcome::Success, LoadReport::default());
-    // The deadline is 1 s and the aim 400 ms: a try with 300 ms left began 700 ms ago.
-    let (_, actions) = node.ask(300 * MILLISECOND);
-    assert!(sent(&actions).is_none() && refused(&actions));
+    let mut node = node(3, large_fleet(), load_adjusted_list([0.5; 3]));
+    let (request, _) = node.arrive(800 * MILLISECOND);
+    node.end_attempt(request, 0, Outcome::Success, LoadReport::default());
+    // The deadline is 1 s and the objective 400 ms: a request with 300 ms left began 700 ms ago.
+    let (_, actions) = node.arrive(300 * MILLISECOND);
+    assert!(first_send(&actions).is_none() && has_rejection(&actions));
 }
 
-/// A class that had not been asked for of late found nothing left of a rounded sum.
+/// A class without recent arrivals was rejected, as rounding left nothing of the admitted rate for it.
 #[test]
 fn a_class_without_recent_arrivals_is_admitted() {
-    let mut given = many();
+    let mut given = large_fleet();
     given
         .classes
         .push(class(400, 1000, Idempotency::Idempotent));
-    let mut node = node(3, given, listed([0.5; 3]));
+    let mut node = node(3, given, load_adjusted_list([0.5; 3]));
     serve(&mut node, 10, [0.5; 3], 50 * MILLISECOND);
     let (request, class) = (RequestId(9_999), ClassId(1));
-    let not_after = node.now + SECOND;
-    let actions = node.tell(Event::RequestArrived(RequestArrival {
+    let expires_at = node.now + SECOND;
+    let actions = node.handle(Event::RequestArrived(RequestArrival {
         request,
         class,
         affinity_key: None,
         expected_service_time: None,
         is_retry: false,
         tenant: None,
-        expires_at: not_after,
+        expires_at,
     }));
-    assert!(sent(&actions).is_some());
+    assert!(first_send(&actions).is_some());
 }
 
-/// With discovery down, a burst met a frozen share: nine in ten attempts timed out.
+/// With discovery down, the admitted fraction was frozen when a burst came: nine in ten attempts timed out.
 #[test]
-fn own_time_outs_throttle_without_a_list_and_let_go_afterwards() {
-    let mut node = node(3, many(), listed([0.5; 3]));
+fn time_outs_throttle_a_node_without_lists_until_they_end() {
+    let mut node = node(3, large_fleet(), load_adjusted_list([0.5; 3]));
     let run = |node: &mut Node, count: usize, outcome| {
         let mut taken = 0;
         for _ in 0..count {
-            let (request, actions) = node.ask(SECOND);
+            let (request, actions) = node.arrive(SECOND);
             node.now += 100 * MILLISECOND;
-            if sent(&actions).is_some() {
+            if first_send(&actions).is_some() {
                 taken += 1;
-                node.settle_after(
+                node.end_attempt_after(
                     request,
                     0,
                     outcome,
@@ -252,61 +252,70 @@
     node.now += 10 * SECOND;
     assert!(run(&mut node, 50, Outcome::Success) > 45);
     run(&mut node, 30, Outcome::TimedOut);
-    let jammed = run(&mut node, 50, Outcome::TimedOut);
-    assert!((1..20).contains(&jammed), "{jammed} of 50 sent into a jam");
+    let overloaded = run(&mut node, 50, Outcome::TimedOut);
+    assert!(
+        (1..20).contains(&overloaded),
+        "{overloaded} of 50 sent to overloaded backends"
+    );
     run(&mut node, 150, Outcome::Success);
     let after = run(&mut node, 50, Outcome::Success);
-    assert!(after > 40, "{after} of 50 after the jam");
+    assert!(after > 40, "{after} of 50 after the overload");
 }
 
-/// Servers worked on what was already past its aim; with few nodes the repeats would cost more.
+/// Servers worked on requests past their objective; with few nodes the retries would cost more.
 #[test]
 fn attempts_end_at_the_objective_only_in_a_large_fleet() {
     let timeout = |nodes| {
         let given = Settings {
             node_count: nodes,
-            ..many()
+            ..large_fleet()
         };
-        let mut node = node(3, given, listed([0.5; 3]));
-        node.ask(SECOND).1.iter().find_map(|action| match action {
-            Action::Send { timeout, .. } => Some(*timeout),
-            _ => None,
-        })
+        let mut node = node(3, given, load_adjusted_list([0.5; 3]));
+        node.arrive(SECOND)
+            .1
+            .iter()
+            .find_map(|action| match action {
+                Action::Send { timeout, .. } => Some(*timeout),
+                _ => None,
+            })
     };
     assert_eq!(timeout(NODES), Some(Some(400 * MILLISECOND)));
     assert_eq!(timeout(2), Some(None));
 }
 
-/// One send of each node a span was let through: at a thousand nodes more than a cold backend bears.
+/// One send of each node in a window was always allowed: with a thousand nodes more than a warming backend can take.
 #[test]
 fn many_nodes_together_keep_the_slow_start_budget() {
     let mut to_cold = 0;
     for seed in 0..u64::from(NODES / 3) {
-        let mut node = node(seed, many(), listed([0.5; 3]));
+        let mut node = node(seed, large_fleet(), load_adjusted_list([0.5; 3]));
         serve(&mut node, 10, [0.5; 3], 50 * MILLISECOND);
         let cold = Endpoint {
             started_at: Some(node.now),
-            ..member(3, 0)
+            ..endpoint(3, 0)
         };
-        node.list(EndpointUpdate::Delta, vec![cold]);
+        node.update_endpoints(EndpointUpdate::Delta, vec![cold]);
         for _ in 0..4 {
-            to_cold += usize::from(sent(&node.ask(SECOND).1) == Some(BackendId(3)));
+            to_cold += usize::from(first_send(&node.arrive(SECOND).1) == Some(BackendId(3)));
             node.now += SECOND / 2;
         }
     }
-    // 200 requests a second come to ten backends a third used: 60 a second each. A tenth of that over 2 s
-    // is 12 requests, twice that the rule's limit.
-    assert!((1..=24).contains(&to_cold), "{to_cold} to the cold backend");
+    // 200 requests a second arrive at ten backends, a third used: the capacity of one is 60 a second. A tenth of that
+    // over 2 s is 12 requests, and the rule's limit twice that.
+    assert!(
+        (1..=24).contains(&to_cold),
+        "{to_cold} to the warming backend"
+    );
 }
 
-/// A node that had just started took 5% after its first list: it had counted no arrivals yet.
+/// A node that had just started admitted 5% after its first list: it had counted no arrivals yet.
 #[test]
 fn a_node_that_has_just_started_does_not_shed_all_on_its_first_list() {
     let taken = (0..100).filter(|&seed| {
-        let mut node = node(seed, many(), listed([6.0; 3]));
-        let (request, _) = node.ask(SECOND);
+        let mut node = node(seed, large_fleet(), load_adjusted_list([6.0; 3]));
+        let (request, _) = node.arrive(SECOND);
         node.now += 50 * MILLISECOND;
-        node.settle_after(
+        node.end_attempt_after(
             request,
             0,
             Outcome::Success,
@@ -314,34 +323,34 @@
             LoadReport::default(),
         );
         node.now += 100 * MILLISECOND;
-        node.ask(SECOND);
+        node.arrive(SECOND);
         node.now += 200 * MILLISECOND;
-        sent(&node.ask(SECOND).1).is_some()
+        first_send(&node.arrive(SECOND).1).is_some()
     });
     let taken = taken.count();
     assert!(taken > 60, "{taken} of 100");
 }
 
-/// A tenant at several times its usual traffic crowded out all others.
+/// A tenant with several times its usual traffic displaced all others.
 #[test]
 fn a_flooding_tenant_is_rejected_first() {
-    // Five requests a second come to each node; three a second of tenant 0 are within its part.
+    // Five requests a second arrive at each node; three a second of tenant 0 are within the node's part of its quota.
     let quota = 3.0 * f64::from(NODES);
     let given = Settings {
         tenant_quotas: vec![quota, quota],
         over_quota_value: 0.1,
-        ..many()
+        ..large_fleet()
     };
-    let mut node = node(3, given, listed([9.0; 3]));
+    let mut node = node(3, given, load_adjusted_list([9.0; 3]));
     let mut taken = [0, 0];
     let mut asked = [0, 0];
     for turn in 0..600u64 {
         if turn % 10 == 0 {
-            node.list(EndpointUpdate::Snapshot, listed([9.0; 3]));
+            node.update_endpoints(EndpointUpdate::Snapshot, load_adjusted_list([9.0; 3]));
         }
         let tenant = u32::from(turn % 6 == 0);
         let request = RequestId(10_000 + turn);
-        let not_after = node.now + SECOND;
+        let expires_at = node.now + SECOND;
         let arrival = RequestArrival {
             request,
             class: ClassId(0),
@@ -349,14 +358,14 @@
             expected_service_time: None,
             is_retry: false,
             tenant: Some(tenant),
-            expires_at: not_after,
+            expires_at,
         };
-        let actions = node.tell(Event::RequestArrived(arrival));
+        let actions = node.handle(Event::RequestArrived(arrival));
         asked[tenant as usize] += 1;
         node.now += 50 * MILLISECOND;
-        if sent(&actions).is_some() {
+        if first_send(&actions).is_some() {
             taken[tenant as usize] += 1;
-            node.settle_after(
+            node.end_attempt_after(
                 request,
                 0,
                 Outcome::Success,
@@ -370,32 +379,39 @@
     assert!(part(1) > 1.5 * part(0), "{taken:?} of {asked:?}");
 }
 
-/// Incident i58b577: in a jam nearly nothing was served, so that new servers, the way out, got nearly nothing.
+/// Incident i58b577: under overload nearly nothing was served, so the new servers that would have relieved it got nearly
+/// nothing.
 #[test]
-fn a_jam_does_not_take_the_budget_of_new_servers() {
+fn an_overload_leaves_new_servers_their_slow_start_budget() {
     let given = Settings {
         node_count: 3,
         ..settings(Idempotency::Idempotent)
     };
-    let mut node = Node::new(given, (0..3).map(|b| member(b, 0)).collect());
+    let mut node = Node::new(given, (0..3).map(|b| endpoint(b, 0)).collect());
     node.now += 60 * SECOND;
-    node.serve(300, |_| util(0.5));
+    node.serve_requests(300, |_| utilization_report(0.5));
     for _ in 0..60 {
-        let (request, actions) = node.ask(SECOND);
-        node.pass(100 * MILLISECOND);
-        if sent(&actions).is_some() {
-            node.settle_after(request, 0, Outcome::TimedOut, 100 * MILLISECOND, util(1.0));
+        let (request, actions) = node.arrive(SECOND);
+        node.advance(100 * MILLISECOND);
+        if first_send(&actions).is_some() {
+            node.end_attempt_after(
+                request,
+                0,
+                Outcome::TimedOut,
+                100 * MILLISECOND,
+                utilization_report(1.0),
+            );
         }
     }
-    node.list(
+    node.update_endpoints(
         EndpointUpdate::Delta,
         vec![Endpoint {
             started_at: Some(node.now - 15 * SECOND),
-            ..member(9, 0)
+            ..endpoint(9, 0)
         }],
     );
     let to_new = (0..40)
-        .filter(|_| sent(&node.ask(SECOND).1) == Some(BackendId(9)))
+        .filter(|_| first_send(&node.arrive(SECOND).1) == Some(BackendId(9)))
         .count();
     assert!(to_new >= 3, "{to_new} to the new server");
 }
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! A server that starts cold, by the sum of what all nodes send: whatever each of them knows, and however unequal their
-//! traffic, no span of the rule's length gets more than the settings allow, and what may be put down to chance.
+//! A warming server and what all nodes together send to it: whatever each of them knows, and however unequal their
+//! traffic, no window of the rule's length gets more than the settings allow, apart from what chance explains.
 
 mod common;
 use std::collections::{BTreeMap, VecDeque};
@@ -8,29 +8,30 @@
 use common::*;
 
 const STEP: Nanos = 5 * MILLISECOND;
-/// Requests a second that a server does when it is warm, and the work of one.
+/// Requests a second that a warm server serves.
 const RATE: f64 = 60.0;
-const WORK: Nanos = 30 * MILLISECOND;
-const COLD: BackendId = BackendId(0);
-const STARTS: Nanos = 20 * SECOND;
+/// Service time of a request.
+const SERVICE_TIME: Nanos = 30 * MILLISECOND;
+const WARMING: BackendId = BackendId(0);
+const STARTS_AT: Nanos = 20 * SECOND;
 
 #[derive(Clone, Copy)]
 struct Case {
     nodes: u32,
     servers: u32,
-    /// Of what all servers can do.
+    /// Load as a fraction of the capacity of all servers.
     load: f64,
-    /// How long after the first of them the last node is told of the start.
-    told: Nanos,
-    /// When half of the nodes start anew, with nothing in memory; none for never.
+    /// Time over which the nodes are notified of the start.
+    notification_spread: Nanos,
+    /// When half of the nodes restart without state; none for never.
     restart: Option<Nanos>,
-    /// When half of them are killed, and the others get their requests.
+    /// When half of the nodes are killed and the others get their requests.
     killed: Option<Nanos>,
     seed: u64,
 }
 
 struct Server {
-    /// Ends of what it has taken, in order.
+    /// Ends of its requests, in order.
     ends: VecDeque<Nanos>,
     free_at: f64,
     util: f64,
@@ -61,23 +62,23 @@
 }
 
 fn ramp(now: Nanos) -> f64 {
-    (0.15 + 0.85 * now.saturating_sub(STARTS) as f64 / (20.0 * SECOND as f64)).clamp(0.15, 1.0)
+    (0.15 + 0.85 * now.saturating_sub(STARTS_AT) as f64 / (20.0 * SECOND as f64)).clamp(0.15, 1.0)
 }
 
-/// What the worst span got beyond its budget, against what chance may add to that; and the part of the budget that was
-/// used over the ramp.
+/// What the worst window got beyond its budget, relative to what chance may add; and the part of the budget used during
+/// slow start.
 #[expect(
     clippy::too_many_lines,
     reason = "one scenario, read from top to bottom"
 )]
-fn play(case: Case) -> (f64, f64) {
+fn run(case: Case) -> (f64, f64) {
     let mut draws = Draws(case.seed * 2 + 1);
-    let members = |cold: bool| -> Vec<Endpoint> {
-        let online = |b| (b == 0).then_some(STARTS + SECOND);
+    let endpoints = |cold: bool| -> Vec<Endpoint> {
+        let online = |b| (b == 0).then_some(STARTS_AT + SECOND);
         let all = (0..case.servers).filter(|&b| cold || b > 0);
         all.map(|b| Endpoint {
             started_at: online(b),
-            ..member(b, b % 3)
+            ..endpoint(b, b % 3)
         })
         .collect()
     };
@@ -86,7 +87,7 @@
             local_zone: ZoneId(home),
             ..given(case)
         };
-        let mut node = Node::seeded(seed, given, members(cold));
+        let mut node = Node::seeded(seed, given, endpoints(cold));
         node.now = now;
         node
     };
@@ -94,14 +95,14 @@
     let mut nodes: Vec<Node> = (0..count)
         .map(|n| start(case.seed * 1000 + n as u64, SECOND, false, n as u32 % 3))
         .collect();
-    // Some see several times what others do.
+    // Some nodes get several times the traffic of others.
     let parts: Vec<f64> = (0..count)
         .map(|_| 0.25 + 3.0 * draws.next().powi(3))
         .collect();
     let mut alive: Vec<bool> = vec![true; count];
-    let mut told: Vec<bool> = vec![false; count];
-    let told_at: Vec<Nanos> = (0..count)
-        .map(|_| STARTS + SECOND + (draws.next() * case.told as f64) as Nanos)
+    let mut is_notified: Vec<bool> = vec![false; count];
+    let notified_at: Vec<Nanos> = (0..count)
+        .map(|_| STARTS_AT + SECOND + (draws.next() * case.notification_spread as f64) as Nanos)
         .collect();
     let mut servers: Vec<Server> = (0..case.servers)
         .map(|_| Server {
@@ -110,13 +111,13 @@
             util: 0.5,
         })
         .collect();
-    // Ends of attempts: when, whose, which, at whom.
+    // Ends of attempts: time, node, request, attempt and server.
     let mut ends: BTreeMap<(Nanos, u64), (usize, RequestId, u32, BackendId)> = BTreeMap::new();
     let mut arrivals: Vec<Nanos> = Vec::new();
     let mut serial = 0;
     let rate = case.load * RATE * f64::from(case.servers - 1);
     let mut now = SECOND;
-    while now < STARTS + 22 * SECOND {
+    while now < STARTS_AT + 22 * SECOND {
         now += STEP;
         if case.killed.is_some_and(|at| now >= at && now < at + STEP) {
             (0..count / 2).for_each(|n| alive[n] = false);
@@ -124,7 +125,7 @@
         if case.restart.is_some_and(|at| now >= at && now < at + STEP) {
             for n in 0..count / 2 {
                 nodes[n] = start(case.seed * 7000 + n as u64, now, true, n as u32 % 3);
-                (told[n], _) = (true, ends.retain(|_, end| end.0 != n));
+                (is_notified[n], _) = (true, ends.retain(|_, end| end.0 != n));
             }
         }
         let mut actions: Vec<(usize, Vec<Action>)> = Vec::new();
@@ -135,11 +136,11 @@
             let server = &mut servers[to.0 as usize];
             server.ends.pop_front();
             nodes[n].now = now;
-            let report = util(server.util);
-            let elapsed = WORK;
+            let report = utilization_report(server.util);
+            let elapsed = SERVICE_TIME;
             actions.push((
                 n,
-                nodes[n].settle_after(request, attempt, Outcome::Success, elapsed, report),
+                nodes[n].end_attempt_after(request, attempt, Outcome::Success, elapsed, report),
             ));
         }
         let shares: f64 = parts
@@ -153,20 +154,20 @@
                 continue;
             }
             nodes[n].now = now;
-            if !told[n] && now >= told_at[n] {
-                told[n] = true;
-                let started = members(true)
+            if !is_notified[n] && now >= notified_at[n] {
+                is_notified[n] = true;
+                let started = endpoints(true)
                     .into_iter()
-                    .filter(|m| m.backend == COLD)
+                    .filter(|m| m.backend == WARMING)
                     .collect();
-                actions.push((n, nodes[n].list(EndpointUpdate::Delta, started)));
+                actions.push((n, nodes[n].update_endpoints(EndpointUpdate::Delta, started)));
             }
             let expected = rate * parts[n] / shares * STEP as f64 / SECOND as f64;
             if draws.next() < expected {
-                actions.push((n, nodes[n].ask(SECOND).1));
+                actions.push((n, nodes[n].arrive(SECOND).1));
             }
             if now.is_multiple_of(20 * MILLISECOND) {
-                actions.push((n, nodes[n].tell(Event::TimerFired { token: 0 })));
+                actions.push((n, nodes[n].handle(Event::TimerFired { token: 0 })));
             }
         }
         for (n, actions) in actions {
@@ -178,36 +179,39 @@
                     continue;
                 };
                 let server = &mut servers[backend.0 as usize];
-                let capacity = if backend == COLD { ramp(now) } else { 1.0 };
+                let capacity = if backend == WARMING { ramp(now) } else { 1.0 };
                 let free = server.free_at.max(now as f64) + SECOND as f64 / (RATE * capacity);
                 server.free_at = free;
-                let end = (free as Nanos).max(now) + WORK;
+                let end = (free as Nanos).max(now) + SERVICE_TIME;
                 server.ends.push_back(end);
                 serial += 1;
                 ends.insert((end, serial), (n, request, 0, backend));
-                if backend == COLD {
+                if backend == WARMING {
                     arrivals.push(now);
                 }
             }
         }
         for server in &mut servers {
-            // By the queue: what it has taken and not done.
+            // Busy while its queue is not empty.
             let busy = f64::from(u8::from(server.free_at > now as f64));
             server.util += (busy - server.util) * 0.02;
         }
     }
-    let span = 1500 * MILLISECOND;
+    let window = 1500 * MILLISECOND;
     let (mut worst, mut used, mut budget) = (f64::MIN, 0.0, 0.0);
     for (first, &at) in arrivals.iter().enumerate() {
         let got = arrivals[first..]
             .iter()
-            .take_while(|&&other| other < at + span)
+            .take_while(|&&other| other < at + window)
             .count() as f64;
         let most = 2.5 * ramp(at) * RATE * 1.5;
         worst = worst.max((got - most) / (2.0 * most.sqrt() + 2.0));
     }
     for second in 1..20 {
-        let (from, to) = (STARTS + second * SECOND, STARTS + (second + 1) * SECOND);
+        let (from, to) = (
+            STARTS_AT + second * SECOND,
+            STARTS_AT + (second + 1) * SECOND,
+        );
         used += arrivals
             .iter()
             .filter(|&&at| (from..to).contains(&at))
@@ -222,37 +226,37 @@
         nodes,
         servers,
         load: 0.6,
-        told: 0,
+        notification_spread: 0,
         restart: None,
         killed: None,
         seed: 1,
     };
-    let ramp = STARTS + 6 * SECOND;
+    let ramp = STARTS_AT + 6 * SECOND;
     vec![
         ("plain", plain),
         (
-            "the only one with room",
+            "the only one with capacity",
             Case {
                 load: 1.15,
                 ..plain
             },
         ),
         (
-            "told over 3 s",
+            "notified over 3 s",
             Case {
-                told: 3 * SECOND,
+                notification_spread: 3 * SECOND,
                 ..plain
             },
         ),
         (
-            "half start anew",
+            "half restart",
             Case {
                 restart: Some(ramp),
                 ..plain
             },
         ),
         (
-            "half start anew, no room",
+            "half restart, no capacity",
             Case {
                 restart: Some(ramp),
                 load: 1.15,
@@ -269,10 +273,10 @@
     ]
 }
 
-fn never_beyond_chance(nodes: u32, servers: u32, seeds: u64) {
+fn assert_never_beyond_chance(nodes: u32, servers: u32, seeds: u64) {
     for (what, case) in cases(nodes, servers) {
         for seed in 1..=seeds {
-            let (worst, used) = play(Case { seed, ..case });
+            let (worst, used) = run(Case { seed, ..case });
             println!(
                 "{nodes} nodes, {what}, seed {seed}: {worst:.2} of chance, {:.0}% of the budget used",
                 used * 100.0
@@ -286,16 +290,16 @@
 }
 
 #[test]
-fn twenty_nodes_spare_a_warming_server() {
-    never_beyond_chance(20, 12, 3);
+fn twenty_nodes_together_keep_the_slow_start_budget() {
+    assert_never_beyond_chance(20, 12, 3);
 }
 
 #[test]
-fn thirty_nodes_spare_a_warming_server() {
-    never_beyond_chance(30, 15, 3);
+fn thirty_nodes_together_keep_the_slow_start_budget() {
+    assert_never_beyond_chance(30, 15, 3);
 }
 
 #[test]
-fn three_hundred_nodes_spare_a_warming_server() {
-    never_beyond_chance(300, 60, 1);
+fn three_hundred_nodes_together_keep_the_slow_start_budget() {
+    assert_never_beyond_chance(300, 60, 1);
 }
--- a/balancer/tests/uploads.rs
+++ b/balancer/tests/uploads.rs
@@ -1,4 +1,4 @@
-//! Requests whose body is still on the way: when their time begins, what counts as load, and when they may go again.
+//! Requests whose body is still on the way: when their time begins, what counts as load, and when they may be retried.
 
 mod common;
 use badgerpost_balancer::*;
@@ -7,8 +7,8 @@
 fn upload(node: &mut Node) -> (RequestId, Vec<Action>) {
     let request = RequestId(node.next);
     node.next += 1;
-    // How long the body may take; its client's time is not known yet.
-    let not_after = node.now + 3600 * SECOND;
+    // The body may take this long; the client's time has not begun.
+    let expires_at = node.now + 3600 * SECOND;
     let arrival = RequestArrival {
         request,
         class: ClassId(0),
@@ -16,48 +16,48 @@
         expected_service_time: None,
         is_retry: false,
         tenant: None,
-        expires_at: not_after,
+        expires_at,
     };
-    (request, node.tell(Event::UploadStarted(arrival)))
+    (request, node.handle(Event::UploadStarted(arrival)))
 }
 
-fn two(effect: Idempotency) -> Node {
-    Node::new(settings(effect), vec![member(0, 0), member(1, 0)])
+fn two(idempotency: Idempotency) -> Node {
+    Node::new(settings(idempotency), vec![endpoint(0, 0), endpoint(1, 0)])
 }
 
 #[test]
 fn an_upload_that_never_got_further_goes_elsewhere() {
     let mut node = two(Idempotency::NonIdempotent);
     let (request, actions) = upload(&mut node);
-    let first = sent(&actions).expect("it is sent while its body comes");
-    let again = node.settle(request, 0, Outcome::ConnectFailed, LoadReport::default());
-    assert_ne!(sent(&again), Some(first));
-    assert!(sent(&again).is_some(), "nothing of it is lost");
+    let first = first_send(&actions).expect("it is sent while its body comes");
+    let again = node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default());
+    assert_ne!(first_send(&again), Some(first));
+    assert!(first_send(&again).is_some(), "nothing of it is lost");
 }
 
 #[test]
 fn a_partly_consumed_upload_is_rejected_if_it_never_ran_and_fails_otherwise() {
-    for (outcome, harmless) in [
+    for (outcome, may_reject) in [
         (Outcome::ConnectFailed, true),
         (Outcome::Rejected, true),
         (Outcome::Reset, false),
     ] {
         let mut node = two(Idempotency::NonIdempotent);
         let (request, _) = upload(&mut node);
-        node.tell(Event::BodyConsumed { request });
-        let end = node.settle(request, 0, outcome, LoadReport::default());
-        assert_eq!(sent(&end), None, "{outcome:?}");
+        node.handle(Event::BodyConsumed { request });
+        let end = node.end_attempt(request, 0, outcome, LoadReport::default());
+        assert_eq!(first_send(&end), None, "{outcome:?}");
         assert_eq!(
-            (refused(&end), failed(&end)),
-            (harmless, !harmless),
+            (has_rejection(&end), has_failure(&end)),
+            (may_reject, !may_reject),
             "{outcome:?}"
         );
     }
-    // Safe to repeat, but there is nothing to repeat it with.
+    // Idempotent, but its body can't be sent again.
     let mut node = two(Idempotency::Idempotent);
     let (request, _) = upload(&mut node);
-    node.tell(Event::BodyConsumed { request });
-    assert!(refused(&node.settle(
+    node.handle(Event::BodyConsumed { request });
+    assert!(has_rejection(&node.end_attempt(
         request,
         0,
         Outcome::Error,
@@ -65,64 +65,67 @@
     )));
 }
 
-/// Guards against refusing others for the sake of bodies that trickle in: no server works on these yet.
+/// Bodies that arrive slowly must not cause rejections of others: no server works on them yet.
 #[test]
 fn a_body_on_its_way_is_no_load() {
-    let busy = |whole: bool| {
-        let mut node = Node::new(settings(Idempotency::Idempotent), vec![member(0, 0)]);
+    let send_beside_uploads = |are_complete: bool| {
+        let mut node = Node::new(settings(Idempotency::Idempotent), vec![endpoint(0, 0)]);
         for _ in 0..50 {
             let (request, _) = upload(&mut node);
-            if whole {
-                let not_after = node.now + SECOND;
-                node.tell(Event::UploadComplete {
+            if are_complete {
+                let expires_at = node.now + SECOND;
+                node.handle(Event::UploadComplete {
                     request,
-                    expires_at: not_after,
+                    expires_at,
                 });
             }
         }
-        sent(&node.ask(SECOND).1)
+        first_send(&node.arrive(SECOND).1)
     };
-    assert_eq!(busy(false), Some(BackendId(0)));
-    assert_eq!(busy(true), None, "once they are whole they are");
+    assert_eq!(send_beside_uploads(false), Some(BackendId(0)));
+    assert_eq!(send_beside_uploads(true), None, "complete ones are load");
 }
 
-/// A client's time runs from the last byte, so a slow one is not told that its time is up.
+/// The client's time runs from the last byte, so a slow upload does not expire.
 #[test]
-fn its_time_begins_with_its_last_byte() {
+fn the_time_of_an_upload_begins_with_its_last_byte() {
     let mut node = two(Idempotency::Idempotent);
     let (request, _) = upload(&mut node);
-    let slow = node.pass(20 * SECOND);
-    assert!(!refused(&slow) && !failed(&slow), "it is on its way");
-    let not_after = node.now + SECOND;
-    node.tell(Event::UploadComplete {
+    let slow = node.advance(20 * SECOND);
+    assert!(
+        !has_rejection(&slow) && !has_failure(&slow),
+        "its body is on the way"
+    );
+    let expires_at = node.now + SECOND;
+    node.handle(Event::UploadComplete {
         request,
-        expires_at: not_after,
+        expires_at,
     });
-    let again = node.settle(request, 0, Outcome::Rejected, LoadReport::default());
-    assert!(sent(&again).is_some(), "all of its time is left");
+    let again = node.end_attempt(request, 0, Outcome::Rejected, LoadReport::default());
+    assert!(first_send(&again).is_some(), "all of its time is left");
 }
 
-/// Nobody can take it: it is refused while a refusal is early, not when the body would have had to be whole.
+/// Without a backend it is rejected while a rejection is early, not when the body would have had to be complete.
 #[test]
 fn an_upload_that_no_backend_takes_is_rejected_in_time() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), vec![]);
     let (_, actions) = upload(&mut node);
-    assert_eq!(sent(&actions), None);
+    assert_eq!(first_send(&actions), None);
     assert!(
-        refused(&node.pass(510 * MILLISECOND)),
+        has_rejection(&node.advance(510 * MILLISECOND)),
         "half of the class's deadline"
     );
 }
 
-/// A server whose answers break off in their midst is an outlier as one that resets.
+/// A server that breaks off its answers is an outlier like one that resets connections.
 #[test]
 fn a_server_whose_answers_break_off_is_ejected() {
-    let members = (0..3).map(|backend| member(backend, 0)).collect();
-    let mut node = Node::new(settings(Idempotency::Idempotent), members);
-    node.serve(60, |_| util(0.3));
-    let told: Vec<Action> = (0..8)
+    let endpoints = (0..3).map(|backend| endpoint(backend, 0)).collect();
+    let mut node = Node::new(settings(Idempotency::Idempotent), endpoints);
+    node.serve_requests(60, |_| utilization_report(0.3));
+    let actions: Vec<Action> = (0..8)
         .flat_map(|_| {
-            node.tell(Event::ResponseAborted {
+            node.handle(Event::ResponseAborted {
                 backend: BackendId(0),
             })
         })
@@ -136,5 +139,5 @@
             })
         )
     };
-    assert!(told.iter().any(ejected), "{told:?}");
+    assert!(actions.iter().any(ejected), "{actions:?}");
 }
