--- a/adapters/http/src/api.rs
+++ b/adapters/http/src/api.rs
@@ -8,8 +8,8 @@
 use hyper::body::Incoming;
 use hyper::{Request, Uri};
 
-use crate::answer::{BackendResponse, StreamingResponseBody};
 use crate::api_request::{RequestIdentity, RequestParameters};
+use crate::backend_response::{BackendResponse, StreamingResponseBody};
 use crate::bad_request::BadRequest;
 use crate::client_response::{self, ClientResponse};
 use crate::headers::{CALL_ID, end_to_end};
@@ -149,7 +149,7 @@
         let (clock, budget) = (self.context.clock(), self.remaining_budget());
         let early_outcome = tokio::select! {
             biased;
-            () = upload.taken() => None,
+            () = upload.completed() => None,
             outcome = pending.wait() => Some(outcome),
             stalled = upload_stalled(clock, self.connection, upload, budget) => match stalled {
                 StalledBody::AtClient => return Err(BadRequest::BodyIncomplete),
--- a/adapters/http/src/request_body.rs
+++ b/adapters/http/src/request_body.rs
@@ -94,7 +94,7 @@
     budget: Nanos,
 ) -> StalledBody {
     loop {
-        let client_deadline = upload.stalls_at(
+        let client_deadline = upload.client_stall_deadline(
             nanos(BODY_STALL_TIMEOUT),
             connection.body_time_at_lowest_rate(),
         );
@@ -102,7 +102,7 @@
         let (deadline, stalled) = match client_deadline {
             Some(deadline) => (deadline, StalledBody::AtClient),
             None => {
-                let since = upload.waits_since().unwrap_or(clock.now());
+                let since = upload.waiting_for_backend_since().unwrap_or(clock.now());
                 (since.saturating_add(budget), StalledBody::AtBackend)
             }
         };
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -11,7 +11,7 @@
 use super::pool::LeasedConnection;
 use super::{AttemptEnd, load_report};
 use crate::MAX_BUFFERED_BODY;
-use crate::answer::{BackendResponse, StreamingResponse};
+use crate::backend_response::{BackendResponse, StreamingResponse};
 use crate::memory_budget::{BufferedBytes, BytesCollector, Reservation};
 
 /// A large response is forwarded once this many bytes of it are here: one whose length is wrong has less to show by
@@ -96,22 +96,22 @@
     leased: LeasedConnection,
     received: BytesCollector,
     reservation: Option<Reservation>,
-    rest: Incoming,
+    incoming: Incoming,
 ) -> AttemptEnd {
     if head.outcome != Outcome::Success {
         // No client gets to see it, so that the rest is not waited for.
         return head.end(None);
     }
-    let ended = Box::new(move |end| match end {
+    let on_end = Box::new(move |end| match end {
         Some(RequestEnd::Served) => leased.release(),
         Some(_) => leased.node.response_aborted(leased.destination.backend),
         None => {}
     });
     head.end(Some(BackendResponse::Streaming(StreamingResponse {
-        first: BufferedBytes::new(received.into_bytes(), reservation),
-        rest,
-        left: head.length,
-        ended,
+        received: BufferedBytes::new(received.into_bytes(), reservation),
+        incoming,
+        length: head.length,
+        on_end,
     })))
 }
 
