--- a/adapters/postgres/tests/common/mod.rs
+++ b/adapters/postgres/tests/common/mod.rs
@@ -176,6 +176,14 @@
     Database::start().expect("a port")
 }
 
+/// Runs SQL at a fake database, past the node.
+pub async fn execute_directly(database: &Database, sql: &str) {
+    let address = format!("host=127.0.0.1 port={} user=x dbname=x", database.at.port());
+    let config: tokio_postgres::Config = address.parse().expect("an address");
+    let client = open(&config).await.expect("the fake");
+    client.batch_execute(sql).await.expect("executed");
+}
+
 /// A server that has failed is left alone for a while; the session goes on meanwhile, and is served again.
 pub async fn until_served(client: &Client) {
     while let Err(error) = client.batch_execute("select 1").await {
--- a/adapters/postgres/tests/server_loss.rs
+++ b/adapters/postgres/tests/server_loss.rs
@@ -16,8 +16,8 @@
 use badgerpost_fakes::database::{Database, InjectedFault, Value};
 use badgerpost_fakes::random::Random;
 use common::*;
+use tokio_postgres::Client;
 use tokio_postgres::error::SqlState;
-use tokio_postgres::{Client, NoTls};
 
 /// A node with one database, which has an empty table t, and a client.
 struct LossFixture {
@@ -157,21 +157,6 @@
     });
 }
 
-/// Creates the table that the transactions write to, past the node.
-async fn create_effects(database: &Database) {
-    let direct = format!("host=127.0.0.1 port={} user=x dbname=x", database.at.port());
-    let (direct, connection) = tokio_postgres::connect(&direct, NoTls)
-        .await
-        .expect("the fake");
-    tokio::task::spawn_local(async move {
-        let _ = connection.await;
-    });
-    direct
-        .batch_execute("create table effects (id bigint)")
-        .await
-        .expect("created");
-}
-
 /// Kills databases in random statements until `over` is true. Returns how often.
 async fn kill_databases(databases: Rc<[Database; 2]>, over: Rc<Cell<bool>>) -> usize {
     let (mut random, mut kills) = (Random::new(11, "kills"), 0);
@@ -214,7 +199,7 @@
         let databases = Rc::new([database(), database()]);
         let node = Node::start(&[&databases[0], &databases[1]], |_| {}).await;
         for database in databases.iter() {
-            create_effects(database).await;
+            execute_directly(database, "create table effects (id bigint)").await;
         }
         let mut tasks = Vec::new();
         for task in 0..8_i64 {
--- a/adapters/postgres/tests/transactions.rs
+++ b/adapters/postgres/tests/transactions.rs
@@ -13,8 +13,8 @@
 
 use badgerpost_balancer::EndpointUpdate;
 use common::*;
+use tokio_postgres::SimpleQueryMessage;
 use tokio_postgres::error::SqlState;
-use tokio_postgres::{NoTls, SimpleQueryMessage};
 
 /// Simple and extended queries, prepared once and used in transactions on whatever server comes.
 #[test]
@@ -25,17 +25,7 @@
         let mut client = node.connect().await;
         for database in [&one, &two] {
             // Tables are no matter of the node's: each fake gets its own.
-            let direct = format!("host=127.0.0.1 port={} user=x dbname=x", database.at.port());
-            let (direct, connection) = tokio_postgres::connect(&direct, NoTls)
-                .await
-                .expect("the fake");
-            tokio::task::spawn_local(async move {
-                let _ = connection.await;
-            });
-            direct
-                .batch_execute("create table scores (id bigint, name text)")
-                .await
-                .expect("created");
+            execute_directly(database, "create table scores (id bigint, name text)").await;
         }
         let insert = client
             .prepare("insert into scores values ($1, $2)")
