--- /dev/null
+++ b/testkit/fakes/src/scripted/message.rs
@@ -0,0 +1,86 @@
+//! An HTTP message as a fake reads it from a socket.
+
+use std::io::{BufRead, BufReader, Read};
+use std::net::TcpStream;
+
+/// A message as read from a socket.
+#[derive(Clone, Debug)]
+pub struct Message {
+    pub first: String,
+    pub headers: Vec<(String, String)>,
+    pub body: Vec<u8>,
+}
+
+impl Message {
+    pub fn values(&self, name: &str) -> Vec<&str> {
+        let named = self
+            .headers
+            .iter()
+            .filter(|header| header.0.eq_ignore_ascii_case(name));
+        named.map(|(_, value)| value.as_str()).collect()
+    }
+
+    pub fn value(&self, name: &str) -> Option<&str> {
+        self.values(name).first().copied()
+    }
+
+    pub fn status(&self) -> u16 {
+        self.first
+            .split(' ')
+            .nth(1)
+            .and_then(|code| code.parse().ok())
+            .unwrap_or(0)
+    }
+}
+
+/// Reads one message; none where the connection ends first.
+pub fn read_message(reader: &mut BufReader<TcpStream>) -> Option<Message> {
+    let mut line = || {
+        let mut text = String::new();
+        let read = reader.read_line(&mut text).ok()?;
+        (read > 0).then(|| text.trim_end().to_owned())
+    };
+    let first = line()?;
+    let mut headers = Vec::new();
+    loop {
+        let text = line()?;
+        let Some((name, value)) = text.split_once(':') else {
+            break;
+        };
+        headers.push((name.to_owned(), value.trim().to_owned()));
+    }
+    let mut message = Message {
+        first,
+        headers,
+        body: Vec::new(),
+    };
+    if message.value("transfer-encoding").is_some() {
+        message.body = read_chunks(reader)?;
+        return Some(message);
+    }
+    let length = message
+        .value("content-length")
+        .and_then(|v| v.parse().ok())
+        .unwrap_or(0);
+    message.body = vec![0; length];
+    reader.read_exact(&mut message.body).ok()?;
+    Some(message)
+}
+
+/// Reads a body in chunks; none where the connection ends first.
+fn read_chunks(reader: &mut BufReader<TcpStream>) -> Option<Vec<u8>> {
+    let mut body = Vec::new();
+    loop {
+        let mut line = String::new();
+        reader.read_line(&mut line).ok().filter(|read| *read > 0)?;
+        let size = usize::from_str_radix(line.trim_end().split(';').next()?, 16).ok()?;
+        if size == 0 {
+            reader.read_line(&mut line).ok()?;
+            return Some(body);
+        }
+        let from = body.len();
+        body.resize(from + size, 0);
+        reader.read_exact(&mut body[from..]).ok()?;
+        reader.read_exact(&mut [0; 2]).ok()?;
+    }
+}
