--- a/daemon/tests/endpoint_list.rs
+++ b/daemon/tests/endpoint_list.rs
@@ -147,7 +147,9 @@
     let unknown = target("s-2", new.at, "Quarantined");
     discovery.set(json!([target("s-0", old.at, "Ready"), odd, unknown]));
     discovery.watched_from(2);
-    assert!(node.logged("an entry of the list can't be read") && node.logged("server=\"s-1\""));
+    until("the entry is logged", || {
+        node.logged("an entry of the list can't be read") && node.logged("server=\"s-1\"")
+    });
     for n in 1..5 {
         assert_eq!(
             node.ask(&get(&format!("o{n}"), "")).body,
--- a/daemon/tests/gossip.rs
+++ b/daemon/tests/gossip.rs
@@ -162,7 +162,7 @@
     );
     assert_eq!(number(&stranger, "node.peers.members"), Some(1));
     assert_eq!(node.ask(&get("r1", "")).status(), 200);
-    assert!(node.logged("datagram dropped"));
+    until("the drop is logged", || node.logged("datagram dropped"));
     [key, other]
         .into_iter()
         .for_each(|path| std::fs::remove_file(path).unwrap());
--- a/daemon/tests/zones.rs
+++ b/daemon/tests/zones.rs
@@ -115,7 +115,7 @@
     until("closed", || {
         is("node.zone.a.share", "0") && is("node.zone.a.why", "by-hand")
     });
-    assert!(node.logged("zone changed"));
+    until("the change is logged", || node.logged("zone changed"));
     // Nothing is left: refused or failed in time, not sent.
     assert_eq!(backend.next().value("x-call-id"), Some("r1"));
     assert_ne!(
