--- a/adapters/http/src/upstream/load_report.rs
+++ b/adapters/http/src/upstream/load_report.rs
@@ -36,3 +36,6 @@
         in_flight: reported.inflight,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/adapters/http/src/upstream/pool.rs
+++ b/adapters/http/src/upstream/pool.rs
@@ -31,6 +31,10 @@
 /// to make room ends a moment later.
 const OVERSHOOT_DIVISOR: usize = 8;
 
+/// The limit on open connections divided by this is reserved for requests that are waited for: nothing else uses these
+/// last connections.
+const RESERVE_DIVISOR: usize = 4;
+
 /// Idle connections to the backends, and the limit on all that are open.
 pub struct ConnectionPool {
     idle: IdlePool<BackendAddress, BackendConnection>,
@@ -84,9 +88,9 @@
         });
     }
 
-    /// Whether so few connections are open that one may be used for something else than a request that is waited for.
+    /// Whether a connection may be used for something else than a request that is waited for.
     pub(super) fn has_spare_connections(&self) -> bool {
-        self.open.get() < self.max_open.get() / 4 * 3
+        self.open.get() < self.max_open.get() / RESERVE_DIVISOR * (RESERVE_DIVISOR - 1)
     }
 
     /// Leases the idle connection to a backend that was used last, so that those in excess reach their idle timeout.
@@ -95,14 +99,14 @@
         node: &HttpEngine,
         destination: BackendAddress,
     ) -> Option<LeasedConnection> {
-        let taken = self
+        let idle = self
             .idle
             .take(&destination, self.clock.now(), MIN_IDLE_TIME)?;
-        let is_usable = taken.idle_time < self.max_idle_time()
-            && self.reset_rates.allows_reuse(taken.idle_time);
+        let is_usable =
+            idle.idle_time < self.max_idle_time() && self.reset_rates.allows_reuse(idle.idle_time);
         is_usable.then(|| LeasedConnection {
-            connection: taken.connection,
-            idle_time: Some(taken.idle_time),
+            connection: idle.connection,
+            idle_time: Some(idle.idle_time),
             destination,
             pool: self.clone(),
             node: node.clone(),
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -177,3 +177,6 @@
         Outcome::Reset
     }
 }
+
+#[cfg(test)]
+mod tests;
