--- a/adapters/postgres/tests/sessions.rs
+++ b/adapters/postgres/tests/sessions.rs
@@ -238,3 +238,17 @@
         assert!(eve.batch_execute("SHOW POOLS").await.is_err());
     });
 }
+
+#[test]
+fn a_console_outlives_the_admission_timeout() {
+    test(async {
+        let database = database();
+        let node = Node::start(&[&database], |_| {}).await;
+        let mut config = node.driver("ann", "secret", "ops");
+        let console = open(config.dbname("badgerpost"))
+            .await
+            .expect("the console");
+        tokio::time::sleep(Duration::from_secs(6)).await;
+        one(&console, "SHOW VERSION").await;
+    });
+}
--- a/daemon/tests/large_bodies.rs
+++ b/daemon/tests/large_bodies.rs
@@ -7,11 +7,13 @@
 )]
 
 use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
 use badgerpost_fakes::scripted::*;
+use serde_json::json;
 
 const LARGE: usize = 4 * 1024 * 1024;
 /// The most that a node may hold resident while many large bodies are under way, in kB.
@@ -339,3 +341,36 @@
     let most = resident(&node);
     assert!(most < RESIDENT_MOST, "{most} kB resident at most");
 }
+
+/// A backend that responds once a request has begun to arrive, and reads no more of it.
+fn backend_that_responds_early(response: String) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    thread::spawn(move || {
+        for mut stream in listener.incoming().flatten() {
+            let response = response.clone();
+            thread::spawn(move || {
+                let _ = stream.read(&mut [0; 4096]);
+                let _ = stream.write_all(response.as_bytes());
+                thread::sleep(Duration::from_secs(5));
+            });
+        }
+    });
+    address
+}
+
+#[test]
+fn an_early_response_reaches_a_client_that_still_uploads() {
+    let response = ok(&"x".repeat(200_000));
+    let address = backend_that_responds_early(response.clone());
+    let targets = json!([target("s-0", address, "Ready")]);
+    let discovery = Discovery::new(targets.clone());
+    let node = Node::start(&config(discovery.at, targets));
+    let mut reader = TcpStream::connect(node.at).unwrap();
+    let mut writer = reader.try_clone().unwrap();
+    let request = post("pay", "r1", "", &"b".repeat(20_000_000));
+    thread::spawn(move || writer.write_all(request.as_bytes()));
+    let mut received = Vec::new();
+    reader.read_to_end(&mut received).unwrap();
+    assert!(received.len() > 200_000, "{} bytes", received.len());
+}
--- a/daemon/tests/pipelining.rs
+++ b/daemon/tests/pipelining.rs
@@ -109,3 +109,20 @@
         assert_eq!(statuses, [200, wanted, 200], "{n}");
     }
 }
+
+/// The node does not read the second request while the first one runs, so its client stops for no fault of its own.
+#[test]
+fn a_body_sent_ahead_of_a_slow_response_does_not_time_out_while_it_is_not_read() {
+    let backend = Backend::new(|message| {
+        if message.value("x-call-id") == Some("r1") {
+            thread::sleep(Duration::from_millis(2600));
+        }
+        Does::Writes(ok("yes"))
+    });
+    let (node, _discovery) = Node::with(&[&backend]);
+    let mut client = Client::to(node.at);
+    let body = "b".repeat(60_000);
+    client.write(&(get("r1", "") + &post("pay", "r2", "", &body)));
+    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("an answer").status(), 200);
+}
