--- a/daemon/tests/client_disconnect.rs
+++ b/daemon/tests/client_disconnect.rs
@@ -42,7 +42,7 @@
 /// The library looks for a client's end only while nothing has come behind its request: with anything there, requests
 /// of clients that had left were sent on when a backend came up.
 #[test]
-fn a_client_that_leaves_is_seen_whatever_it_has_sent_behind_its_request() {
+fn a_disconnect_is_detected_whatever_follows_the_request() {
     let flood = get("flood", "").repeat(400);
     let half = "GET /api HTTP/1.1\r\nHos";
     for behind in [
@@ -76,7 +76,7 @@
 
 /// The same where the connection was to end with its answer anyway.
 #[test]
-fn a_client_of_one_request_that_leaves_is_seen_too() {
+fn a_disconnect_on_a_connections_first_request_is_detected() {
     for text in [
         get("gone", "Connection: close\r\n"),
         get("gone", "").replace("HTTP/1.1", "HTTP/1.0"),
@@ -93,7 +93,7 @@
 
 /// A body that is too large to be held waits unread while its request waits for a backend.
 #[test]
-fn a_client_that_leaves_in_the_midst_of_its_body_is_seen() {
+fn a_disconnect_within_a_request_body_is_detected() {
     for sent in [70_000, 100_000] {
         let (node, discovery) = holding(|_| {});
         let mut client = Client::to(node.at);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn hundreds_that_leave_at_once_leave_nothing_behind() {
+fn hundreds_of_simultaneous_disconnects_leak_nothing() {
     let (node, discovery) = holding(|_| {});
     let mut clients: Vec<Client> = (0..300).map(|_| Client::to(node.at)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -121,7 +121,7 @@
 
 /// The connection to its backend comes up when its client has left.
 #[test]
-fn nothing_is_written_for_a_client_that_left_while_the_connect_was_coming_up() {
+fn nothing_is_written_for_a_client_that_disconnected_during_the_connect() {
     let late = Late::new();
     let (node, discovery) = holding(|config| {
         config["settings"]["policy-limits"]["connect-timeout-ns"] = json!(5_000_000_000u64);
@@ -140,7 +140,7 @@
 /// Backends remember keys for a while from the first attempt. The second one was begun within that, its connection came
 /// up behind it, and it ran again.
 #[test]
-fn a_repeat_is_not_written_behind_the_window_of_its_key() {
+fn a_retry_is_not_written_after_its_deduplication_window() {
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
     let first = Backend::new(move |_| Does::Breaks(waits.clone()));
@@ -176,7 +176,7 @@
 /// A body that nobody takes is no fault of its client's: it gets an answer, in its time. Its connection was closed
 /// instead, once the body had made no progress for long enough (some seconds with this one).
 #[test]
-fn a_large_request_that_finds_no_backend_is_refused_in_time() {
+fn a_large_request_without_a_backend_is_rejected_in_time() {
     let (node, _discovery) = holding(|config| {
         config["settings"]["classes"][2]["deadline-ns"] = json!(30_000_000_000u64);
     });
@@ -186,7 +186,7 @@
 
 /// A backend that takes the connection and nothing more.
 #[test]
-fn a_large_request_to_a_backend_that_reads_nothing_is_refused_in_time() {
+fn a_large_request_to_a_backend_that_reads_nothing_is_rejected_in_time() {
     let deaf = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (node, discovery) = holding(|_| {});
     discovery.set(json!([target("s-0", deaf.local_addr().unwrap(), "Ready")]));
@@ -204,7 +204,7 @@
 
 /// The same with a retry: the first attempt broke, the connection of the second one comes up when its client has left.
 #[test]
-fn nothing_is_written_for_a_client_that_left_while_its_retry_was_connecting() {
+fn nothing_is_written_for_a_client_that_disconnected_while_its_retry_connects() {
     let late = Late::new();
     let (node, discovery) = holding(|config| {
         config["settings"]["policy-limits"]["connect-timeout-ns"] = json!(5_000_000_000u64);
@@ -231,7 +231,7 @@
 /// The request and its client's end are read together, as the node was held up: nothing is begun for it, on a new
 /// connection, on one that has served, nor behind another request.
 #[test]
-fn nothing_is_begun_for_a_client_that_left_before_its_request_was_read() {
+fn no_attempt_starts_for_a_client_that_disconnected_before_its_request_was_read() {
     let backend = Backend::new(|_| Does::Writes(ok("yes")));
     let (node, _discovery) = Node::with(&[&backend]);
     for round in 0..5 {
--- a/daemon/tests/endpoint_list.rs
+++ b/daemon/tests/endpoint_list.rs
@@ -89,7 +89,7 @@
 const HALF: &str = "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":6,\"all\":true,\"targets\":[{\"uid\":\"s-0\",\"end";
 
 #[test]
-fn beside_an_agent_a_change_is_in_force_in_time_whatever_became_of_its_call() {
+fn a_pushed_update_is_in_force_in_time_however_the_call_failed() {
     let case =
         |bad: fn() -> Does, calls| -> Play { Box::new(move || in_force_after(bad, calls, false)) };
     all_in_time(vec![
@@ -122,7 +122,7 @@
 
 /// A watch that falls silent there is another matter: see `pace.rs`.
 #[test]
-fn where_it_is_asked_a_change_is_in_force_in_time_after_calls_that_fail() {
+fn a_polled_update_is_in_force_in_time_after_failed_calls() {
     let case =
         |bad: fn() -> Does, calls| -> Play { Box::new(move || in_force_after(bad, calls, true)) };
     all_in_time(vec![
@@ -138,7 +138,7 @@
 
 /// One entry that can't be read must not keep the others' drains from being honoured, nor take its own server away.
 #[test]
-fn an_odd_entry_among_good_ones_holds_nothing_up() {
+fn an_invalid_entry_among_valid_ones_delays_nothing() {
     let (old, new) = (serving("old"), serving("new"));
     let (node, discovery) = Node::with(&[&old]);
     assert_eq!(node.ask(&get("o0", "")).body, b"old");
@@ -182,7 +182,7 @@
 
 /// The agent has started anew and counts from the beginning: a watch from the old version would wait for ever.
 #[test]
-fn a_version_that_goes_back_behind_a_failure_is_taken() {
+fn a_version_that_goes_back_after_a_failure_is_accepted() {
     let (old, new) = (serving("old"), serving("new"));
     let (node, discovery) = Node::with(&[&old]);
     discovery.set_text(900, list(900, &[target("s-0", old.at, "Ready")]));
@@ -197,7 +197,7 @@
 /// An agent is silent while discovery is down, answers nothing that it was asked meanwhile, and what it gets at the return
 /// counts at once: from then on nothing new may go to a server that drains for longer than half a second.
 #[test]
-fn what_an_agent_has_at_its_return_is_known_before_the_grace_of_a_drain_is_over() {
+fn the_list_of_an_agent_that_returns_is_known_within_the_drain_grace() {
     let (old, new) = (serving("old"), serving("new"));
     let before = list(5, &[target("s-0", old.at, "Ready")]);
     let after = list(
--- a/daemon/tests/gossip.rs
+++ b/daemon/tests/gossip.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn nodes_find_each_other_and_hear_at_once_who_leaves() {
+fn nodes_discover_each_other_and_learn_at_once_who_leaves() {
     let backend = Backend::new(|_| Does::Writes(ok("yes")));
     let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
     let key = file("key", KEY, 0o600);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn strangers_are_counted_and_dropped() {
+fn unauthenticated_datagrams_are_counted_and_dropped() {
     let backend = Backend::new(|_| Does::Writes(ok("yes")));
     let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
     let (key, other) = (
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_section_that_cannot_be_used_is_an_error_that_names_its_key() {
+fn an_invalid_peers_section_is_an_error_that_names_the_key() {
     let backend = Backend::new(|_| Does::Writes(ok("yes")));
     let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
     let (key, open) = (file("good", KEY, 0o600), file("open", KEY, 0o644));
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn one_member_that_lies_moves_nobody_and_two_do() {
+fn one_false_observation_ejects_no_zone_and_two_do() {
     let backend = Backend::new(|_| Does::Writes(ok("yes")));
     let mut there = target("s-1", backend.at, "Ready");
     there["az"] = json!("b");
--- a/daemon/tests/health_checks.rs
+++ b/daemon/tests/health_checks.rs
@@ -31,7 +31,7 @@
 
 /// The home zone's server says that it is full, so requests go to the other zone.
 #[test]
-fn what_probes_tell_decides_where_requests_go() {
+fn health_check_results_decide_where_requests_go() {
     let full = reporting(Does::Writes(ok(
         r#"{"qps":90.5,"latency_ms":70,"eps":0,"util":0.99}"#,
     )));
@@ -71,7 +71,7 @@
 
 /// A backend that answers probes with what is none, or not at all, is served with as before.
 #[test]
-fn bad_answers_to_probes_harm_nothing() {
+fn invalid_health_check_responses_are_harmless() {
     let bad = ["{", "[]", r#"{"util":"much"}"#, r#"{"util":1e999}"#, ""];
     let mut answers: Vec<Does> = bad.iter().map(|body| Does::Writes(ok(body))).collect();
     answers.extend([
@@ -99,7 +99,7 @@
 
 /// Where answers tell the load, or the settings forbid it, nobody is probed.
 #[test]
-fn nobody_is_probed_unless_the_settings_say_so() {
+fn no_health_checks_are_made_unless_the_settings_allow_them() {
     let backend = reporting(Does::Writes(ok("{}")));
     let (node, _discovery) = Node::with(&[&backend]);
     for turn in 0..20 {
--- a/daemon/tests/large_bodies.rs
+++ b/daemon/tests/large_bodies.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn bodies_of_any_size_pass_unchanged_in_either_framing() {
+fn bodies_of_any_size_are_forwarded_unchanged_in_either_framing() {
     let backend = echo();
     let (node, _discovery) = Node::with(&[&backend]);
     for (n, length) in [0, 1, 1000, 65_535, 65_536, 65_537, 200_000, LARGE]
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn pieces_cut_anywhere_and_requests_ahead_of_their_answers() {
+fn requests_split_anywhere_and_pipelined_ones_are_answered() {
     let backend = echo();
     let (node, _discovery) = Node::with(&[&backend]);
     let body = pattern(3000);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn answers_of_every_framing_pass_unchanged() {
+fn responses_of_every_framing_are_forwarded_unchanged() {
     let body = pattern(LARGE);
     let sent = body.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
@@ -156,7 +156,7 @@
 
 /// The first bytes of a large answer do not wait for its last.
 #[test]
-fn a_large_answer_goes_on_as_it_comes() {
+fn a_large_response_is_streamed_as_it_arrives() {
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
     let backend = Backend::new(move |_| {
@@ -188,7 +188,7 @@
 
 /// Once begun, an answer is not replaced; the client can tell that it is not whole.
 #[test]
-fn a_large_answer_that_breaks_off_is_cut_short_and_never_repeated() {
+fn an_aborted_large_response_is_truncated_and_never_retried() {
     let backend = Backend::new(|_| {
         let body = pattern(300_000);
         Does::Ends(format!(
@@ -206,7 +206,7 @@
 
 /// A small one that breaks off is repeated where that is safe: nothing of it has gone out.
 #[test]
-fn a_small_answer_that_breaks_off_is_repeated_if_that_is_safe() {
+fn an_aborted_small_response_is_retried_if_that_is_safe() {
     for (text, wanted, tries) in [
         (get("s1", ""), 200, 2),
         (post("pay", "s1", "", "x"), 502, 1),
@@ -230,7 +230,7 @@
 /// What has gone out of a body can't be had again. Never whole at a server, the request never ran: it is refused, and
 /// trying again is harmless.
 #[test]
-fn a_server_that_resets_in_the_midst_of_a_body_ends_the_request_as_refused() {
+fn a_reset_within_an_upload_rejects_the_request() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let connections = Arc::new(std::sync::atomic::AtomicU32::new(0));
@@ -263,7 +263,7 @@
 
 /// A client that goes away in the midst of its body ends the attempt, and harms nobody.
 #[test]
-fn a_client_that_goes_in_the_midst_of_its_body_leaves_nothing_behind() {
+fn a_client_that_disconnects_within_its_upload_leaks_nothing() {
     let backend = echo();
     let (node, _discovery) = Node::with(&[&backend]);
     for n in 0..20 {
@@ -286,7 +286,7 @@
 
 /// A slow client's time runs from its last byte, and a body may come at 64 kB a second.
 #[test]
-fn a_body_may_come_slowly_and_a_stalled_one_is_cut_off() {
+fn a_slow_body_is_accepted_and_a_stalled_one_times_out() {
     let backend = echo();
     let (node, _discovery) = Node::with(&[&backend]);
     let body = pattern(200_000);
@@ -320,7 +320,7 @@
 
 /// Many large answers to readers that take their time: together far more than the node may hold.
 #[test]
-fn many_large_answers_to_slow_readers_stay_within_memory() {
+fn many_large_responses_to_slow_readers_stay_within_the_memory_limit() {
     const EACH: usize = 8 * 1024 * 1024;
     let body = pattern(EACH);
     let backend = Backend::new(move |_| Does::Writes(ok(&body)));
--- a/daemon/tests/lifecycle.rs
+++ b/daemon/tests/lifecycle.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn starts_on_the_known_list_with_discovery_down() {
+fn starts_with_the_cached_list_while_discovery_is_down() {
     let backend = serving("yes");
     let node = Node::start(&config(
         nowhere(),
@@ -43,7 +43,7 @@
 /// A restart beside a list that comes late, or not at all: ready means that there is somebody to send to, and the wait for
 /// that is bounded, as nine in ten have to be ready within 10 s.
 #[test]
-fn is_ready_once_it_knows_a_server_or_has_waited_long_enough() {
+fn is_ready_once_it_knows_a_backend_or_the_timeout_is_over() {
     let ready = |node: &Node| {
         node.ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
             .status()
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_bad_list_keeps_the_last_good_one() {
+fn an_invalid_list_leaves_the_last_valid_one_in_force() {
     let backend = serving("yes");
     let (node, discovery) = Node::with(&[&backend]);
     for (rev, text) in [
@@ -97,7 +97,7 @@
 
 /// Where discovery has to be asked, a call that failed is made again when the module asks for it.
 #[test]
-fn goes_on_asking_after_a_failed_call() {
+fn polls_again_after_a_failed_call() {
     let backend = serving("yes");
     let discovery = Discovery::new(json!([]));
     discovery.set_text(1, "no list".to_owned());
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_backend_that_drains_or_has_gone() {
+fn no_attempt_goes_to_a_draining_or_removed_backend() {
     for state in ["Terminating", "Gone"] {
         let (old, new) = (serving("old"), serving("new"));
         let (node, discovery) = Node::with(&[&old]);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn follows_an_endpoint_that_changes_under_one_name() {
+fn follows_a_backend_whose_address_changes() {
     let (before, after) = (serving("before"), serving("after"));
     let (node, discovery) = Node::with(&[&before]);
     assert_eq!(node.ask(&get("e0", "")).body, b"before");
@@ -142,7 +142,7 @@
 
 /// At a planned restart requests go on coming: on connections from before, and on new ones.
 #[test]
-fn ends_on_sigterm_with_everything_answered() {
+fn answers_every_request_before_it_ends_on_sigterm() {
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
@@ -190,7 +190,7 @@
 
 /// The next life binds the address at once, with the last one's connections still in the system's tables.
 #[test]
-fn a_restart_binds_at_once() {
+fn a_restarted_node_binds_its_address_at_once() {
     let backend = serving("yes");
     let known = json!([target("s-0", backend.at, "Ready")]);
     let mut node = Node::start(&config(nowhere(), known.clone()));
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_one_line_and_an_error() {
+fn an_invalid_configuration_is_one_line_and_an_exit_code() {
     let good = config(nowhere(), json!([]));
     let without = |field: &str| {
         let mut config = good.clone();
@@ -277,7 +277,7 @@
 
 /// The watch moves at once, and versions of the old address mean nothing at the new one.
 #[test]
-fn sighup_moves_the_watch_to_another_discovery() {
+fn sighup_moves_the_watch_to_another_discovery_address() {
     let (old, new) = (serving("old"), serving("new"));
     let (mut node, first) = Node::with(&[&old]);
     first.set_text(
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn sighup_with_a_file_or_a_list_that_is_no_use_changes_nothing() {
+fn sighup_with_an_invalid_file_or_list_changes_nothing() {
     let backend = serving("yes");
     let (node, discovery) = Node::with(&[&backend]);
     let mut unusable = config(discovery.at, json!([]));
@@ -331,7 +331,7 @@
 /// Two new configurations within one call that discovery is slow to answer: what the addresses before answer later counts
 /// no more.
 #[test]
-fn late_answers_of_the_addresses_before_count_no_more() {
+fn late_responses_of_earlier_discovery_addresses_are_ignored() {
     let (old, stale, new) = (serving("old"), serving("stale"), serving("new"));
     let list = |server: &Backend, uid: &str| {
         let targets = [target(uid, server.at, "Ready")];
@@ -363,7 +363,7 @@
 
 /// What a newcomer sees first, and what an operator asks before a change.
 #[test]
-fn the_command_line_explains_itself() {
+fn the_command_line_prints_its_usage() {
     let program = badgerpost_fakes::program("badgerpost").expect("built with its tests");
     let run = |arguments: &[&str]| {
         let output = std::process::Command::new(&program)
@@ -388,7 +388,7 @@
 }
 
 #[test]
-fn check_tells_what_will_run_and_what_is_wrong() {
+fn check_prints_what_would_run_and_what_is_invalid() {
     let program = badgerpost_fakes::program("badgerpost").expect("built with its tests");
     let folder = std::env::temp_dir().join(format!("badgerpost-check-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -429,7 +429,7 @@
 
 /// A log that a program reads: each line is an object, and what varies stands in fields.
 #[test]
-fn the_log_is_json_where_that_is_asked_for() {
+fn the_log_is_json_if_configured() {
     let (edge, own) = (config(nowhere(), json!([])), "[log]\nformat = \"json\"\n");
     let file = std::env::temp_dir().join(format!("badgerpost-json-{}.toml", std::process::id()));
     std::fs::write(&file, own).unwrap();
--- a/daemon/tests/limits.rs
+++ b/daemon/tests/limits.rs
@@ -24,7 +24,7 @@
 /// A request that may not be repeated is failed only where an attempt went out, and refused only where none did, however
 /// little time it has.
 #[test]
-fn with_next_to_no_time_a_request_is_failed_only_if_an_attempt_went_out() {
+fn a_request_with_almost_no_time_fails_only_if_an_attempt_was_written() {
     let backend = Backend::new(|_| {
         thread::sleep(Duration::from_millis(4));
         Does::Writes(ok("yes"))
@@ -68,7 +68,7 @@
 
 /// Clients that stop in the middle of a body of any size and stay are told so within 3 s of their last byte.
 #[test]
-fn a_large_body_that_stops_is_ended_in_time() {
+fn a_stalled_large_body_times_out() {
     let backend = Backend::new(|_| Does::Writes(ok("yes")));
     let (node, _discovery) = Node::with(&[&backend]);
     let chunk = format!("{:x}\r\n{}\r\n", 50_000, "b".repeat(50_000));
@@ -103,7 +103,7 @@
 /// The client has sent all of its request, and waits: its connection makes no room for a crowd, though no server takes
 /// the body yet.
 #[test]
-fn a_request_whose_body_waits_for_a_server_makes_no_room() {
+fn a_request_whose_body_waits_for_a_backend_is_not_evicted() {
     let discovery = Discovery::new(json!([]));
     let mut config = config(discovery.at, json!([]));
     // Sixteen of these are for clients.
@@ -119,7 +119,7 @@
 
 /// An answer of unknown length ends with its connection for a client of HTTP/1.0: one that breaks off must not look whole.
 #[test]
-fn a_broken_answer_of_unknown_length_does_not_look_whole_to_a_client_of_http_1_0() {
+fn an_aborted_response_of_unknown_length_does_not_look_complete_to_an_http_1_0_client() {
     let chunk = format!("{:x}\r\n{}\r\n", 100_000, "b".repeat(100_000));
     let chunked = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}");
     let bare = format!("HTTP/1.1 200 OK\r\n\r\n{}", "b".repeat(100_000));
@@ -138,7 +138,7 @@
 /// A node that is held up for 0.15 s before each of its writes: the deadline told is at most what is left, with 0.15 s of
 /// slack, in the first attempt and in the retry.
 #[test]
-fn the_deadline_told_by_a_node_that_is_held_up_is_within_its_slack() {
+fn the_deadline_forwarded_by_a_suspended_node_is_within_its_slack() {
     const REQUESTS: usize = 3;
     let arrivals: Arc<Mutex<Vec<(String, Instant, i64)>>> = Arc::default();
     let recording = |answer: String| {
@@ -187,7 +187,7 @@
 /// A connect that comes up while its server begins to drain is not written to. The grace of 0.5 s has to cover a node that is held
 /// up for 0.15 s twice, before it hears of the drain and before it writes, so nothing of it is used on purpose.
 #[test]
-fn nothing_is_written_to_a_server_whose_drain_is_known_as_its_connection_comes_up() {
+fn nothing_is_written_to_a_backend_that_drains_while_it_is_connected_to() {
     let late = badgerpost_fakes::late::Late::new();
     let listed = json!([target("s-0", late.at, "Ready")]);
     let discovery = Discovery::new(listed.clone());
@@ -208,7 +208,7 @@
 
 /// A listener whose queue is never emptied keeps nobody waiting beyond the client's time.
 #[test]
-fn a_server_that_accepts_nothing_costs_no_answer() {
+fn a_backend_that_accepts_no_connection_costs_no_response() {
     let deaf = TcpListener::bind("127.0.0.1:0").unwrap();
     let listed = json!([target("s-0", deaf.local_addr().unwrap(), "Ready")]);
     let discovery = Discovery::new(listed.clone());
--- a/daemon/tests/log_output.rs
+++ b/daemon/tests/log_output.rs
@@ -75,13 +75,13 @@
 }
 
 #[test]
-fn a_full_device_under_the_log_costs_no_request() {
+fn a_full_log_device_costs_no_request() {
     let full = OpenOptions::new().write(true).open("/dev/full").unwrap();
     serves_logging_to(full, || ());
 }
 
 #[test]
-fn a_reader_of_the_log_that_goes_away_costs_no_request() {
+fn a_log_reader_that_closes_costs_no_request() {
     let (log, reader) = UnixStream::pair().unwrap();
     let mut reader = Some(reader);
     serves_logging_to(OwnedFd::from(log), || drop(reader.take()));
@@ -89,7 +89,7 @@
 
 /// Nothing is read of the log, and there is no room left in it.
 #[test]
-fn a_reader_of_the_log_that_stalls_costs_no_request() {
+fn a_log_reader_that_stalls_costs_no_request() {
     let (mut log, _reader) = UnixStream::pair().unwrap();
     log.set_nonblocking(true).unwrap();
     let full = loop {
--- a/daemon/tests/misbehaving_clients.rs
+++ b/daemon/tests/misbehaving_clients.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn silent_connections_lock_nobody_out() {
+fn silent_connections_are_evicted_for_new_clients() {
     let backend = serving();
     let node = small(&backend);
     let mut crowd = silent(&node, 48);
@@ -40,7 +40,7 @@
 
 /// Clients that ask once and keep their connection make room for others.
 #[test]
-fn idle_connections_lock_nobody_out() {
+fn idle_connections_are_evicted_for_new_clients() {
     let backend = serving();
     let node = small(&backend);
     let mut kept = Vec::new();
@@ -59,7 +59,7 @@
 
 /// The system before a node has room for fewer connections than the node: it must not be full of idle ones.
 #[test]
-fn connections_end_with_their_answer_while_many_stand_idle() {
+fn connections_close_after_their_response_while_many_are_idle() {
     let backend = serving();
     let node = small(&backend);
     let asked = Cell::new(0);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_connection_with_a_request_on_it_makes_no_room() {
+fn a_connection_with_a_request_is_not_evicted() {
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
     let backend = Backend::new(move |_| Does::Waits(waits.clone(), ok("late")));
@@ -103,7 +103,7 @@
 
 /// Bytes that trickle in do not prolong the time that a request has to become whole.
 #[test]
-fn what_never_becomes_whole_is_ended() {
+fn an_incomplete_request_times_out() {
     let backend = serving();
     let (node, _discovery) = Node::with(&[&backend]);
     let started = Instant::now();
@@ -130,7 +130,7 @@
 
 /// A request with two lengths may hide another one: each side would see a different end.
 #[test]
-fn a_length_beside_a_transfer_coding_is_turned_away_in_either_order() {
+fn a_length_beside_a_transfer_coding_is_rejected_in_either_order() {
     let backend = serving();
     let (node, _discovery) = Node::with(&[&backend]);
     let hidden = get("hidden", "");
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn lengths_that_make_no_sense_are_turned_away_unread() {
+fn invalid_lengths_are_rejected_before_the_body_is_read() {
     let backend = serving();
     let (node, _discovery) = Node::with(&[&backend]);
     for length in [
@@ -204,7 +204,7 @@
 
 /// The error is not lost in a reset while the client still sends.
 #[test]
-fn the_error_gets_out_while_a_large_body_comes_in() {
+fn the_error_response_is_sent_while_a_large_body_arrives() {
     let backend = serving();
     let (node, _discovery) = Node::with(&[&backend]);
     let mut stream = TcpStream::connect(node.at).unwrap();
@@ -223,7 +223,7 @@
 
 /// Backends tell requests apart by their ids: another's open one must not reach them.
 #[test]
-fn the_id_of_an_open_request_is_turned_away() {
+fn the_id_of_an_open_request_is_rejected() {
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
     let backend = Backend::new(move |_| Does::Waits(waits.clone(), ok("mine")));
@@ -297,7 +297,7 @@
 
 /// Crowds that connect and stop half way, or ask once and stay, make room for those who have a request.
 #[test]
-fn who_stops_half_way_or_idles_makes_room_for_requests() {
+fn stalled_and_idle_connections_are_evicted_for_requests() {
     let backend = serving();
     let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
     let mut config = config(discovery.at, json!([]));
@@ -333,7 +333,7 @@
 /// Clients that stop in the middle of a request and stay are owed an error or a close within 3 s, on a connection that
 /// has served a request too. Half a head that had come before that request's answer went out stayed open for ten seconds.
 #[test]
-fn half_a_request_on_a_connection_that_has_served_is_ended_in_time() {
+fn half_a_request_on_a_used_connection_times_out() {
     let backend = Backend::new(|_| {
         thread::sleep(Duration::from_millis(100));
         Does::Writes(ok("yes"))
--- a/daemon/tests/operations.rs
+++ b/daemon/tests/operations.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn each_call_has_its_method_and_its_answer() {
+fn each_console_call_has_its_method_and_response() {
     let backend = serving("yes");
     let (node, _discovery, _) = operated(&[&backend]);
     let console = node.console();
@@ -104,7 +104,7 @@
 
 /// Callers who connect and say nothing, or begin a call and stop, hold nobody up.
 #[test]
-fn callers_who_finish_no_call_do_not_shut_others_out() {
+fn unfinished_console_calls_do_not_block_others() {
     let backend = serving("yes");
     let (node, _discovery, _) = operated(&[&backend]);
     let console = node.console();
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_stop_in_the_midst_of_a_drain_ends_the_process() {
+fn sigterm_during_a_drain_ends_the_process() {
     let backend = serving("yes");
     let (mut node, _discovery, _) = operated(&[&backend]);
     let console = node.console();
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn a_console_that_can_not_be_opened_is_named() {
+fn a_console_address_that_cannot_be_bound_is_named() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = config(taken.local_addr().unwrap(), json!([]));
     config["console"] = json!(taken.local_addr().unwrap().to_string());
@@ -328,7 +328,7 @@
 
 /// Callers get their answer within their second while the serving thread has more to do than it can.
 #[test]
-fn callers_are_answered_while_the_serving_thread_is_saturated() {
+fn console_calls_are_answered_while_the_serving_thread_is_saturated() {
     let backend = serving("yes");
     let (node, _discovery, _) = operated(&[&backend]);
     let (console, at) = (node.console(), node.at);
--- a/daemon/tests/pipelining.rs
+++ b/daemon/tests/pipelining.rs
@@ -27,7 +27,7 @@
 
 /// Its time runs from its last byte, also while another is answered first: its server is told what is left of it.
 #[test]
-fn the_deadline_told_for_a_request_behind_another_is_what_its_client_has_left() {
+fn the_deadline_forwarded_for_a_pipelined_request_is_its_remaining_time() {
     let backend = slow_for_the_first();
     let (node, _discovery) = Node::with(&[&backend]);
     let mut client = Client::to(node.at);
@@ -44,7 +44,7 @@
 
 /// With its time over it goes to no server any more, and is answered at once.
 #[test]
-fn a_request_whose_time_ran_out_behind_another_is_rejected_and_not_forwarded() {
+fn a_pipelined_request_past_its_deadline_is_rejected_and_not_forwarded() {
     let backend = slow_for_the_first();
     let (node, _discovery) = Node::with(&[&backend]);
     let mut client = Client::to(node.at);
@@ -91,7 +91,7 @@
 
 /// A request that is turned away does not take those behind it with it, as long as its own end is known.
 #[test]
-fn requests_behind_one_that_is_turned_away_are_answered() {
+fn requests_pipelined_behind_a_rejected_one_are_answered() {
     let backend = Backend::new(|_| Does::Writes(ok("yes")));
     let (node, _discovery) = Node::with(&[&backend]);
     let turned_away = [
--- a/daemon/tests/serving.rs
+++ b/daemon/tests/serving.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn passes_a_call_on_unchanged_and_once() {
+fn forwards_a_request_unchanged_and_once() {
     let backend = always(Does::Writes(ok("seated")));
     let (node, _discovery) = Node::with(&[&backend]);
     let answer = node.ask(&post(
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn bad_input_is_answered_and_reaches_no_backend() {
+fn a_bad_request_gets_400_and_reaches_no_backend() {
     let backend = always(Does::Writes(ok("no")));
     let (node, _discovery) = Node::with(&[&backend]);
     let key = "Idempotency-Key: k\r\n";
@@ -82,7 +82,7 @@
 /// Each of these may have run. An unsafe call then gets no other attempt and no refusal, which would tell the
 /// client that trying again does no harm.
 #[test]
-fn an_unsafe_call_that_may_have_run_fails() {
+fn a_non_idempotent_request_that_may_have_run_fails() {
     let spoilt = [
         Does::Writes(status(500, "")),
         Does::Writes(status(503, "")),
@@ -108,7 +108,7 @@
 /// With neither a length nor chunks an answer is whole when its connection ends (RFC 9112, section 6.3), whether or not
 /// its server has announced that; a reset is no end. Half of these at least have to be forwarded: all are.
 #[test]
-fn an_answer_with_no_length_is_whole_with_the_end_of_its_connection() {
+fn a_response_without_a_length_is_complete_at_the_end_of_its_connection() {
     for head in [
         "HTTP/1.1 200 OK\r\n",
         "HTTP/1.1 200 OK\r\nConnection: keep-alive\r\n",
@@ -132,7 +132,7 @@
 
 /// Turned away it never ran, so even an unsafe call goes elsewhere, or is refused where there is nobody.
 #[test]
-fn an_unsafe_call_that_never_ran_goes_elsewhere() {
+fn a_non_idempotent_request_that_never_ran_is_retried_elsewhere() {
     let away = |code| always(Does::Writes(status(code, "X-Rejected: 1\r\n")));
     let serves = always(Does::Writes(ok("paid")));
     let (full, other) = (away(503), away(504));
@@ -172,7 +172,7 @@
 
 /// A silent backend must not hold a request past its client's time.
 #[test]
-fn a_silent_backend_is_given_up() {
+fn an_attempt_at_a_silent_backend_times_out() {
     let backend = always(Does::Hangs);
     let (node, _discovery) = Node::with(&[&backend]);
     let answer = node.ask(&get("s1", "").replace("3000", "200"));
@@ -205,7 +205,7 @@
 
 /// Connections are used again: a new one costs the backend work.
 #[test]
-fn connections_are_kept() {
+fn backend_connections_are_reused() {
     let backend = always(Does::Writes(ok("yes")));
     let (node, _discovery) = Node::with(&[&backend]);
     let mut client = Client::to(node.at);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_load_report_of_any_shape_does_no_harm() {
+fn a_load_report_of_any_shape_is_harmless() {
     for report in [
         "{\"util\":0.4}",
         "{\"util\":\"high\"}",
@@ -250,7 +250,7 @@
 
 /// A client that hangs up must leave nothing behind that the node trips over, nor be answered by mistake.
 #[test]
-fn a_client_that_hangs_up_is_let_go() {
+fn a_request_is_cancelled_when_its_client_disconnects() {
     let gate = Arc::new(Gate::default());
     let first = AtomicBool::new(true);
     let waits = gate.clone();
@@ -276,7 +276,7 @@
 /// A spoilt answer is a failed attempt that may have run; its connection is of no further use, and the request
 /// is not left waiting for what will never come.
 #[test]
-fn a_spoilt_answer_is_given_up_at_once_and_tried_elsewhere() {
+fn an_invalid_response_is_abandoned_at_once_and_retried_elsewhere() {
     let lines = "X-Pad: pppppppppppppppp\r\n";
     let spoilt = [
         "\u{1}\u{2}noise\r\n\r\n".to_owned(),
@@ -317,7 +317,7 @@
 
 /// What comes behind a good answer spoils neither that one nor the next.
 #[test]
-fn what_comes_behind_an_answer_is_no_answer() {
+fn bytes_after_a_response_are_not_a_response() {
     for behind in [
         ok("mine"),
         "noise".to_owned(),
@@ -343,7 +343,7 @@
 
 /// Interim answers announce the real one, which may take its time.
 #[test]
-fn interim_answers_are_passed_over() {
+fn interim_responses_are_skipped() {
     let interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
@@ -379,7 +379,7 @@
 
 /// Clients with little time must not cost a handshake each: the late answer frees the connection.
 #[test]
-fn a_late_answer_leaves_its_connection_fit_for_use() {
+fn a_late_response_leaves_its_connection_usable() {
     let (gate, first) = (Arc::new(Gate::default()), AtomicBool::new(true));
     let waits = gate.clone();
     let backend = Backend::new(move |_| match first.swap(false, Ordering::SeqCst) {
@@ -400,7 +400,7 @@
 /// Some networks forget a quiet connection and tell nobody. The node learns after what time, and opens a new
 /// one rather than have a request reset.
 #[test]
-fn connections_are_not_used_after_a_rest_that_kills_them() {
+fn connections_are_not_reused_after_an_idle_time_that_resets_them() {
     let (opened, seen, broken) = (
         Arc::new(OnceLock::<Arc<AtomicU32>>::new()),
         AtomicU32::new(0),
--- a/daemon/tests/shutdown.rs
+++ b/daemon/tests/shutdown.rs
@@ -28,7 +28,7 @@
 /// Two requests in one read: the answer to the first must not end a connection on which another has been read. It did,
 /// and the second request was dropped.
 #[test]
-fn a_request_read_together_with_another_is_answered_too() {
+fn a_request_read_together_with_another_is_answered_during_shutdown() {
     let backend = Backend::new(|_| Does::Writes(ok("yes")));
     let (mut node, _discovery) = Node::with(&[&backend]);
     let mut client = Client::to(node.at);
@@ -51,7 +51,7 @@
 /// A client that rests until the node ends its connection writes in that very moment. Nothing of that is read, and the
 /// connection is not reset under it: the client can tell that nobody has taken its request.
 #[test]
-fn a_resting_connection_is_not_reset_under_a_request_that_crosses_its_end() {
+fn an_idle_connection_is_not_reset_under_a_request_that_crosses_its_close() {
     let backend = Backend::new(|_| Does::Writes(ok("yes")));
     let (node, _discovery) = Node::with(&[&backend]);
     let mut stream = TcpStream::connect(node.at).unwrap();
@@ -79,7 +79,7 @@
 /// SIGKILL comes 0.7 s behind the longest deadline at the soonest. A request whose last byte comes late has no more time
 /// than that, also where no backend answers: the node ended while it was still open.
 #[test]
-fn what_becomes_whole_at_the_last_moment_is_answered_before_the_end() {
+fn a_request_completed_at_the_last_moment_is_answered_before_the_end() {
     let (mut node, _backend) = hanging();
     let text = post("pay", "late", "", "0123456789");
     let mut client = Client::to(node.at);
@@ -112,7 +112,7 @@
 
 /// Backends that hang, and requests on connections that are taken until the end: each gets its one answer.
 #[test]
-fn every_request_taken_while_backends_hang_is_answered_before_the_end() {
+fn every_request_accepted_while_backends_hang_is_answered_before_the_end() {
     let (mut node, _backend) = hanging();
     stopping(&node);
     let mut open = Vec::new();
@@ -201,7 +201,7 @@
 /// A client may take two seconds for a head. One that has begun before SIGTERM is answered, also when the head becomes
 /// whole after no more connections are taken, and whatever deadline its class has: SIGKILL comes 3.7 s after SIGTERM.
 #[test]
-fn a_head_that_becomes_whole_during_the_shutdown_is_answered_before_sigkill() {
+fn a_head_completed_during_the_shutdown_is_answered_before_sigkill() {
     let backend = Backend::new(|_| Does::Hangs);
     let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
     let mut config = config(discovery.at, json!([]));
@@ -277,7 +277,7 @@
 /// The last answer has left before the process is gone, also to a client that reads late: a close over what it has not
 /// read yet would take it away.
 #[test]
-fn the_last_answer_reaches_a_client_that_reads_after_the_end() {
+fn the_last_response_reaches_a_client_that_reads_after_the_end() {
     let body = "b".repeat(60_000);
     let text = ok(&body);
     let backend = Backend::new(move |_| Does::Writes(text.clone()));
--- a/daemon/tests/slow_start.rs
+++ b/daemon/tests/slow_start.rs
@@ -133,12 +133,12 @@
 }
 
 #[test]
-fn twenty_processes_together_spare_a_server_that_has_just_started() {
+fn twenty_processes_together_keep_the_slow_start_budget() {
     a_new_server_is_spared(20, 5);
 }
 
 /// As in an upgrade: the new version starts from the list, and does not know what the old one sends.
 #[test]
-fn two_versions_beside_each_other_spare_a_server_that_has_just_started() {
+fn two_versions_beside_each_other_keep_the_slow_start_budget() {
     a_new_server_is_spared(1, 1);
 }
--- a/daemon/tests/system_calls.rs
+++ b/daemon/tests/system_calls.rs
@@ -62,14 +62,14 @@
 
 /// A read that returns less than was asked for does not mean that there is no more.
 #[test]
-fn reads_that_are_short_lose_no_request() {
+fn short_reads_lose_no_request() {
     for permille in [10, 50, 500] {
         all_served(&SystemFaults::seeded(7).with(Call::Recv, Fault::Short, permille));
     }
 }
 
 #[test]
-fn writes_that_are_short_lose_no_request() {
+fn short_writes_lose_no_request() {
     for permille in [50, 500] {
         all_served(&SystemFaults::seeded(7).with(Call::Send, Fault::Short, permille));
     }
@@ -77,7 +77,7 @@
 
 /// An interrupted call has done nothing: it is made again.
 #[test]
-fn calls_that_are_interrupted_lose_no_request() {
+fn interrupted_system_calls_lose_no_request() {
     for call in [Call::Recv, Call::Send, Call::EpollWait] {
         all_served(&SystemFaults::seeded(7).with(call, Fault::Error("EINTR"), 50));
     }
@@ -85,7 +85,7 @@
 
 /// Sockets that are short for a moment are no reason not to start.
 #[test]
-fn a_node_starts_though_there_is_no_socket_for_it_at_once() {
+fn a_node_retries_to_listen_when_no_socket_is_available() {
     for (seed, error) in [(1, "ENFILE"), (2, "EMFILE"), (3, "ENOBUFS")] {
         let backend = serving();
         let targets = json!([target("s-0", backend.at, "Ready")]);
--- a/daemon/tests/upgrade.rs
+++ b/daemon/tests/upgrade.rs
@@ -141,7 +141,7 @@
 
 /// The new one dies after it has begun to take connections: the old one carries on, also if it was on its way out.
 #[test]
-fn the_old_one_carries_on_when_the_new_one_dies() {
+fn the_old_version_carries_on_when_the_new_one_dies() {
     let folder = Folder::new("dies");
     let (backend, at) = (serving(), free());
     let config = operated(&backend, at);
@@ -165,7 +165,7 @@
 
 /// A folder that takes no more files, or fails, costs the handover of the socket and nothing else.
 #[test]
-fn a_folder_that_is_full_or_fails_keeps_no_node_from_starting() {
+fn a_node_starts_though_its_folder_is_full_or_fails() {
     for error in ["ENOSPC", "EIO"] {
         let folder = Folder::new(error);
         let (backend, at) = (serving(), free());
@@ -184,7 +184,7 @@
 
 /// Whatever stands where the versions meet, the node starts in time and serves.
 #[test]
-fn nothing_in_the_folder_keeps_a_node_from_starting() {
+fn a_node_starts_whatever_its_folder_contains() {
     fn silent(path: &Path) -> Box<dyn std::any::Any> {
         Box::new(UnixListener::bind(path).unwrap())
     }
@@ -234,7 +234,7 @@
 
 /// Peers that ask and stop halfway, or ask for something else, do not keep the next version from its socket.
 #[test]
-fn odd_successors_are_turned_down_or_passed_over() {
+fn invalid_successors_are_rejected_or_ignored() {
     let folder = Folder::new("odd");
     let (backend, at) = (serving(), free());
     let config = operated(&backend, at);
@@ -288,7 +288,7 @@
 /// A node that stands by is upgraded, and one is told to stand by in the midst of its upgrade: the new version is in
 /// service of itself, and the old one ends all the same.
 #[test]
-fn a_drain_and_an_upgrade_may_meet() {
+fn a_drain_and_an_upgrade_may_coincide() {
     let folder = Folder::new("meet");
     let (backend, at) = (serving(), free());
     let config = operated(&backend, at);
@@ -315,7 +315,7 @@
 
 /// A request that is open at the old version as its successor takes over gets its one answer from the old one.
 #[test]
-fn what_the_old_version_has_taken_it_answers() {
+fn the_old_version_answers_the_requests_it_has_accepted() {
     let folder = Folder::new("open");
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
--- a/daemon/tests/wall_clock.rs
+++ b/daemon/tests/wall_clock.rs
@@ -120,7 +120,7 @@
 
 /// The server has started since the list before, whatever the node's clock says of its start.
 #[test]
-fn a_server_that_starts_while_the_node_runs_is_in_slow_start_by_any_clock() {
+fn a_backend_that_starts_while_the_node_runs_is_in_slow_start_under_any_clock() {
     let cases = [
         ("a clock that is right", 0),
         ("ahead by an hour", HOUR_MS),
@@ -144,7 +144,7 @@
 
 /// Servers that have long been up get their full share, also where the node's clock is behind their start.
 #[test]
-fn servers_that_have_long_been_up_are_not_held_for_starting() {
+fn backends_that_have_long_been_up_are_not_in_slow_start() {
     let cases = [
         ("behind by an hour", -HOUR_MS),
         ("behind by 5 s", -5000),
--- a/daemon/tests/zones.rs
+++ b/daemon/tests/zones.rs
@@ -55,7 +55,7 @@
 const LISTENS: &str = "0A";
 
 #[test]
-fn on_the_platforms_configuration_there_is_no_watch_no_datagram_and_no_further_socket() {
+fn without_the_operators_file_there_is_no_zone_health_gossip_or_further_socket() {
     let backend = Backend::new(|_| Does::Writes(ok("yes")));
     let (discovery, config) = operated(&backend);
     let node = Node::start(&config);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_is_shipped_switches_nothing_on() {
+fn the_shipped_file_switches_nothing_on() {
     let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/badgerpost.toml");
     let text = std::fs::read_to_string(shipped).unwrap();
     assert!(text.contains("# [zones]\n# watch = true"));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn operators_close_a_zone_hold_it_open_and_let_it_go() {
+fn operators_close_a_zone_keep_it_open_and_end_the_override() {
     let backend = Backend::new(|_| Does::Writes(ok("yes")));
     let (discovery, config) = operated(&backend);
     let own = file("on", "[zones]\nwatch = true\n");
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_key_that_does_not_exist_is_named() {
+fn an_unknown_key_is_named() {
     let backend = Backend::new(|_| Does::Writes(ok("yes")));
     let (_discovery, config) = operated(&backend);
     let own = file("bad", "[zones]\nwatch = true\nwatsh = 1\n");
