--- a/testkit/scenarios/src/commands/up.rs
+++ b/testkit/scenarios/src/commands/up.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use badgerpost_scenarios::plan::Plan;
-use badgerpost_scenarios::run::Stage;
+use badgerpost_scenarios::run::Runner;
 use badgerpost_scenarios::scene;
 use serde_json::{Value, json};
 
@@ -21,10 +21,10 @@
     let stop = StopRequest::on_signals()?;
     let options = arguments.program.options(true, arguments.port)?;
     let plan = plan(&arguments.scene, arguments.nodes)?;
-    let mut stage = Stage::set(&plan, &options)?;
-    print_line(&describe(&plan, &mut stage).to_string())?;
+    let mut runner = Runner::set(&plan, &options)?;
+    print_line(&describe(&plan, &mut runner).to_string())?;
     stop.on_end_of_input();
-    stage.stay(&|| stop.is_requested())?;
+    runner.stay(&|| stop.is_requested())?;
     Ok(ExitCode::SUCCESS)
 }
 
@@ -45,21 +45,21 @@
 }
 
 /// What has been started, and where it listens.
-fn describe(plan: &Plan, stage: &mut Stage) -> Value {
+fn describe(plan: &Plan, runner: &mut Runner) -> Value {
     let mut nodes = Vec::new();
     for (index, node) in plan.scene.scene.node.iter().enumerate() {
-        if let Some((listen, pid)) = stage.node(index) {
+        if let Some((listen, pid)) = runner.node(index) {
             nodes.push(json!({"name": node.name.get_ref(), "listen": listen, "pid": pid}));
         }
     }
-    let backends: Vec<Value> = stage
+    let backends: Vec<Value> = runner
         .servers()
         .map(|(uid, listen)| json!({"uid": uid, "listen": listen}))
         .collect();
     json!({
         "scene": plan.scene.name,
         "nodes": nodes,
-        "discovery": stage.list_at(0),
+        "discovery": runner.discovery_address(0),
         "backends": backends,
     })
 }
--- a/testkit/scenarios/src/lib.rs
+++ b/testkit/scenarios/src/lib.rs
@@ -12,9 +12,9 @@
 pub mod rules;
 pub mod run;
 pub mod scene;
+mod simulation;
 pub mod soak;
 pub mod sweep;
-mod world;
 
 use badgerpost_time::{MILLISECOND, Nanos};
 
--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -18,7 +18,7 @@
 use crate::plan::Plan;
 use crate::process::{self, Process, ProcessError, Start};
 use crate::rules::{self, Breach};
-use crate::world::{Fired, PEERS_KEY, SOCKETS, World};
+use crate::simulation::{GOSSIP_KEY, NodeInput, SOCKET_SLACK, Simulation, StepOutcome};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// Unix time at which stepped scenes begin: any would do, as long as it is always the same.
@@ -26,16 +26,16 @@
 /// What a node has written, or connections that it has ended, and that is not here when it says that it is idle is
 /// looked for this often, a millisecond each. It is on its way already, but a machine with other work may be long about
 /// it.
-const LOOKS: u32 = 5000;
+const MAX_POLLS: u32 = 5000;
 /// A run with more steps than this is not going anywhere.
-const MOST_STEPS: u64 = 200_000_000;
+const MAX_STEPS: u64 = 200_000_000;
 /// In real time: the longest wait for sockets, and how often the nodes' processes are looked at.
-const WAIT: Duration = Duration::from_millis(20);
-const LOOK_AT_NODES: Nanos = 100 * MILLISECOND;
+const MAX_POLL_WAIT: Duration = Duration::from_millis(20);
+const NODE_CHECK_PERIOD: Nanos = 100 * MILLISECOND;
 /// An attempt may begin this long after its client has left.
 const LEAVE_SLACK: Nanos = 100 * MILLISECOND;
 /// A system call that is held begins this late.
-const HOLD: Nanos = 150 * MILLISECOND;
+const HELD_CALL_DELAY: Nanos = 150 * MILLISECOND;
 /// The deadline that a server is told may be this much beyond what the client has left.
 const DEADLINE_SLACK: Nanos = 150 * MILLISECOND;
 
@@ -151,35 +151,35 @@
     progress: &mut dyn FnMut(f64),
 ) -> Result<Played, RunError> {
     let sha256 = process::sha256(&options.program)?;
-    let began = Instant::now();
-    let mut stage = Stage::set(plan, options)?;
+    let started_at = Instant::now();
+    let mut runner = Runner::set(plan, options)?;
     let length = plan.scene.scene.length_ms.get_ref() * MILLISECOND;
-    let mut said = 0;
-    while !stage.world.is_done() {
+    let mut next_progress = 0;
+    while !runner.simulation.is_done() {
         if options.real_time {
-            stage.real_turn()?;
+            runner.real_time_turn()?;
         } else {
-            stage.stepped_turn()?;
+            runner.stepped_turn()?;
         }
-        let now = stage.world.now();
-        if now >= said {
+        let now = runner.simulation.now();
+        if now >= next_progress {
             progress(now as f64 / length as f64);
-            said = now + length / 200;
+            next_progress = now + length / 200;
         }
     }
-    stage.check_ends()?;
+    runner.check_exits()?;
     let (steps, late, strangers, simulated) = (
-        stage.steps,
-        stage.late,
-        stage.world.strangers(),
-        stage.world.now(),
+        runner.steps,
+        runner.late,
+        runner.simulation.unknown_requests(),
+        runner.simulation.now(),
     );
-    let Stage {
-        world,
+    let Runner {
+        simulation,
         processes,
         _core,
         ..
-    } = stage;
+    } = runner;
     let names = plan
         .scene
         .scene
@@ -191,18 +191,18 @@
         .filter_map(|(name, process)| Some((name, process.as_ref()?.log())))
         .collect();
     drop(processes);
-    let (cold_peaks, talk) = (world.cold_peaks(), world.talk());
-    let owed = world.owed();
-    let log = world.into_log();
+    let (cold_peaks, talk) = (simulation.cold_peaks(), simulation.gossip_traffic());
+    let owed = simulation.missed_responses();
+    let log = simulation.into_log();
     let scene = &plan.scene.scene.rules;
     let figures = rules::Figures {
         answer_slack: match plan.behaviour.strict {
             true => LATE_ANSWER,
-            false => scene.answer_slack_ms * MILLISECOND + SOCKETS,
+            false => scene.answer_slack_ms * MILLISECOND + SOCKET_SLACK,
         },
-        drain_grace: scene.drain_grace_ms * MILLISECOND + SOCKETS,
-        leave_slack: LEAVE_SLACK + SOCKETS,
-        deadline_slack: DEADLINE_SLACK + SOCKETS + held(options),
+        drain_grace: scene.drain_grace_ms * MILLISECOND + SOCKET_SLACK,
+        leave_slack: LEAVE_SLACK + SOCKET_SLACK,
+        deadline_slack: DEADLINE_SLACK + SOCKET_SLACK + system_call_delay(options),
     };
     let mut breaches = rules::check(&log, &figures);
     breaches.extend(owed);
@@ -215,48 +215,48 @@
         talk,
         sha256,
         simulated,
-        wall: began.elapsed(),
+        wall: started_at.elapsed(),
         steps,
         late,
     })
 }
 
 /// How much more a node may be held up before it has read a request, where its system calls are.
-fn held(options: &Options) -> Nanos {
+fn system_call_delay(options: &Options) -> Nanos {
     if options.system_faults.iter().any(SystemFaults::has_holds) {
-        HOLD
+        HELD_CALL_DELAY
     } else {
         0
     }
 }
 
 /// Nodes and stand-ins, all ready.
-pub struct Stage {
+pub struct Runner {
     plan: Plan,
     options: Options,
-    world: World,
+    simulation: Simulation,
     /// Where the nodes listen, also while they are away.
     ports: Vec<Reserved>,
     processes: Vec<Option<Process>>,
     /// Bytes written to each node's sockets of which it has not been told.
-    unread: Vec<u64>,
+    unread_bytes: Vec<u64>,
     /// Ends of connections that each node has told of and that were waited for in vain.
-    unseen: Vec<u64>,
+    missing_ends: Vec<u64>,
     paused: Vec<bool>,
     /// It was asked to stop, so its end is none too soon.
     stopping: Vec<bool>,
-    lives: u64,
+    incarnations: u64,
     /// The wall clocks that the nodes read, where their system calls have faults.
     wall_clocks: Vec<WallClock>,
-    told: Vec<Happening>,
-    began: Instant,
-    looked: Nanos,
+    events: Vec<Happening>,
+    started_at: Instant,
+    checked_at: Nanos,
     steps: u64,
     late: u64,
     _core: Option<OneCore>,
 }
 
-impl Stage {
+impl Runner {
     /// Starts the nodes of a plan, with its peers listening.
     pub fn set(plan: &Plan, options: &Options) -> Result<Self, RunError> {
         let base = if options.real_time {
@@ -269,7 +269,7 @@
         };
         let core = (!options.real_time).then(OneCore::take);
         let count = plan.scene.scene.node.len();
-        let world = World::new(plan.clone(), base, options.peers)?;
+        let simulation = Simulation::new(plan.clone(), base, options.peers)?;
         let port = |node| {
             let at = SocketAddr::from(([127, 0, 0, 1], if node == 0 { options.port } else { 0 }));
             Reserved::new(at).map_err(|source| RunError::Port { at, source })
@@ -281,82 +281,95 @@
             .iter()
             .map(|_| WallClock::ahead_by(ahead));
         let wall_clocks = wall_clocks.collect::<Result<Vec<_>, _>>()?;
-        let mut stage = Self {
+        let mut runner = Self {
             plan: plan.clone(),
             options: options.clone(),
-            world,
+            simulation,
             ports,
             processes: (0..count).map(|_| None).collect(),
-            unread: vec![0; count],
-            unseen: vec![0; count],
+            unread_bytes: vec![0; count],
+            missing_ends: vec![0; count],
             paused: vec![false; count],
             stopping: vec![false; count],
-            lives: 0,
+            incarnations: 0,
             wall_clocks,
-            told: Vec::new(),
-            began: Instant::now(),
-            looked: 0,
+            events: Vec::new(),
+            started_at: Instant::now(),
+            checked_at: 0,
             steps: 0,
             late: 0,
             _core: core,
         };
-        (0..count).try_for_each(|node| stage.start(node))?;
-        stage.began = Instant::now();
-        Ok(stage)
+        (0..count).try_for_each(|node| runner.start(node))?;
+        runner.started_at = Instant::now();
+        Ok(runner)
     }
 
     /// Where a node listens, and its process's id.
     pub fn node(&self, node: usize) -> Option<(SocketAddr, u32)> {
         Some((
-            self.world.listen_of(node)?,
+            self.simulation.node_address(node)?,
             self.processes[node].as_ref()?.id(),
         ))
     }
 
     /// Where discovery listens for a node.
-    pub fn list_at(&self, node: usize) -> SocketAddr {
-        self.world.list_at(node)
+    pub fn discovery_address(&self, node: usize) -> SocketAddr {
+        self.simulation.discovery_address(node)
     }
 
     /// Where the servers listen, by name.
     pub fn servers(&self) -> impl Iterator<Item = (&str, SocketAddr)> {
-        self.world.servers()
+        self.simulation.servers()
     }
 
     fn start(&mut self, node: usize) -> Result<(), RunError> {
         // Under the same address each time.
         let listen = self.ports[node].at();
-        self.lives += 1;
-        let seed = Random::new(self.plan.seed ^ self.lives, "node").bits();
+        self.incarnations += 1;
+        let seed = Random::new(self.plan.seed ^ self.incarnations, "node").bits();
         let scene = &self.plan.scene;
-        let known = scene.scene.discovery.known.then(|| self.world.known());
-        let mut edge = process::edge(scene, node, listen, self.world.list_at(node), seed, known);
+        let known = scene
+            .scene
+            .discovery
+            .known
+            .then(|| self.simulation.endpoint_snapshot());
+        let mut edge = process::edge(
+            scene,
+            node,
+            listen,
+            self.simulation.discovery_address(node),
+            seed,
+            known,
+        );
         if self.plan.behaviour.polled_list {
             edge["settings"]["discovery"] = "on_request".into();
         }
-        let now = self.world.base() + self.world.now();
+        let now = self.simulation.base() + self.simulation.now();
         let start = Start {
             program: &self.options.program,
             name: scene.scene.node[node].name.get_ref(),
             edge,
             stepped: (!self.options.real_time).then_some(now),
-            own: scene.scene.own.clone() + &self.options.own + &self.world.peers_section(node),
-            files: if self.world.has_peers() {
-                vec![(PEERS_KEY.0, PEERS_KEY.1.to_owned())]
+            own: scene.scene.own.clone()
+                + &self.options.own
+                + &self.simulation.gossip_settings(node),
+            files: if self.simulation.has_gossip() {
+                vec![(GOSSIP_KEY.0, GOSSIP_KEY.1.to_owned())]
             } else {
                 Vec::new()
             },
             system_faults: self.system_faults(node, seed),
         };
         let (mut process, listens) = Process::start(&start)?;
-        if self.world.has_peers() {
-            self.world
-                .peer_up(node, process.listens_for("peers may call")?);
+        if self.simulation.has_gossip() {
+            self.simulation
+                .set_gossip_address(node, process.listens_for("peers may call")?);
         }
         self.processes[node] = Some(process);
-        (self.unread[node], self.unseen[node]) = (0, 0);
+        (self.unread_bytes[node], self.missing_ends[node]) = (0, 0);
         (self.paused[node], self.stopping[node]) = (false, false);
-        self.world.node_up(node, listens);
+        self.simulation.node_started(node, listens);
         if !self.options.real_time {
             self.step(node)?;
         }
@@ -372,36 +385,36 @@
     // In steps.
 
     fn stepped_turn(&mut self) -> Result<(), RunError> {
-        let base = self.world.base();
+        let base = self.simulation.base();
         let waits = |(node, process): (usize, &Option<Process>)| {
             let next = process.as_ref().filter(|_| !self.paused[node])?.next?;
             Some((next.saturating_sub(base), node))
         };
         let node = self.processes.iter().enumerate().filter_map(waits).min();
-        match (node, self.world.next()) {
+        match (node, self.simulation.next_event_at()) {
             (Some((at, node)), next) if next.is_none_or(|next| at <= next) => {
-                self.world.advance(at);
+                self.simulation.advance(at);
                 self.step(node)
             }
             (_, Some(_)) => {
-                let fired = self.world.fire()?;
-                self.follow(fired)
+                let outcome = self.simulation.step()?;
+                self.apply(outcome)
             }
             (_, None) => Err(RunError::Endless("requests are open and nothing is due")),
         }
     }
 
-    fn follow(&mut self, fired: Fired) -> Result<(), RunError> {
-        if let Some((node, bytes)) = fired.touched {
-            self.unread[node] += bytes;
+    fn apply(&mut self, outcome: StepOutcome) -> Result<(), RunError> {
+        if let Some(NodeInput { node, bytes }) = outcome.touched {
+            self.unread_bytes[node] += bytes;
             if !self.options.real_time {
                 self.step(node)?;
             }
         }
-        fired
-            .orders
+        outcome
+            .commands
             .into_iter()
-            .try_for_each(|order| self.carry_out(order))
+            .try_for_each(|command| self.execute(command))
     }
 
     /// Has a node run at the present until it is idle, and takes in what it has written.
@@ -409,101 +422,105 @@
         if self.paused[node] {
             return Ok(());
         }
-        let now = self.world.base() + self.world.now();
+        let now = self.simulation.base() + self.simulation.now();
         let Some(process) = &mut self.processes[node] else {
             return Ok(());
         };
         self.steps += 1;
-        if self.steps > MOST_STEPS {
+        if self.steps > MAX_STEPS {
             return Err(RunError::Endless("the nodes never come to rest"));
         }
-        let before = self.world.bytes_read();
+        let before = self.simulation.bytes_read();
         match process.step(
             now,
-            std::mem::take(&mut self.unread[node]),
-            self.world.ends_of_node(node),
+            std::mem::take(&mut self.unread_bytes[node]),
+            self.simulation.ended_connections(node),
         )? {
             Some((written, ended)) => self.collect(node, before + written, ended),
-            None => self.ended(node),
+            None => self.handle_exit(node),
         }
     }
 
     /// Takes in what a node has written, so many bytes over all, and that so many of its connections have ended since
     /// its start.
     fn collect(&mut self, node: usize, read: u64, ended: u64) -> Result<(), RunError> {
-        let mut told = std::mem::take(&mut self.told);
-        let mut looks = 0;
+        let mut events = std::mem::take(&mut self.events);
+        let mut polls = 0;
         loop {
-            let known = told.len();
-            let wait = if looks > 0 {
+            let known = events.len();
+            let wait = if polls > 0 {
                 Duration::from_millis(1)
             } else {
                 Duration::ZERO
             };
-            self.world.poll(wait, &mut told)?;
-            if told.len() == known {
-                looks += 1;
-                let ends = told
+            self.simulation.poll(wait, &mut events)?;
+            if events.len() == known {
+                polls += 1;
+                let ends = events
                     .iter()
                     .filter(|one| matches!(one, Happening::Ended { .. }))
                     .count() as u64;
-                let seen = self.world.ends_of_node(node) + ends;
-                let all = seen + self.unseen[node] >= ended
-                    || self.world.connections_of(node) as u64 <= ends;
-                if (all && self.world.bytes_read() >= read) || looks > LOOKS {
+                let seen = self.simulation.ended_connections(node) + ends;
+                let all = seen + self.missing_ends[node] >= ended
+                    || self.simulation.open_connections(node) as u64 <= ends;
+                if (all && self.simulation.bytes_read() >= read) || polls > MAX_POLLS {
                     if !all {
-                        self.unseen[node] = ended - seen;
+                        self.missing_ends[node] = ended - seen;
                     }
-                    self.late += u64::from(looks > 1);
+                    self.late += u64::from(polls > 1);
                     break;
                 }
             }
         }
-        self.world.in_order(&mut told)?;
-        self.world.set_running(Some(node));
-        told.drain(..)
-            .for_each(|happening| self.world.happened(happening));
-        self.world.set_running(None);
-        self.told = told;
+        self.simulation.sort_events(&mut events)?;
+        self.simulation.set_running(Some(node));
+        events
+            .drain(..)
+            .for_each(|happening| self.simulation.handle_socket_event(happening));
+        self.simulation.set_running(None);
+        self.events = events;
         Ok(())
     }
 
     // In real time.
 
-    fn real_turn(&mut self) -> Result<(), RunError> {
-        let now = |began: Instant| u64::try_from(began.elapsed().as_nanos()).unwrap_or(Nanos::MAX);
+    fn real_time_turn(&mut self) -> Result<(), RunError> {
+        let now = |started_at: Instant| {
+            u64::try_from(started_at.elapsed().as_nanos()).unwrap_or(Nanos::MAX)
+        };
         while self
-            .world
-            .next()
-            .is_some_and(|next| next <= now(self.began))
+            .simulation
+            .next_event_at()
+            .is_some_and(|next| next <= now(self.started_at))
         {
-            let fired = self.world.fire()?;
-            self.follow(fired)?;
+            let outcome = self.simulation.step()?;
+            self.apply(outcome)?;
         }
         let left = self
-            .world
-            .next()
-            .map_or(Nanos::MAX, |next| next.saturating_sub(now(self.began)));
+            .simulation
+            .next_event_at()
+            .map_or(Nanos::MAX, |next| next.saturating_sub(now(self.started_at)));
         // The system's wait has milliseconds: less than one is waited for awake.
         let wait = if left < 2 * MILLISECOND {
             Duration::ZERO
         } else {
-            WAIT.min(Duration::from_nanos(left - MILLISECOND))
+            MAX_POLL_WAIT.min(Duration::from_nanos(left - MILLISECOND))
         };
-        let mut told = std::mem::take(&mut self.told);
-        self.world.poll(wait, &mut told)?;
-        self.world.advance(now(self.began));
-        told.drain(..)
-            .for_each(|happening| self.world.happened(happening));
-        self.told = told;
-        if self.world.now() >= self.looked {
-            self.looked = self.world.now() + LOOK_AT_NODES;
+        let mut events = std::mem::take(&mut self.events);
+        self.simulation.poll(wait, &mut events)?;
+        self.simulation.advance(now(self.started_at));
+        events
+            .drain(..)
+            .for_each(|happening| self.simulation.handle_socket_event(happening));
+        self.events = events;
+        if self.simulation.now() >= self.checked_at {
+            self.checked_at = self.simulation.now() + NODE_CHECK_PERIOD;
             for node in 0..self.processes.len() {
                 if self.processes[node]
                     .as_mut()
                     .is_some_and(|process| process.exited().is_some())
                 {
-                    self.ended(node)?;
+                    self.handle_exit(node)?;
                 }
             }
         }
@@ -513,7 +530,7 @@
     /// Keeps the peers going in real time until `over`.
     pub fn stay(&mut self, over: &dyn Fn() -> bool) -> Result<(), RunError> {
         while !over() {
-            self.real_turn()?;
+            self.real_time_turn()?;
         }
         Ok(())
     }
--- a/testkit/scenarios/src/run/processes.rs
+++ b/testkit/scenarios/src/run/processes.rs
@@ -2,22 +2,22 @@
 
 use rustix::process::Signal;
 
-use super::{RunError, Stage};
-use crate::world::{Order, StopSignal};
+use super::{RunError, Runner};
+use crate::simulation::{ProcessCommand, StopSignal};
 use badgerpost_time::Nanos;
 
-impl Stage {
-    pub(super) fn carry_out(&mut self, order: Order) -> Result<(), RunError> {
-        match order {
-            Order::Kill(node) => {
+impl Runner {
+    pub(super) fn execute(&mut self, command: ProcessCommand) -> Result<(), RunError> {
+        match command {
+            ProcessCommand::Kill { node } => {
                 // Its connections are reset as it goes; they are found so before anything else happens.
                 if let Some(mut process) = self.processes[node].take() {
                     process.kill();
                 }
-                self.world.node_down(node, true);
+                self.simulation.node_stopped(node, true);
                 self.collect(node, 0, Nanos::MAX)
             }
-            Order::Stop(node) => {
+            ProcessCommand::Stop { node } => {
                 let process = self.processes[node].as_ref();
                 process
                     .into_iter()
@@ -29,13 +29,16 @@
                     self.step(node)
                 }
             }
-            Order::Signal(node, signal) => self.signal_stopping(node, signal),
-            Order::StepClock(node, ahead) => match self.wall_clocks.get(node) {
+            ProcessCommand::Signal { node, signal } => self.signal_stopping(node, signal),
+            ProcessCommand::StepClock {
+                node,
+                ahead_ms: ahead,
+            } => match self.wall_clocks.get(node) {
                 Some(clock) => Ok(clock.set(ahead)?),
                 None => Ok(()),
             },
-            Order::Start(node) => self.start(node),
-            Order::Pause(node) => {
+            ProcessCommand::Start { node } => self.start(node),
+            ProcessCommand::Pause { node } => {
                 if self.options.real_time {
                     let process = self.processes[node].as_ref();
                     process
@@ -45,7 +48,7 @@
                 self.paused[node] = true;
                 Ok(())
             }
-            Order::Resume(node) => {
+            ProcessCommand::Resume { node } => {
                 self.paused[node] = false;
                 if self.options.real_time {
                     let process = self.processes[node].as_ref();
@@ -69,7 +72,7 @@
                 if let Some(mut process) = self.processes[node].take() {
                     process.kill();
                 }
-                self.world.node_down(node, false);
+                self.simulation.node_stopped(node, false);
                 return self.collect(node, 0, Nanos::MAX);
             }
         };
@@ -80,31 +83,31 @@
     }
 
     /// A node's process has ended by itself: as it was asked to, or it has crashed.
-    pub(super) fn ended(&mut self, node: usize) -> Result<(), RunError> {
+    pub(super) fn handle_exit(&mut self, node: usize) -> Result<(), RunError> {
         let Some(mut process) = self.processes[node].take() else {
             return Ok(());
         };
         let status = process.wait();
         if self.stopping[node] && status.is_some_and(|status| status.success()) {
-            self.world.node_down(node, false);
+            self.simulation.node_stopped(node, false);
             return self.collect(node, 0, Nanos::MAX);
         }
         Err(RunError::Crashed {
             name: self.plan.scene.scene.node[node].name.get_ref().clone(),
             status: status.map_or_else(|| "it still runs".to_owned(), |status| status.to_string()),
-            at: self.world.now(),
+            at: self.simulation.now(),
             log: process.log(),
         })
     }
 
     /// Finds nodes that have crashed and were not looked at since.
-    pub(super) fn check_ends(&mut self) -> Result<(), RunError> {
+    pub(super) fn check_exits(&mut self) -> Result<(), RunError> {
         for node in 0..self.processes.len() {
             if self.processes[node]
                 .as_mut()
                 .is_some_and(|process| process.exited().is_some())
             {
-                self.ended(node)?;
+                self.handle_exit(node)?;
             }
         }
         Ok(())
--- /dev/null
+++ b/testkit/scenarios/src/simulation.rs
@@ -0,0 +1,152 @@
+//! A simulation of every process around the rehearsed nodes: servers, discovery, clients, the links between them and
+//! the faults of the scenario, on real sockets. It processes one event at a time, in an order that the plan alone
+//! determines, and keeps the outcome log; the runner moves the time on.
+
+mod clients;
+mod connection;
+mod discovery;
+mod events;
+mod faults;
+mod gossip;
+mod in_flight;
+mod misbehaviour;
+mod network;
+mod node_state;
+mod server_lifecycle;
+mod server_responses;
+mod server_state;
+mod servers;
+mod setup;
+mod state;
+
+use std::io;
+
+use badgerpost_fakes::message::{Inbox, Side};
+use badgerpost_fakes::net::{ConnId, Happening, ListenerId};
+
+use crate::outcome::Ended;
+use connection::{Connection, ListenerOwner};
+pub use events::{NodeInput, ProcessCommand, StepOutcome, StopSignal};
+use events::{ScheduledEvent, ServerEvent};
+pub use gossip::GOSSIP_KEY;
+pub use state::{SOCKET_SLACK, Simulation};
+
+impl Simulation {
+    /// Processes the next event. It writes to one connection at most.
+    pub fn step(&mut self) -> io::Result<StepOutcome> {
+        let Some(((at, _), event)) = self.queue.pop_first() else {
+            return Ok(StepOutcome::default());
+        };
+        self.advance(at);
+        let touched = match event {
+            ScheduledEvent::RequestArrival { arrival } => self.start_request(arrival, None),
+            ScheduledEvent::ClientRetry { request } => {
+                self.start_request(self.requests[request].arrival, Some(request))
+            }
+            ScheduledEvent::Resend { request, node } => self.send_request(request, node, true),
+            ScheduledEvent::ClientTimeout { request } => self.time_out_client(request),
+            ScheduledEvent::ClientDisconnect { request } => self.disconnect_client(request),
+            ScheduledEvent::OpenSilentClients { node } => self.open_silent_clients(node),
+            ScheduledEvent::SilentClientTimeout(conn) => self.time_out_silent_client(conn),
+            ScheduledEvent::Server(event) => {
+                self.process_server_event(event)?;
+                None
+            }
+            ScheduledEvent::ServerResponse(response) => self.send_response(*response),
+            ScheduledEvent::HeldMessage(message) => self.transmit(*message),
+            ScheduledEvent::MessageDelivery(message) => self.deliver_message(*message),
+            ScheduledEvent::DatagramDelivery { node, bytes } => self.deliver_datagram(node, &bytes),
+            ScheduledEvent::ResetConnection(conn) => self.reset(conn),
+            ScheduledEvent::CloseConnection(conn) => self.close(conn),
+            ScheduledEvent::WatchTimeout { conn, watch } => self.time_out_watch(conn, watch),
+            ScheduledEvent::NotifyWatcher(conn) => self.notify_watcher(conn),
+            ScheduledEvent::FaultStart { fault } => return self.change_fault(fault, true),
+            ScheduledEvent::FaultEnd { fault } => return self.change_fault(fault, false),
+            ScheduledEvent::StopSignal {
+                node,
+                since,
+                signal,
+            } => return Ok(self.signal_stopping(node, since, signal)),
+            ScheduledEvent::StepClock { node, ahead_ms } => {
+                let command = ProcessCommand::StepClock { node, ahead_ms };
+                return Ok(StepOutcome::command(command));
+            }
+        };
+        Ok(StepOutcome::input(touched))
+    }
+
+    fn process_server_event(&mut self, event: ServerEvent) -> io::Result<()> {
+        match event {
+            ServerEvent::Completion { server } => self.complete_job(server),
+            ServerEvent::Start { server } => self.start_server(server)?,
+            ServerEvent::Resume { server } => self.resume_server(server),
+            ServerEvent::EndpointChange {
+                server,
+                state,
+                replaces_entry,
+            } => self.change_endpoint(server, state, replaces_entry),
+        }
+        Ok(())
+    }
+
+    /// Handles what has come on a socket.
+    pub fn handle_socket_event(&mut self, happening: Happening) {
+        match happening {
+            Happening::Opened { listener, conn } => self.accept(listener, conn),
+            Happening::Bytes { conn, bytes } => match self.connections.get_mut(&conn) {
+                Some(Connection::Server { inbox, .. }) => {
+                    inbox.push(&bytes);
+                    self.read_server(conn);
+                }
+                Some(Connection::List { inbox, .. }) => {
+                    inbox.push(&bytes);
+                    self.read_discovery(conn);
+                }
+                Some(Connection::Client { inbox, .. }) => {
+                    inbox.push(&bytes);
+                    self.read_client(conn);
+                }
+                // Any response ends its wait: the node has noticed it.
+                Some(Connection::Silent { .. }) => self.silent_client_notified(conn),
+                None => {}
+            },
+            Happening::Datagram { door, from, bytes } => self.forward_datagram(door, from, bytes),
+            Happening::Ended { conn, .. } => self.connection_ended(conn),
+        }
+    }
+
+    fn accept(&mut self, listener: ListenerId, conn: ConnId) {
+        let inbox = Inbox::new(Side::Requests);
+        let connection = match self.listeners.get(&listener) {
+            Some(&ListenerOwner::Server(server)) => Connection::Server {
+                server,
+                node: self.running,
+                inbox,
+                attempt: None,
+            },
+            Some(&ListenerOwner::List(node)) => Connection::List {
+                node,
+                inbox,
+                watch: None,
+            },
+            None => return,
+        };
+        self.add_connection(conn, connection);
+    }
+
+    fn connection_ended(&mut self, conn: ConnId) {
+        match self.remove_connection(conn) {
+            Some(Connection::Server { attempt, .. }) => self.end_attempt(attempt, Ended::Abandoned),
+            Some(Connection::Client {
+                node, open, last, ..
+            }) => {
+                self.nodes[node].idle.retain(|idle| *idle != conn);
+                for (position, request) in open.into_iter().enumerate() {
+                    self.client_connection_lost(request, last.is_some() || position > 0);
+                }
+            }
+            Some(Connection::Silent { node, since }) => self.record_silent_client_end(node, since),
+            Some(Connection::List { .. }) | None => {}
+        }
+    }
+}
--- a/testkit/scenarios/src/world/clients.rs
+++ b/testkit/scenarios/src/simulation/clients.rs
@@ -6,8 +6,11 @@
 use badgerpost_fakes::message::{Inbox, Message, Side};
 use badgerpost_fakes::net::ConnId;
 
-use super::links::Carried;
-use super::stage::{Open, Peer, SOCKETS, Todo, World, body};
+use super::connection::Connection;
+use super::events::{NodeInput, ScheduledEvent};
+use super::in_flight::InFlightMessage;
+use super::server_state::response_body;
+use super::state::{OpenRequest, SOCKET_SLACK, Simulation};
 use crate::LATE_ANSWER;
 use crate::outcome::{Answer, Effect, Ended, Request, Told};
 use badgerpost_time::{MILLISECOND, Nanos};
@@ -15,9 +18,9 @@
 /// Clients listen for this long past the time that an answer still counts: what comes too late is to be seen.
 const LISTENS_ON: Nanos = 30 * MILLISECOND;
 
-impl World {
+impl Simulation {
     /// A try comes to a node: the first one of an arrival, or one more after another.
-    pub(super) fn arrive(&mut self, arrival: usize, of: Option<usize>) -> Option<(usize, u64)> {
+    pub(super) fn start_request(&mut self, arrival: usize, of: Option<usize>) -> Option<NodeInput> {
         let plan = self.plan.arrivals[arrival];
         let class = &self.plan.scene.scene.class[plan.class];
         let tries = of.map_or(0, |of| self.requests[of].tries + 1);
@@ -50,14 +53,14 @@
         };
         let key = format!("{:x}-{:08x}", self.plan.seed, plan.number);
         let number = self.requests.len();
-        self.ids.insert(id, number);
+        self.request_by_id.insert(id, number);
         let rules = &self.plan.scene.scene.rules;
         let slack = match self.plan.behaviour.strict {
             true => LATE_ANSWER,
-            false => rules.answer_slack_ms * MILLISECOND + SOCKETS,
+            false => rules.answer_slack_ms * MILLISECOND + SOCKET_SLACK,
         };
         let due = self.now + log.budget + slack + LISTENS_ON;
-        self.requests.push(Open {
+        self.requests.push(OpenRequest {
             log,
             arrival,
             node,
@@ -67,56 +70,72 @@
             resent: false,
             written: self.now,
         });
-        self.at(due, Todo::Due(number));
-        self.plan_to_leave(number);
+        self.schedule(due, ScheduledEvent::ClientTimeout { request: number });
+        self.plan_disconnect(number);
         if up.is_none() {
             self.requests[number].log.excused = true;
             self.finish(number, true);
             return None;
         }
-        self.put(number, node, false)
+        self.send_request(number, node, false)
     }
 
-    /// Writes a request to a node, on an idle connection or a new one.
-    pub(super) fn put(&mut self, number: usize, node: usize, fresh: bool) -> Option<(usize, u64)> {
-        let behind = if fresh {
+    /// Sends a request to a node, on an open connection or, for `fresh`, on a new one.
+    pub(super) fn send_request(
+        &mut self,
+        number: usize,
+        node: usize,
+        fresh: bool,
+    ) -> Option<NodeInput> {
+        let open_connection = if fresh {
             None
         } else {
-            self.busy_connection(node, number)
+            self.open_connection_for(number, node)
         };
-        let kept = if fresh {
-            None
-        } else {
-            behind.or_else(|| self.nodes[node].idle.pop())
+        let Some(conn) = open_connection.or_else(|| self.connect_client(node)) else {
+            // The node does not listen any more, so it has taken nothing.
+            self.requests[number].log.excused = true;
+            self.finish(number, true);
+            return None;
         };
-        let conn = match kept {
-            Some(conn) => conn,
-            None => {
-                let connected = self.nodes[node]
-                    .listen
-                    .and_then(|at| self.net.connect(at).ok());
-                let Some(conn) = connected else {
-                    // Nobody listens there any more: nothing was taken.
-                    self.requests[number].log.excused = true;
-                    self.finish(number, true);
-                    return None;
-                };
-                let inbox = Inbox::new(Side::Answers);
-                self.adopt(
-                    conn,
-                    Peer::Client {
-                        node,
-                        inbox,
-                        open: VecDeque::new(),
-                        read: 0,
-                        last: None,
-                        is_half: false,
-                    },
-                );
-                conn
-            }
+        let mut bytes = self.request_bytes(number);
+        let partial_head = self.partial_head();
+        bytes.extend_from_slice(partial_head);
+        if let Some(Connection::Client {
+            open,
+            has_partial_head,
+            ..
+        }) = self.connections.get_mut(&conn)
+        {
+            open.push_back(number);
+            *has_partial_head = !partial_head.is_empty();
+        }
+        self.transmit(InFlightMessage::ToNode(conn, number, bytes))
+    }
+
+    /// A connection with open requests, for pipelining, or an idle one.
+    fn open_connection_for(&mut self, request: usize, node: usize) -> Option<ConnId> {
+        self.busy_connection(node, request)
+            .or_else(|| self.nodes[node].idle.pop())
+    }
+
+    fn connect_client(&mut self, node: usize) -> Option<ConnId> {
+        let address = self.nodes[node].listen?;
+        let conn = self.net.connect(address).ok()?;
+        let connection = Connection::Client {
+            node,
+            inbox: Inbox::new(Side::Answers),
+            open: VecDeque::new(),
+            read: 0,
+            last: None,
+            has_partial_head: false,
         };
-        let Open {
+        self.add_connection(conn, connection);
+        Some(conn)
+    }
+
+    fn request_bytes(&self, number: usize) -> Vec<u8> {
+        let OpenRequest {
             log, key, tries, ..
         } = &self.requests[number];
         let effect = match log.effect {
@@ -132,24 +151,17 @@
             budget: log.budget,
             again: *tries > 0,
         };
-        let mut bytes = ask.bytes();
-        let half = self.half_head();
-        bytes.extend_from_slice(half);
-        if let Some(Peer::Client { open, is_half, .. }) = self.peers.get_mut(&conn) {
-            open.push_back(number);
-            *is_half = !half.is_empty();
-        }
-        self.carry(Carried::ToNode(conn, number, bytes))
+        ask.bytes()
     }
 
     /// A client's request comes to its node, if the client still waits.
-    pub(super) fn node_gets(
+    pub(super) fn deliver_to_node(
         &mut self,
         conn: ConnId,
         number: usize,
         bytes: &[u8],
-    ) -> Option<(usize, u64)> {
-        let Some(Peer::Client { node, open, .. }) = self.peers.get(&conn) else {
+    ) -> Option<NodeInput> {
+        let Some(Connection::Client { node, open, .. }) = self.connections.get(&conn) else {
             return None;
         };
         let node = *node;
@@ -157,23 +169,26 @@
             return None;
         }
         self.requests[number].written = self.now;
-        Some((node, self.net.write(conn, bytes) as u64))
+        Some(NodeInput {
+            node,
+            bytes: self.net.write(conn, bytes) as u64,
+        })
     }
 
-    pub(super) fn client_reads(&mut self, conn: ConnId) {
-        while self.client_reads_answer(conn) {}
+    pub(super) fn read_client(&mut self, conn: ConnId) {
+        while self.read_one_response(conn) {}
     }
 
     /// Reads one answer; whether another may follow.
-    fn client_reads_answer(&mut self, conn: ConnId) -> bool {
-        let Some(Peer::Client {
+    fn read_one_response(&mut self, conn: ConnId) -> bool {
+        let Some(Connection::Client {
             node,
             inbox,
             open,
             read,
             last,
             ..
-        }) = self.peers.get_mut(&conn)
+        }) = self.connections.get_mut(&conn)
         else {
             return false;
         };
@@ -192,7 +207,7 @@
             Ok(None) => false,
             Ok(Some(answer)) => {
                 *read += 1;
-                let _ = self.carry(Carried::ToClient(conn, request, answer));
+                let _ = self.transmit(InFlightMessage::ToClient(conn, request, answer));
                 true
             }
             Err(_) => {
@@ -207,15 +222,15 @@
     }
 
     /// A node's answer comes to its client, if that still waits.
-    pub(super) fn client_gets(&mut self, conn: ConnId, request: usize, answer: &Message) {
-        let Some(Peer::Client {
+    pub(super) fn deliver_to_client(&mut self, conn: ConnId, request: usize, answer: &Message) {
+        let Some(Connection::Client {
             node,
             inbox,
             open,
             read,
             last,
-            is_half,
-        }) = self.peers.get_mut(&conn)
+            has_partial_head,
+        }) = self.connections.get_mut(&conn)
         else {
             return;
         };
@@ -226,7 +241,7 @@
         open.pop_front();
         *read -= 1;
         *last = Some(request);
-        let is_half = *is_half;
+        let has_partial_head = *has_partial_head;
         let behind: Vec<usize> = open.iter().copied().collect();
         let surplus = u64::from(inbox.begun() && behind.is_empty());
         let told = self.answered(request, answer, self.now);
@@ -236,9 +251,9 @@
             // It says that nothing more follows: whoever waits behind it has not been read, or is lost.
             behind
                 .into_iter()
-                .for_each(|request| self.client_cut_off(request, true));
+                .for_each(|request| self.client_connection_lost(request, true));
         } else if behind.is_empty() {
-            if is_half {
+            if has_partial_head {
                 self.fall_silent(conn, node);
             } else {
                 self.nodes[node].idle.push(conn);
@@ -249,7 +264,7 @@
 
     pub(super) fn drop_client(&mut self, conn: ConnId, node: usize) {
         self.net.close(conn);
-        self.forget(conn);
+        self.remove_connection(conn);
         self.nodes[node].idle.retain(|idle| *idle != conn);
     }
 
@@ -261,7 +276,7 @@
             Verdict::Failed => Told::Failed,
         };
         let own = log.attempts.iter().any(|attempt| {
-            attempt.ended == Ended::Served && answer.body == body(&log.id, &attempt.server)
+            attempt.ended == Ended::Served && answer.body == response_body(&log.id, &attempt.server)
         });
         log.answer = Some(Answer {
             at: now,
@@ -300,39 +315,38 @@
         if open.tries < clients.retries && harmless {
             let wait = pause.max(clients.backoff_ms * MILLISECOND).max(MILLISECOND);
             self.pending += 1;
-            self.at(self.now + wait, Todo::Retry(request));
+            self.schedule(self.now + wait, ScheduledEvent::ClientRetry { request });
         }
     }
 
     /// The node has ended the connection of an open request.
-    pub(super) fn client_cut_off(&mut self, request: usize, reused: bool) {
+    pub(super) fn client_connection_lost(&mut self, request: usize, reused: bool) {
         let open = &mut self.requests[request];
         let unread = reused && open.log.attempts.is_empty() && !open.resent;
         let node = open.node;
         if unread && self.nodes[node].up && !self.has_surely_read(request) {
             // It crossed a request that the node had not read: once more, on a new connection.
             self.requests[request].resent = true;
-            self.at(self.now, Todo::Resend(request, node));
+            self.schedule(self.now, ScheduledEvent::Resend { request, node });
             return;
         }
         self.finish(request, true);
     }
 
-    pub(super) fn due(&mut self, request: usize) -> Option<(usize, u64)> {
+    pub(super) fn time_out_client(&mut self, request: usize) -> Option<NodeInput> {
         if self.requests[request].done {
             return None;
         }
         self.finish(request, true);
         let conn = self.connection_of(request)?;
-        self.leave_behind(conn, request);
+        self.abandon_pipelined(conn, request);
         self.close(conn)
     }
 
     /// The connection on which a request is open.
     pub(super) fn connection_of(&self, request: usize) -> Option<ConnId> {
-        let holds =
-            |peer: &Peer| matches!(peer, Peer::Client { open, .. } if open.contains(&request));
-        let mut peers = self.peers.iter();
+        let holds = |peer: &Connection| matches!(peer, Connection::Client { open, .. } if open.contains(&request));
+        let mut peers = self.connections.iter();
         peers.find(|(_, peer)| holds(peer)).map(|(conn, _)| *conn)
     }
 }
--- a/testkit/scenarios/src/world/list.rs
+++ b/testkit/scenarios/src/simulation/discovery.rs
@@ -6,137 +6,148 @@
 use badgerpost_fakes::message::{self, Message};
 use badgerpost_fakes::net::ConnId;
 
-use super::links::Carried;
-use super::stage::{Peer, Todo, World, entry};
+use super::connection::{Connection, Watch};
+use super::events::{NodeInput, ScheduledEvent};
+use super::in_flight::InFlightMessage;
+use super::server_state::entry;
+use super::state::Simulation;
 
-impl World {
-    pub(super) fn list_state(&mut self, server: usize, state: State, lists: bool) {
+impl Simulation {
+    pub(super) fn change_endpoint(&mut self, server: usize, state: State, lists: bool) {
         if lists {
-            let entry = entry(&self.sites[server], state, self.base);
-            self.list.set(entry);
+            let entry = entry(&self.servers[server], state, self.base);
+            self.discovery.set(entry);
         } else {
-            self.list.set_state(&self.sites[server].name.clone(), state);
+            self.discovery
+                .set_state(&self.servers[server].name.clone(), state);
         }
         let is_listed = state == State::Ready;
         let since = (!is_listed && self.plan.behaviour.strict).then_some(self.now);
-        self.sites[server].unlisted_since = since;
-        self.news();
+        self.servers[server].unlisted_since = since;
+        self.notify_watchers();
     }
 
     /// Discovery tells of changes again: only now could it be reached.
-    pub(super) fn list_is_back(&mut self) {
+    pub(super) fn mark_discovery_reachable(&mut self) {
         let now = self.now;
-        for site in &mut self.sites {
-            site.unlisted_since = site.unlisted_since.map(|_| now);
+        for server_state in &mut self.servers {
+            server_state.unlisted_since = server_state.unlisted_since.map(|_| now);
         }
     }
 
     /// Whoever waits for news of the list gets it, one after the other.
-    pub(super) fn news(&mut self) {
-        let waits = |peer: &Peer| matches!(peer, Peer::List { watch: Some(_), .. });
+    pub(super) fn notify_watchers(&mut self) {
+        let waits = |peer: &Connection| matches!(peer, Connection::List { watch: Some(_), .. });
         let conns: Vec<ConnId> = self
-            .peers
+            .connections
             .iter()
             .filter(|(_, peer)| waits(peer))
             .map(|(conn, _)| *conn)
             .collect();
         conns
             .into_iter()
-            .for_each(|conn| self.at(self.now, Todo::Tell(conn)));
+            .for_each(|conn| self.schedule(self.now, ScheduledEvent::NotifyWatcher(conn)));
     }
 
-    pub(super) fn list_reads(&mut self, conn: ConnId) {
-        let Some(Peer::List { inbox, .. }) = self.peers.get_mut(&conn) else {
+    pub(super) fn read_discovery(&mut self, conn: ConnId) {
+        let Some(Connection::List { inbox, .. }) = self.connections.get_mut(&conn) else {
             return;
         };
         let message = match inbox.take() {
             Ok(Some(message)) => message,
             Ok(None) => return,
             Err(_) => {
-                self.strangers += 1;
-                self.at(self.now, Todo::Hang(conn));
+                self.unknown_requests += 1;
+                self.schedule(self.now, ScheduledEvent::CloseConnection(conn));
                 return;
             }
         };
-        let _ = self.carry(Carried::ToList(conn, message));
+        let _ = self.transmit(InFlightMessage::ToList(conn, message));
     }
 
     /// A call has come to the list.
-    pub(super) fn list_asked(&mut self, conn: ConnId, message: &Message) {
-        let Some(Peer::List { watch, .. }) = self.peers.get_mut(&conn) else {
+    pub(super) fn receive_poll(&mut self, conn: ConnId, message: &Message) {
+        let Some(Connection::List { watch, .. }) = self.connections.get_mut(&conn) else {
             return;
         };
         let Some((from, hold)) = discovery::read_target(&message.target) else {
-            self.strangers += 1;
-            self.at(self.now, Todo::Hang(conn));
+            self.unknown_requests += 1;
+            self.schedule(self.now, ScheduledEvent::CloseConnection(conn));
             return;
         };
         self.watches += 1;
-        *watch = Some((self.watches, from));
+        *watch = Some(Watch {
+            number: self.watches,
+            revision: from,
+        });
         let until = self.now
-            + if self.list.ask(from, hold) == Reply::Hold {
+            + if self.discovery.ask(from, hold) == Reply::Hold {
                 hold
             } else {
                 0
             };
-        let todo = Todo::WatchOver(conn, self.watches);
-        self.at(until, todo);
+        let event = ScheduledEvent::WatchTimeout {
+            conn,
+            watch: self.watches,
+        };
+        self.schedule(until, event);
     }
 
-    pub(super) fn watch_over(&mut self, conn: ConnId, number: u64) -> Option<(usize, u64)> {
-        let Some(Peer::List {
-            watch: Some((waits, from)),
-            ..
-        }) = self.peers.get(&conn)
+    pub(super) fn time_out_watch(&mut self, conn: ConnId, number: u64) -> Option<NodeInput> {
+        let Some(Connection::List {
+            watch: Some(watch), ..
+        }) = self.connections.get(&conn)
         else {
             return None;
         };
-        let reply = (*waits == number).then(|| self.list.ask(*from, 0))?;
+        let reply = (watch.number == number).then(|| self.discovery.ask(watch.revision, 0))?;
         self.reply(conn, reply)
     }
 
-    pub(super) fn tell(&mut self, conn: ConnId) -> Option<(usize, u64)> {
-        let Some(Peer::List {
-            watch: Some((_, from)),
-            ..
-        }) = self.peers.get(&conn)
+    pub(super) fn notify_watcher(&mut self, conn: ConnId) -> Option<NodeInput> {
+        let Some(Connection::List {
+            watch: Some(watch), ..
+        }) = self.connections.get(&conn)
         else {
             return None;
         };
-        let reply = self.list.ask(*from, 1);
+        let reply = self.discovery.ask(watch.revision, 1);
         self.reply(conn, reply)
     }
 
-    pub(super) fn reply(&mut self, conn: ConnId, reply: Reply) -> Option<(usize, u64)> {
+    pub(super) fn reply(&mut self, conn: ConnId, reply: Reply) -> Option<NodeInput> {
         if matches!(reply, Reply::Hold | Reply::Silence) {
             return None;
         }
-        if let Some(Peer::List { watch, .. }) = self.peers.get_mut(&conn) {
+        if let Some(Connection::List { watch, .. }) = self.connections.get_mut(&conn) {
             *watch = None;
         }
-        self.carry(Carried::FromList(conn, reply))
+        self.transmit(InFlightMessage::FromList(conn, reply))
     }
 
     /// What the list has to say has come to its node.
-    pub(super) fn list_told(&mut self, conn: ConnId, reply: &Reply) -> Option<(usize, u64)> {
+    pub(super) fn write_endpoint_list(&mut self, conn: ConnId, reply: &Reply) -> Option<NodeInput> {
         let bytes = match reply {
             Reply::Answer(text) => message::answer(200, "", text.as_bytes()),
             Reply::Fail => message::answer(503, "", b""),
             Reply::Hold | Reply::Silence => return None,
         };
-        let Some(Peer::List { node, .. }) = self.peers.get(&conn) else {
+        let Some(Connection::List { node, .. }) = self.connections.get(&conn) else {
             return None;
         };
         let node = *node;
         if let Reply::Answer(text) = reply {
-            self.node_told(node, text);
+            self.record_notified_endpoints(node, text);
         }
-        Some((node, self.net.write(conn, &bytes) as u64))
+        Some(NodeInput {
+            node,
+            bytes: self.net.write(conn, &bytes) as u64,
+        })
     }
 
     /// Notes what a node has been told of drains. A list that is none tells nothing, and an empty one that the
     /// registry answers after a hiccup says of no server that it has left.
-    pub(super) fn node_told(&mut self, node: usize, text: &str) {
+    pub(super) fn record_notified_endpoints(&mut self, node: usize, text: &str) {
         let Ok(list) = serde_json::from_str::<serde_json::Value>(text) else {
             return;
         };
@@ -153,16 +164,16 @@
             .collect();
         for target in targets {
             let number = self
-                .sites
+                .servers
                 .iter()
-                .position(|site| target["uid"] == site.name.as_str());
+                .position(|server_state| target["uid"] == server_state.name.as_str());
             if let (Some(number), Some(start)) = (number, target["boot_ms"].as_u64()) {
-                self.nodes[node].told_starts.insert(number, start);
+                self.nodes[node].notified_starts.insert(number, start);
             }
         }
         let told = &mut self.nodes[node].told;
-        for (number, site) in self.sites.iter().enumerate() {
-            match states.get(site.name.as_str()) {
+        for (number, server_state) in self.servers.iter().enumerate() {
+            match states.get(server_state.name.as_str()) {
                 Some(&"Ready") => {
                     told.remove(&number);
                 }
--- /dev/null
+++ b/testkit/scenarios/src/simulation/faults.rs
@@ -0,0 +1,171 @@
+//! Faults of the scenario: what begins and ends with each of them, by whom it concerns.
+
+use std::io;
+
+use badgerpost_fakes::discovery::{Mode, State};
+use badgerpost_time::{MILLISECOND, Nanos};
+
+use super::events::{ProcessCommand, ScheduledEvent, ServerEvent, StepOutcome};
+use super::in_flight::LinkImpairment;
+use super::state::Simulation;
+use crate::scene::{LinkTrouble, LinkWhat, Trouble};
+
+impl Simulation {
+    /// Begins or ends a fault of the plan.
+    pub(super) fn change_fault(&mut self, number: usize, begins: bool) -> io::Result<StepOutcome> {
+        let planned = self.plan.faults[number];
+        let mut outcome = StepOutcome::default();
+        if let Trouble::Link(trouble) = planned.trouble {
+            self.change_link_fault(number, trouble, begins);
+            return Ok(outcome);
+        }
+        for target in planned.strikes(&self.plan.scene.scene, self.plan.seed) {
+            match planned.trouble {
+                Trouble::KillNode | Trouble::StopNode | Trouble::PauseNode => {
+                    let command = self.change_node_fault(planned.trouble, target, begins);
+                    outcome.commands.extend(command);
+                }
+                Trouble::Drain | Trouble::Gone | Trouble::List(_) => {
+                    self.change_discovery_fault(planned.trouble, target, begins);
+                }
+                Trouble::KillServer if begins => self.kill_server(target)?,
+                Trouble::KillServer => self.restart_server(target)?,
+                fault if begins => self.begin_server_fault(target, fault, planned.permille)?,
+                fault => self.end_server_fault(target, fault, planned.permille)?,
+            }
+        }
+        Ok(outcome)
+    }
+
+    fn change_link_fault(&mut self, fault: usize, trouble: LinkTrouble, begins: bool) {
+        if begins {
+            let mut nodes = vec![false; self.nodes.len()];
+            for node in self.plan.faults[fault].strikes(&self.plan.scene.scene, self.plan.seed) {
+                nodes[node] = true;
+            }
+            let impairment = LinkImpairment {
+                fault,
+                nodes,
+                trouble,
+            };
+            if trouble.what == LinkWhat::Reset {
+                self.reset_links(&impairment);
+            }
+            self.impairments.push(impairment);
+        } else {
+            self.impairments.retain(|active| active.fault != fault);
+        }
+        self.release_held_messages();
+    }
+
+    /// The command for the process of the node, unless its state has made the fault void.
+    fn change_node_fault(
+        &mut self,
+        fault: Trouble,
+        node: usize,
+        begins: bool,
+    ) -> Option<ProcessCommand> {
+        let is_up = self.nodes[node].up;
+        match (fault, begins) {
+            (Trouble::KillNode, true) if is_up => Some(ProcessCommand::Kill { node }),
+            (Trouble::StopNode, true) if is_up => {
+                self.plan_shutdown(node);
+                Some(ProcessCommand::Stop { node })
+            }
+            (Trouble::KillNode | Trouble::StopNode, false) if !is_up => {
+                Some(ProcessCommand::Start { node })
+            }
+            (Trouble::PauseNode, true) if is_up => {
+                self.nodes[node].paused = true;
+                self.excuse_open_requests(node);
+                Some(ProcessCommand::Pause { node })
+            }
+            (Trouble::PauseNode, false) if self.nodes[node].paused => {
+                self.nodes[node].paused = false;
+                Some(ProcessCommand::Resume { node })
+            }
+            _ => None,
+        }
+    }
+
+    fn change_discovery_fault(&mut self, fault: Trouble, server: usize, begins: bool) {
+        if let Trouble::List(mode) = fault {
+            self.discovery
+                .set_mode(if begins { mode } else { Mode::Good });
+            self.mark_discovery_reachable();
+            self.notify_watchers();
+            return;
+        }
+        let state = match fault {
+            _ if !begins => State::Ready,
+            Trouble::Drain => State::Terminating,
+            _ => State::Gone,
+        };
+        self.schedule_endpoint_change(server, state);
+    }
+
+    /// When discovery learns of what happens now.
+    pub(super) fn discovery_notice(&self) -> Nanos {
+        self.now + self.plan.scene.scene.discovery.notice_ms * MILLISECOND
+    }
+
+    fn schedule_endpoint_change(&mut self, server: usize, state: State) {
+        let change = ServerEvent::EndpointChange {
+            server,
+            state,
+            replaces_entry: false,
+        };
+        self.schedule(self.discovery_notice(), ScheduledEvent::Server(change));
+    }
+
+    fn kill_server(&mut self, server: usize) -> io::Result<()> {
+        if self.servers[server].up {
+            self.stop_server(server)?;
+            self.schedule_endpoint_change(server, State::Gone);
+        }
+        Ok(())
+    }
+
+    fn restart_server(&mut self, server: usize) -> io::Result<()> {
+        if !self.servers[server].up {
+            self.start_server(server)?;
+        }
+        Ok(())
+    }
+
+    fn begin_server_fault(
+        &mut self,
+        server: usize,
+        fault: Trouble,
+        permille: u16,
+    ) -> io::Result<()> {
+        let server_state = &mut self.servers[server];
+        if fault == Trouble::Refuse && server_state.up {
+            self.net.refuse(server_state.listener)?;
+        }
+        server_state.faults.push((fault, permille));
+        server_state.set_pace();
+        Ok(())
+    }
+
+    fn end_server_fault(&mut self, server: usize, fault: Trouble, permille: u16) -> io::Result<()> {
+        let server_state = &mut self.servers[server];
+        let position = server_state
+            .faults
+            .iter()
+            .position(|active| *active == (fault, permille));
+        if let Some(position) = position {
+            server_state.faults.remove(position);
+        }
+        server_state.set_pace();
+        let refuses = server_state.has(Trouble::Refuse, 0);
+        if fault == Trouble::Refuse && server_state.up && !refuses {
+            self.net.accept_again(server_state.listener)?;
+        }
+        if fault == Trouble::PauseServer {
+            let resume = ServerEvent::Resume { server };
+            self.schedule(self.now, ScheduledEvent::Server(resume));
+        }
+        Ok(())
+    }
+}
--- a/testkit/scenarios/src/world/misbehaviour.rs
+++ b/testkit/scenarios/src/simulation/misbehaviour.rs
@@ -2,13 +2,14 @@
 //! time behind SIGTERM, and what is owed to whom then.
 
 use badgerpost_fakes::net::ConnId;
-use badgerpost_fakes::random::Random;
 
-use super::stage::{Fired, Order, Peer, StopSignal, Todo, World};
+use super::connection::Connection;
+use super::events::{NodeInput, ProcessCommand, ScheduledEvent, StepOutcome, StopSignal};
+use super::state::Simulation;
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// Half a head, of which no more comes.
-const HALF_HEAD: &[u8] = b"GET /api HTTP/1.1\r\nX-Ca";
+const PARTIAL_HEAD: &[u8] = b"GET /api HTTP/1.1\r\nX-Ca";
 /// Clients that stop half way, or say nothing, are owed an error or a close within this.
 const OWED_WITHIN: Nanos = 3 * SECOND;
 /// How much later a busy machine may bring it.
@@ -28,32 +29,22 @@
 /// A request that was written this long ago, of which the node can hold no more than a few, has been read.
 const SURELY_READ: Nanos = 400 * MILLISECOND;
 
-/// What clients do beyond asking and waiting, and what they have missed.
-pub(super) struct Misbehaviour {
-    random: Random,
-    /// Nodes that did not end the connection of a silent client in time, by name, and after how long.
-    pub(super) unended: Vec<(String, Nanos)>,
-}
-
-impl Misbehaviour {
-    pub(super) fn new(seed: u64) -> Self {
-        Self {
-            random: Random::new(seed, "misbehaviour"),
-            unended: Vec::new(),
-        }
-    }
-}
-
-impl World {
-    pub(super) fn begin_misbehaviour(&mut self) {
+impl Simulation {
+    pub(super) fn schedule_misbehaviour(&mut self) {
         let behaviour = self.plan.behaviour;
         let (first, later) = behaviour.clocks_ahead_ms;
         for node in 0..self.nodes.len() {
             if behaviour.silent_clients > 0 {
-                self.at(SILENT_PERIOD, Todo::Silent(node));
+                self.schedule(SILENT_PERIOD, ScheduledEvent::OpenSilentClients { node });
             }
             if first != later {
-                self.at(behaviour.clocks_step_at, Todo::StepClock(node, later));
+                self.schedule(
+                    behaviour.clocks_step_at,
+                    ScheduledEvent::StepClock {
+                        node,
+                        ahead_ms: later,
+                    },
+                );
             }
         }
     }
@@ -67,8 +58,12 @@
         if !self.plan.behaviour.strict {
             return false;
         }
-        let is_open = |peer: &Peer| matches!(peer, Peer::Client { node: of, open, .. } if *of == node && !open.is_empty());
-        let open = self.peers.values().filter(|peer| is_open(peer)).count();
+        let is_open = |peer: &Connection| matches!(peer, Connection::Client { node: of, open, .. } if *of == node && !open.is_empty());
+        let open = self
+            .connections
+            .values()
+            .filter(|peer| is_open(peer))
+            .count();
         open >= self.plan.scene.scene.node[node].sockets / 3
     }
 
@@ -91,35 +86,35 @@
             let log = &self.requests[request].log;
             log.arrival + log.budget
         };
-        let is_busy = |peer: &Peer| match peer {
-            Peer::Client {
+        let is_busy = |peer: &Connection| match peer {
+            Connection::Client {
                 node: of,
                 open,
-                is_half,
+                has_partial_head,
                 ..
             } => {
                 *of == node
                     && (1..MOST_PIPELINED).contains(&open.len())
                     && open.iter().all(|before| ends(*before) <= ends(request))
-                    && !is_half
+                    && !has_partial_head
             }
             _ => false,
         };
-        let mut peers = self.peers.iter();
+        let mut peers = self.connections.iter();
         peers.find(|(_, peer)| is_busy(peer)).map(|(conn, _)| *conn)
     }
 
     /// What follows right behind a request.
-    pub(super) fn half_head(&mut self) -> &'static [u8] {
+    pub(super) fn partial_head(&mut self) -> &'static [u8] {
         if self.chance(self.plan.behaviour.half_heads) {
-            HALF_HEAD
+            PARTIAL_HEAD
         } else {
             &[]
         }
     }
 
     /// A client decides whether, and when, it leaves before its answer.
-    pub(super) fn plan_to_leave(&mut self, request: usize) {
+    pub(super) fn plan_disconnect(&mut self, request: usize) {
         if !self.chance(self.plan.behaviour.leaving) {
             return;
         }
@@ -128,16 +123,19 @@
             .misbehaviour
             .random
             .between(MILLISECOND, budget * 3 / 4);
-        self.at(self.now + after, Todo::Leave(request));
+        self.schedule(
+            self.now + after,
+            ScheduledEvent::ClientDisconnect { request },
+        );
     }
 
     /// A client closes its connection though its request is open.
-    pub(super) fn leave(&mut self, request: usize) -> Option<(usize, u64)> {
+    pub(super) fn disconnect_client(&mut self, request: usize) -> Option<NodeInput> {
         if self.requests[request].done {
             return None;
         }
         let conn = self.connection_of(request)?;
-        self.leave_behind(conn, request);
+        self.abandon_pipelined(conn, request);
         self.requests[request].log.left = Some(self.now);
         self.finish(request, false);
         if self.chance(0.3) {
@@ -148,8 +146,8 @@
     }
 
     /// A client that closes its connection leaves all that is open on it.
-    pub(super) fn leave_behind(&mut self, conn: ConnId, but: usize) {
-        let Some(Peer::Client { open, .. }) = self.peers.get(&conn) else {
+    pub(super) fn abandon_pipelined(&mut self, conn: ConnId, but: usize) {
+        let Some(Connection::Client { open, .. }) = self.connections.get(&conn) else {
             return;
         };
         let others: Vec<usize> = open.iter().copied().filter(|one| *one != but).collect();
@@ -162,14 +160,19 @@
     /// A client has had its answer, and has written half a head behind its request.
     pub(super) fn fall_silent(&mut self, conn: ConnId, node: usize) {
         let since = self.now;
-        self.peers.insert(conn, Peer::Silent { node, since });
-        self.at(since + OWED_WITHIN + OWED_SLACK, Todo::Owed(conn));
+        self.connections
+            .insert(conn, Connection::Silent { node, since });
+        self.schedule(
+            since + OWED_WITHIN + OWED_SLACK,
+            ScheduledEvent::SilentClientTimeout(conn),
+        );
     }
 
     /// Clients connect and say nothing, up to their number.
-    pub(super) fn fill_silent(&mut self, node: usize) -> Option<(usize, u64)> {
-        let of = |peer: &Peer| matches!(peer, Peer::Silent { node: of, .. } if *of == node);
-        let there = self.peers.values().filter(|peer| of(peer)).count();
+    pub(super) fn open_silent_clients(&mut self, node: usize) -> Option<NodeInput> {
+        let of =
+            |peer: &Connection| matches!(peer, Connection::Silent { node: of, .. } if *of == node);
+        let there = self.connections.values().filter(|peer| of(peer)).count();
         let wanted = self.plan.behaviour.silent_clients.saturating_sub(there);
         let takes_new = self.nodes[node].up && self.nodes[node].stopping.is_none();
         let listen = self.nodes[node].listen.filter(|_| takes_new);
@@ -178,35 +181,41 @@
                 break;
             };
             let since = self.now;
-            self.adopt(conn, Peer::Silent { node, since });
-            self.at(since + OWED_WITHIN + OWED_SLACK, Todo::Owed(conn));
+            self.add_connection(conn, Connection::Silent { node, since });
+            self.schedule(
+                since + OWED_WITHIN + OWED_SLACK,
+                ScheduledEvent::SilentClientTimeout(conn),
+            );
         }
         if self.now < self.plan.scene.scene.length_ms.get_ref() * MILLISECOND {
-            self.at(self.now + SILENT_PERIOD, Todo::Silent(node));
+            self.schedule(
+                self.now + SILENT_PERIOD,
+                ScheduledEvent::OpenSilentClients { node },
+            );
         }
         None
     }
 
     /// A client that says nothing was owed an error or its end by now.
-    pub(super) fn is_owed(&mut self, conn: ConnId) -> Option<(usize, u64)> {
-        let Some(Peer::Silent { node, since }) = self.peers.get(&conn) else {
+    pub(super) fn time_out_silent_client(&mut self, conn: ConnId) -> Option<NodeInput> {
+        let Some(Connection::Silent { node, since }) = self.connections.get(&conn) else {
             return None;
         };
         let (node, since) = (*node, *since);
-        self.note_silent_end(node, since);
+        self.record_silent_client_end(node, since);
         self.close(conn)
     }
 
     /// A client that says nothing is told something, which is all that it is owed.
-    pub(super) fn silent_ended(&mut self, conn: ConnId) {
-        if let Some(Peer::Silent { node, since }) = self.peers.get(&conn) {
-            self.note_silent_end(*node, *since);
+    pub(super) fn silent_client_notified(&mut self, conn: ConnId) {
+        if let Some(Connection::Silent { node, since }) = self.connections.get(&conn) {
+            self.record_silent_client_end(*node, *since);
             let _ = self.close(conn);
         }
     }
 
     /// A silent client's connection has ended, from whichever side.
-    pub(super) fn note_silent_end(&mut self, node: usize, since: Nanos) {
+    pub(super) fn record_silent_client_end(&mut self, node: usize, since: Nanos) {
         let took = self.now - since;
         if took >= OWED_WITHIN + OWED_SLACK && self.nodes[node].up && !self.nodes[node].paused {
             let name = self.nodes[node].name.clone();
@@ -221,7 +230,7 @@
     }
 
     /// A node is asked to stop: other signals follow, and SIGKILL at the earliest time.
-    pub(super) fn plan_kill(&mut self, node: usize) {
+    pub(super) fn plan_shutdown(&mut self, node: usize) {
         if !self.plan.behaviour.strict {
             return;
         }
@@ -237,10 +246,21 @@
         ];
         for signal in series {
             let after = self.misbehaviour.random.between(MILLISECOND, longest);
-            self.at(since + after, Todo::Signal(node, since, signal));
+            self.schedule(
+                since + after,
+                ScheduledEvent::StopSignal {
+                    node,
+                    since,
+                    signal,
+                },
+            );
         }
-        let kill = Todo::Signal(node, since, StopSignal::Kill);
-        self.at(since + longest + KILLED_AFTER, kill);
+        let kill = ScheduledEvent::StopSignal {
+            node,
+            since,
+            signal: StopSignal::Kill,
+        };
+        self.schedule(since + longest + KILLED_AFTER, kill);
     }
 
     /// A signal to a node that was asked to stop at that time, if it is still that process.
@@ -249,9 +269,9 @@
         node: usize,
         since: Nanos,
         signal: StopSignal,
-    ) -> Fired {
+    ) -> StepOutcome {
         if !self.nodes[node].up || self.nodes[node].stopping != Some(since) {
-            return Fired::default();
+            return StepOutcome::default();
         }
         if signal == StopSignal::Kill {
             // What came by then was to be answered; what the kill finds of it is left to its clients.
@@ -262,9 +282,9 @@
                 .filter(|open| !open.done && open.node == node && open.written <= excused);
             open.for_each(|open| open.log.excused = true);
         }
-        Fired {
+        StepOutcome {
             touched: None,
-            orders: vec![Order::Signal(node, signal)],
+            commands: vec![ProcessCommand::Signal { node, signal }],
         }
     }
 }
--- /dev/null
+++ b/testkit/scenarios/src/simulation/servers.rs
@@ -0,0 +1,267 @@
+//! Requests at the simulated servers: reading, deduplication, execution by the model.
+
+use badgerpost_fakes::message::{self, Message};
+use badgerpost_fakes::net::ConnId;
+use badgerpost_fakes::server::Offer;
+use badgerpost_time::{MILLISECOND, Nanos, SECOND};
+
+use super::connection::Connection;
+use super::events::{ScheduledEvent, ServerEvent};
+use super::in_flight::{AttemptId, ConnectionFate, InFlightMessage, ServerJob, ServerResponse};
+use super::server_state::response_body;
+use super::state::{OpenRequest, Simulation};
+use crate::outcome::{Attempt, Ended, Scope};
+use crate::scene::Trouble;
+
+/// A node counts as notified of a change this long after discovery had it and was reachable.
+const NOTIFICATION_LIMIT: Nanos = 6 * SECOND;
+/// A deadline header that exceeds the time that the client has left by more than this is logged.
+const DEADLINE_TOLERANCE: Nanos = 100 * MILLISECOND;
+
+impl Simulation {
+    /// Handles all requests that a connection of a server has received whole.
+    pub(super) fn read_server(&mut self, conn: ConnId) {
+        loop {
+            let Some(Connection::Server { server, inbox, .. }) = self.connections.get_mut(&conn)
+            else {
+                return;
+            };
+            let server = *server;
+            match inbox.take() {
+                Ok(None) => return,
+                Ok(Some(message)) => self.handle_server_request(conn, server, &message),
+                // A malformed request gets no response.
+                Err(_) => {
+                    self.unknown_requests += 1;
+                    self.schedule(self.now, ScheduledEvent::ResetConnection(conn));
+                    return;
+                }
+            }
+        }
+    }
+
+    fn handle_server_request(&mut self, conn: ConnId, server: usize, message: &Message) {
+        if message.target == "/stats" {
+            return self.answer_health_check(conn, server);
+        }
+        let id = message.value("x-call-id").unwrap_or_default().to_owned();
+        let request = self.request_by_id.get(&id).copied();
+        if request.is_none() {
+            self.unknown_requests += 1;
+        }
+        let attempt = request.map(|request| self.record_attempt(request, server, message));
+        self.assign_attempt(conn, attempt);
+        let _ = self.transmit(InFlightMessage::ToServer(ServerJob { conn, attempt, id }));
+    }
+
+    /// Adds an attempt to the log line of its request.
+    fn record_attempt(&mut self, request: usize, server: usize, message: &Message) -> AttemptId {
+        let now = self.now;
+        let server_state = &self.servers[server];
+        let open = &mut self.requests[request];
+        let notified = self.nodes[open.node].told.get(&server);
+        let counted = server_state
+            .unlisted_since
+            .map(|since| since + NOTIFICATION_LIMIT);
+        let notified = notified.copied().into_iter().chain(counted).min();
+        let left = (open.written + open.log.budget).saturating_sub(now);
+        let deadline = message
+            .value("x-budget-ms")
+            .and_then(|text| text.parse().ok());
+        let over = deadline.map_or(0, |deadline: u64| {
+            (deadline * MILLISECOND).saturating_sub(left)
+        });
+        open.log.attempts.push(Attempt {
+            server: server_state.name.clone(),
+            zone: server_state.zone.clone(),
+            cell: server_state.cell,
+            start: now,
+            end: None,
+            ended: Ended::Open,
+            ran: false,
+            told_for: notified.and_then(|notified| now.checked_sub(notified)),
+            felled: false,
+            without_length: false,
+            overstated: (over > DEADLINE_TOLERANCE).then_some(over),
+        });
+        AttemptId {
+            request,
+            number: open.log.attempts.len() - 1,
+        }
+    }
+
+    /// Notes which attempt is on a connection, and in real time whose connection it is: only its requests show that.
+    fn assign_attempt(&mut self, conn: ConnId, assigned: Option<AttemptId>) {
+        let Some(Connection::Server { attempt, node, .. }) = self.connections.get_mut(&conn) else {
+            return;
+        };
+        *attempt = assigned;
+        if node.is_none()
+            && let Some(assigned) = assigned
+        {
+            let sender = self.requests[assigned.request].node;
+            *node = Some(sender);
+            self.nodes[sender].open += 1;
+        }
+    }
+
+    /// Handles a request that has arrived at its server.
+    pub(super) fn receive_request(&mut self, job: ServerJob) {
+        let Some(Connection::Server { server, .. }) = self.connections.get(&job.conn) else {
+            return;
+        };
+        let server = *server;
+        if self.servers[server].is_paused() {
+            // The process reads it once it continues.
+            self.servers[server].held.push(job);
+        } else {
+            self.execute(server, job);
+        }
+    }
+
+    /// Has a server execute a request, as its active faults let it.
+    pub(super) fn execute(&mut self, server: usize, job: ServerJob) {
+        let now = self.now;
+        let request = job.attempt.map(|attempt| attempt.request);
+        let draw = self.fault_draw(job.attempt);
+        if self.servers[server].has(Trouble::Hang, draw) {
+            return;
+        }
+        let rejection = self.rejection(server, &job);
+        if self.servers[server].has(Trouble::TurnAway, draw) {
+            self.schedule(now, ScheduledEvent::ServerResponse(Box::new(rejection)));
+            return;
+        }
+        if request.is_some_and(|request| self.is_duplicate(request, server)) {
+            let response = ServerResponse {
+                bytes: message::answer(
+                    200,
+                    &self.load_report_headers(server, ""),
+                    &response_body(&job.id, &self.servers[server].name),
+                ),
+                ended: Ended::Served,
+                ..rejection
+            };
+            self.schedule(now, ScheduledEvent::ServerResponse(Box::new(response)));
+            return;
+        }
+        let ticket = self.servers[server].next_job;
+        self.servers[server].next_job += 1;
+        match self.offer(server, ticket, job.attempt) {
+            Offer::Taken => {
+                self.servers[server].jobs.insert(ticket, job);
+                self.schedule_completion(server);
+            }
+            Offer::TurnedAway => {
+                self.schedule(now, ScheduledEvent::ServerResponse(Box::new(rejection)));
+            }
+            Offer::Felled => {
+                // It stays down, and its connections are reset.
+                let _ = self.stop_server(server);
+            }
+        }
+    }
+
+    fn rejection(&mut self, server: usize, job: &ServerJob) -> ServerResponse {
+        let headers = self.load_report_headers(server, "X-Rejected: 1\r\n");
+        ServerResponse {
+            conn: job.conn,
+            attempt: job.attempt,
+            bytes: message::answer(503, &headers, b""),
+            ended: Ended::TurnedAway,
+            then: ConnectionFate::Stays,
+        }
+    }
+
+    /// Offers a request to the model of a server, and notes in the log what came of it.
+    fn offer(&mut self, server: usize, ticket: u64, attempt: Option<AttemptId>) -> Offer {
+        let now = self.now;
+        let request = attempt.map(|attempt| attempt.request);
+        let work = request.map_or(
+            self.plan.scene.scene.class[0].work_ms.get_ref().0 * MILLISECOND,
+            |request| self.plan.arrivals[self.requests[request].arrival].work,
+        );
+        let is_notified = request.is_some_and(|request| self.knows_start(request, server));
+        let window = self.plan.scene.scene.rules.fall_ms * MILLISECOND;
+        let server_state = &mut self.servers[server];
+        let offer = server_state.model.offer(now, ticket, work);
+        server_state.record_slow_start_send(now, is_notified, window);
+        let is_breach = !self.plan.behaviour.strict || server_state.is_mostly_notified();
+        if let Some(AttemptId { request, number }) = attempt {
+            let attempt = &mut self.requests[request].log.attempts[number];
+            attempt.ran = offer == Offer::Taken;
+            attempt.felled = offer == Offer::Felled && is_breach;
+        }
+        offer
+    }
+
+    /// Whether the node of a request has been notified of the last start of a server.
+    fn knows_start(&self, request: usize, server: usize) -> bool {
+        let node = &self.nodes[self.requests[request].node];
+        let start = self.servers[server]
+            .booted
+            .map(|booted| (self.base + booted) / MILLISECOND);
+        node.notified_starts.get(&server).copied() == start
+    }
+
+    /// Whether the deduplication scope of a server saw the request's key within the window; notes the key.
+    fn is_duplicate(&mut self, request: usize, server: usize) -> bool {
+        let OpenRequest { log, key, .. } = &self.requests[request];
+        let Some((scope, window)) = log.dedup else {
+            return false;
+        };
+        let server_state = &self.servers[server];
+        let group = match scope {
+            Scope::All => String::new(),
+            Scope::Zone => server_state.zone.clone(),
+            Scope::Cell => format!("{}", server_state.cell),
+        };
+        let now = self.now;
+        // Never evicted: a run has a bounded number of requests, and so of keys.
+        let seen = self.keys_seen.entry((group, key.clone())).or_insert(now);
+        let is_duplicate = *seen < now && now - *seen < window;
+        if now - *seen >= window {
+            *seen = now;
+        }
+        is_duplicate
+    }
+
+    /// Schedules the next completion of a server, unless an event no later than it is scheduled.
+    pub(super) fn schedule_completion(&mut self, server: usize) {
+        let server_state = &mut self.servers[server];
+        let next = server_state.model.next_done();
+        if let Some(next) = next.filter(|next| server_state.wake.is_none_or(|wake| *next < wake)) {
+            server_state.wake = Some(next);
+            self.schedule(
+                next,
+                ScheduledEvent::Server(ServerEvent::Completion { server }),
+            );
+        }
+    }
+
+    /// Responds to the next request that the model has completed.
+    pub(super) fn complete_job(&mut self, server: usize) {
+        let now = self.now;
+        let server_state = &mut self.servers[server];
+        server_state.wake = None;
+        if server_state.is_paused() || !server_state.up {
+            return;
+        }
+        let job = server_state
+            .model
+            .take_done(now)
+            .and_then(|ticket| server_state.jobs.remove(&ticket));
+        self.schedule_completion(server);
+        let Some(ServerJob { conn, attempt, id }) = job else {
+            return;
+        };
+        let response = ServerResponse {
+            conn,
+            attempt,
+            bytes: Vec::new(),
+            ended: Ended::Served,
+            then: ConnectionFate::Stays,
+        };
+        self.respond(server, &id, response);
+    }
+}
--- /dev/null
+++ b/testkit/scenarios/src/simulation/setup.rs
@@ -0,0 +1,206 @@
+//! Builds a simulation from a plan: all sockets listen, and everything that the plan knows in advance is scheduled.
+
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr};
+
+use badgerpost_fakes::discovery::{Discovery, State};
+use badgerpost_fakes::net::Net;
+use badgerpost_fakes::random::Random;
+use badgerpost_fakes::server::{Choke, Figures, Server};
+use badgerpost_time::{MILLISECOND, Nanos};
+
+use super::connection::ListenerOwner;
+use super::events::{ScheduledEvent, ServerEvent};
+use super::node_state::{GossipEndpoint, SimulatedNode};
+use super::server_state::{SimulatedServer, entry};
+use super::state::{Misbehaviour, Simulation};
+use crate::plan::Plan;
+use crate::scene::{Planned, Scene};
+
+/// How often servers refresh their load report.
+const REPORT_PERIOD: Nanos = 100 * MILLISECOND;
+/// Any free port of the loopback interface.
+const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+
+impl Simulation {
+    /// Opens all sockets of a plan that starts at `base`, in Unix time; `gossip` has the nodes exchange gossip even
+    /// if the scenario does not ask for it.
+    pub fn new(plan: Plan, base: Nanos, gossip: bool) -> io::Result<Self> {
+        let mut simulation = Self::empty(plan, base)?;
+        for index in 0..simulation.plan.scene.scene.server.len() {
+            simulation.add_server(index)?;
+        }
+        let gossip = gossip || simulation.plan.scene.scene.peers;
+        for index in 0..simulation.plan.scene.scene.node.len() {
+            simulation.add_node(index, gossip)?;
+        }
+        simulation.schedule_faults();
+        simulation.schedule_arrivals();
+        simulation.schedule_misbehaviour();
+        simulation.schedule_server_starts();
+        Ok(simulation)
+    }
+
+    fn empty(plan: Plan, base: Nanos) -> io::Result<Self> {
+        Ok(Self {
+            net: Net::new()?,
+            now: 0,
+            base,
+            queue: BTreeMap::new(),
+            next: 0,
+            servers: Vec::new(),
+            nodes: Vec::new(),
+            listeners: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            discovery: Discovery::default(),
+            watches: 0,
+            requests: Vec::new(),
+            request_by_id: HashMap::new(),
+            keys_seen: BTreeMap::new(),
+            pending: plan.arrivals.len(),
+            unknown_requests: 0,
+            running: None,
+            impairments: Vec::new(),
+            held_messages: Vec::new(),
+            random: Random::new(plan.seed, "links"),
+            misbehaviour: Misbehaviour::new(plan.seed),
+            plan,
+        })
+    }
+
+    fn add_server(&mut self, index: usize) -> io::Result<()> {
+        let (listener, at) = self.net.listen(ANY_PORT)?;
+        self.listeners
+            .insert(listener, ListenerOwner::Server(index));
+        let scene = &self.plan.scene.scene;
+        let server = &scene.server[index];
+        let up = server.starts_ms.is_none();
+        if !up {
+            self.net.refuse(listener)?;
+        }
+        let server_state = SimulatedServer {
+            name: server.name.get_ref().clone(),
+            zone: server.zone.clone(),
+            zone_number: zone_number(scene, &server.zone),
+            cell: server.cell,
+            listener,
+            at,
+            model: Server::new(server_figures(&self.plan, index), None, 0),
+            jobs: BTreeMap::new(),
+            next_job: 0,
+            held: Vec::new(),
+            wake: None,
+            faults: Vec::new(),
+            up,
+            booted: None,
+            slow_start_peak: 0.0,
+            slow_start_sends: VecDeque::new(),
+            unlisted_since: None,
+        };
+        if up {
+            self.discovery
+                .set(entry(&server_state, State::Ready, self.base));
+        }
+        self.servers.push(server_state);
+        Ok(())
+    }
+
+    fn add_node(&mut self, index: usize, gossip: bool) -> io::Result<()> {
+        let (listener, discovery_address) = self.net.listen(ANY_PORT)?;
+        self.listeners.insert(listener, ListenerOwner::List(index));
+        let gossip_socket = gossip
+            .then(|| self.net.open_datagrams(ANY_PORT))
+            .transpose()?;
+        let scene = &self.plan.scene.scene;
+        let node = &scene.node[index];
+        self.nodes.push(SimulatedNode {
+            name: node.name.get_ref().clone(),
+            zone_number: zone_number(scene, &node.zone),
+            listen: None,
+            discovery_address,
+            up: false,
+            paused: false,
+            idle: Vec::new(),
+            told: BTreeMap::new(),
+            notified_starts: BTreeMap::new(),
+            stopping: None,
+            open: 0,
+            ended: 0,
+            gossip: gossip_socket.map(|(door, at)| GossipEndpoint {
+                door,
+                at,
+                real: None,
+                datagrams: 0,
+                bytes: 0,
+            }),
+        });
+        Ok(())
+    }
+
+    fn schedule_faults(&mut self) {
+        for fault in 0..self.plan.faults.len() {
+            let Planned { at, lasts, .. } = self.plan.faults[fault];
+            self.schedule(at, ScheduledEvent::FaultStart { fault });
+            if let Some(lasts) = lasts {
+                let end = at.saturating_add(lasts);
+                self.schedule(end, ScheduledEvent::FaultEnd { fault });
+            }
+        }
+    }
+
+    fn schedule_arrivals(&mut self) {
+        for arrival in 0..self.plan.arrivals.len() {
+            let at = self.plan.arrivals[arrival].at;
+            self.schedule(at, ScheduledEvent::RequestArrival { arrival });
+        }
+    }
+
+    fn schedule_server_starts(&mut self) {
+        for server in 0..self.plan.scene.scene.server.len() {
+            if let Some(at) = self.plan.scene.scene.server[server].starts_ms {
+                let start = ServerEvent::Start { server };
+                self.schedule(at * MILLISECOND, ScheduledEvent::Server(start));
+            }
+        }
+    }
+}
+
+/// The position of a zone among those of the scenario.
+fn zone_number(scene: &Scene, zone: &str) -> usize {
+    let zones = scene.zones();
+    zones.iter().position(|one| *one == zone).unwrap_or(0)
+}
+
+fn server_figures(plan: &Plan, index: usize) -> Figures {
+    let scene = &plan.scene.scene;
+    let (server, rules) = (&scene.server[index], &scene.rules);
+    Figures {
+        slots: server.slots.max(1),
+        queue: server.queue,
+        speed: *server.speed.get_ref(),
+        cold_share: rules.start_share,
+        warm_after: rules.warm_ms * MILLISECOND,
+        tip_multiple: rules.tip_multiple,
+        fall_span: rules.fall_ms * MILLISECOND,
+        report_period: REPORT_PERIOD,
+        mean_work: plan.behaviour.strict.then(|| mean_work(scene)),
+        choke: server.choke.as_ref().map(|choke| Choke {
+            waiting: choke.waiting,
+            over: choke.over_ms.get_ref() * MILLISECOND,
+            slower: *choke.slower.get_ref(),
+            rest: choke.rest_ms.get_ref() * MILLISECOND,
+        }),
+    }
+}
+
+/// The mean work of the requests of a scenario.
+fn mean_work(scene: &Scene) -> Nanos {
+    let (mut total, mut shares) = (0.0, 0.0);
+    for class in &scene.class {
+        let (least, most) = *class.work_ms.get_ref();
+        total += class.share.get_ref() * (least + most) as f64 / 2.0;
+        shares += class.share.get_ref();
+    }
+    (total / shares * MILLISECOND as f64) as Nanos
+}
