--- a/testkit/scenarios/src/fleet.rs
+++ b/testkit/scenarios/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::outcome::{Request, Told};
 use crate::plan::Plan;
 use crate::run::Played;
-use crate::scene::{Planned, Whom};
+use crate::scene::{FaultTarget, PlannedFault};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// A node counts as one of a zone's if it sent there at least this share of its requests before the trouble.
@@ -36,17 +36,17 @@
 
 impl Trouble {
     /// What a plan's fault does to a whole zone, if it does.
-    pub fn of(fault: &Planned, zones: &[&str], end: Nanos) -> Option<Self> {
-        let Whom::Group(group) = fault.whom else {
+    pub fn of(fault: &PlannedFault, zones: &[&str], end: Nanos) -> Option<Self> {
+        let FaultTarget::Group(group) = fault.target else {
             return None;
         };
         let zone = (*zones.get(group.zone?)?).to_owned();
         let until = fault
             .lasts
             .map_or(end, |lasts| fault.at.saturating_add(lasts));
-        let whole = fault.trouble.is_about_server() && group.from == 0 && group.to == 1000;
+        let whole = fault.kind.is_about_server() && group.from == 0 && group.to == 1000;
         whole.then(|| Self {
-            what: fault.trouble.name(),
+            what: fault.kind.name(),
             zone,
             from: fault.at,
             until,
--- a/testkit/scenarios/src/plan.rs
+++ b/testkit/scenarios/src/plan.rs
@@ -6,7 +6,7 @@
 use badgerpost_settings::file::{FileError, Source};
 use serde::{Deserialize, Serialize};
 
-use crate::scene::{self, Checked, Far, Planned, Trouble, Whom};
+use crate::scene::{self, Checked, FaultKind, FaultTarget, LinkEnd, PlannedFault};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// Clients begin to ask after this: the nodes have the list by then.
@@ -62,7 +62,7 @@
     /// First tries, by time.
     pub arrivals: Vec<Arrival>,
     /// Faults, by time.
-    pub faults: Vec<Planned>,
+    pub faults: Vec<PlannedFault>,
     /// What a scene can't say.
     pub behaviour: Behaviour,
 }
@@ -122,25 +122,27 @@
             fault.lasts = fault
                 .lasts
                 .map(|lasts| random.between(lasts / 4, lasts.saturating_mul(2)));
-            if let Trouble::Link(link) = &mut fault.trouble
-                && let Far::Zone(zone) = &mut link.far
+            if let FaultKind::Link(link) = &mut fault.kind
+                && let LinkEnd::Zone(zone) = &mut link.remote
             {
                 *zone = random.between(0, self.scene.scene.zones().len() as u64 - 1) as usize;
             }
-            let among = match (&mut fault.whom, fault.trouble) {
-                (Whom::Group(group), _) if group.zone.is_some() => {
+            let among = match (&mut fault.target, fault.kind) {
+                (FaultTarget::Group(group), _) if group.zone.is_some() => {
                     let zones = self.scene.scene.zones().len() as u64;
                     group.zone = Some(random.between(0, zones - 1) as usize);
                     continue;
                 }
-                (Whom::Group(_), _) => continue,
-                (Whom::One(_), trouble) if trouble.is_about_server() => {
+                (FaultTarget::Group(_), _) => continue,
+                (FaultTarget::Single(_), kind) if kind.is_about_server() => {
                     self.scene.scene.server.len()
                 }
-                (Whom::One(_), trouble) if trouble.is_about_node() => self.scene.scene.node.len(),
-                (Whom::One(_), _) => continue,
+                (FaultTarget::Single(_), kind) if kind.is_about_node() => {
+                    self.scene.scene.node.len()
+                }
+                (FaultTarget::Single(_), _) => continue,
             };
-            fault.whom = Whom::One(random.between(0, among as u64 - 1) as usize);
+            fault.target = FaultTarget::Single(random.between(0, among as u64 - 1) as usize);
         }
         self.faults.sort_by_key(|fault| fault.at);
         self
@@ -148,19 +150,19 @@
 
     /// The plan as a repro file.
     pub fn to_repro(&self) -> Result<String, serde_json::Error> {
-        let fault = |fault: &Planned| {
-            let Planned {
+        let fault = |fault: &PlannedFault| {
+            let PlannedFault {
                 at,
                 lasts,
-                whom,
-                trouble,
+                target,
+                kind,
                 permille,
             } = *fault;
             FaultLine {
                 at,
                 lasts,
-                whom,
-                trouble,
+                target,
+                kind,
                 permille,
             }
         };
@@ -242,36 +244,38 @@
 struct FaultLine {
     at: Nanos,
     lasts: Option<Nanos>,
-    whom: Whom,
-    trouble: Trouble,
+    #[serde(rename = "whom")]
+    target: FaultTarget,
+    #[serde(rename = "trouble")]
+    kind: FaultKind,
     permille: u16,
 }
 
 impl FaultLine {
-    fn planned(&self, scene: &Checked) -> Option<Planned> {
+    fn planned(&self, scene: &Checked) -> Option<PlannedFault> {
         let Self {
             at,
             lasts,
-            whom,
-            trouble,
+            target,
+            kind,
             permille,
         } = *self;
-        let most = match trouble {
-            trouble if trouble.is_about_server() => scene.scene.server.len(),
-            trouble if trouble.is_about_node() => scene.scene.node.len(),
+        let most = match kind {
+            kind if kind.is_about_server() => scene.scene.server.len(),
+            kind if kind.is_about_node() => scene.scene.node.len(),
             _ => 1,
         };
-        let sound = match whom {
-            Whom::One(one) => one < most,
-            Whom::Group(group) => group
+        let sound = match target {
+            FaultTarget::Single(one) => one < most,
+            FaultTarget::Group(group) => group
                 .zone
                 .is_none_or(|zone| zone < scene.scene.zones().len()),
         };
-        sound.then_some(Planned {
+        sound.then_some(PlannedFault {
             at,
             lasts,
-            whom,
-            trouble,
+            target,
+            kind,
             permille,
         })
     }
--- a/testkit/scenarios/src/plot.rs
+++ b/testkit/scenarios/src/plot.rs
@@ -127,7 +127,7 @@
             let corners = [(seconds(fault.at), 0.0), (seconds(ends), most * 1.15)];
             chart.draw_series([Rectangle::new(corners, RED.mix(0.07).filled())])?;
             let label = (seconds(fault.at), most * 1.13);
-            chart.draw_series([Text::new(fault.trouble.name(), label, ("sans-serif", 11))])?;
+            chart.draw_series([Text::new(fault.kind.name(), label, ("sans-serif", 11))])?;
         }
         for (number, (name, rate)) in rates.iter().enumerate() {
             let color = Palette99::pick(number).to_rgba();
--- a/testkit/scenarios/src/scene.rs
+++ b/testkit/scenarios/src/scene.rs
@@ -14,8 +14,10 @@
 use crate::outcome::{Effect, Scope};
 use badgerpost_time::MILLISECOND;
 pub use groups::{NodeGroup, ServerGroup};
-use trouble::About;
-pub use trouble::{Far, Group, LinkTrouble, LinkWhat, Planned, Trouble, Whom};
+use trouble::FaultScope;
+pub use trouble::{
+    FaultKind, FaultTarget, LinkEnd, LinkFault, LinkFaultKind, PlannedFault, TargetGroup,
+};
 
 /// The scenes that are shipped, by name.
 pub const SHIPPED: [(&str, &str); 10] = [
@@ -353,7 +355,7 @@
     /// The scene.
     pub scene: Scene,
     /// Its faults.
-    pub faults: Vec<Planned>,
+    pub faults: Vec<PlannedFault>,
     /// The file's text.
     pub text: String,
 }
@@ -479,7 +481,7 @@
     names(scene.class.iter().map(|class| &class.name).collect())?;
     let mut faults = Vec::new();
     for fault in &scene.fault {
-        let (trouble, about) = Trouble::read(fault, &scene, &source)?;
+        let (kind, about) = FaultKind::read(fault, &scene, &source)?;
         let position = |found: Option<usize>, wanted: &Option<Spanned<String>>| {
             let span = wanted.as_ref().map(Spanned::span).unwrap_or_default();
             found.ok_or_else(|| source.error_at(span, "there is none of this name"))
@@ -489,7 +491,7 @@
             position(names.iter().position(|one| Some(*one) == name), wanted)
         };
         let one = match about {
-            About::Server if fault.server.is_some() => Some(named(
+            FaultScope::Server if fault.server.is_some() => Some(named(
                 scene
                     .server
                     .iter()
@@ -497,7 +499,7 @@
                     .collect(),
                 &fault.server,
             )?),
-            About::Node if fault.node.is_some() => Some(named(
+            FaultScope::Node if fault.node.is_some() => Some(named(
                 scene
                     .node
                     .iter()
@@ -505,11 +507,11 @@
                     .collect(),
                 &fault.node,
             )?),
-            About::Server | About::Node => None,
-            About::List => Some(0),
+            FaultScope::Server | FaultScope::Node => None,
+            FaultScope::Discovery => Some(0),
         };
-        let whom = match one {
-            Some(one) => Whom::One(one),
+        let target = match one {
+            Some(one) => FaultTarget::Single(one),
             None => {
                 let zone = match &fault.zone {
                     Some(_) => Some(named(scene.zones(), &fault.zone)?),
@@ -518,7 +520,7 @@
                 let share = fault.share.as_ref().map_or(1.0, |share| *share.get_ref());
                 let span = fault.share.as_ref().map(Spanned::span).unwrap_or_default();
                 within(span, share > 0.0 && share <= 1.0, "above 0, up to 1")?;
-                Whom::Group(Group {
+                FaultTarget::Group(TargetGroup {
                     zone,
                     from: 0,
                     to: (share * 1000.0).round().max(1.0) as u16,
@@ -544,12 +546,12 @@
             (0..repeats).flat_map(|repeat| (0..waves).map(move |wave| (repeat, wave)))
         {
             let at = at.get_ref() * MILLISECOND + every.saturating_mul(repeat * waves + wave);
-            let whom = whom.part(wave, waves);
-            faults.push(Planned {
+            let target = target.part(wave, waves);
+            faults.push(PlannedFault {
                 at,
                 lasts,
-                whom,
-                trouble,
+                target,
+                kind,
                 permille: (chance * 1000.0) as u16,
             });
         }
--- a/testkit/scenarios/src/scene/trouble.rs
+++ b/testkit/scenarios/src/scene/trouble.rs
@@ -11,44 +11,54 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum FaultKind {
     /// The server refuses new connections.
-    Refuse,
+    #[serde(rename = "refuse")]
+    RefuseConnections,
     /// It resets the connection after so many bytes of its answer.
-    Reset {
+    #[serde(rename = "reset")]
+    ResetConnection {
         /// Bytes.
         after: u64,
     },
     /// It takes connections and requests, and says nothing.
     Hang,
     /// It answers later than it would.
-    Late {
+    #[serde(rename = "late")]
+    DelayResponse {
         /// By so much.
         by: Nanos,
     },
     /// It works more slowly.
-    Slow {
+    #[serde(rename = "slow")]
+    SlowDown {
         /// Hundredths of the time that it takes otherwise.
         percent: u32,
     },
     /// What it answers is no answer.
-    Spoilt,
+    #[serde(rename = "spoilt")]
+    InvalidResponse,
     /// Its answers have no length: each ends with its connection.
-    NoLength,
+    #[serde(rename = "no-length")]
+    CloseDelimited,
     /// It turns everything away.
-    TurnAway,
+    #[serde(rename = "turn-away")]
+    RejectRequests,
     /// It answers 500, with the work done.
-    Fail,
+    #[serde(rename = "fail")]
+    ServerError,
     /// The list says that it drains.
     Drain,
     /// The list says that it is gone.
-    Gone,
+    #[serde(rename = "gone")]
+    Remove,
     /// Its process is killed, and starts anew at the end of the fault.
     KillServer,
     /// Its process is paused.
     PauseServer,
     /// Discovery does badly.
-    List(Mode),
+    #[serde(rename = "list")]
+    Discovery(Mode),
     /// The node's process is killed (SIGKILL), and starts anew at the end of the fault.
     KillNode,
     /// It is stopped in an orderly way (SIGTERM), and starts anew at the end of the fault.
@@ -56,27 +66,31 @@
     /// It is paused (SIGSTOP and SIGCONT).
     PauseNode,
     /// The network between the node and others does badly.
-    Link(LinkTrouble),
+    Link(LinkFault),
 }
 
 /// What a link does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct LinkTrouble {
-    /// What is wrong with it.
-    pub what: LinkWhat,
-    /// Its other end.
-    pub far: Far,
-    /// From the node there.
-    pub there: bool,
-    /// From there to the node.
-    pub back: bool,
+pub struct LinkFault {
+    /// What is wrong with the link.
+    #[serde(rename = "what")]
+    pub kind: LinkFaultKind,
+    /// The end of the link that is not the node.
+    #[serde(rename = "far")]
+    pub remote: LinkEnd,
+    /// Whether messages from the node are affected.
+    #[serde(rename = "there")]
+    pub outbound: bool,
+    /// Whether messages to the node are affected.
+    #[serde(rename = "back")]
+    pub inbound: bool,
 }
 
 /// What is wrong with a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum LinkWhat {
+pub enum LinkFaultKind {
     /// Nothing comes through.
     Cut,
     /// All comes later than it would.
@@ -96,7 +110,7 @@
 /// The other end of a node's link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Far {
+pub enum LinkEnd {
     /// Servers, lists and other nodes.
     All,
     /// Servers and other nodes of the zone at this position.
@@ -104,117 +118,163 @@
     /// Servers.
     Servers,
     /// The list.
-    List,
+    #[serde(rename = "list")]
+    Discovery,
     /// Other nodes.
     Nodes,
     /// The front that brings its clients.
     Clients,
 }
 
-/// Whom a kind of fault is about.
+/// What a kind of fault is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum About {
+pub(super) enum FaultScope {
     Server,
     Node,
-    List,
+    Discovery,
 }
 
-const fn link(what: LinkWhat) -> Trouble {
-    Trouble::Link(LinkTrouble {
-        what,
-        far: Far::All,
-        there: true,
-        back: true,
+const fn link(kind: LinkFaultKind) -> FaultKind {
+    FaultKind::Link(LinkFault {
+        kind,
+        remote: LinkEnd::All,
+        outbound: true,
+        inbound: true,
     })
 }
 
 /// The kinds as files name them, with the figure that each needs.
-const KINDS: [(&str, Trouble, About, Option<&str>); 25] = [
-    ("refuse", Trouble::Refuse, About::Server, None),
+const KINDS: [(&str, FaultKind, FaultScope, Option<&str>); 25] = [
+    (
+        "refuse",
+        FaultKind::RefuseConnections,
+        FaultScope::Server,
+        None,
+    ),
     (
         "reset",
-        Trouble::Reset { after: 0 },
-        About::Server,
+        FaultKind::ResetConnection { after: 0 },
+        FaultScope::Server,
         Some("after_bytes"),
     ),
-    ("hang", Trouble::Hang, About::Server, None),
+    ("hang", FaultKind::Hang, FaultScope::Server, None),
     (
         "late",
-        Trouble::Late { by: 0 },
-        About::Server,
+        FaultKind::DelayResponse { by: 0 },
+        FaultScope::Server,
         Some("by_ms"),
     ),
     (
         "slow",
-        Trouble::Slow { percent: 0 },
-        About::Server,
+        FaultKind::SlowDown { percent: 0 },
+        FaultScope::Server,
         Some("times"),
     ),
-    ("spoilt", Trouble::Spoilt, About::Server, None),
-    ("no-length", Trouble::NoLength, About::Server, None),
-    ("turn-away", Trouble::TurnAway, About::Server, None),
-    ("error", Trouble::Fail, About::Server, None),
-    ("drain", Trouble::Drain, About::Server, None),
-    ("gone", Trouble::Gone, About::Server, None),
-    ("kill-server", Trouble::KillServer, About::Server, None),
-    ("pause-server", Trouble::PauseServer, About::Server, None),
+    (
+        "spoilt",
+        FaultKind::InvalidResponse,
+        FaultScope::Server,
+        None,
+    ),
+    (
+        "no-length",
+        FaultKind::CloseDelimited,
+        FaultScope::Server,
+        None,
+    ),
+    (
+        "turn-away",
+        FaultKind::RejectRequests,
+        FaultScope::Server,
+        None,
+    ),
+    ("error", FaultKind::ServerError, FaultScope::Server, None),
+    ("drain", FaultKind::Drain, FaultScope::Server, None),
+    ("gone", FaultKind::Remove, FaultScope::Server, None),
+    (
+        "kill-server",
+        FaultKind::KillServer,
+        FaultScope::Server,
+        None,
+    ),
+    (
+        "pause-server",
+        FaultKind::PauseServer,
+        FaultScope::Server,
+        None,
+    ),
     (
         "list-silent",
-        Trouble::List(Mode::Silent),
-        About::List,
+        FaultKind::Discovery(Mode::Silent),
+        FaultScope::Discovery,
+        None,
+    ),
+    (
+        "list-stale",
+        FaultKind::Discovery(Mode::Stale),
+        FaultScope::Discovery,
+        None,
+    ),
+    (
+        "list-empty",
+        FaultKind::Discovery(Mode::Empty),
+        FaultScope::Discovery,
         None,
     ),
-    ("list-stale", Trouble::List(Mode::Stale), About::List, None),
-    ("list-empty", Trouble::List(Mode::Empty), About::List, None),
     (
         "list-malformed",
-        Trouble::List(Mode::Malformed),
-        About::List,
+        FaultKind::Discovery(Mode::Malformed),
+        FaultScope::Discovery,
         None,
     ),
     (
         "list-failing",
-        Trouble::List(Mode::Failing),
-        About::List,
+        FaultKind::Discovery(Mode::Failing),
+        FaultScope::Discovery,
         None,
     ),
-    ("kill-node", Trouble::KillNode, About::Node, None),
-    ("stop-node", Trouble::StopNode, About::Node, None),
-    ("pause-node", Trouble::PauseNode, About::Node, None),
-    ("cut", link(LinkWhat::Cut), About::Node, None),
+    ("kill-node", FaultKind::KillNode, FaultScope::Node, None),
+    ("stop-node", FaultKind::StopNode, FaultScope::Node, None),
+    ("pause-node", FaultKind::PauseNode, FaultScope::Node, None),
+    ("cut", link(LinkFaultKind::Cut), FaultScope::Node, None),
     (
         "slow-link",
-        link(LinkWhat::Slow { by: 0 }),
-        About::Node,
+        link(LinkFaultKind::Slow { by: 0 }),
+        FaultScope::Node,
         Some("by_ms"),
     ),
     (
         "lossy-link",
-        link(LinkWhat::Lossy { permille: 0 }),
-        About::Node,
+        link(LinkFaultKind::Lossy { permille: 0 }),
+        FaultScope::Node,
         Some("loss"),
     ),
-    ("reset-link", link(LinkWhat::Reset), About::Node, None),
+    (
+        "reset-link",
+        link(LinkFaultKind::Reset),
+        FaultScope::Node,
+        None,
+    ),
 ];
 
 /// Troubles of a server that may strike a share of its requests only.
 const BY_CHANCE: [&str; 6] = ["hang", "late", "spoilt", "no-length", "turn-away", "error"];
 
-impl Trouble {
+impl FaultKind {
     /// Its name in files.
     pub fn name(self) -> &'static str {
         let kind = std::mem::discriminant(&self);
-        let same = |one: &&(&str, Trouble, About, Option<&str>)| match (one.1, self) {
-            (Self::List(one), Self::List(other)) => one == other,
+        let same = |one: &&(&str, FaultKind, FaultScope, Option<&str>)| match (one.1, self) {
+            (Self::Discovery(one), Self::Discovery(other)) => one == other,
             (Self::Link(one), Self::Link(other)) => {
-                std::mem::discriminant(&one.what) == std::mem::discriminant(&other.what)
+                std::mem::discriminant(&one.kind) == std::mem::discriminant(&other.kind)
             }
             (one, _) => std::mem::discriminant(&one) == kind,
         };
         KINDS.iter().find(same).map_or("?", |kind| kind.0)
     }
 
-    fn about(self) -> Option<About> {
+    fn about(self) -> Option<FaultScope> {
         KINDS
             .iter()
             .find(|kind| kind.0 == self.name())
@@ -223,12 +283,12 @@
 
     /// Whether it is about a server.
     pub fn is_about_server(self) -> bool {
-        self.about() == Some(About::Server)
+        self.about() == Some(FaultScope::Server)
     }
 
     /// Whether it is about a node.
     pub fn is_about_node(self) -> bool {
-        self.about() == Some(About::Node)
+        self.about() == Some(FaultScope::Node)
     }
 
     #[expect(clippy::too_many_lines, reason = "to be split with the module")]
@@ -236,7 +296,7 @@
         fault: &Fault,
         scene: &Scene,
         source: &Source,
-    ) -> Result<(Self, About), FileError> {
+    ) -> Result<(Self, FaultScope), FileError> {
         let kind = KINDS.iter().find(|kind| kind.0 == fault.kind.get_ref());
         let &(name, mut trouble, about, needs) = kind.ok_or_else(|| {
             let known = KINDS.map(|kind| kind.0).join(", ");
@@ -251,8 +311,8 @@
         let misplaced =
             |span, key: &str| source.error_at(span, format!("`{key}` does not go with `{name}`"));
         let given = [
-            (&fault.server, "server", about == About::Server),
-            (&fault.node, "node", about == About::Node),
+            (&fault.server, "server", about == FaultScope::Server),
+            (&fault.node, "node", about == FaultScope::Node),
         ];
         for (value, key, wanted) in given {
             match value {
@@ -269,12 +329,24 @@
         let figure = |key: &Option<Spanned<f64>>| key.as_ref().map(Spanned::span);
         let whole = |key: &Option<Spanned<u64>>| key.as_ref().map(Spanned::span);
         for (span, key, fits) in [
-            (span(&fault.zone), "zone", !one && about != About::List),
-            (figure(&fault.share), "share", !one && about != About::List),
+            (
+                span(&fault.zone),
+                "zone",
+                !one && about != FaultScope::Discovery,
+            ),
+            (
+                figure(&fault.share),
+                "share",
+                !one && about != FaultScope::Discovery,
+            ),
             (span(&fault.to), "to", is_link),
             (span(&fault.way), "way", is_link),
             (figure(&fault.chance), "chance", BY_CHANCE.contains(&name)),
-            (whole(&fault.waves), "waves", !one && about != About::List),
+            (
+                whole(&fault.waves),
+                "waves",
+                !one && about != FaultScope::Discovery,
+            ),
             (
                 whole(&fault.after_bytes),
                 "after_bytes",
@@ -301,44 +373,44 @@
         let by = figure(&fault.by_ms).min(MOST_MS) * MILLISECOND;
         within(&fault.chance, 0.0, 1.0)?;
         match &mut trouble {
-            Self::Reset { after } => *after = figure(&fault.after_bytes),
-            Self::Late { by: late } => *late = by,
-            Self::Slow { percent } => {
+            Self::ResetConnection { after } => *after = figure(&fault.after_bytes),
+            Self::DelayResponse { by: late } => *late = by,
+            Self::SlowDown { percent } => {
                 *percent = (within(&fault.times, 1.0, 1000.0)? * 100.0) as u32;
             }
             Self::Link(link) => {
-                match &mut link.what {
-                    LinkWhat::Slow { by: slow } => *slow = by,
-                    LinkWhat::Lossy { permille } => {
+                match &mut link.kind {
+                    LinkFaultKind::Slow { by: slow } => *slow = by,
+                    LinkFaultKind::Lossy { permille } => {
                         *permille = (within(&fault.loss, 0.0, 1.0)? * 1000.0) as u16;
                     }
-                    LinkWhat::Cut | LinkWhat::Reset => {}
+                    LinkFaultKind::Cut | LinkFaultKind::Reset => {}
                 }
                 if let Some(to) = &fault.to {
                     let zone = scene.zones().iter().position(|zone| zone == to.get_ref());
-                    link.far = match (to.get_ref().as_str(), zone) {
-                        ("all", _) => Far::All,
-                        ("servers", _) => Far::Servers,
-                        ("list", _) => Far::List,
-                        ("nodes", _) => Far::Nodes,
-                        ("clients", _) => Far::Clients,
-                        (_, Some(zone)) => Far::Zone(zone),
+                    link.remote = match (to.get_ref().as_str(), zone) {
+                        ("all", _) => LinkEnd::All,
+                        ("servers", _) => LinkEnd::Servers,
+                        ("list", _) => LinkEnd::Discovery,
+                        ("nodes", _) => LinkEnd::Nodes,
+                        ("clients", _) => LinkEnd::Clients,
+                        (_, Some(zone)) => LinkEnd::Zone(zone),
                         _ => {
                             let known = "neither a zone nor all, servers, list, nodes or clients";
                             return Err(source.error_at(to.span(), known));
                         }
                     };
                 }
-                (link.there, link.back) = match fault.way.as_ref().map(|way| way.get_ref().as_str())
-                {
-                    None | Some("both") => (true, true),
-                    Some("there") => (true, false),
-                    Some("back") => (false, true),
-                    Some(_) => {
-                        let span = fault.way.as_ref().map(Spanned::span).unwrap_or_default();
-                        return Err(source.error_at(span, "there are both, there and back"));
-                    }
-                };
+                (link.outbound, link.inbound) =
+                    match fault.way.as_ref().map(|way| way.get_ref().as_str()) {
+                        None | Some("both") => (true, true),
+                        Some("there") => (true, false),
+                        Some("back") => (false, true),
+                        Some(_) => {
+                            let span = fault.way.as_ref().map(Spanned::span).unwrap_or_default();
+                            return Err(source.error_at(span, "there are both, there and back"));
+                        }
+                    };
             }
             _ => {}
         }
@@ -346,24 +418,24 @@
     }
 }
 
-/// Whom a fault is about.
+/// What a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Whom {
+pub enum FaultTarget {
     /// The server or node at this position among the scene's; 0 where it is about neither.
-    One(usize),
+    Single(usize),
     /// Several at once.
-    Group(Group),
+    Group(TargetGroup),
 }
 
-impl Whom {
+impl FaultTarget {
     /// One of so many parts of a group.
     pub(super) fn part(self, part: u64, of: u64) -> Self {
-        let Self::Group(Group { zone, from, to }) = self else {
+        let Self::Group(TargetGroup { zone, from, to }) = self else {
             return self;
         };
         let at = |part: u64| from + (u64::from(to - from) * part / of) as u16;
-        Self::Group(Group {
+        Self::Group(TargetGroup {
             zone,
             from: at(part),
             to: at(part + 1),
@@ -374,7 +446,7 @@
 /// A part of the servers or nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Group {
+pub struct TargetGroup {
     /// Of the zone at this position among the scene's; of all zones if left out.
     #[serde(default)]
     pub zone: Option<usize>,
@@ -386,30 +458,30 @@
 
 /// A fault in a plan: when, for how long, whom, what.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Planned {
+pub struct PlannedFault {
     /// When.
     pub at: Nanos,
     /// For how long; none for good.
     pub lasts: Option<Nanos>,
-    /// Whom.
-    pub whom: Whom,
-    /// What.
-    pub trouble: Trouble,
+    /// Which server, node or group it affects.
+    pub target: FaultTarget,
+    /// What goes wrong.
+    pub kind: FaultKind,
     /// Thousandths of a server's requests that it strikes.
     pub permille: u16,
 }
 
-impl Planned {
-    /// Whom the fault strikes: positions among the scene's servers or nodes. The same for one seed and group,
+impl PlannedFault {
+    /// What the fault affects: positions among the scene's servers or nodes. The same for one seed and group,
     /// so that a group's next tenth is another tenth.
-    pub fn strikes(&self, scene: &Scene, seed: u64) -> Vec<usize> {
-        let group = match self.whom {
-            Whom::One(one) => return vec![one],
-            Whom::Group(group) => group,
+    pub fn targets(&self, scene: &Scene, seed: u64) -> Vec<usize> {
+        let group = match self.target {
+            FaultTarget::Single(one) => return vec![one],
+            FaultTarget::Group(group) => group,
         };
         let zones = scene.zones();
         let zone = group.zone.and_then(|zone| zones.get(zone).copied());
-        let of: Vec<&str> = if self.trouble.is_about_node() {
+        let of: Vec<&str> = if self.kind.is_about_node() {
             scene.node.iter().map(|node| node.zone.as_str()).collect()
         } else {
             scene
--- a/testkit/scenarios/src/soak.rs
+++ b/testkit/scenarios/src/soak.rs
@@ -95,7 +95,7 @@
             .plan
             .faults
             .iter()
-            .map(|fault| fault.trouble.name())
+            .map(|fault| fault.kind.name())
             .collect();
         let behaviour = self.plan.behaviour;
         let list = if behaviour.polled_list {
--- a/testkit/scenarios/src/world.rs
+++ b/testkit/scenarios/src/world.rs
@@ -23,7 +23,7 @@
 
 use crate::outcome::Ended;
 use crate::plan::Plan;
-use crate::scene::{Planned, Scene};
+use crate::scene::{PlannedFault, Scene};
 use badgerpost_time::{MILLISECOND, Nanos};
 use misbehaviour::Misbehaviour;
 pub use peers::PEERS_KEY;
@@ -161,7 +161,7 @@
             plan,
         };
         for number in 0..world.plan.faults.len() {
-            let Planned { at, lasts, .. } = world.plan.faults[number];
+            let PlannedFault { at, lasts, .. } = world.plan.faults[number];
             world.at(at, Todo::FaultOn(number));
             lasts
                 .into_iter()
--- a/testkit/scenarios/src/world/faults.rs
+++ b/testkit/scenarios/src/world/faults.rs
@@ -6,30 +6,30 @@
 
 use super::links::BadLink;
 use super::stage::{Fired, Order, Todo, World};
-use crate::scene::{LinkTrouble, LinkWhat, Trouble};
+use crate::scene::{FaultKind, LinkFault, LinkFaultKind};
 use badgerpost_time::MILLISECOND;
 
 impl World {
     pub(super) fn fault(&mut self, number: usize, begins: bool) -> io::Result<Fired> {
         let planned = self.plan.faults[number];
         let mut fired = Fired::default();
-        if let Trouble::Link(trouble) = planned.trouble {
+        if let FaultKind::Link(trouble) = planned.kind {
             self.link_fault(number, trouble, begins);
             return Ok(fired);
         }
-        for whom in planned.strikes(&self.plan.scene.scene, self.plan.seed) {
+        for whom in planned.targets(&self.plan.scene.scene, self.plan.seed) {
             fired
                 .orders
-                .extend(self.strike(planned.trouble, planned.permille, whom, begins)?);
+                .extend(self.strike(planned.kind, planned.permille, whom, begins)?);
         }
         Ok(fired)
     }
 
     /// Links become bad, or good again.
-    fn link_fault(&mut self, fault: usize, trouble: LinkTrouble, begins: bool) {
+    fn link_fault(&mut self, fault: usize, trouble: LinkFault, begins: bool) {
         if begins {
             let mut nodes = vec![false; self.nodes.len()];
-            for node in self.plan.faults[fault].strikes(&self.plan.scene.scene, self.plan.seed) {
+            for node in self.plan.faults[fault].targets(&self.plan.scene.scene, self.plan.seed) {
                 nodes[node] = true;
             }
             let bad = BadLink {
@@ -37,7 +37,7 @@
                 nodes,
                 trouble,
             };
-            if trouble.what == LinkWhat::Reset {
+            if trouble.kind == LinkFaultKind::Reset {
                 self.reset_links(&bad);
             }
             self.bad_links.push(bad);
@@ -51,7 +51,7 @@
     #[expect(clippy::too_many_lines, reason = "to be split with the module")]
     fn strike(
         &mut self,
-        trouble: Trouble,
+        trouble: FaultKind,
         permille: u16,
         whom: usize,
         begins: bool,
@@ -59,45 +59,45 @@
         let order = |order| Ok(Some(order));
         let notice = self.now + self.plan.scene.scene.discovery.notice_ms * MILLISECOND;
         match (trouble, begins) {
-            (Trouble::Drain | Trouble::Gone, _) => {
+            (FaultKind::Drain | FaultKind::Remove, _) => {
                 let state = match trouble {
                     _ if !begins => State::Ready,
-                    Trouble::Drain => State::Terminating,
+                    FaultKind::Drain => State::Terminating,
                     _ => State::Gone,
                 };
                 self.at(notice, Todo::List(whom, state, false));
             }
-            (Trouble::KillServer, true) if self.sites[whom].up => {
+            (FaultKind::KillServer, true) if self.sites[whom].up => {
                 self.shut(whom)?;
                 self.at(notice, Todo::List(whom, State::Gone, false));
             }
-            (Trouble::KillServer, false) if !self.sites[whom].up => self.boot(whom)?,
-            (Trouble::KillServer, _) => {}
-            (Trouble::List(mode), _) => {
+            (FaultKind::KillServer, false) if !self.sites[whom].up => self.boot(whom)?,
+            (FaultKind::KillServer, _) => {}
+            (FaultKind::Discovery(mode), _) => {
                 self.list.set_mode(if begins { mode } else { Mode::Good });
                 self.list_is_back();
                 self.news();
             }
-            (Trouble::KillNode, true) if self.nodes[whom].up => return order(Order::Kill(whom)),
-            (Trouble::StopNode, true) if self.nodes[whom].up => {
+            (FaultKind::KillNode, true) if self.nodes[whom].up => return order(Order::Kill(whom)),
+            (FaultKind::StopNode, true) if self.nodes[whom].up => {
                 self.plan_kill(whom);
                 return order(Order::Stop(whom));
             }
-            (Trouble::KillNode | Trouble::StopNode, false) if !self.nodes[whom].up => {
+            (FaultKind::KillNode | FaultKind::StopNode, false) if !self.nodes[whom].up => {
                 return order(Order::Start(whom));
             }
-            (Trouble::PauseNode, true) if self.nodes[whom].up => {
+            (FaultKind::PauseNode, true) if self.nodes[whom].up => {
                 self.nodes[whom].paused = true;
                 self.excuse(whom);
                 return order(Order::Pause(whom));
             }
-            (Trouble::PauseNode, false) if self.nodes[whom].paused => {
+            (FaultKind::PauseNode, false) if self.nodes[whom].paused => {
                 self.nodes[whom].paused = false;
                 return order(Order::Resume(whom));
             }
-            (Trouble::KillNode | Trouble::StopNode | Trouble::PauseNode, _) => {}
+            (FaultKind::KillNode | FaultKind::StopNode | FaultKind::PauseNode, _) => {}
             (_, true) => {
-                if trouble == Trouble::Refuse && self.sites[whom].up {
+                if trouble == FaultKind::RefuseConnections && self.sites[whom].up {
                     self.net.refuse(self.sites[whom].listener)?;
                 }
                 self.sites[whom].troubles.push((trouble, permille));
@@ -113,10 +113,13 @@
                     site.troubles.remove(at);
                 }
                 site.set_pace();
-                if trouble == Trouble::Refuse && site.up && !site.has(Trouble::Refuse, 0) {
+                if trouble == FaultKind::RefuseConnections
+                    && site.up
+                    && !site.has(FaultKind::RefuseConnections, 0)
+                {
                     self.net.accept_again(site.listener)?;
                 }
-                if trouble == Trouble::PauseServer {
+                if trouble == FaultKind::PauseServer {
                     self.at(self.now, Todo::Resume(whom));
                 }
             }
--- a/testkit/scenarios/src/world/links.rs
+++ b/testkit/scenarios/src/world/links.rs
@@ -6,7 +6,7 @@
 use badgerpost_fakes::net::ConnId;
 
 use super::stage::{Job, Peer, Sending, Todo, World};
-use crate::scene::{Far, LinkTrouble, LinkWhat};
+use crate::scene::{LinkEnd, LinkFault, LinkFaultKind};
 use badgerpost_time::{MILLISECOND, Nanos};
 
 /// What a connection has lost is sent again after this long, and after twice as long when that is lost too, as TCP
@@ -46,7 +46,7 @@
 pub(super) struct BadLink {
     pub(super) fault: usize,
     pub(super) nodes: Vec<bool>,
-    pub(super) trouble: LinkTrouble,
+    pub(super) trouble: LinkFault,
 }
 
 /// What a message meets.
@@ -59,24 +59,24 @@
 
 impl World {
     fn touches(&self, bad: &BadLink, node: usize, end: End, there: bool) -> bool {
-        let LinkTrouble {
-            far,
-            there: cut_there,
-            back,
+        let LinkFault {
+            remote,
+            outbound,
+            inbound,
             ..
         } = bad.trouble;
-        let fits = match (far, end) {
-            (Far::Clients, end) => end == End::Clients,
+        let fits = match (remote, end) {
+            (LinkEnd::Clients, end) => end == End::Clients,
             (_, End::Clients) => false,
-            (Far::All, _) => true,
-            (Far::Servers, end) => matches!(end, End::Server(_)),
-            (Far::List, end) => end == End::List,
-            (Far::Zone(zone), End::Server(server)) => self.sites[server].zone_number == zone,
-            (Far::Zone(zone), End::Node(other)) => self.nodes[other].zone_number == zone,
-            (Far::Nodes, end) => matches!(end, End::Node(_)),
-            (Far::Zone(_), End::List) => false,
+            (LinkEnd::All, _) => true,
+            (LinkEnd::Servers, end) => matches!(end, End::Server(_)),
+            (LinkEnd::Discovery, end) => end == End::List,
+            (LinkEnd::Zone(zone), End::Server(server)) => self.sites[server].zone_number == zone,
+            (LinkEnd::Zone(zone), End::Node(other)) => self.nodes[other].zone_number == zone,
+            (LinkEnd::Nodes, end) => matches!(end, End::Node(_)),
+            (LinkEnd::Zone(_), End::List) => false,
         };
-        fits && bad.nodes[node] && if there { cut_there } else { back }
+        fits && bad.nodes[node] && if there { outbound } else { inbound }
     }
 
     /// How long a message between a node and another end takes where no link does badly.
@@ -97,13 +97,13 @@
 
     /// What the bad links that a message meets add to its way, and the thousandths of it that they lose; or what the
     /// first of them that lets nothing through does.
-    fn met(&self, meets: impl Fn(&BadLink) -> bool) -> Result<(Nanos, u16), LinkWhat> {
+    fn met(&self, meets: impl Fn(&BadLink) -> bool) -> Result<(Nanos, u16), LinkFaultKind> {
         let (mut delay, mut loss) = (0, 0);
         for bad in self.bad_links.iter().filter(|bad| meets(bad)) {
-            match bad.trouble.what {
-                stops @ (LinkWhat::Cut | LinkWhat::Reset) => return Err(stops),
-                LinkWhat::Slow { by } => delay += by,
-                LinkWhat::Lossy { permille } => loss = loss.max(permille),
+            match bad.trouble.kind {
+                stops @ (LinkFaultKind::Cut | LinkFaultKind::Reset) => return Err(stops),
+                LinkFaultKind::Slow { by } => delay += by,
+                LinkFaultKind::Lossy { permille } => loss = loss.max(permille),
             }
         }
         Ok((delay, loss))
@@ -116,7 +116,7 @@
     fn way(&mut self, node: usize, end: End, there: bool) -> Way {
         let (late, loss) = match self.met(|bad| self.touches(bad, node, end, there)) {
             Ok(met) => met,
-            Err(LinkWhat::Reset) => return Way::Reset,
+            Err(LinkFaultKind::Reset) => return Way::Reset,
             Err(_) => return Way::Cut,
         };
         let mut delay = self.usual(node, end) + late;
@@ -133,7 +133,7 @@
     /// a link could reset.
     pub(super) fn datagram_way(&mut self, from: usize, to: usize) -> Option<Nanos> {
         let meets = |bad: &BadLink| {
-            bad.trouble.what != LinkWhat::Reset
+            bad.trouble.kind != LinkFaultKind::Reset
                 && (self.touches(bad, from, End::Node(to), true)
                     || self.touches(bad, to, End::Node(from), false))
         };
--- a/testkit/scenarios/src/world/servers.rs
+++ b/testkit/scenarios/src/world/servers.rs
@@ -11,7 +11,7 @@
 use super::links::Carried;
 use super::stage::{ConnectionFate, Job, Open, Peer, Sending, Todo, World, body};
 use crate::outcome::{Attempt, Ended, Scope};
-use crate::scene::{Reports, Trouble};
+use crate::scene::{FaultKind, Reports};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// A change of the list counts as told this long after discovery had it and could be reached.
@@ -123,7 +123,7 @@
         } = job;
         let request = attempt.map(|(request, _)| request);
         let lot = self.lot(attempt);
-        if self.sites[server].has(Trouble::Hang, lot) {
+        if self.sites[server].has(FaultKind::Hang, lot) {
             return;
         }
         let away = Sending {
@@ -133,7 +133,7 @@
             ended: Ended::TurnedAway,
             then: ConnectionFate::Stays,
         };
-        if self.sites[server].has(Trouble::TurnAway, lot) {
+        if self.sites[server].has(FaultKind::RejectRequests, lot) {
             self.at(now, Todo::Answer(Box::new(away)));
             return;
         }
@@ -224,7 +224,7 @@
 
     /// Answers a probe beside the queue; one to a server that is paused, or says nothing, stays unanswered.
     fn tell_load(&mut self, conn: ConnId, server: usize) {
-        let silent = self.sites[server].has(Trouble::Hang, 0);
+        let silent = self.sites[server].has(FaultKind::Hang, 0);
         if silent || self.sites[server].paused() {
             return;
         }
@@ -300,22 +300,24 @@
         let mut at = self.now;
         for trouble in site.troubles_in_order(lot) {
             match trouble {
-                Trouble::NoLength => {
+                FaultKind::CloseDelimited => {
                     sending.bytes = message::answer_without_length(200, &headers, &body);
                     sending.then = ConnectionFate::Closes;
                 }
-                Trouble::Fail => {
+                FaultKind::ServerError => {
                     (sending.bytes, sending.ended) =
                         (message::answer(500, &headers, b""), Ended::Error);
                 }
-                Trouble::Spoilt => (sending.bytes, sending.ended) = (NOISE.to_vec(), Ended::Spoilt),
-                Trouble::Reset { after } => {
+                FaultKind::InvalidResponse => {
+                    (sending.bytes, sending.ended) = (NOISE.to_vec(), Ended::Spoilt);
+                }
+                FaultKind::ResetConnection { after } => {
                     sending
                         .bytes
                         .truncate(usize::try_from(after).unwrap_or(usize::MAX));
                     (sending.ended, sending.then) = (Ended::Reset, ConnectionFate::Resets);
                 }
-                Trouble::Late { by } => at = at.saturating_add(by),
+                FaultKind::DelayResponse { by } => at = at.saturating_add(by),
                 _ => {}
             }
         }
--- a/testkit/scenarios/src/world/stage.rs
+++ b/testkit/scenarios/src/world/stage.rs
@@ -17,7 +17,7 @@
 use crate::outcome::{Ended, Request, Told};
 use crate::plan::Plan;
 use crate::rules::{self, Breach};
-use crate::scene::Trouble;
+use crate::scene::FaultKind;
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// On sockets each time limit is this much longer.
@@ -194,7 +194,7 @@
     pub(super) held: Vec<Job>,
     pub(super) wake: Option<Nanos>,
     /// With the thousandths of the requests that they strike.
-    pub(super) troubles: Vec<(Trouble, u16)>,
+    pub(super) troubles: Vec<(FaultKind, u16)>,
     pub(super) up: bool,
     pub(super) booted: Option<Nanos>,
     /// The most that it was sent while cold, as a multiple of what it could do.
@@ -207,20 +207,20 @@
 
 impl Site {
     /// Whether a request with this lot, in thousandths, meets a trouble.
-    pub(super) fn has(&self, trouble: Trouble, lot: u16) -> bool {
+    pub(super) fn has(&self, trouble: FaultKind, lot: u16) -> bool {
         self.troubles
             .iter()
             .any(|(one, permille)| *one == trouble && lot < *permille)
     }
 
     /// The troubles that strike a request with this lot, in thousandths: its form first, a reset in its midst last.
-    pub(super) fn troubles_in_order(&self, lot: u16) -> Vec<Trouble> {
-        let strikes = |one: &&(Trouble, u16)| lot < one.1;
+    pub(super) fn troubles_in_order(&self, lot: u16) -> Vec<FaultKind> {
+        let strikes = |one: &&(FaultKind, u16)| lot < one.1;
         let struck = self.troubles.iter().filter(strikes);
-        let mut troubles: Vec<Trouble> = struck.map(|one| one.0).collect();
+        let mut troubles: Vec<FaultKind> = struck.map(|one| one.0).collect();
         troubles.sort_by_key(|trouble| match trouble {
-            Trouble::NoLength => 0,
-            Trouble::Reset { .. } => 2,
+            FaultKind::CloseDelimited => 0,
+            FaultKind::ResetConnection { .. } => 2,
             _ => 1,
         });
         troubles
@@ -232,7 +232,7 @@
             .troubles
             .iter()
             .filter_map(|(trouble, _)| match trouble {
-                Trouble::Slow { percent } => Some(f64::from(*percent) / 100.0),
+                FaultKind::SlowDown { percent } => Some(f64::from(*percent) / 100.0),
                 _ => None,
             });
         let times = slow.fold(1.0, |most: f64, times| most.max(times));
@@ -240,7 +240,7 @@
     }
 
     pub(super) fn paused(&self) -> bool {
-        self.has(Trouble::PauseServer, 0)
+        self.has(FaultKind::PauseServer, 0)
     }
 }
 
