--- a/testkit/scenarios/src/commands/soak.rs
+++ b/testkit/scenarios/src/commands/soak.rs
@@ -69,7 +69,7 @@
              most in slow start: {:.2} of the capacity",
             counts.requests,
             counts.served,
-            counts.refused,
+            counts.rejected,
             counts.failed,
             counts.unanswered,
             played.cold_peak(None)
--- a/testkit/scenarios/src/commands/summary.rs
+++ b/testkit/scenarios/src/commands/summary.rs
@@ -61,7 +61,7 @@
         "{} requests: {} served, {} refused, {} failed, {} without an answer; {} attempts",
         counts.requests,
         counts.served,
-        counts.refused,
+        counts.rejected,
         counts.failed,
         counts.unanswered,
         counts.attempts
--- a/testkit/scenarios/src/fleet.rs
+++ b/testkit/scenarios/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::outcome::{Request, Told};
+use crate::outcome::{ClientResult, Request};
 use crate::plan::Plan;
 use crate::run::Played;
 use crate::scene::{FaultTarget, PlannedFault};
@@ -90,7 +90,7 @@
         nodes
             .entry(&request.node)
             .or_default()
-            .push((request.arrival, request.began_in(zone)));
+            .push((request.arrival, request.first_attempt_is_in(zone)));
     }
     let (mut left_after, mut back_after, mut stayed) = (Vec::new(), Vec::new(), 0);
     for sent in nodes.values() {
@@ -208,11 +208,9 @@
 /// seconds after it.
 fn worst_second(log: &[Request], from: Nanos, until: Nanos) -> (f64, Nanos) {
     let mut seconds: BTreeMap<Nanos, (u64, u64)> = BTreeMap::new();
-    for request in log.iter().filter(|request| request.again.is_none()) {
+    for request in log.iter().filter(|request| request.retry_of.is_none()) {
         if (from..until + 2 * SECOND).contains(&request.arrival) {
-            let served = request
-                .answer
-                .is_some_and(|answer| answer.told == Told::Served);
+            let served = request.result() == Some(ClientResult::Served);
             let second = seconds
                 .entry((request.arrival - from) / SECOND)
                 .or_default();
@@ -313,7 +311,7 @@
     };
     let counts = played.counts();
     if counts.requests > 0 {
-        let share = counts.served_share();
+        let share = counts.served_fraction();
         need(
             share >= expect.served,
             format!("served {share:.3}, wanted {:.3}", expect.served),
--- a/testkit/scenarios/src/outcome.rs
+++ b/testkit/scenarios/src/outcome.rs
@@ -1,27 +1,29 @@
-//! The outcome log: one line a client's request, in JSON, sorted by arrival. Times are nanoseconds since the
-//! scene began; all that the rule checkers need stands in it.
+//! The outcome log: one line of JSON for each client request, sorted by arrival. Times are nanoseconds from the start of
+//! the scenario. The log holds everything that the rule checkers need.
 
 use serde::{Deserialize, Serialize};
 
 use badgerpost_time::Nanos;
 
-/// Whether a request may take effect twice.
+/// Whether a request may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Effect {
-    /// It may.
-    Safe,
-    /// It carries a key, and the servers of its group drop repeats for a while.
+pub enum Idempotency {
+    /// It may be executed any number of times.
+    #[serde(rename = "safe")]
+    Idempotent,
+    /// It carries an idempotency key, and the servers of its scope drop repeats for a while.
     Keyed,
-    /// It must not.
-    Unsafe,
+    /// It must not be executed twice.
+    #[serde(rename = "unsafe")]
+    NonIdempotent,
 }
 
 /// The servers that drop repeats of one another's keyed requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Scope {
-    /// All.
+pub enum DedupScope {
+    /// All servers.
     All,
     /// Those of one zone.
     Zone,
@@ -29,129 +31,156 @@
     Cell,
 }
 
-/// How an attempt ended, as its server knows it.
+/// How an attempt ended, as its server saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ended {
-    /// A good answer was written.
+pub enum AttemptOutcome {
+    /// A valid response was written.
     Served,
-    /// A 500 was written; it ran.
-    Error,
-    /// Turned away unread.
-    TurnedAway,
-    /// Its connection was reset from here.
-    Reset,
-    /// What was written is no answer.
-    Spoilt,
-    /// The node gave it up, or ended, before there was an answer.
+    /// A 500 was written after the request had been executed.
+    #[serde(rename = "error")]
+    ServerError,
+    /// The server rejected the request without executing it.
+    #[serde(rename = "turned-away")]
+    Rejected,
+    /// The server reset the connection.
+    #[serde(rename = "reset")]
+    ConnectionReset,
+    /// What was written is not a valid response.
+    #[serde(rename = "spoilt")]
+    InvalidResponse,
+    /// The node cancelled the attempt, or ended, before there was a response.
     Abandoned,
-    /// Nothing was ever said.
-    Open,
+    /// Nothing was ever written.
+    #[serde(rename = "open")]
+    Unfinished,
 }
 
-/// One attempt: a request that came whole to a server.
+/// One attempt: a request that reached a server complete.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The server.
+    /// The server's name.
     pub server: String,
-    /// Its zone.
+    /// The server's zone.
     pub zone: String,
-    /// Its cell.
+    /// The server's cell.
     pub cell: u64,
-    /// When it came.
+    /// When the request was complete at the server.
     pub start: Nanos,
-    /// When it ended, unless it never did.
+    /// When the attempt ended; none if it never did.
     pub end: Option<Nanos>,
-    /// How.
-    pub ended: Ended,
-    /// Whether it was begun there.
-    pub ran: bool,
-    /// For how long the node had been told by then that the server drains or is gone.
-    pub told_for: Option<Nanos>,
-    /// Whether it was the one that pushed a cold server over.
-    pub felled: bool,
-    /// Whether its answer had no length and came complete.
+    /// How it ended.
+    #[serde(rename = "ended")]
+    pub outcome: AttemptOutcome,
+    /// Whether the server began to execute the request.
+    #[serde(rename = "ran")]
+    pub executed: bool,
+    /// How long before this attempt the node had been notified that the server drains or is gone.
+    #[serde(rename = "told_for")]
+    pub drain_known_for: Option<Nanos>,
+    /// Whether this attempt overloaded a server in slow start.
+    #[serde(rename = "felled")]
+    pub caused_overload: bool,
+    /// Whether its response had no length and was complete.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub without_length: bool,
-    /// By how much the deadline that it was told is beyond what its client had left, where it is.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub overstated: Option<Nanos>,
+    /// By how much the deadline sent to the server exceeds the time that the client had left, where it does.
+    #[serde(
+        rename = "overstated",
+        default,
+        skip_serializing_if = "Option::is_none"
+    )]
+    pub deadline_excess: Option<Nanos>,
 }
 
 impl Attempt {
-    /// Whether the node has to reckon with its having run: all but what was turned away.
-    pub fn may_have_run(&self) -> bool {
-        self.ended != Ended::TurnedAway
+    /// Whether the node has to assume that the request was executed: always, unless the server rejected it.
+    pub fn may_have_executed(&self) -> bool {
+        self.outcome != AttemptOutcome::Rejected
     }
 }
 
-/// What a client was told.
+/// The result of a request as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Told {
-    /// Served.
+pub enum ClientResult {
+    /// The request was served.
     Served,
-    /// Refused: trying again is harmless.
-    Refused,
-    /// Failed.
+    /// The request was rejected; a retry is harmless.
+    #[serde(rename = "refused")]
+    Rejected,
+    /// The request failed; it may have been executed.
     Failed,
 }
 
-/// The one final answer.
+/// The final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
-    /// When its last byte came.
+pub struct FinalResponse {
+    /// When its last byte arrived.
     pub at: Nanos,
-    /// What it said.
-    pub told: Told,
-    /// Its status.
+    /// The result that it reports.
+    #[serde(rename = "told")]
+    pub result: ClientResult,
+    /// Its status code.
     pub status: u16,
-    /// Whether one of the request's own attempts made its body, where it was served.
-    pub own: bool,
+    /// Whether its body, if the request was served, was written in one of the request's own attempts.
+    #[serde(rename = "own")]
+    pub is_from_own_attempt: bool,
 }
 
-/// One client's request.
+/// One request of a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
     /// Its id.
     pub id: String,
-    /// The request that it tries again.
-    pub again: Option<String>,
-    /// Its class.
+    /// The id of the request that it retries.
+    #[serde(rename = "again")]
+    pub retry_of: Option<String>,
+    /// The name of its class.
     pub class: String,
-    /// Whether it may take effect twice.
-    pub effect: Effect,
-    /// Who drops its repeats, and for how long.
-    pub dedup: Option<(Scope, Nanos)>,
-    /// The node that it went to.
+    /// Whether it may take effect more than once.
+    #[serde(rename = "effect")]
+    pub idempotency: Idempotency,
+    /// Which servers drop its repeats, and for how long.
+    pub dedup: Option<(DedupScope, Nanos)>,
+    /// The node that it was sent to.
     pub node: String,
     /// When its last byte was written to the node.
     pub arrival: Nanos,
     /// How long its client waits.
-    pub budget: Nanos,
-    /// Its attempts, in the order in which they came to servers.
+    #[serde(rename = "budget")]
+    pub timeout: Nanos,
+    /// Its attempts, in the order in which they reached servers.
     pub attempts: Vec<Attempt>,
-    /// The final answer.
-    pub answer: Option<Answer>,
-    /// When its client closed the connection, if it left early.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub left: Option<Nanos>,
-    /// Bytes that came behind the answer.
-    pub surplus: u64,
-    /// The node was killed, stopped or paused while it was open, or could not be reached: nothing is owed.
-    pub excused: bool,
+    /// The final response.
+    #[serde(rename = "answer")]
+    pub response: Option<FinalResponse>,
+    /// When its client closed the connection, if it did so before the response.
+    #[serde(rename = "left", default, skip_serializing_if = "Option::is_none")]
+    pub client_left_at: Option<Nanos>,
+    /// Bytes that followed the response.
+    #[serde(rename = "surplus")]
+    pub surplus_bytes: u64,
+    /// Whether no response is owed: the node was killed, stopped, paused or unreachable while the request was open.
+    #[serde(rename = "excused")]
+    pub is_excused: bool,
 }
 
 impl Request {
     /// Whether its first attempt went to this zone.
-    pub fn began_in(&self, zone: &str) -> bool {
+    pub fn first_attempt_is_in(&self, zone: &str) -> bool {
         self.attempts
             .first()
             .is_some_and(|first| first.zone == zone)
     }
+
+    /// The result that its client got, if there was a response.
+    pub fn result(&self) -> Option<ClientResult> {
+        self.response.map(|response| response.result)
+    }
 }
 
-/// The log as it stands in a file.
+/// Writes a log as it stands in a file.
 pub fn write(log: &[Request]) -> Result<String, serde_json::Error> {
     log.iter()
         .map(|request| serde_json::to_string(request).map(|line| line + "\n"))
@@ -163,38 +192,38 @@
 pub struct Counts {
     /// All requests.
     pub requests: usize,
-    /// Served ones.
+    /// Requests that were served.
     pub served: usize,
-    /// Refused ones.
-    pub refused: usize,
-    /// Failed ones.
+    /// Requests that were rejected.
+    pub rejected: usize,
+    /// Requests that failed.
     pub failed: usize,
-    /// Ones with no answer.
+    /// Requests without a final response.
     pub unanswered: usize,
-    /// All attempts.
+    /// Attempts of all requests.
     pub attempts: usize,
 }
 
 impl Counts {
     /// Counts a log.
     pub fn of(log: &[Request]) -> Self {
-        let told = |what: Option<Told>| {
+        let with_result = |result: Option<ClientResult>| {
             log.iter()
-                .filter(|request| request.answer.map(|answer| answer.told) == what)
+                .filter(|request| request.result() == result)
                 .count()
         };
         Self {
             requests: log.len(),
-            served: told(Some(Told::Served)),
-            refused: told(Some(Told::Refused)),
-            failed: told(Some(Told::Failed)),
-            unanswered: told(None),
+            served: with_result(Some(ClientResult::Served)),
+            rejected: with_result(Some(ClientResult::Rejected)),
+            failed: with_result(Some(ClientResult::Failed)),
+            unanswered: with_result(None),
             attempts: log.iter().map(|request| request.attempts.len()).sum(),
         }
     }
 
-    /// Share of the requests that were served.
-    pub fn served_share(&self) -> f64 {
+    /// Fraction of the requests that were served.
+    pub fn served_fraction(&self) -> f64 {
         self.served as f64 / self.requests.max(1) as f64
     }
 }
--- a/testkit/scenarios/src/plot.rs
+++ b/testkit/scenarios/src/plot.rs
@@ -7,7 +7,7 @@
 use plotters::prelude::*;
 
 use crate::fleet;
-use crate::outcome::{Request, Told};
+use crate::outcome::{ClientResult, Request};
 use crate::plan::Plan;
 use badgerpost_time::{MILLISECOND, Nanos};
 
@@ -36,7 +36,10 @@
     let mut senders: BTreeMap<String, BTreeMap<Nanos, BTreeSet<&str>>> = BTreeMap::new();
     for trouble in fleet::troubles(plan) {
         let steps = senders.entry(format!("to {}", trouble.zone)).or_default();
-        for one in log.iter().filter(|one| one.began_in(&trouble.zone)) {
+        for one in log
+            .iter()
+            .filter(|one| one.first_attempt_is_in(&trouble.zone))
+        {
             steps
                 .entry(one.arrival / STEP)
                 .or_default()
@@ -60,14 +63,14 @@
 pub fn draw(plan: &Plan, log: &[Request], file: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let end = log
         .iter()
-        .map(|request| request.arrival + request.budget)
+        .map(|request| request.arrival + request.timeout)
         .max()
         .unwrap_or(1_000_000_000);
     let outcomes = rates(log.iter().map(|request| {
-        let name = match request.answer.map(|answer| answer.told) {
-            Some(Told::Served) => "served",
-            Some(Told::Refused) => "refused",
-            Some(Told::Failed) => "failed",
+        let name = match request.result() {
+            Some(ClientResult::Served) => "served",
+            Some(ClientResult::Rejected) => "refused",
+            Some(ClientResult::Failed) => "failed",
             None => "no answer",
         };
         (name.to_owned(), request.arrival)
--- a/testkit/scenarios/src/process.rs
+++ b/testkit/scenarios/src/process.rs
@@ -422,12 +422,12 @@
         .class
         .iter()
         .map(|class| {
-            let effect = match class.effect {
-                outcome::Effect::Safe => "repeatable",
-                outcome::Effect::Keyed => "by_key",
-                outcome::Effect::Unsafe => "once",
+            let effect = match class.idempotency {
+                outcome::Idempotency::Idempotent => "repeatable",
+                outcome::Idempotency::Keyed => "by_key",
+                outcome::Idempotency::NonIdempotent => "once",
             };
-            json!({"name": class.name.get_ref(), "effect": effect, "key-scope": class.scope,
+            json!({"name": class.name.get_ref(), "effect": effect, "key-scope": class.dedup_scope,
                 "window-ns": class.window_ms * MILLISECOND, "on-time-ns": class.aim_ms * MILLISECOND,
                 "deadline-ns": class.deadline_ms.get_ref() * MILLISECOND})
         })
--- a/testkit/scenarios/src/rules.rs
+++ b/testkit/scenarios/src/rules.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::outcome::{Attempt, Effect, Request, Scope, Told};
+use crate::outcome::{Attempt, ClientResult, DedupScope, Idempotency, Request};
 use badgerpost_time::Nanos;
 
 /// One of the four rules.
@@ -91,27 +91,27 @@
 
 /// What a request did not keep of the first rule.
 fn one_answer(request: &Request, figures: &Figures) -> Option<String> {
-    if request.surplus > 0 {
+    if request.surplus_bytes > 0 {
         return Some(format!(
             "{} bytes came behind its final answer",
-            request.surplus
+            request.surplus_bytes
         ));
     }
     // A node that was paused can't know how long.
-    if !request.excused {
+    if !request.is_excused {
         let sent = told_too_long(request, figures).or_else(|| sent_for_nobody(request, figures));
         if sent.is_some() {
             return sent;
         }
     }
-    let due = request.arrival + request.budget + figures.answer_slack;
-    match &request.answer {
-        None if request.excused || request.left.is_some() => None,
+    let due = request.arrival + request.timeout + figures.answer_slack;
+    match &request.response {
+        None if request.is_excused || request.client_left_at.is_some() => None,
         None => Some("it had no final answer".to_owned()),
-        Some(answer) if answer.told == Told::Served && !answer.own => {
+        Some(answer) if answer.result == ClientResult::Served && !answer.is_from_own_attempt => {
             Some("it was served with what no server made for it".to_owned())
         }
-        Some(answer) if answer.at > due && !request.excused => Some(format!(
+        Some(answer) if answer.at > due && !request.is_excused => Some(format!(
             "its answer came {} ms after its client had gone",
             ms(answer.at - due)
         )),
@@ -129,7 +129,7 @@
 fn told_too_long(request: &Request, figures: &Figures) -> Option<String> {
     request.attempts.iter().find_map(|attempt| {
         let over = attempt
-            .overstated
+            .deadline_excess
             .filter(|over| *over > figures.deadline_slack)?;
         Some(format!(
             "{} was told of {} ms more than its client had left",
@@ -141,7 +141,7 @@
 
 /// An attempt began when its client had left.
 fn sent_for_nobody(request: &Request, figures: &Figures) -> Option<String> {
-    let left = request.left?;
+    let left = request.client_left_at?;
     let late = request
         .attempts
         .iter()
@@ -155,18 +155,18 @@
 
 /// What a request did not keep of the second rule.
 fn no_effect_twice(request: &Request) -> Option<String> {
-    let ran = |attempt: &&Attempt| attempt.may_have_run();
+    let ran = |attempt: &&Attempt| attempt.may_have_executed();
     for (number, attempt) in request.attempts.iter().enumerate() {
         let Some(first) = request.attempts[..number].iter().find(ran) else {
             continue;
         };
-        let allowed = match (request.effect, request.dedup) {
-            (Effect::Safe, _) => true,
-            (Effect::Keyed, Some((scope, window))) => {
+        let allowed = match (request.idempotency, request.dedup) {
+            (Idempotency::Idempotent, _) => true,
+            (Idempotency::Keyed, Some((scope, window))) => {
                 in_group(scope, first, attempt)
                     && attempt.start.saturating_sub(first.start) < window
             }
-            (Effect::Keyed, None) | (Effect::Unsafe, _) => false,
+            (Idempotency::Keyed, None) | (Idempotency::NonIdempotent, _) => false,
         };
         if !allowed {
             return Some(format!(
@@ -175,13 +175,11 @@
             ));
         }
     }
-    let refused = request
-        .answer
-        .is_some_and(|answer| answer.told == Told::Refused);
+    let refused = request.result() == Some(ClientResult::Rejected);
     // Wherever the client's next try goes, its repeat is dropped there.
-    let harmless = match (request.effect, request.dedup) {
-        (Effect::Safe, _) | (Effect::Keyed, Some((Scope::All, _))) => true,
-        (Effect::Keyed | Effect::Unsafe, _) => false,
+    let harmless = match (request.idempotency, request.dedup) {
+        (Idempotency::Idempotent, _) | (Idempotency::Keyed, Some((DedupScope::All, _))) => true,
+        (Idempotency::Keyed | Idempotency::NonIdempotent, _) => false,
     };
     let first = request
         .attempts
@@ -194,18 +192,18 @@
     ))
 }
 
-fn in_group(scope: Scope, first: &Attempt, next: &Attempt) -> bool {
+fn in_group(scope: DedupScope, first: &Attempt, next: &Attempt) -> bool {
     match scope {
-        Scope::All => true,
-        Scope::Zone => first.zone == next.zone,
-        Scope::Cell => first.cell == next.cell,
+        DedupScope::All => true,
+        DedupScope::Zone => first.zone == next.zone,
+        DedupScope::Cell => first.cell == next.cell,
     }
 }
 
 fn drains_kept(request: &Request, figures: &Figures) -> Option<String> {
     request.attempts.iter().find_map(|attempt| {
         let late = attempt
-            .told_for
+            .drain_known_for
             .filter(|told| *told > figures.drain_grace)?;
         Some(format!(
             "it came to {} {} ms after its node was told that this drains",
@@ -216,7 +214,10 @@
 }
 
 fn cold_spared(request: &Request) -> Option<String> {
-    let felled = request.attempts.iter().find(|attempt| attempt.felled)?;
+    let felled = request
+        .attempts
+        .iter()
+        .find(|attempt| attempt.caused_overload)?;
     Some(format!("it pushed {} over, which was cold", felled.server))
 }
 
--- a/testkit/scenarios/src/rules/tests.rs
+++ b/testkit/scenarios/src/rules/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::outcome::{Answer, Ended};
+use crate::outcome::{AttemptOutcome, FinalResponse};
 use badgerpost_time::{MILLISECOND, SECOND};
 
 const FIGURES: Figures = Figures {
@@ -9,42 +9,46 @@
     deadline_slack: 200 * MILLISECOND,
 };
 
-fn attempt(server: &str, start: Nanos, ended: Ended) -> Attempt {
+fn attempt(server: &str, start: Nanos, outcome: AttemptOutcome) -> Attempt {
     Attempt {
         server: server.to_owned(),
         zone: server[..1].to_owned(),
         cell: 0,
         start,
         end: Some(start + MILLISECOND),
-        ended,
-        ran: true,
-        told_for: None,
-        felled: false,
+        outcome,
+        executed: true,
+        drain_known_for: None,
+        caused_overload: false,
         without_length: false,
-        overstated: None,
+        deadline_excess: None,
     }
 }
 
-fn request(effect: Effect, attempts: Vec<Attempt>, told: Option<Told>) -> Request {
+fn request(
+    idempotency: Idempotency,
+    attempts: Vec<Attempt>,
+    result: Option<ClientResult>,
+) -> Request {
     Request {
         id: "r".to_owned(),
-        again: None,
+        retry_of: None,
         class: "c".to_owned(),
-        effect,
-        dedup: (effect == Effect::Keyed).then_some((Scope::Zone, 2 * SECOND)),
+        idempotency,
+        dedup: (idempotency == Idempotency::Keyed).then_some((DedupScope::Zone, 2 * SECOND)),
         node: "n".to_owned(),
         arrival: 0,
-        budget: 500 * MILLISECOND,
+        timeout: 500 * MILLISECOND,
         attempts,
-        answer: told.map(|told| Answer {
+        response: result.map(|result| FinalResponse {
             at: 100 * MILLISECOND,
-            told,
+            result,
             status: 200,
-            own: true,
+            is_from_own_attempt: true,
         }),
-        left: None,
-        surplus: 0,
-        excused: false,
+        client_left_at: None,
+        surplus_bytes: 0,
+        is_excused: false,
     }
 }
 
@@ -58,9 +62,9 @@
 #[test]
 fn one_answer_in_time_and_nothing_behind_it() {
     let good = request(
-        Effect::Safe,
-        vec![attempt("a1", MILLISECOND, Ended::Served)],
-        Some(Told::Served),
+        Idempotency::Idempotent,
+        vec![attempt("a1", MILLISECOND, AttemptOutcome::Served)],
+        Some(ClientResult::Served),
     );
     assert_eq!(broken(&good), []);
     let one = [Rule::OneAnswer];
@@ -69,135 +73,152 @@
         change(&mut request);
         broken(&request)
     };
-    assert_eq!(with(&|r| r.answer = None), one);
-    assert_eq!(with(&|r| r.surplus = 3), one);
+    assert_eq!(with(&|r| r.response = None), one);
+    assert_eq!(with(&|r| r.surplus_bytes = 3), one);
     assert_eq!(
-        with(&|r| r.answer.iter_mut().for_each(|a| a.at = 571 * MILLISECOND)),
+        with(&|r| r.response.iter_mut().for_each(|a| a.at = 571 * MILLISECOND)),
         one
     );
     assert_eq!(
-        with(&|r| r.answer.iter_mut().for_each(|a| a.at = 570 * MILLISECOND)),
+        with(&|r| r.response.iter_mut().for_each(|a| a.at = 570 * MILLISECOND)),
         []
     );
     assert_eq!(
-        with(&|r| r.answer.iter_mut().for_each(|a| a.own = false)),
+        with(&|r| r
+            .response
+            .iter_mut()
+            .for_each(|a| a.is_from_own_attempt = false)),
         one
     );
     assert_eq!(
         with(&|r| r
             .attempts
-            .push(attempt("a2", 101 * MILLISECOND, Ended::Served))),
+            .push(attempt("a2", 101 * MILLISECOND, AttemptOutcome::Served))),
         one
     );
     // A node that was killed owes nothing; what came behind an answer is wrong all the same.
-    assert_eq!(with(&|r| (r.answer, r.excused) = (None, true)), []);
-    assert_eq!(with(&|r| (r.surplus, r.excused) = (1, true)), one);
+    assert_eq!(with(&|r| (r.response, r.is_excused) = (None, true)), []);
+    assert_eq!(with(&|r| (r.surplus_bytes, r.is_excused) = (1, true)), one);
 }
 
 /// Two attempts, the first one of which ended so: where may the second go?
 #[test]
 fn no_effect_twice_by_effect_group_and_window() {
+    use crate::outcome::Idempotency::{Idempotent, Keyed, NonIdempotent};
     let two = [Rule::NoEffectTwice];
-    let again = |effect, first, second: &str, after| {
+    let again = |idempotency, first, second: &str, after| {
         let attempts = vec![
             attempt("a1", 0, first),
-            attempt(second, after, Ended::Served),
+            attempt(second, after, AttemptOutcome::Served),
         ];
-        let mut request = request(effect, attempts, Some(Told::Served));
+        let mut request = request(idempotency, attempts, Some(ClientResult::Served));
         request
-            .answer
+            .response
             .iter_mut()
             .for_each(|answer| answer.at = 4 * SECOND);
-        request.budget = 5 * SECOND;
+        request.timeout = 5 * SECOND;
         broken(&request)
     };
     for first in [
-        Ended::Served,
-        Ended::Error,
-        Ended::Reset,
-        Ended::Spoilt,
-        Ended::Abandoned,
-        Ended::Open,
+        AttemptOutcome::Served,
+        AttemptOutcome::ServerError,
+        AttemptOutcome::ConnectionReset,
+        AttemptOutcome::InvalidResponse,
+        AttemptOutcome::Abandoned,
+        AttemptOutcome::Unfinished,
     ] {
         assert_eq!(
-            again(Effect::Unsafe, first, "a2", MILLISECOND),
+            again(NonIdempotent, first, "a2", MILLISECOND),
             two,
             "{first:?}"
         );
-        assert_eq!(
-            again(Effect::Keyed, first, "b1", MILLISECOND),
-            two,
-            "{first:?}"
-        );
-        assert_eq!(
-            again(Effect::Keyed, first, "a2", 2 * SECOND),
-            two,
-            "{first:?}"
-        );
-        assert_eq!(
-            again(Effect::Keyed, first, "a2", 2 * SECOND - 1),
-            [],
-            "{first:?}"
-        );
-        assert_eq!(
-            again(Effect::Safe, first, "b1", 3 * SECOND),
-            [],
-            "{first:?}"
-        );
+        assert_eq!(again(Keyed, first, "b1", MILLISECOND), two, "{first:?}");
+        assert_eq!(again(Keyed, first, "a2", 2 * SECOND), two, "{first:?}");
+        assert_eq!(again(Keyed, first, "a2", 2 * SECOND - 1), [], "{first:?}");
+        assert_eq!(again(Idempotent, first, "b1", 3 * SECOND), [], "{first:?}");
     }
     assert_eq!(
-        again(Effect::Unsafe, Ended::TurnedAway, "b1", MILLISECOND),
-        []
-    );
-    assert_eq!(
-        again(Effect::Keyed, Ended::TurnedAway, "b1", 3 * SECOND),
+        again(NonIdempotent, AttemptOutcome::Rejected, "b1", MILLISECOND),
         []
     );
+    assert_eq!(again(Keyed, AttemptOutcome::Rejected, "b1", 3 * SECOND), []);
 }
 
 #[test]
 fn a_refusal_promises_that_nothing_ran() {
     let refused = |effect, ended| {
-        let mut request = request(effect, vec![attempt("a1", 0, ended)], Some(Told::Refused));
-        request.attempts[0].ran = false;
+        let mut request = request(
+            effect,
+            vec![attempt("a1", 0, ended)],
+            Some(ClientResult::Rejected),
+        );
+        request.attempts[0].executed = false;
         broken(&request)
     };
-    assert_eq!(refused(Effect::Unsafe, Ended::Reset), [Rule::NoEffectTwice]);
-    assert_eq!(refused(Effect::Keyed, Ended::Open), [Rule::NoEffectTwice]);
-    assert_eq!(refused(Effect::Unsafe, Ended::TurnedAway), []);
-    assert_eq!(refused(Effect::Safe, Ended::Reset), []);
+    assert_eq!(
+        refused(Idempotency::NonIdempotent, AttemptOutcome::ConnectionReset),
+        [Rule::NoEffectTwice]
+    );
+    assert_eq!(
+        refused(Idempotency::Keyed, AttemptOutcome::Unfinished),
+        [Rule::NoEffectTwice]
+    );
+    assert_eq!(
+        refused(Idempotency::NonIdempotent, AttemptOutcome::Rejected),
+        []
+    );
+    assert_eq!(
+        refused(Idempotency::Idempotent, AttemptOutcome::ConnectionReset),
+        []
+    );
     let mut anywhere = request(
-        Effect::Keyed,
-        vec![attempt("a1", 0, Ended::Reset)],
-        Some(Told::Refused),
+        Idempotency::Keyed,
+        vec![attempt("a1", 0, AttemptOutcome::ConnectionReset)],
+        Some(ClientResult::Rejected),
     );
-    anywhere.dedup = Some((Scope::All, SECOND));
+    anywhere.dedup = Some((DedupScope::All, SECOND));
     assert_eq!(broken(&anywhere), []);
 }
 
 #[test]
 fn drains_and_cold_servers() {
-    let mut late = attempt("a1", MILLISECOND, Ended::Served);
-    late.told_for = Some(550 * MILLISECOND);
-    let in_time = request(Effect::Safe, vec![late.clone()], Some(Told::Served));
+    let mut late = attempt("a1", MILLISECOND, AttemptOutcome::Served);
+    late.drain_known_for = Some(550 * MILLISECOND);
+    let in_time = request(
+        Idempotency::Idempotent,
+        vec![late.clone()],
+        Some(ClientResult::Served),
+    );
     assert_eq!(broken(&in_time), []);
-    late.told_for = Some(551 * MILLISECOND);
+    late.drain_known_for = Some(551 * MILLISECOND);
     assert_eq!(
-        broken(&request(Effect::Safe, vec![late], Some(Told::Served))),
+        broken(&request(
+            Idempotency::Idempotent,
+            vec![late],
+            Some(ClientResult::Served)
+        )),
         [Rule::DrainsKept]
     );
-    let mut last = attempt("a1", MILLISECOND, Ended::Reset);
-    last.felled = true;
+    let mut last = attempt("a1", MILLISECOND, AttemptOutcome::ConnectionReset);
+    last.caused_overload = true;
     assert_eq!(
-        broken(&request(Effect::Safe, vec![last], Some(Told::Served))),
+        broken(&request(
+            Idempotency::Idempotent,
+            vec![last],
+            Some(ClientResult::Served)
+        )),
         [Rule::ColdSpared]
     );
 }
 
 #[test]
 fn a_breach_names_its_line() {
-    let good = request(Effect::Safe, vec![], Some(Told::Refused));
-    let bad = request(Effect::Safe, vec![], None);
+    let good = request(
+        Idempotency::Idempotent,
+        vec![],
+        Some(ClientResult::Rejected),
+    );
+    let bad = request(Idempotency::Idempotent, vec![], None);
     let breaches = check(&[good.clone(), bad, good], &FIGURES);
     assert_eq!(breaches.len(), 1);
     assert_eq!(
@@ -210,11 +231,11 @@
 fn no_attempt_begins_for_a_client_that_has_left() {
     let with = |left: Nanos, start: Nanos| {
         let mut request = request(
-            Effect::Safe,
-            vec![attempt("a1", start, Ended::Served)],
+            Idempotency::Idempotent,
+            vec![attempt("a1", start, AttemptOutcome::Served)],
             None,
         );
-        request.left = Some(left);
+        request.client_left_at = Some(left);
         broken(&request)
     };
     assert_eq!(
@@ -232,9 +253,13 @@
 #[test]
 fn a_server_is_told_of_what_the_client_has_left_at_most() {
     let with = |over: Option<Nanos>| {
-        let mut attempt = attempt("a1", MILLISECOND, Ended::Served);
-        attempt.overstated = over;
-        broken(&request(Effect::Safe, vec![attempt], Some(Told::Served)))
+        let mut attempt = attempt("a1", MILLISECOND, AttemptOutcome::Served);
+        attempt.deadline_excess = over;
+        broken(&request(
+            Idempotency::Idempotent,
+            vec![attempt],
+            Some(ClientResult::Served),
+        ))
     };
     assert_eq!(with(None), []);
     assert_eq!(with(Some(200 * MILLISECOND)), []);
--- a/testkit/scenarios/src/scene.rs
+++ b/testkit/scenarios/src/scene.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::outcome::{Effect, Scope};
+use crate::outcome::{DedupScope, Idempotency};
 use badgerpost_time::MILLISECOND;
 pub use groups::{NodeGroup, ServerGroup};
 use trouble::FaultScope;
@@ -195,10 +195,11 @@
     /// Its name.
     pub name: Spanned<String>,
     /// Whether its requests may take effect twice.
-    pub effect: Effect,
+    #[serde(rename = "effect")]
+    pub idempotency: Idempotency,
     /// Which servers drop repeats of keyed ones ...
-    #[serde(default = "zone")]
-    pub scope: Scope,
+    #[serde(rename = "scope", default = "zone")]
+    pub dedup_scope: DedupScope,
     /// ... and for how long.
     #[serde(default = "window")]
     pub window_ms: u64,
@@ -212,8 +213,8 @@
     pub deadline_ms: Spanned<u64>,
 }
 
-fn zone() -> Scope {
-    Scope::Zone
+fn zone() -> DedupScope {
+    DedupScope::Zone
 }
 
 fn window() -> u64 {
--- a/testkit/scenarios/src/sweep.rs
+++ b/testkit/scenarios/src/sweep.rs
@@ -69,7 +69,7 @@
     let trouble = fleet::troubles(&plan).into_iter().next();
     Ok(Row {
         seed,
-        served: played.counts().served_share(),
+        served: played.counts().served_fraction(),
         broken: played.breaches.len() + usize::from(played.strangers > 0),
         conduct: trouble.map(|trouble| fleet::conduct(&played.log, &trouble)),
         cold: played.cold_peak(None),
--- a/testkit/scenarios/src/world.rs
+++ b/testkit/scenarios/src/world.rs
@@ -21,7 +21,7 @@
 use badgerpost_fakes::random::Random;
 use badgerpost_fakes::server::{Choke, Figures, Server};
 
-use crate::outcome::Ended;
+use crate::outcome::AttemptOutcome;
 use crate::plan::Plan;
 use crate::scene::{PlannedFault, Scene};
 use badgerpost_time::{MILLISECOND, Nanos};
@@ -283,7 +283,9 @@
 
     fn ended(&mut self, conn: ConnId) {
         match self.forget(conn) {
-            Some(Peer::Server { attempt, .. }) => self.attempt_ends(attempt, Ended::Abandoned),
+            Some(Peer::Server { attempt, .. }) => {
+                self.attempt_ends(attempt, AttemptOutcome::Abandoned);
+            }
             Some(Peer::Client {
                 node, open, last, ..
             }) => {
--- a/testkit/scenarios/src/world/clients.rs
+++ b/testkit/scenarios/src/world/clients.rs
@@ -9,7 +9,7 @@
 use super::links::Carried;
 use super::stage::{Open, Peer, SOCKETS, Todo, World, body};
 use crate::LATE_ANSWER;
-use crate::outcome::{Answer, Effect, Ended, Request, Told};
+use crate::outcome::{AttemptOutcome, ClientResult, FinalResponse, Idempotency, Request};
 use badgerpost_time::{MILLISECOND, Nanos};
 
 /// Clients listen for this long past the time that an answer still counts: what comes too late is to be seen.
@@ -25,8 +25,8 @@
             0 => format!("{:016x}", plan.number),
             tries => format!("{:016x}-{tries}", plan.number),
         };
-        let dedup =
-            (class.effect == Effect::Keyed).then_some((class.scope, class.window_ms * MILLISECOND));
+        let dedup = (class.idempotency == Idempotency::Keyed)
+            .then_some((class.dedup_scope, class.window_ms * MILLISECOND));
         // The system before the nodes has noticed by now which of them are down.
         let count = self.nodes.len();
         let up = (0..count)
@@ -35,18 +35,18 @@
         let node = up.unwrap_or(plan.node);
         let log = Request {
             id: id.clone(),
-            again: of.map(|of| self.requests[of].log.id.clone()),
+            retry_of: of.map(|of| self.requests[of].log.id.clone()),
             class: class.name.get_ref().clone(),
-            effect: class.effect,
+            idempotency: class.idempotency,
             dedup,
             node: self.nodes[node].name.clone(),
             arrival: self.now,
-            budget: class.deadline_ms.get_ref() * MILLISECOND,
+            timeout: class.deadline_ms.get_ref() * MILLISECOND,
             attempts: Vec::new(),
-            answer: None,
-            left: None,
-            surplus: 0,
-            excused: self.nodes[node].paused,
+            response: None,
+            client_left_at: None,
+            surplus_bytes: 0,
+            is_excused: self.nodes[node].paused,
         };
         let key = format!("{:x}-{:08x}", self.plan.seed, plan.number);
         let number = self.requests.len();
@@ -56,7 +56,7 @@
             true => LATE_ANSWER,
             false => rules.answer_slack_ms * MILLISECOND + SOCKETS,
         };
-        let due = self.now + log.budget + slack + LISTENS_ON;
+        let due = self.now + log.timeout + slack + LISTENS_ON;
         self.requests.push(Open {
             log,
             arrival,
@@ -70,7 +70,7 @@
         self.at(due, Todo::Due(number));
         self.plan_to_leave(number);
         if up.is_none() {
-            self.requests[number].log.excused = true;
+            self.requests[number].log.is_excused = true;
             self.finish(number, true);
             return None;
         }
@@ -97,7 +97,7 @@
                     .and_then(|at| self.net.connect(at).ok());
                 let Some(conn) = connected else {
                     // Nobody listens there any more: nothing was taken.
-                    self.requests[number].log.excused = true;
+                    self.requests[number].log.is_excused = true;
                     self.finish(number, true);
                     return None;
                 };
@@ -119,17 +119,17 @@
         let Open {
             log, key, tries, ..
         } = &self.requests[number];
-        let effect = match log.effect {
-            Effect::Safe => client::Effect::Safe,
-            Effect::Keyed => client::Effect::Keyed,
-            Effect::Unsafe => client::Effect::Unsafe,
+        let effect = match log.idempotency {
+            Idempotency::Idempotent => client::Effect::Safe,
+            Idempotency::Keyed => client::Effect::Keyed,
+            Idempotency::NonIdempotent => client::Effect::Unsafe,
         };
         let ask = Ask {
             id: &log.id,
             class: &log.class,
             effect,
             key,
-            budget: log.budget,
+            budget: log.timeout,
             again: *tries > 0,
         };
         let mut bytes = ask.bytes();
@@ -183,7 +183,7 @@
             let surplus = u64::from(inbox.begun() && open.is_empty());
             if surplus > 0 {
                 last.iter()
-                    .for_each(|last| self.requests[*last].log.surplus += surplus);
+                    .for_each(|last| self.requests[*last].log.surplus_bytes += surplus);
                 self.drop_client(conn, node);
             }
             return false;
@@ -230,7 +230,7 @@
         let behind: Vec<usize> = open.iter().copied().collect();
         let surplus = u64::from(inbox.begun() && behind.is_empty());
         let told = self.answered(request, answer, self.now);
-        self.requests[request].log.surplus += surplus;
+        self.requests[request].log.surplus_bytes += surplus;
         if answer.closes() || surplus > 0 {
             self.drop_client(conn, node);
             // It says that nothing more follows: whoever waits behind it has not been read, or is lost.
@@ -244,7 +244,7 @@
                 self.nodes[node].idle.push(conn);
             }
         }
-        self.finish(request, told != Told::Served);
+        self.finish(request, told != ClientResult::Served);
     }
 
     pub(super) fn drop_client(&mut self, conn: ConnId, node: usize) {
@@ -253,28 +253,34 @@
         self.nodes[node].idle.retain(|idle| *idle != conn);
     }
 
-    pub(super) fn answered(&mut self, request: usize, answer: &Message, now: Nanos) -> Told {
+    pub(super) fn answered(
+        &mut self,
+        request: usize,
+        answer: &Message,
+        now: Nanos,
+    ) -> ClientResult {
         let log = &mut self.requests[request].log;
-        let told = match client::verdict(answer) {
-            Verdict::Served => Told::Served,
-            Verdict::Refused { .. } => Told::Refused,
-            Verdict::Failed => Told::Failed,
+        let result = match client::verdict(answer) {
+            Verdict::Served => ClientResult::Served,
+            Verdict::Refused { .. } => ClientResult::Rejected,
+            Verdict::Failed => ClientResult::Failed,
         };
-        let own = log.attempts.iter().any(|attempt| {
-            attempt.ended == Ended::Served && answer.body == body(&log.id, &attempt.server)
+        let is_from_own_attempt = log.attempts.iter().any(|attempt| {
+            attempt.outcome == AttemptOutcome::Served
+                && answer.body == body(&log.id, &attempt.server)
         });
-        log.answer = Some(Answer {
+        log.response = Some(FinalResponse {
             at: now,
-            told,
+            result,
             status: answer.status,
-            own,
+            is_from_own_attempt,
         });
         if let Verdict::Refused { pause } = client::verdict(answer) {
             self.retry(request, pause);
-        } else if told == Told::Failed {
+        } else if result == ClientResult::Failed {
             self.retry(request, 0);
         }
-        told
+        result
     }
 
     /// A try has come to its end; what the client does then has been seen to where it got an answer.
@@ -283,7 +289,7 @@
         if std::mem::replace(&mut open.done, true) {
             return;
         }
-        if lost && open.log.answer.is_none() {
+        if lost && open.log.response.is_none() {
             self.retry(request, 0);
         }
         self.pending -= 1;
@@ -292,11 +298,8 @@
     pub(super) fn retry(&mut self, request: usize, pause: Nanos) {
         let clients = &self.plan.scene.scene.clients;
         let open = &self.requests[request];
-        let refused = open
-            .log
-            .answer
-            .is_some_and(|answer| answer.told == Told::Refused);
-        let harmless = refused || open.log.effect != Effect::Unsafe;
+        let refused = open.log.result() == Some(ClientResult::Rejected);
+        let harmless = refused || open.log.idempotency != Idempotency::NonIdempotent;
         if open.tries < clients.retries && harmless {
             let wait = pause.max(clients.backoff_ms * MILLISECOND).max(MILLISECOND);
             self.pending += 1;
--- a/testkit/scenarios/src/world/links.rs
+++ b/testkit/scenarios/src/world/links.rs
@@ -191,7 +191,7 @@
     /// A message that does not come through may have been the one that the rules ask for: nothing is owed then.
     fn is_stuck(&mut self, carried: &Carried) {
         if let Carried::ToNode(_, number, _) | Carried::ToClient(_, number, _) = carried {
-            self.requests[*number].log.excused = true;
+            self.requests[*number].log.is_excused = true;
         }
     }
 
--- a/testkit/scenarios/src/world/misbehaviour.rs
+++ b/testkit/scenarios/src/world/misbehaviour.rs
@@ -89,7 +89,7 @@
         }
         let ends = |request: usize| {
             let log = &self.requests[request].log;
-            log.arrival + log.budget
+            log.arrival + log.timeout
         };
         let is_busy = |peer: &Peer| match peer {
             Peer::Client {
@@ -123,7 +123,7 @@
         if !self.chance(self.plan.behaviour.leaving) {
             return;
         }
-        let budget = self.requests[request].log.budget;
+        let budget = self.requests[request].log.timeout;
         let after = self
             .misbehaviour
             .random
@@ -138,7 +138,7 @@
         }
         let conn = self.connection_of(request)?;
         self.leave_behind(conn, request);
-        self.requests[request].log.left = Some(self.now);
+        self.requests[request].log.client_left_at = Some(self.now);
         self.finish(request, false);
         if self.chance(0.3) {
             self.reset(conn)
@@ -154,7 +154,7 @@
         };
         let others: Vec<usize> = open.iter().copied().filter(|one| *one != but).collect();
         for request in others {
-            self.requests[request].log.left = Some(self.now);
+            self.requests[request].log.client_left_at = Some(self.now);
             self.finish(request, false);
         }
     }
@@ -260,7 +260,7 @@
                 .requests
                 .iter_mut()
                 .filter(|open| !open.done && open.node == node && open.written <= excused);
-            open.for_each(|open| open.log.excused = true);
+            open.for_each(|open| open.log.is_excused = true);
         }
         Fired {
             touched: None,
--- a/testkit/scenarios/src/world/servers.rs
+++ b/testkit/scenarios/src/world/servers.rs
@@ -10,7 +10,7 @@
 
 use super::links::Carried;
 use super::stage::{ConnectionFate, Job, Open, Peer, Sending, Todo, World, body};
-use crate::outcome::{Attempt, Ended, Scope};
+use crate::outcome::{Attempt, AttemptOutcome, DedupScope};
 use crate::scene::{FaultKind, Reports};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
@@ -57,7 +57,7 @@
             let told = self.nodes[open.node].told.get(&server);
             let counted = site.unlisted_since.map(|since| since + COUNTS_WITHIN);
             let told = told.copied().into_iter().chain(counted).min();
-            let left = (open.written + open.log.budget).saturating_sub(now);
+            let left = (open.written + open.log.timeout).saturating_sub(now);
             let deadline = message
                 .value("x-budget-ms")
                 .and_then(|text| text.parse().ok());
@@ -70,12 +70,12 @@
                 cell: site.cell,
                 start: now,
                 end: None,
-                ended: Ended::Open,
-                ran: false,
-                told_for: told.and_then(|told| now.checked_sub(told)),
-                felled: false,
+                outcome: AttemptOutcome::Unfinished,
+                executed: false,
+                drain_known_for: told.and_then(|told| now.checked_sub(told)),
+                caused_overload: false,
                 without_length: false,
-                overstated: (over > SEEN_OVER).then_some(over),
+                deadline_excess: (over > SEEN_OVER).then_some(over),
             });
             (request, open.log.attempts.len() - 1)
         });
@@ -130,7 +130,7 @@
             conn,
             attempt,
             bytes: message::answer(503, &self.report(server, "X-Rejected: 1\r\n"), b""),
-            ended: Ended::TurnedAway,
+            ended: AttemptOutcome::Rejected,
             then: ConnectionFate::Stays,
         };
         if self.sites[server].has(FaultKind::RejectRequests, lot) {
@@ -147,7 +147,7 @@
                 now,
                 Todo::Answer(Box::new(Sending {
                     bytes,
-                    ended: Ended::Served,
+                    ended: AttemptOutcome::Served,
                     ..away
                 })),
             );
@@ -184,8 +184,8 @@
         site.cold_peak = site.cold_peak.max(site.model.cold_load(now).unwrap_or(0.0));
         if let Some((request, number)) = attempt {
             let attempt = &mut self.requests[request].log.attempts[number];
-            attempt.ran = offer == Offer::Taken;
-            attempt.felled = offer == Offer::Felled && is_breach;
+            attempt.executed = offer == Offer::Taken;
+            attempt.caused_overload = offer == Offer::Felled && is_breach;
         }
         match offer {
             Offer::Taken => {
@@ -208,9 +208,9 @@
         };
         let site = &self.sites[server];
         let group = match scope {
-            Scope::All => String::new(),
-            Scope::Zone => site.zone.clone(),
-            Scope::Cell => format!("{}", site.cell),
+            DedupScope::All => String::new(),
+            DedupScope::Zone => site.zone.clone(),
+            DedupScope::Cell => format!("{}", site.cell),
         };
         let now = self.now;
         // Kept for as long as a run lasts: its requests are bounded, and so are their keys.
@@ -235,7 +235,7 @@
         } else {
             message::answer(404, "", b"")
         };
-        let (attempt, ended, then) = (None, Ended::Served, ConnectionFate::Stays);
+        let (attempt, ended, then) = (None, AttemptOutcome::Served, ConnectionFate::Stays);
         self.at(
             self.now,
             Todo::Answer(Box::new(Sending {
@@ -285,7 +285,7 @@
             conn,
             attempt,
             bytes: Vec::new(),
-            ended: Ended::Served,
+            ended: AttemptOutcome::Served,
             then: ConnectionFate::Stays,
         };
         self.answer_done(server, &id, sending);
@@ -305,23 +305,27 @@
                     sending.then = ConnectionFate::Closes;
                 }
                 FaultKind::ServerError => {
-                    (sending.bytes, sending.ended) =
-                        (message::answer(500, &headers, b""), Ended::Error);
+                    (sending.bytes, sending.ended) = (
+                        message::answer(500, &headers, b""),
+                        AttemptOutcome::ServerError,
+                    );
                 }
                 FaultKind::InvalidResponse => {
-                    (sending.bytes, sending.ended) = (NOISE.to_vec(), Ended::Spoilt);
+                    (sending.bytes, sending.ended) =
+                        (NOISE.to_vec(), AttemptOutcome::InvalidResponse);
                 }
                 FaultKind::ResetConnection { after } => {
                     sending
                         .bytes
                         .truncate(usize::try_from(after).unwrap_or(usize::MAX));
-                    (sending.ended, sending.then) = (Ended::Reset, ConnectionFate::Resets);
+                    (sending.ended, sending.then) =
+                        (AttemptOutcome::ConnectionReset, ConnectionFate::Resets);
                 }
                 FaultKind::DelayResponse { by } => at = at.saturating_add(by),
                 _ => {}
             }
         }
-        let is_complete = sending.ended == Ended::Served;
+        let is_complete = sending.ended == AttemptOutcome::Served;
         if is_complete
             && sending.then == ConnectionFate::Closes
             && let Some((request, number)) = sending.attempt
@@ -345,7 +349,7 @@
             ..
         }) = self.peers.get_mut(&conn)
         else {
-            self.attempt_ends(attempt, Ended::Abandoned);
+            self.attempt_ends(attempt, AttemptOutcome::Abandoned);
             return None;
         };
         let server = *server;
@@ -408,7 +412,7 @@
         self.net.reset(conn);
         match self.forget(conn)? {
             Peer::Server { node, attempt, .. } => {
-                self.attempt_ends(attempt, Ended::Reset);
+                self.attempt_ends(attempt, AttemptOutcome::ConnectionReset);
                 node.map(|node| (node, 0))
             }
             Peer::List { node, .. } => Some((node, 0)),
--- a/testkit/scenarios/src/world/stage.rs
+++ b/testkit/scenarios/src/world/stage.rs
@@ -14,7 +14,7 @@
 
 use super::links::{BadLink, Carried};
 use super::misbehaviour::Misbehaviour;
-use crate::outcome::{Ended, Request, Told};
+use crate::outcome::{AttemptOutcome, ClientResult, Request};
 use crate::plan::Plan;
 use crate::rules::{self, Breach};
 use crate::scene::FaultKind;
@@ -85,7 +85,7 @@
     pub(super) conn: ConnId,
     pub(super) attempt: Option<(usize, usize)>,
     pub(super) bytes: Vec<u8>,
-    pub(super) ended: Ended,
+    pub(super) ended: AttemptOutcome,
     /// How its connection ends behind it, if it does.
     pub(super) then: ConnectionFate,
 }
@@ -450,7 +450,7 @@
             .requests
             .iter_mut()
             .filter(|open| !open.done && open.node == node);
-        open.for_each(|open| open.log.excused = true);
+        open.for_each(|open| open.log.is_excused = true);
     }
 
     /// What clients that say nothing, and answers with no length, were owed and did not get.
@@ -462,8 +462,7 @@
         let logs = self.requests.iter().map(|open| &open.log);
         let is_bare = |log: &&Request| log.attempts.iter().any(|attempt| attempt.without_length);
         let bare: Vec<&Request> = logs.filter(is_bare).collect();
-        let is_served =
-            |log: &&&Request| log.answer.is_some_and(|answer| answer.told == Told::Served);
+        let is_served = |log: &&&Request| log.result() == Some(ClientResult::Served);
         let forwarded = bare.iter().filter(is_served).count();
         if bare.len() >= LEAST_WITHOUT_LENGTH && 2 * forwarded < bare.len() {
             breaches.push(rules::answers_without_length_dropped(forwarded, bare.len()));
@@ -494,13 +493,13 @@
     }
 
     /// Ends an attempt that has not ended yet.
-    pub(super) fn attempt_ends(&mut self, attempt: Option<(usize, usize)>, ended: Ended) {
+    pub(super) fn attempt_ends(&mut self, attempt: Option<(usize, usize)>, ended: AttemptOutcome) {
         let Some((request, number)) = attempt else {
             return;
         };
         let attempt = &mut self.requests[request].log.attempts[number];
         if attempt.end.is_none() {
-            (attempt.end, attempt.ended) = (Some(self.now), ended);
+            (attempt.end, attempt.outcome) = (Some(self.now), ended);
         }
     }
 
--- a/testkit/scenarios/tests/links.rs
+++ b/testkit/scenarios/tests/links.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use badgerpost_scenarios::outcome::{Ended, Request, Told};
+use badgerpost_scenarios::outcome::{AttemptOutcome, ClientResult, Request};
 use badgerpost_scenarios::run::Played;
 use common::MS;
 
@@ -65,7 +65,7 @@
 fn served(requests: &[&Request]) -> usize {
     requests
         .iter()
-        .filter(|one| one.answer.is_some_and(|answer| answer.told == Told::Served))
+        .filter(|one| one.result() == Some(ClientResult::Served))
         .count()
 }
 
@@ -92,7 +92,7 @@
         during
             .iter()
             .flat_map(|one| &one.attempts)
-            .all(|attempt| !attempt.ran)
+            .all(|attempt| !attempt.executed)
     );
     for node in ["a1", "b"] {
         let [during, _] = of(&played, node);
@@ -109,7 +109,10 @@
         let [during, _] = of(&played, "a0");
         let attempts: Vec<_> = during.iter().flat_map(|one| &one.attempts).collect();
         assert!(attempts.len() > 3 && served(&during) == 0, "{way}");
-        assert!(attempts.iter().all(|attempt| attempt.ran == runs), "{way}");
+        assert!(
+            attempts.iter().all(|attempt| attempt.executed == runs),
+            "{way}"
+        );
     }
 }
 
@@ -117,7 +120,7 @@
 fn a_slow_link_adds_its_time_twice_and_a_lossy_one_now_and_then() {
     let took = |request: &&Request| {
         request
-            .answer
+            .response
             .map_or(0, |answer| answer.at - request.arrival)
             / MS
     };
@@ -128,7 +131,7 @@
     let [during, _] = of(&lossy, "a0");
     let late = during
         .iter()
-        .filter(|one| took(one) >= 200 || one.answer.is_none())
+        .filter(|one| took(one) >= 200 || one.response.is_none())
         .count();
     assert!(
         late > 0 && late < during.len(),
@@ -145,7 +148,7 @@
         request
             .attempts
             .iter()
-            .any(|attempt| attempt.ended == Ended::Reset)
+            .any(|attempt| attempt.outcome == AttemptOutcome::ConnectionReset)
     };
     assert!(during.iter().filter(reset).count() > 3);
     let [during, _] = of(&played, "b");
@@ -163,7 +166,7 @@
         during.len() > 30
             && during
                 .iter()
-                .all(|one| one.excused && one.attempts.is_empty())
+                .all(|one| one.is_excused && one.attempts.is_empty())
     );
 }
 
@@ -177,7 +180,7 @@
         .log
         .iter()
         .flat_map(|one| &one.attempts)
-        .filter(|attempt| attempt.ended == Ended::Error)
+        .filter(|attempt| attempt.outcome == AttemptOutcome::ServerError)
         .map(|attempt| attempt.server.clone())
         .collect();
     assert_eq!(failed.len(), 4);
@@ -188,7 +191,7 @@
         .collect();
     let failed = during
         .iter()
-        .filter(|attempt| attempt.ended == Ended::Error)
+        .filter(|attempt| attempt.outcome == AttemptOutcome::ServerError)
         .count();
     assert!(
         (during.len() / 8..during.len() / 2).contains(&failed),
@@ -198,7 +201,7 @@
     let slow = play("kind = 'slow'\nzone = 'dc-b'\ntimes = 4");
     let took = |request: &&Request| {
         request
-            .answer
+            .response
             .map_or(0, |answer| answer.at - request.arrival)
             / MS
     };
--- a/testkit/scenarios/tests/peers.rs
+++ b/testkit/scenarios/tests/peers.rs
@@ -57,7 +57,7 @@
             .log
             .iter()
             .filter(|one| one.node == node && between.contains(&(one.arrival / MS)));
-        log.filter(|one| one.began_in(zone)).count()
+        log.filter(|one| one.first_attempt_is_in(zone)).count()
     }
 }
 
--- a/testkit/scenarios/tests/zones.rs
+++ b/testkit/scenarios/tests/zones.rs
@@ -11,7 +11,7 @@
 mod common;
 
 use badgerpost_scenarios::fleet;
-use badgerpost_scenarios::outcome::Told;
+use badgerpost_scenarios::outcome::ClientResult;
 use badgerpost_scenarios::plan::Plan;
 use badgerpost_scenarios::run::Played;
 use common::{MS, WATCHED};
@@ -177,7 +177,7 @@
     assert!(
         after
             .iter()
-            .all(|one| one.answer.is_some_and(|answer| answer.told == Told::Served))
+            .all(|one| one.result() == Some(ClientResult::Served))
     );
     // What had come meanwhile is there at once, and some of that overflows.
     let shown = good(
@@ -200,7 +200,7 @@
         .filter(|one| (4500..5300).contains(&(one.arrival / MS)));
     let served = during
         .clone()
-        .filter(|one| one.answer.is_some_and(|answer| answer.told == Told::Served));
+        .filter(|one| one.result() == Some(ClientResult::Served));
     assert!(served.count() as f64 > 0.85 * during.count() as f64);
     assert!(told(&shown, "silent") >= 4);
 }
@@ -214,7 +214,7 @@
     let after: Vec<_> = shown.played.log.iter().filter(late).collect();
     let served = after
         .iter()
-        .filter(|one| one.answer.is_some_and(|answer| answer.told == Told::Served));
+        .filter(|one| one.result() == Some(ClientResult::Served));
     assert!(served.count() as f64 > 0.98 * after.len() as f64);
     assert_eq!(shown.plan.seed, 7);
 }
