--- a/testkit/fakes/src/net/tests.rs
+++ b/testkit/fakes/src/net/tests.rs
@@ -1,100 +1,105 @@
 use super::*;
 
-const SOON: Duration = Duration::from_millis(20);
+const POLL_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Polls until `done`; loopback sockets have their news at once.
-fn until(net: &mut Net, told: &mut Vec<Happening>, done: impl Fn(&[Happening]) -> bool) {
+fn any_port() -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 0))
+}
+
+/// Polls until `done`; loopback sockets report at once.
+fn poll_until(
+    network: &mut LoopbackNetwork,
+    events: &mut Vec<NetworkEvent>,
+    done: impl Fn(&[NetworkEvent]) -> bool,
+) {
     for _ in 0..500 {
-        if done(told) {
+        if done(events) {
             return;
         }
-        net.poll(SOON, told).unwrap();
+        network.poll(POLL_TIMEOUT, events).unwrap();
     }
-    panic!("in vain: {told:?}");
+    panic!("in vain: {events:?}");
 }
 
 #[test]
-fn what_is_written_comes_and_ends_are_told_apart() {
-    let mut net = Net::new().unwrap();
-    let (listener, at) = net.listen(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+fn written_bytes_arrive_and_a_reset_is_told_from_an_orderly_close() {
+    let mut network = LoopbackNetwork::new().unwrap();
+    let listener = network.listen(any_port()).unwrap();
     for reset in [false, true] {
-        let client = net.connect(at).unwrap();
-        assert_eq!(net.write(client, b"hello"), 5);
-        let mut told = Vec::new();
-        until(&mut net, &mut told, |told| told.len() >= 2);
-        let Happening::Opened { listener: of, conn } = told[0] else {
-            panic!("{told:?}")
+        let client = network.connect(listener.address).unwrap();
+        assert_eq!(network.write(client, b"hello"), 5);
+        let mut events = Vec::new();
+        poll_until(&mut network, &mut events, |events| events.len() >= 2);
+        let NetworkEvent::Accepted { listener: of, conn } = events[0] else {
+            panic!("{events:?}")
         };
+        let bytes = b"hello".to_vec();
         assert_eq!(
-            (of, &told[1]),
-            (
-                listener,
-                &Happening::Bytes {
-                    conn,
-                    bytes: b"hello".to_vec()
-                }
-            )
+            (of, &events[1]),
+            (listener.id, &NetworkEvent::Received { conn, bytes })
         );
         if reset {
-            net.reset(client);
+            network.reset(client);
         } else {
-            net.close(client);
+            network.close(client);
         }
-        until(&mut net, &mut told, |told| told.len() >= 3);
-        assert_eq!(told[2], Happening::Ended { conn, reset });
-        assert!(!net.is_open(conn));
+        poll_until(&mut network, &mut events, |events| events.len() >= 3);
+        assert_eq!(events[2], NetworkEvent::Closed { conn, reset });
+        assert!(!network.is_open(conn));
     }
-    assert_eq!(net.bytes_read(), 10);
+    assert_eq!(network.bytes_read(), 10);
 }
 
 #[test]
-fn datagrams_go_from_door_to_door() {
-    let mut net = Net::new().unwrap();
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let ((one, from), (door, at)) = (
-        net.open_datagrams(any).unwrap(),
-        net.open_datagrams(any).unwrap(),
+fn datagrams_are_received_by_the_socket_that_they_are_sent_to() {
+    let mut network = LoopbackNetwork::new().unwrap();
+    let sender = network.bind_datagrams(any_port()).unwrap();
+    let receiver = network.bind_datagrams(any_port()).unwrap();
+    assert_eq!(
+        network.send_datagram(sender.id, receiver.address, b"hello"),
+        5
     );
-    assert_eq!(net.send(one, at, b"hello"), 5);
-    let mut told = Vec::new();
-    until(&mut net, &mut told, |told| !told.is_empty());
+    let mut events = Vec::new();
+    poll_until(&mut network, &mut events, |events| !events.is_empty());
     assert_eq!(
-        told,
-        [Happening::Datagram {
-            door,
-            from,
+        events,
+        [NetworkEvent::Datagram {
+            socket: receiver.id,
+            from: sender.address,
             bytes: b"hello".to_vec()
         }]
     );
-    assert_eq!(net.bytes_read(), 5);
+    assert_eq!(network.bytes_read(), 5);
 }
 
 #[test]
-fn a_reserved_port_is_there_for_one_listener_after_the_other() {
-    let reserved = Reserved::new(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+fn a_reserved_port_takes_one_listener_after_another() {
+    let reserved = ReservedPort::new(any_port()).unwrap();
     for _ in 0..3 {
-        std::net::TcpStream::connect(reserved.at()).expect_err("nobody listens yet");
-        let listener = listening(reserved.at()).unwrap();
-        std::net::TcpStream::connect(reserved.at()).expect("it listens");
+        std::net::TcpStream::connect(reserved.address()).expect_err("nobody listens yet");
+        let listener = listen(reserved.address()).unwrap();
+        std::net::TcpStream::connect(reserved.address()).expect("it listens");
         drop(listener);
     }
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     assert!(
-        Reserved::new(listener.local_addr().unwrap()).is_err(),
+        ReservedPort::new(listener.local_addr().unwrap()).is_err(),
         "the port is taken"
     );
 }
 
 #[test]
-fn a_refusing_listener_takes_connections_again_at_its_port() {
-    let mut net = Net::new().unwrap();
-    let (listener, at) = net.listen(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
-    net.refuse(listener).unwrap();
-    let error = net.connect(at).expect_err("nobody listens");
+fn a_refusing_listener_accepts_connections_again_at_its_port() {
+    let mut network = LoopbackNetwork::new().unwrap();
+    let listener = network.listen(any_port()).unwrap();
+    network.stop_listening(listener.id).unwrap();
+    let error = network
+        .connect(listener.address)
+        .expect_err("nobody listens");
     assert_eq!(error.kind(), io::ErrorKind::ConnectionRefused);
-    net.accept_again(listener).unwrap();
-    net.connect(at).expect("it listens again");
-    let mut told = Vec::new();
-    until(&mut net, &mut told, |told| !told.is_empty());
-    assert!(matches!(told[0], Happening::Opened { listener: of, .. } if of == listener));
+    network.resume_listening(listener.id).unwrap();
+    network.connect(listener.address).expect("it listens again");
+    let mut events = Vec::new();
+    poll_until(&mut network, &mut events, |events| !events.is_empty());
+    assert!(matches!(events[0], NetworkEvent::Accepted { listener: of, .. } if of == listener.id));
 }
--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use badgerpost_fakes::net::{Happening, Reserved};
+use badgerpost_fakes::net::{NetworkEvent, ReservedPort};
 use badgerpost_fakes::random::Random;
 use badgerpost_fakes::system_faults::{SystemFaults, WallClock};
 
@@ -236,7 +236,7 @@
     options: Options,
     world: World,
     /// Where the nodes listen, also while they are away.
-    ports: Vec<Reserved>,
+    ports: Vec<ReservedPort>,
     processes: Vec<Option<Process>>,
     /// Bytes written to each node's sockets of which it has not been told.
     unread: Vec<u64>,
@@ -248,7 +248,7 @@
     lives: u64,
     /// The wall clocks that the nodes read, where their system calls have faults.
     wall_clocks: Vec<WallClock>,
-    told: Vec<Happening>,
+    told: Vec<NetworkEvent>,
     began: Instant,
     looked: Nanos,
     steps: u64,
@@ -272,7 +272,7 @@
         let world = World::new(plan.clone(), base, options.peers)?;
         let port = |node| {
             let at = SocketAddr::from(([127, 0, 0, 1], if node == 0 { options.port } else { 0 }));
-            Reserved::new(at).map_err(|source| RunError::Port { at, source })
+            ReservedPort::new(at).map_err(|source| RunError::Port { at, source })
         };
         let ports = (0..count).map(port).collect::<Result<Vec<_>, _>>()?;
         let ahead = plan.behaviour.clocks_ahead_ms.0;
@@ -325,7 +325,7 @@
 
     fn start(&mut self, node: usize) -> Result<(), RunError> {
         // Under the same address each time.
-        let listen = self.ports[node].at();
+        let listen = self.ports[node].address();
         self.lives += 1;
         let seed = Random::new(self.plan.seed ^ self.lives, "node").bits();
         let scene = &self.plan.scene;
@@ -445,7 +445,7 @@
                 looks += 1;
                 let ends = told
                     .iter()
-                    .filter(|one| matches!(one, Happening::Ended { .. }))
+                    .filter(|one| matches!(one, NetworkEvent::Closed { .. }))
                     .count() as u64;
                 let seen = self.world.ends_of_node(node) + ends;
                 let all = seen + self.unseen[node] >= ended
--- a/testkit/scenarios/src/world.rs
+++ b/testkit/scenarios/src/world.rs
@@ -17,7 +17,7 @@
 
 use badgerpost_fakes::discovery::{Discovery, State};
 use badgerpost_fakes::message::{Inbox, Side};
-use badgerpost_fakes::net::{ConnId, Happening, Net};
+use badgerpost_fakes::net::{BoundSocket, ConnId, LoopbackNetwork, NetworkEvent};
 use badgerpost_fakes::random::Random;
 use badgerpost_fakes::server::{Choke, Figures, Server};
 
@@ -48,7 +48,7 @@
     /// Sets the stage: all sockets listen.
     #[expect(clippy::too_many_lines, reason = "to be split with the module")]
     pub fn new(plan: Plan, base: Nanos, peers: bool) -> io::Result<Self> {
-        let mut net = Net::new()?;
+        let mut net = LoopbackNetwork::new()?;
         let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
         let scene = plan.scene.clone();
         let rules = &scene.scene.rules;
@@ -57,7 +57,10 @@
         let zones = scene.scene.zones();
         let zone_number = |zone: &str| zones.iter().position(|one| *one == zone).unwrap_or(0);
         for (number, server) in scene.scene.server.iter().enumerate() {
-            let (listener, at) = net.listen(loopback)?;
+            let BoundSocket {
+                id: listener,
+                address: at,
+            } = net.listen(loopback)?;
             places.insert(listener, Place::Server(number));
             let figures = Figures {
                 slots: server.slots.max(1),
@@ -78,7 +81,7 @@
             };
             let up = server.starts_ms.is_none();
             if !up {
-                net.refuse(listener)?;
+                net.stop_listening(listener)?;
             }
             let site = Site {
                 name: server.name.get_ref().clone(),
@@ -105,11 +108,14 @@
             sites.push(site);
         }
         for (number, node) in scene.scene.node.iter().enumerate() {
-            let (listener, list_at) = net.listen(loopback)?;
+            let BoundSocket {
+                id: listener,
+                address: list_at,
+            } = net.listen(loopback)?;
             places.insert(listener, Place::List(number));
             let name = node.name.get_ref().clone();
             let talks = (peers || scene.scene.peers)
-                .then(|| net.open_datagrams(loopback))
+                .then(|| net.bind_datagrams(loopback))
                 .transpose()?;
             let (idle, told, open, ended) = (Vec::new(), BTreeMap::new(), 0, 0);
             let zone_number = zone_number(&node.zone);
@@ -126,13 +132,18 @@
                 stopping: None,
                 open,
                 ended,
-                talk: talks.map(|(door, at)| Talk {
-                    door,
-                    at,
-                    real: None,
-                    datagrams: 0,
-                    bytes: 0,
-                }),
+                talk: talks.map(
+                    |BoundSocket {
+                         id: door,
+                         address: at,
+                     }| Talk {
+                        door,
+                        at,
+                        real: None,
+                        datagrams: 0,
+                        bytes: 0,
+                    },
+                ),
             });
         }
         let pending = plan.arrivals.len();
@@ -237,9 +248,9 @@
     }
 
     /// Takes in what has come on a socket.
-    pub fn happened(&mut self, happening: Happening) {
+    pub fn happened(&mut self, happening: NetworkEvent) {
         match happening {
-            Happening::Opened { listener, conn } => {
+            NetworkEvent::Accepted { listener, conn } => {
                 let peer = match self.places.get(&listener) {
                     Some(&Place::Server(server)) => {
                         let inbox = Inbox::new(Side::Requests);
@@ -259,7 +270,7 @@
                 };
                 self.adopt(conn, peer);
             }
-            Happening::Bytes { conn, bytes } => match self.peers.get_mut(&conn) {
+            NetworkEvent::Received { conn, bytes } => match self.peers.get_mut(&conn) {
                 Some(Peer::Server { inbox, .. }) => {
                     inbox.push(&bytes);
                     self.server_reads(conn);
@@ -276,8 +287,12 @@
                 Some(Peer::Silent { .. }) => self.silent_ended(conn),
                 None => {}
             },
-            Happening::Datagram { door, from, bytes } => self.datagram_goes(door, from, bytes),
-            Happening::Ended { conn, .. } => self.ended(conn),
+            NetworkEvent::Datagram {
+                socket,
+                from,
+                bytes,
+            } => self.datagram_goes(socket, from, bytes),
+            NetworkEvent::Closed { conn, .. } => self.ended(conn),
         }
     }
 
--- a/testkit/scenarios/src/world/faults.rs
+++ b/testkit/scenarios/src/world/faults.rs
@@ -98,7 +98,7 @@
             (Trouble::KillNode | Trouble::StopNode | Trouble::PauseNode, _) => {}
             (_, true) => {
                 if trouble == Trouble::Refuse && self.sites[whom].up {
-                    self.net.refuse(self.sites[whom].listener)?;
+                    self.net.stop_listening(self.sites[whom].listener)?;
                 }
                 self.sites[whom].troubles.push((trouble, permille));
                 self.sites[whom].set_pace();
@@ -114,7 +114,7 @@
                 }
                 site.set_pace();
                 if trouble == Trouble::Refuse && site.up && !site.has(Trouble::Refuse, 0) {
-                    self.net.accept_again(site.listener)?;
+                    self.net.resume_listening(site.listener)?;
                 }
                 if trouble == Trouble::PauseServer {
                     self.at(self.now, Todo::Resume(whom));
--- a/testkit/scenarios/src/world/peers.rs
+++ b/testkit/scenarios/src/world/peers.rs
@@ -80,7 +80,7 @@
     pub(super) fn datagram_comes(&mut self, to: usize, bytes: &[u8]) -> Option<(usize, u64)> {
         let node = &self.nodes[to];
         let talk = node.talk.as_ref().filter(|_| node.up)?;
-        let sent = self.net.send(talk.door, talk.real?, bytes);
+        let sent = self.net.send_datagram(talk.door, talk.real?, bytes);
         Some((to, sent as u64))
     }
 }
--- a/testkit/scenarios/src/world/servers.rs
+++ b/testkit/scenarios/src/world/servers.rs
@@ -423,7 +423,7 @@
         site.up = false;
         site.jobs.clear();
         site.held.clear();
-        self.net.refuse(site.listener)?;
+        self.net.stop_listening(site.listener)?;
         let of = |peer: &Peer| matches!(peer, Peer::Server { server: of, .. } if *of == server);
         let conns: Vec<ConnId> = self
             .peers
@@ -444,7 +444,7 @@
         site.model.restart(now);
         (site.up, site.booted, site.wake) = (true, Some(now), None);
         site.jobs.clear();
-        self.net.accept_again(site.listener)?;
+        self.net.resume_listening(site.listener)?;
         let notice = self.plan.scene.scene.discovery.notice_ms * MILLISECOND;
         self.at(now + notice, Todo::List(server, State::Ready, true));
         Ok(())
--- a/testkit/scenarios/src/world/stage.rs
+++ b/testkit/scenarios/src/world/stage.rs
@@ -8,7 +8,7 @@
 
 use badgerpost_fakes::discovery::{Discovery, Entry, State};
 use badgerpost_fakes::message::Inbox;
-use badgerpost_fakes::net::{ConnId, Happening, ListenerId, Net};
+use badgerpost_fakes::net::{ConnId, ListenerId, LoopbackNetwork, NetworkEvent};
 use badgerpost_fakes::random::Random;
 use badgerpost_fakes::server::Server;
 
@@ -295,7 +295,7 @@
 /// The peers of all nodes.
 pub struct World {
     pub(super) plan: Plan,
-    pub(super) net: Net,
+    pub(super) net: LoopbackNetwork,
     pub(super) now: Nanos,
     /// Unix time at the scene's start.
     pub(super) base: Nanos,
@@ -479,13 +479,13 @@
     }
 
     /// Looks at all sockets for at most `wait` and adds what has come.
-    pub fn poll(&mut self, wait: Duration, told: &mut Vec<Happening>) -> io::Result<()> {
+    pub fn poll(&mut self, wait: Duration, told: &mut Vec<NetworkEvent>) -> io::Result<()> {
         self.net.poll(wait, told)
     }
 
     /// Puts what several looks have brought into an order that is always the same.
-    pub fn in_order(&mut self, told: &mut [Happening]) -> io::Result<()> {
-        self.net.in_order(told)
+    pub fn in_order(&mut self, told: &mut [NetworkEvent]) -> io::Result<()> {
+        self.net.sort_events(told)
     }
 
     /// Says which node alone runs now, if only one does.
