--- a/testkit/scenarios/src/world/faults.rs
+++ b/testkit/scenarios/src/world/faults.rs
@@ -98,7 +98,7 @@
             (FaultKind::KillNode | FaultKind::StopNode | FaultKind::PauseNode, _) => {}
             (_, true) => {
                 if trouble == FaultKind::RefuseConnections && self.sites[whom].up {
-                    self.net.refuse(self.sites[whom].listener)?;
+                    self.net.stop_listening(self.sites[whom].listener)?;
                 }
                 self.sites[whom].troubles.push((trouble, permille));
                 self.sites[whom].set_pace();
@@ -117,7 +117,7 @@
                     && site.up
                     && !site.has(FaultKind::RefuseConnections, 0)
                 {
-                    self.net.accept_again(site.listener)?;
+                    self.net.resume_listening(site.listener)?;
                 }
                 if trouble == FaultKind::PauseServer {
                     self.at(self.now, Todo::Resume(whom));
