--- a/adapters/http/src/upstream/attempt.rs
+++ b/adapters/http/src/upstream/attempt.rs
@@ -42,9 +42,9 @@
     let mut sending = std::pin::pin!(attempt.send());
     let end = tokio::select! {
         biased;
-        _ = cancelled => attempt.broken_off(Outcome::Cancelled),
+        _ = cancelled => attempt.end_early(Outcome::Cancelled),
         end = &mut sending => end,
-        () = attempt.timed_out() => attempt.broken_off(Outcome::TimedOut),
+        () = attempt.timed_out() => attempt.end_early(Outcome::TimedOut),
     };
     command.payload.body.abandon();
     let may_finish_late = attempt.may_finish_late(end.outcome);
@@ -95,12 +95,16 @@
         }
     }
 
-    /// The end of an attempt that is not waited for any longer. A request of which the backend never had all has not
-    /// run: the balancer may still reject it.
-    fn broken_off(&self, outcome: Outcome) -> AttemptEnd {
-        let has_run =
+    /// The end of an attempt that is no longer waited for. A request that was never written whole has not run: the
+    /// balancer may still reject it.
+    fn end_early(&self, outcome: Outcome) -> AttemptEnd {
+        let may_have_run =
             self.progress.get() == Progress::Written && self.command.payload.body.is_complete();
-        AttemptEnd::bare(if has_run { outcome } else { Outcome::NotSent })
+        AttemptEnd::bare(if may_have_run {
+            outcome
+        } else {
+            Outcome::NotSent
+        })
     }
 
     /// Whether the attempt may go on after its end was reported. It may if its client's time is over, as no other
@@ -171,23 +175,30 @@
             self.progress.set(Progress::NotWritten);
             return None;
         };
-        let body = &self.command.payload.body;
-        // A client that breaks off its request is no fault of the backend's.
-        if body.is_broken() {
-            return Some(AttemptEnd::bare(Outcome::NotSent));
-        }
-        let was_reset = end.outcome == Outcome::Reset;
-        // A request that the backend never had all of has not run.
-        if was_reset && !body.is_complete() {
-            return Some(AttemptEnd::bare(Outcome::ConnectFailed));
+        if let Some(outcome) = self.upload_failure(&end) {
+            return Some(AttemptEnd::bare(outcome));
         }
         if let Some(idle_time) = idle_time {
-            self.pool
-                .record_reuse(idle_time, was_reset && !activity.has_received());
+            let was_reset = end.outcome == Outcome::Reset && !activity.has_received();
+            self.pool.record_reuse(idle_time, was_reset);
         }
         Some(end)
     }
 
+    /// The outcome of an exchange that ended because its request was not uploaded whole; none for any other.
+    fn upload_failure(&self, end: &AttemptEnd) -> Option<Outcome> {
+        let body = &self.command.payload.body;
+        if body.is_broken() {
+            // A client that breaks off its request is no fault of the backend's.
+            Some(Outcome::NotSent)
+        } else if end.outcome == Outcome::Reset && !body.is_complete() {
+            // A request that the backend never had all of has not run.
+            Some(Outcome::ConnectFailed)
+        } else {
+            None
+        }
+    }
+
     /// The request as it is written to the backend; none if the backend's address makes no valid header.
     fn message(&self) -> Option<Request<OutgoingBody>> {
         let request = &self.command.payload;
