--- a/adapters/http/src/observed_stream.rs
+++ b/adapters/http/src/observed_stream.rs
@@ -90,8 +90,8 @@
         })))
     }
 
-    /// Resolves once the peer has closed its side, or broken the connection. Needs nobody to read: what the peer sends is
-    /// read ahead. Polled by the task that reads.
+    /// Resolves once the peer has closed its side, or broken the connection, also while nobody reads: what the peer
+    /// sends is read ahead. Polled by the task that reads.
     pub async fn peer_closed(&self, clock: &Clock) {
         while poll_fn(|cx| self.0.borrow_mut().poll_read_ahead(cx)).await != PeerState::Closed {
             clock.sleep(CLOSE_CHECK_INTERVAL).await;
--- a/adapters/http/src/poll_schedule.rs
+++ b/adapters/http/src/poll_schedule.rs
@@ -1,8 +1,8 @@
 //! Decides which call to discovery comes next, how long it may take, and how long to back off after a failure. No I/O
 //! and no clock: a [`PollSchedule`] is told how calls ended.
 //!
-//! An update has to be in force 6 s after discovery had it and could be reached, and 2 s after the end of a watch's hold,
-//! whatever became of the call that should have brought it. Calls to an agent beside the node cost nothing, and all
+//! An update has to be in force 6 s after discovery had it and could be reached, and 2 s after the end of a watch's
+//! hold, whatever became of the call that should have brought it. Calls to an agent beside the node cost nothing, and all
 //! waits together stay under that limit: a watch that times out costs its hold, [`WATCH_GRACE`], a connect and a
 //! response. A service that all nodes poll bears about one call from each in 5 to 8 s, so that watches there are held
 //! for longer, and for a random time: nodes whose watches time out together would call again together, and the last of
@@ -45,8 +45,8 @@
     snapshot_after_failure: true,
 };
 
-/// A service that all nodes poll. It responds once it has come round to the call. The balancer asks for the call after a
-/// failure itself; the backoff only ends in case it does not.
+/// A service that all nodes poll. It responds once it has come round to the call. The balancer itself asks for the call
+/// after a failure; the backoff is there in case it does not.
 const SERVICE_TIMINGS: PollTimings = PollTimings {
     min_watch_hold: Duration::from_secs(8),
     max_watch_hold: Duration::from_secs(16),
--- a/adapters/http/src/poll_schedule/tests.rs
+++ b/adapters/http/src/poll_schedule/tests.rs
@@ -78,8 +78,8 @@
     );
 }
 
-/// What an agent gets when discovery is back counts at once, it answers no call made before, and nothing new may go to a
-/// backend that drains after half a second: a connect that is coming up takes half of that.
+/// What an agent gets when discovery is back counts at once, it answers no call made before, and nothing new may go to
+/// a backend that drains after half a second: a connect that is coming up takes half of that.
 #[test]
 fn a_silent_agent_is_called_again_within_a_quarter_of_a_second() {
     let mut schedule = PollSchedule::new(false, 1);
--- a/adapters/http/src/upstream/response_activity.rs
+++ b/adapters/http/src/upstream/response_activity.rs
@@ -11,7 +11,7 @@
 
 use crate::observed_stream::StreamObserver;
 
-/// What happens on one connection. Atomic because the HTTP library wants its callback to be `Send`; there is one thread.
+/// What happens on one connection. Atomic only because the HTTP library wants its callback to be `Send`.
 struct ActivitySignals {
     metrics: Arc<Metrics>,
     /// Bytes have been received since the last request.
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// Reads until the body is complete, or `enough_bytes` of it are here. One with a length is complete with its last byte.
+/// Reads until the body is complete, or `enough_bytes` of it are here and more are to come.
 async fn read_body(
     body: &mut Incoming,
     length: Option<u64>,
