--- a/testkit/scenarios/src/commands/hunt.rs
+++ b/testkit/scenarios/src/commands/hunt.rs
@@ -2,10 +2,10 @@
 
 use std::process::ExitCode;
 
-use badgerpost_scenarios::hunt::{self, Find};
 use badgerpost_scenarios::plan::Plan;
 use badgerpost_scenarios::run::Options;
-use badgerpost_scenarios::scene;
+use badgerpost_scenarios::scenario;
+use badgerpost_scenarios::search::{self, Violation};
 
 use crate::arguments::HuntArguments;
 use crate::failure::Failure;
@@ -18,13 +18,13 @@
     let bar = progress_bar(seeds.end - seeds.start);
     for seed in seeds.clone() {
         bar.set_message(format!("seed {seed}"));
-        let drawn = Plan::draw(scene::find(&arguments.scene)?, seed);
+        let drawn = Plan::draw(scenario::find(&arguments.scene)?, seed);
         let plan = if arguments.as_written {
             drawn
         } else {
             drawn.vary()
         };
-        let (violation, _) = hunt::look(&plan, &options)?;
+        let violation = search::find_violation(&plan, &options)?;
         bar.inc(1);
         if let Some(violation) = violation {
             bar.finish_and_clear();
@@ -48,11 +48,11 @@
 /// Reduces a plan to the least that shows the same violation, and writes it as a repro file.
 fn reduce(
     plan: &Plan,
-    violation: &Find,
+    violation: &Violation,
     options: &Options,
     arguments: &HuntArguments,
 ) -> Result<ExitCode, Failure> {
-    let reduced = hunt::shrink(plan, violation, options, &mut |_, _| {})?;
+    let reduced = search::reduce(plan, violation, options, &mut |_, _| {})?;
     write_file(&arguments.out, &reduced.to_repro()?)?;
     print_line(&format!(
         "cut down to {} faults, {} requests",
@@ -66,11 +66,11 @@
     Ok(ExitCode::FAILURE)
 }
 
-fn describe(violation: &Find) -> String {
+fn describe(violation: &Violation) -> String {
     match violation {
-        Find::Broken(rule) => format!("rule {rule} broken"),
-        Find::Stranger => "a request that no client had sent so".to_owned(),
-        Find::Lost => "fewer served than expected".to_owned(),
-        Find::Crashed => "a node crashed".to_owned(),
+        Violation::BrokenRule(rule) => format!("rule {rule} broken"),
+        Violation::UnknownRequest => "a request that no client had sent so".to_owned(),
+        Violation::UnmetExpectation => "fewer served than expected".to_owned(),
+        Violation::Crash => "a node crashed".to_owned(),
     }
 }
--- a/testkit/scenarios/src/commands/run.rs
+++ b/testkit/scenarios/src/commands/run.rs
@@ -3,8 +3,8 @@
 use std::process::ExitCode;
 
 use badgerpost_scenarios::plan::Plan;
-use badgerpost_scenarios::run::{self, Played};
-use badgerpost_scenarios::{fleet, outcome, plot, scene};
+use badgerpost_scenarios::run::{self, RunReport};
+use badgerpost_scenarios::{fleet, outcome, plot, scenario};
 
 use super::summary::print_summary;
 use crate::arguments::RunArguments;
@@ -18,7 +18,7 @@
         Some(file) => Plan::from_repro(file)?,
         None => {
             let name = arguments.scene.as_deref().unwrap_or_default();
-            Plan::draw(scene::find(name)?, arguments.seed)
+            Plan::draw(scenario::find(name)?, arguments.seed)
         }
     };
     let options = arguments.program.options(arguments.real_time, 0)?;
@@ -36,7 +36,7 @@
 }
 
 /// Writes the outcome log, the plot and the nodes' logs where they are asked for.
-fn write_files(plan: &Plan, played: &Played, arguments: &RunArguments) -> Result<(), Failure> {
+fn write_files(plan: &Plan, played: &RunReport, arguments: &RunArguments) -> Result<(), Failure> {
     if let Some(path) = &arguments.out {
         write_file(path, &outcome::write(&played.log)?)?;
     }
--- a/testkit/scenarios/src/commands/soak.rs
+++ b/testkit/scenarios/src/commands/soak.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-use badgerpost_scenarios::run::{Played, RunError};
+use badgerpost_scenarios::run::{RunError, RunReport};
 use badgerpost_scenarios::soak::Soak;
 
 use crate::arguments::SoakArguments;
@@ -51,7 +51,7 @@
 }
 
 /// Prints what came of a seed, in one go; returns whether all rules held.
-fn report(seed: u64, soak: &Soak, played: Result<Played, RunError>) -> Result<bool, RunError> {
+fn report(seed: u64, soak: &Soak, played: Result<RunReport, RunError>) -> Result<bool, RunError> {
     let drawn = soak.summary();
     let played = match played {
         Ok(played) => played,
--- a/testkit/scenarios/src/commands/summary.rs
+++ b/testkit/scenarios/src/commands/summary.rs
@@ -6,7 +6,7 @@
 use badgerpost_scenarios::fleet;
 use badgerpost_scenarios::plan::Plan;
 use badgerpost_scenarios::rules::RULES;
-use badgerpost_scenarios::run::{Options, Played};
+use badgerpost_scenarios::run::{Options, RunReport};
 
 use crate::output::print_line;
 
@@ -19,7 +19,7 @@
 pub(super) fn print_summary(
     plan: &Plan,
     options: &Options,
-    played: &Played,
+    played: &RunReport,
     lost: &[String],
 ) -> io::Result<()> {
     print_head(plan, options, played)?;
@@ -34,7 +34,7 @@
     Ok(())
 }
 
-fn print_head(plan: &Plan, options: &Options, played: &Played) -> io::Result<()> {
+fn print_head(plan: &Plan, options: &Options, played: &RunReport) -> io::Result<()> {
     let mode = if options.real_time {
         "in real time"
     } else {
@@ -42,7 +42,7 @@
     };
     print_line(&format!(
         "scene {}, seed {}, {mode}",
-        plan.scene.name, plan.seed
+        plan.scenario.name, plan.seed
     ))?;
     print_line(&format!(
         "node {}, sha256 {}",
@@ -51,11 +51,11 @@
     ))
 }
 
-fn simulated_seconds(played: &Played) -> f64 {
+fn simulated_seconds(played: &RunReport) -> f64 {
     Duration::from_nanos(played.simulated).as_secs_f64()
 }
 
-fn print_counts(played: &Played) -> io::Result<()> {
+fn print_counts(played: &RunReport) -> io::Result<()> {
     let counts = played.counts();
     print_line(&format!(
         "{} requests: {} served, {} refused, {} failed, {} without an answer; {} attempts",
@@ -81,7 +81,7 @@
 }
 
 /// Prints how much the nodes sent to each other, if they did.
-fn print_gossip(played: &Played) -> io::Result<()> {
+fn print_gossip(played: &RunReport) -> io::Result<()> {
     if !played.talk.iter().any(|(datagrams, _)| *datagrams > 0) {
         return Ok(());
     }
@@ -98,7 +98,7 @@
     ))
 }
 
-fn print_rules(played: &Played) -> io::Result<()> {
+fn print_rules(played: &RunReport) -> io::Result<()> {
     for rule in RULES {
         let breaches = played.breaches.iter().filter(|breach| breach.rule == rule);
         let breaches: Vec<_> = breaches.collect();
@@ -120,7 +120,7 @@
 }
 
 /// Prints what the fleet did in each fault of a zone.
-fn print_faults(plan: &Plan, played: &Played) -> io::Result<()> {
+fn print_faults(plan: &Plan, played: &RunReport) -> io::Result<()> {
     for fault in fleet::troubles(plan) {
         print_line(&format!(
             "zone {}, {} for {} ms:",
@@ -130,7 +130,7 @@
         ))?;
         print_line(&fleet::conduct(&played.log, &fault).to_string())?;
         let peak = played.cold_peak(Some(&fault.zone));
-        let overload_multiple = plan.scene.scene.rules.tip_multiple;
+        let overload_multiple = plan.scenario.spec.rules.tip_multiple;
         print_line(&format!(
             "  most at one cold server there: {peak:.2} of what it could do; it falls over at {overload_multiple:.2}"
         ))?;
@@ -139,7 +139,7 @@
 }
 
 /// Prints how many nodes ejected a zone that had no fault.
-fn print_strayed_nodes(plan: &Plan, played: &Played) -> io::Result<()> {
+fn print_strayed_nodes(plan: &Plan, played: &RunReport) -> io::Result<()> {
     let strayed = fleet::strayed(plan, &played.log);
     let Some((node, at)) = strayed.first() else {
         return Ok(());
--- a/testkit/scenarios/src/commands/up.rs
+++ b/testkit/scenarios/src/commands/up.rs
@@ -4,7 +4,7 @@
 
 use badgerpost_scenarios::plan::Plan;
 use badgerpost_scenarios::run::Stage;
-use badgerpost_scenarios::scene;
+use badgerpost_scenarios::scenario;
 use serde_json::{Value, json};
 
 use crate::arguments::UpArguments;
@@ -30,13 +30,13 @@
 
 /// The scene with so many of its nodes, without faults and requests.
 fn plan(name: &str, node_count: Option<usize>) -> Result<Plan, Failure> {
-    let mut checked = scene::find(name)?;
+    let mut checked = scenario::find(name)?;
     if let Some(count) = node_count {
-        let available = checked.scene.node.len();
+        let available = checked.spec.node.len();
         if !(1..=available).contains(&count) {
             return Err(Failure::Nodes(available));
         }
-        checked.scene.node.truncate(count);
+        checked.spec.node.truncate(count);
     }
     checked.faults.clear();
     let mut plan = Plan::draw(checked, SEED);
@@ -47,7 +47,7 @@
 /// What has been started, and where it listens.
 fn describe(plan: &Plan, stage: &mut Stage) -> Value {
     let mut nodes = Vec::new();
-    for (index, node) in plan.scene.scene.node.iter().enumerate() {
+    for (index, node) in plan.scenario.spec.node.iter().enumerate() {
         if let Some((listen, pid)) = stage.node(index) {
             nodes.push(json!({"name": node.name.get_ref(), "listen": listen, "pid": pid}));
         }
@@ -57,7 +57,7 @@
         .map(|(uid, listen)| json!({"uid": uid, "listen": listen}))
         .collect();
     json!({
-        "scene": plan.scene.name,
+        "scene": plan.scenario.name,
         "nodes": nodes,
         "discovery": stage.list_at(0),
         "backends": backends,
--- a/testkit/scenarios/src/fleet.rs
+++ b/testkit/scenarios/src/fleet.rs
@@ -5,8 +5,8 @@
 
 use crate::outcome::{ClientResult, Request};
 use crate::plan::Plan;
-use crate::run::Played;
-use crate::scene::{FaultTarget, PlannedFault};
+use crate::run::RunReport;
+use crate::scenario::{FaultTarget, PlannedFault};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// A node counts as one of a zone's if it sent there at least this share of its requests before the trouble.
@@ -254,8 +254,8 @@
 
 /// The troubles of whole zones in a plan.
 pub fn troubles(plan: &Plan) -> Vec<Trouble> {
-    let zones = plan.scene.scene.zones();
-    let end = plan.scene.scene.length_ms.get_ref() * MILLISECOND;
+    let zones = plan.scenario.spec.zones();
+    let end = plan.scenario.spec.length_ms.get_ref() * MILLISECOND;
     plan.faults
         .iter()
         .filter_map(|fault| Trouble::of(fault, &zones, end))
@@ -279,8 +279,8 @@
     let mut strayed = Vec::new();
     for (node, requests) in nodes {
         let own = plan
-            .scene
-            .scene
+            .scenario
+            .spec
             .node
             .iter()
             .find(|known| known.name.get_ref() == node);
@@ -301,8 +301,8 @@
 
 /// What a scene expects and the run did not show.
 #[expect(clippy::too_many_lines, reason = "to be split with the module")]
-pub fn lost(plan: &Plan, played: &Played) -> Vec<String> {
-    let expect = &plan.scene.scene.expect;
+pub fn lost(plan: &Plan, played: &RunReport) -> Vec<String> {
+    let expect = &plan.scenario.spec.expect;
     let mut lost = Vec::new();
     let mut need = |good: bool, what: String| {
         if !good {
--- a/testkit/scenarios/src/lib.rs
+++ b/testkit/scenarios/src/lib.rs
@@ -2,7 +2,6 @@
 //! runs with one seed give the same outcomes byte for byte, or in real time. See `docs/operators/rehearsal.md`.
 
 pub mod fleet;
-pub mod hunt;
 mod one_core;
 pub mod outcome;
 pub mod plan;
@@ -11,7 +10,8 @@
 pub mod process;
 pub mod rules;
 pub mod run;
-pub mod scene;
+pub mod scenario;
+pub mod search;
 pub mod soak;
 pub mod sweep;
 mod world;
--- a/testkit/scenarios/src/plan.rs
+++ b/testkit/scenarios/src/plan.rs
@@ -1,12 +1,13 @@
 //! What a run plays: a scene's arrivals and faults, drawn from a seed, or just those of a repro file.
 
 use std::path::{Path, PathBuf};
+use std::rc::Rc;
 
 use badgerpost_fakes::random::Random;
 use badgerpost_settings::file::{FileError, Source};
 use serde::{Deserialize, Serialize};
 
-use crate::scene::{self, Checked, FaultKind, FaultTarget, LinkEnd, PlannedFault};
+use crate::scenario::{self, FaultKind, FaultTarget, LinkEnd, LoadedScenario, PlannedFault};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// Clients begin to ask after this: the nodes have the list by then.
@@ -56,7 +57,7 @@
 #[derive(Clone)]
 pub struct Plan {
     /// The scene.
-    pub scene: std::rc::Rc<Checked>,
+    pub scenario: Rc<LoadedScenario>,
     /// The seed.
     pub seed: u64,
     /// First tries, by time.
@@ -69,12 +70,12 @@
 
 impl Plan {
     /// A scene as it is written, with arrivals drawn from a seed.
-    pub fn draw(scene: Checked, seed: u64) -> Self {
+    pub fn draw(scenario: LoadedScenario, seed: u64) -> Self {
         let mut random = Random::new(seed, "arrivals");
-        let mean = SECOND as f64 / scene.scene.clients.rate.get_ref().max(1e-9);
-        let end = scene.scene.length_ms.get_ref() * MILLISECOND;
-        let shares: f64 = scene
-            .scene
+        let mean = SECOND as f64 / scenario.spec.clients.rate.get_ref().max(1e-9);
+        let end = scenario.spec.length_ms.get_ref() * MILLISECOND;
+        let shares: f64 = scenario
+            .spec
             .class
             .iter()
             .map(|class| class.share.get_ref())
@@ -87,13 +88,13 @@
                 break;
             }
             let mut draw = random.unit() * shares;
-            let chosen = scene.scene.class.iter().position(|class| {
+            let chosen = scenario.spec.class.iter().position(|class| {
                 draw -= class.share.get_ref();
                 draw < 0.0
             });
             let class = chosen.unwrap_or(0);
-            let (least, most) = *scene.scene.class[class].work_ms.get_ref();
-            let node = random.between(0, scene.scene.node.len() as u64 - 1) as usize;
+            let (least, most) = *scenario.spec.class[class].work_ms.get_ref();
+            let node = random.between(0, scenario.spec.node.len() as u64 - 1) as usize;
             let work = random.between(least * MILLISECOND, most * MILLISECOND);
             arrivals.push(Arrival {
                 number: arrivals.len() as u64,
@@ -103,9 +104,9 @@
                 work,
             });
         }
-        let faults = scene.faults.clone();
+        let faults = scenario.faults.clone();
         Self {
-            scene: std::rc::Rc::new(scene),
+            scenario: Rc::new(scenario),
             seed,
             arrivals,
             faults,
@@ -116,7 +117,7 @@
     /// The same with its faults at other times, of other lengths and at other servers or nodes, by the seed.
     pub fn vary(mut self) -> Self {
         let mut random = Random::new(self.seed, "faults");
-        let end = self.scene.scene.length_ms.get_ref() * MILLISECOND;
+        let end = self.scenario.spec.length_ms.get_ref() * MILLISECOND;
         for fault in &mut self.faults {
             fault.at = random.between(FIRST, end.max(FIRST));
             fault.lasts = fault
@@ -125,20 +126,20 @@
             if let FaultKind::Link(link) = &mut fault.kind
                 && let LinkEnd::Zone(zone) = &mut link.remote
             {
-                *zone = random.between(0, self.scene.scene.zones().len() as u64 - 1) as usize;
+                *zone = random.between(0, self.scenario.spec.zones().len() as u64 - 1) as usize;
             }
             let among = match (&mut fault.target, fault.kind) {
                 (FaultTarget::Group(group), _) if group.zone.is_some() => {
-                    let zones = self.scene.scene.zones().len() as u64;
+                    let zones = self.scenario.spec.zones().len() as u64;
                     group.zone = Some(random.between(0, zones - 1) as usize);
                     continue;
                 }
                 (FaultTarget::Group(_), _) => continue,
                 (FaultTarget::Single(_), kind) if kind.is_about_server() => {
-                    self.scene.scene.server.len()
+                    self.scenario.spec.server.len()
                 }
                 (FaultTarget::Single(_), kind) if kind.is_about_node() => {
-                    self.scene.scene.node.len()
+                    self.scenario.spec.node.len()
                 }
                 (FaultTarget::Single(_), _) => continue,
             };
@@ -168,11 +169,11 @@
         };
         let file = Repro {
             format: FORMAT,
-            scene: self.scene.name.clone(),
+            scene: self.scenario.name.clone(),
             seed: self.seed,
             faults: self.faults.iter().map(fault).collect(),
             arrivals: self.arrivals.clone(),
-            text: self.scene.text.clone(),
+            text: self.scenario.text.clone(),
         };
         serde_json::to_string_pretty(&file)
     }
@@ -197,11 +198,11 @@
             return Err(bad("it is of another format"));
         }
         let name = format!("{} in {}", file.scene, path.display());
-        let mut scene = scene::check(&file.scene, Source::embedded(&name, &file.text))?;
+        let mut scenario = scenario::check(&file.scene, Source::embedded(&name, &file.text))?;
         let mut faults = Vec::new();
         for line in &file.faults {
             faults.push(
-                line.planned(&scene)
+                line.planned(&scenario)
                     .ok_or_else(|| bad("a fault is none that its scene can have"))?,
             );
         }
@@ -209,15 +210,15 @@
             seed, mut arrivals, ..
         } = file;
         let sound =
-            |a: &Arrival| a.class < scene.scene.class.len() && a.node < scene.scene.node.len();
+            |a: &Arrival| a.class < scenario.spec.class.len() && a.node < scenario.spec.node.len();
         if !arrivals.iter().all(sound) || arrivals.len() > MOST_REQUESTS {
             return Err(bad("an arrival is none that its scene can have"));
         }
         arrivals.sort_by_key(|arrival| arrival.at);
         faults.sort_by_key(|fault| fault.at);
-        scene.faults.clone_from(&faults);
+        scenario.faults.clone_from(&faults);
         Ok(Self {
-            scene: std::rc::Rc::new(scene),
+            scenario: Rc::new(scenario),
             seed,
             arrivals,
             faults,
@@ -252,7 +253,7 @@
 }
 
 impl FaultLine {
-    fn planned(&self, scene: &Checked) -> Option<PlannedFault> {
+    fn planned(&self, scenario: &LoadedScenario) -> Option<PlannedFault> {
         let Self {
             at,
             lasts,
@@ -261,15 +262,15 @@
             permille,
         } = *self;
         let most = match kind {
-            kind if kind.is_about_server() => scene.scene.server.len(),
-            kind if kind.is_about_node() => scene.scene.node.len(),
+            kind if kind.is_about_server() => scenario.spec.server.len(),
+            kind if kind.is_about_node() => scenario.spec.node.len(),
             _ => 1,
         };
         let sound = match target {
             FaultTarget::Single(one) => one < most,
             FaultTarget::Group(group) => group
                 .zone
-                .is_none_or(|zone| zone < scene.scene.zones().len()),
+                .is_none_or(|zone| zone < scenario.spec.zones().len()),
         };
         sound.then_some(PlannedFault {
             at,
--- a/testkit/scenarios/src/plan/tests.rs
+++ b/testkit/scenarios/src/plan/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_plan_follows_from_its_seed() {
-    let plan = |seed| Plan::draw(scene::find("night").expect("shipped"), seed).vary();
+    let plan = |seed| Plan::draw(scenario::find("night").expect("shipped"), seed).vary();
     let (one, same, other) = (plan(7), plan(7), plan(8));
     assert_eq!((&one.arrivals, &one.faults), (&same.arrivals, &same.faults));
     assert!(one.arrivals != other.arrivals && one.faults != other.faults);
@@ -11,7 +11,7 @@
 
 #[test]
 fn a_repro_file_plays_exactly_its_plan() {
-    let mut plan = Plan::draw(scene::find("night").expect("shipped"), 3).vary();
+    let mut plan = Plan::draw(scenario::find("night").expect("shipped"), 3).vary();
     plan.arrivals.retain(|arrival| arrival.number % 7 == 0);
     plan.faults.truncate(3);
     let path = std::env::temp_dir().join(format!("badgerpost-plan-{}.json", std::process::id()));
--- a/testkit/scenarios/src/plot.rs
+++ b/testkit/scenarios/src/plot.rs
@@ -76,7 +76,7 @@
         (name.to_owned(), request.arrival)
     }));
     let attempts = log.iter().flat_map(|request| &request.attempts);
-    let many = plan.scene.scene.server.len() > MANY;
+    let many = plan.scenario.spec.server.len() > MANY;
     let name = |server: &str, zone: &str| {
         if many {
             zone.to_owned()
@@ -91,7 +91,7 @@
         (
             format!(
                 "{}, seed {}: requests a second by outcome",
-                plan.scene.name, plan.seed
+                plan.scenario.name, plan.seed
             ),
             outcomes,
         ),
--- a/testkit/scenarios/src/postgres/stage.rs
+++ b/testkit/scenarios/src/postgres/stage.rs
@@ -16,7 +16,7 @@
 use super::truth::{self, Finding, Seen};
 use crate::process::{self, Process, Start};
 use crate::run::RunError;
-use crate::scene;
+use crate::scenario;
 
 const USER: &str = "rehearsal";
 const PASSWORD: &str = "rehearsal-password";
@@ -80,7 +80,7 @@
         }
         let discovery = Discovery::new(names(&databases, None));
         let no_servers = Discovery::new(serde_json::json!([]));
-        let calm = scene::find("calm")?;
+        let calm = scenario::find("calm")?;
         let edge = process::edge(
             &calm,
             0,
--- a/testkit/scenarios/src/process.rs
+++ b/testkit/scenarios/src/process.rs
@@ -17,7 +17,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::outcome;
-use crate::scene::Checked;
+use crate::scenario::LoadedScenario;
 use badgerpost_time::{MILLISECOND, Nanos};
 
 /// Nothing that a node does at its start, or between two steps, takes longer, on a busy machine either.
@@ -407,14 +407,14 @@
 /// What the platform would tell a node of a scene.
 #[expect(clippy::needless_pass_by_value, reason = "callers hand the value over")]
 pub fn edge(
-    scene: &Checked,
+    scenario: &LoadedScenario,
     node: usize,
     listen: SocketAddr,
     discovery: SocketAddr,
     seed: u64,
     known: Option<Value>,
 ) -> Value {
-    let scene = &scene.scene;
+    let scene = &scenario.spec;
     let rules = &scene.rules;
     let own = &scene.node[node];
     let zones = scene.zones();
@@ -432,7 +432,7 @@
                 "deadline-ns": class.deadline_ms.get_ref() * MILLISECOND})
         })
         .collect();
-    let by_probe = scene.reports == crate::scene::Reports::Probes;
+    let by_probe = scene.reports == crate::scenario::Reports::Probes;
     let settings = json!({"report": {"how": if by_probe { "pull" } else { "piggyback" }}, "az": own.zone, "zones": zones, "n-instances": scene.node.len(),
         "discovery": "pushed", "classes": classes, "goal": {}, "callers": {"marks-retry": true},
         "policy-limits": {"attempts-cap": rules.attempts, "may-cancel": true, "second-copies": true, "peers": true,
--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -57,7 +57,7 @@
 }
 
 /// What came of it.
-pub struct Played {
+pub struct RunReport {
     /// The outcome log.
     pub log: Vec<Request>,
     /// The most that each server was sent while cold, as a multiple of what it could do; with its zone.
@@ -82,7 +82,7 @@
     pub late: u64,
 }
 
-impl Played {
+impl RunReport {
     /// Counts over the log.
     pub fn counts(&self) -> Counts {
         Counts::of(&self.log)
@@ -149,11 +149,11 @@
     plan: &Plan,
     options: &Options,
     progress: &mut dyn FnMut(f64),
-) -> Result<Played, RunError> {
+) -> Result<RunReport, RunError> {
     let sha256 = process::sha256(&options.program)?;
     let began = Instant::now();
     let mut stage = Stage::set(plan, options)?;
-    let length = plan.scene.scene.length_ms.get_ref() * MILLISECOND;
+    let length = plan.scenario.spec.length_ms.get_ref() * MILLISECOND;
     let mut said = 0;
     while !stage.world.is_done() {
         if options.real_time {
@@ -181,8 +181,8 @@
         ..
     } = stage;
     let names = plan
-        .scene
-        .scene
+        .scenario
+        .spec
         .node
         .iter()
         .map(|node| node.name.get_ref().clone());
@@ -194,19 +194,19 @@
     let (cold_peaks, talk) = (world.cold_peaks(), world.talk());
     let owed = world.owed();
     let log = world.into_log();
-    let scene = &plan.scene.scene.rules;
+    let rules = &plan.scenario.spec.rules;
     let figures = rules::Figures {
         answer_slack: match plan.behaviour.strict {
             true => LATE_ANSWER,
-            false => scene.answer_slack_ms * MILLISECOND + SOCKETS,
+            false => rules.answer_slack_ms * MILLISECOND + SOCKETS,
         },
-        drain_grace: scene.drain_grace_ms * MILLISECOND + SOCKETS,
+        drain_grace: rules.drain_grace_ms * MILLISECOND + SOCKETS,
         leave_slack: LEAVE_SLACK + SOCKETS,
         deadline_slack: DEADLINE_SLACK + SOCKETS + held(options),
     };
     let mut breaches = rules::check(&log, &figures);
     breaches.extend(owed);
-    Ok(Played {
+    Ok(RunReport {
         log,
         cold_peaks,
         logs,
@@ -268,7 +268,7 @@
             STEPPED_BASE
         };
         let core = (!options.real_time).then(OneCore::take);
-        let count = plan.scene.scene.node.len();
+        let count = plan.scenario.spec.node.len();
         let world = World::new(plan.clone(), base, options.peers)?;
         let port = |node| {
             let at = SocketAddr::from(([127, 0, 0, 1], if node == 0 { options.port } else { 0 }));
@@ -328,19 +328,26 @@
         let listen = self.ports[node].at();
         self.lives += 1;
         let seed = Random::new(self.plan.seed ^ self.lives, "node").bits();
-        let scene = &self.plan.scene;
-        let known = scene.scene.discovery.known.then(|| self.world.known());
-        let mut edge = process::edge(scene, node, listen, self.world.list_at(node), seed, known);
+        let scenario = &self.plan.scenario;
+        let known = scenario.spec.discovery.known.then(|| self.world.known());
+        let mut edge = process::edge(
+            scenario,
+            node,
+            listen,
+            self.world.list_at(node),
+            seed,
+            known,
+        );
         if self.plan.behaviour.polled_list {
             edge["settings"]["discovery"] = "on_request".into();
         }
         let now = self.world.base() + self.world.now();
         let start = Start {
             program: &self.options.program,
-            name: scene.scene.node[node].name.get_ref(),
+            name: scenario.spec.node[node].name.get_ref(),
             edge,
             stepped: (!self.options.real_time).then_some(now),
-            own: scene.scene.own.clone() + &self.options.own + &self.world.peers_section(node),
+            own: scenario.spec.own.clone() + &self.options.own + &self.world.peers_section(node),
             files: if self.world.has_peers() {
                 vec![(PEERS_KEY.0, PEERS_KEY.1.to_owned())]
             } else {
--- a/testkit/scenarios/src/scene.rs
+++ b/testkit/scenarios/src/scenario.rs
@@ -1,8 +1,8 @@
 //! Scenes: what is rehearsed, as files that operators write in TOML. A bad one is refused with file, line and
 //! key.
 
+mod fault;
 mod groups;
-mod trouble;
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -13,11 +13,11 @@
 
 use crate::outcome::{DedupScope, Idempotency};
 use badgerpost_time::MILLISECOND;
-pub use groups::{NodeGroup, ServerGroup};
-use trouble::FaultScope;
-pub use trouble::{
+use fault::FaultScope;
+pub use fault::{
     FaultKind, FaultTarget, LinkEnd, LinkFault, LinkFaultKind, PlannedFault, TargetGroup,
 };
+pub use groups::{NodeGroup, ServerGroup};
 
 /// The scenes that are shipped, by name.
 pub const SHIPPED: [(&str, &str); 10] = [
@@ -50,7 +50,7 @@
 /// A scene.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Scene {
+pub struct Scenario {
     /// What it shows, in a line.
     pub about: String,
     /// The operators' own file of every node, in TOML; none if empty.
@@ -97,7 +97,7 @@
     pub fault: Vec<Fault>,
 }
 
-impl Scene {
+impl Scenario {
     /// Every zone that a node or a server names, sorted.
     pub fn zones(&self) -> Vec<&str> {
         let nodes = self.node.iter().map(|node| node.zone.as_str());
@@ -350,11 +350,11 @@
 }
 
 /// A scene that has been read and checked, and its text.
-pub struct Checked {
+pub struct LoadedScenario {
     /// Its name.
     pub name: String,
     /// The scene.
-    pub scene: Scene,
+    pub spec: Scenario,
     /// Its faults.
     pub faults: Vec<PlannedFault>,
     /// The file's text.
@@ -362,7 +362,7 @@
 }
 
 /// Finds a scene by the name of a shipped one or by its file.
-pub fn find(name: &str) -> Result<Checked, FileError> {
+pub fn find(name: &str) -> Result<LoadedScenario, FileError> {
     if let Some((name, text)) = SHIPPED.iter().find(|shipped| shipped.0 == name) {
         return check(name, Source::embedded(&format!("{name}.toml"), text));
     }
@@ -378,8 +378,8 @@
 /// Reads and checks a scene.
 #[expect(clippy::needless_pass_by_value, reason = "callers hand the value over")]
 #[expect(clippy::too_many_lines, reason = "to be split with the module")]
-pub fn check(name: &str, source: Source) -> Result<Checked, FileError> {
-    let mut scene: Scene = source.parse()?;
+pub fn check(name: &str, source: Source) -> Result<LoadedScenario, FileError> {
+    let mut scene: Scenario = source.parse()?;
     let whole = |problem: &str| source.error_at(0..0, problem);
     let within = |span, good: bool, problem: &str| {
         if good {
@@ -558,9 +558,9 @@
         }
     }
     faults.sort_by_key(|fault| fault.at);
-    Ok(Checked {
+    Ok(LoadedScenario {
         name: name.to_owned(),
-        scene,
+        spec: scene,
         faults,
         text: source.text().to_owned(),
     })
--- a/testkit/scenarios/src/scene/trouble.rs
+++ b/testkit/scenarios/src/scenario/fault.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use toml::Spanned;
 
-use super::{Fault, MOST_MS, Scene};
+use super::{Fault, MOST_MS, Scenario};
 use badgerpost_time::{MILLISECOND, Nanos};
 
 /// What goes wrong.
@@ -294,7 +294,7 @@
     #[expect(clippy::too_many_lines, reason = "to be split with the module")]
     pub(super) fn read(
         fault: &Fault,
-        scene: &Scene,
+        scene: &Scenario,
         source: &Source,
     ) -> Result<(Self, FaultScope), FileError> {
         let kind = KINDS.iter().find(|kind| kind.0 == fault.kind.get_ref());
@@ -474,7 +474,7 @@
 impl PlannedFault {
     /// What the fault affects: positions among the scene's servers or nodes. The same for one seed and group,
     /// so that a group's next tenth is another tenth.
-    pub fn targets(&self, scene: &Scene, seed: u64) -> Vec<usize> {
+    pub fn targets(&self, scene: &Scenario, seed: u64) -> Vec<usize> {
         let group = match self.target {
             FaultTarget::Single(one) => return vec![one],
             FaultTarget::Group(group) => group,
--- a/testkit/scenarios/src/soak.rs
+++ b/testkit/scenarios/src/soak.rs
@@ -10,8 +10,8 @@
 use badgerpost_settings::file::{FileError, Source};
 
 use crate::plan::{Behaviour, Plan};
-use crate::run::{self, Options, Played, RunError};
-use crate::scene;
+use crate::run::{self, Options, RunError, RunReport};
+use crate::scenario;
 use badgerpost_time::{MILLISECOND, SECOND};
 
 /// How long clients ask, in milliseconds.
@@ -42,7 +42,7 @@
         let behaviour = draw.behaviour();
         let text = draw.scene(nodes, &behaviour);
         let name = format!("soak-{seed}");
-        let scene = scene::check(&name, Source::embedded(&format!("{name}.toml"), &text))?;
+        let scene = scenario::check(&name, Source::embedded(&format!("{name}.toml"), &text))?;
         let mut plan = Plan::draw(scene, seed);
         plan.behaviour = behaviour;
         let system_faults = (0..nodes).map(|_| draw.system_faults()).collect();
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// A node crashed, or the run could not be played.
-    pub fn play(&self, program: PathBuf) -> Result<Played, RunError> {
+    pub fn play(&self, program: PathBuf) -> Result<RunReport, RunError> {
         let options = Options {
             program,
             real_time: true,
@@ -71,7 +71,7 @@
 
     /// The way of the requests that broke a rule, a line each, with what the nodes logged of them.
     #[must_use]
-    pub fn ways(played: &Played) -> Vec<String> {
+    pub fn ways(played: &RunReport) -> Vec<String> {
         let mut ways = Vec::new();
         for breach in &played.breaches {
             ways.push(format!("{}: {breach}", breach.rule));
@@ -90,7 +90,7 @@
     /// What was drawn, in a line.
     #[must_use]
     pub fn summary(&self) -> String {
-        let scene = &self.plan.scene.scene;
+        let scene = &self.plan.scenario.spec;
         let faults: Vec<&str> = self
             .plan
             .faults
--- a/testkit/scenarios/src/sweep.rs
+++ b/testkit/scenarios/src/sweep.rs
@@ -6,7 +6,7 @@
 use crate::fleet::{self, Conduct};
 use crate::plan::Plan;
 use crate::run::{self, Options, RunError};
-use crate::scene;
+use crate::scenario;
 use badgerpost_time::MILLISECOND;
 
 /// What one seed showed.
@@ -64,7 +64,7 @@
 }
 
 fn row(name: &str, seed: u64, options: &Options) -> Result<Row, RunError> {
-    let plan = Plan::draw(scene::find(name)?, seed);
+    let plan = Plan::draw(scenario::find(name)?, seed);
     let played = run::play(&plan, options, &mut |_| {})?;
     let trouble = fleet::troubles(&plan).into_iter().next();
     Ok(Row {
--- a/testkit/scenarios/src/world.rs
+++ b/testkit/scenarios/src/world.rs
@@ -23,7 +23,7 @@
 
 use crate::outcome::AttemptOutcome;
 use crate::plan::Plan;
-use crate::scene::{PlannedFault, Scene};
+use crate::scenario::{PlannedFault, Scenario};
 use badgerpost_time::{MILLISECOND, Nanos};
 use misbehaviour::Misbehaviour;
 pub use peers::PEERS_KEY;
@@ -34,7 +34,7 @@
 const REPORT_PERIOD: Nanos = 100 * MILLISECOND;
 
 /// The mean work of a scene's requests.
-fn mean_work(scene: &Scene) -> Nanos {
+fn mean_work(scene: &Scenario) -> Nanos {
     let (mut total, mut shares) = (0.0, 0.0);
     for class in &scene.class {
         let (least, most) = *class.work_ms.get_ref();
@@ -50,13 +50,13 @@
     pub fn new(plan: Plan, base: Nanos, peers: bool) -> io::Result<Self> {
         let mut net = Net::new()?;
         let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
-        let scene = plan.scene.clone();
-        let rules = &scene.scene.rules;
+        let scenario = plan.scenario.clone();
+        let rules = &scenario.spec.rules;
         let (mut places, mut sites, mut nodes) = (BTreeMap::new(), Vec::new(), Vec::new());
         let mut list = Discovery::default();
-        let zones = scene.scene.zones();
+        let zones = scenario.spec.zones();
         let zone_number = |zone: &str| zones.iter().position(|one| *one == zone).unwrap_or(0);
-        for (number, server) in scene.scene.server.iter().enumerate() {
+        for (number, server) in scenario.spec.server.iter().enumerate() {
             let (listener, at) = net.listen(loopback)?;
             places.insert(listener, Place::Server(number));
             let figures = Figures {
@@ -68,7 +68,7 @@
                 tip_multiple: rules.tip_multiple,
                 fall_span: rules.fall_ms * MILLISECOND,
                 report_period: REPORT_PERIOD,
-                mean_work: plan.behaviour.strict.then(|| mean_work(&scene.scene)),
+                mean_work: plan.behaviour.strict.then(|| mean_work(&scenario.spec)),
                 choke: server.choke.as_ref().map(|choke| Choke {
                     waiting: choke.waiting,
                     over: choke.over_ms.get_ref() * MILLISECOND,
@@ -104,11 +104,11 @@
             }
             sites.push(site);
         }
-        for (number, node) in scene.scene.node.iter().enumerate() {
+        for (number, node) in scenario.spec.node.iter().enumerate() {
             let (listener, list_at) = net.listen(loopback)?;
             places.insert(listener, Place::List(number));
             let name = node.name.get_ref().clone();
-            let talks = (peers || scene.scene.peers)
+            let talks = (peers || scenario.spec.peers)
                 .then(|| net.open_datagrams(loopback))
                 .transpose()?;
             let (idle, told, open, ended) = (Vec::new(), BTreeMap::new(), 0, 0);
@@ -171,7 +171,7 @@
             world.at(world.plan.arrivals[number].at, Todo::Arrive(number));
         }
         world.begin_misbehaviour();
-        for (number, server) in scene.scene.server.iter().enumerate() {
+        for (number, server) in scenario.spec.server.iter().enumerate() {
             server
                 .starts_ms
                 .into_iter()
--- a/testkit/scenarios/src/world/clients.rs
+++ b/testkit/scenarios/src/world/clients.rs
@@ -19,7 +19,7 @@
     /// A try comes to a node: the first one of an arrival, or one more after another.
     pub(super) fn arrive(&mut self, arrival: usize, of: Option<usize>) -> Option<(usize, u64)> {
         let plan = self.plan.arrivals[arrival];
-        let class = &self.plan.scene.scene.class[plan.class];
+        let class = &self.plan.scenario.spec.class[plan.class];
         let tries = of.map_or(0, |of| self.requests[of].tries + 1);
         let id = match tries {
             0 => format!("{:016x}", plan.number),
@@ -51,7 +51,7 @@
         let key = format!("{:x}-{:08x}", self.plan.seed, plan.number);
         let number = self.requests.len();
         self.ids.insert(id, number);
-        let rules = &self.plan.scene.scene.rules;
+        let rules = &self.plan.scenario.spec.rules;
         let slack = match self.plan.behaviour.strict {
             true => LATE_ANSWER,
             false => rules.answer_slack_ms * MILLISECOND + SOCKETS,
@@ -296,7 +296,7 @@
     }
 
     pub(super) fn retry(&mut self, request: usize, pause: Nanos) {
-        let clients = &self.plan.scene.scene.clients;
+        let clients = &self.plan.scenario.spec.clients;
         let open = &self.requests[request];
         let refused = open.log.result() == Some(ClientResult::Rejected);
         let harmless = refused || open.log.idempotency != Idempotency::NonIdempotent;
--- a/testkit/scenarios/src/world/faults.rs
+++ b/testkit/scenarios/src/world/faults.rs
@@ -6,7 +6,7 @@
 
 use super::links::BadLink;
 use super::stage::{Fired, Order, Todo, World};
-use crate::scene::{FaultKind, LinkFault, LinkFaultKind};
+use crate::scenario::{FaultKind, LinkFault, LinkFaultKind};
 use badgerpost_time::MILLISECOND;
 
 impl World {
@@ -17,7 +17,7 @@
             self.link_fault(number, trouble, begins);
             return Ok(fired);
         }
-        for whom in planned.targets(&self.plan.scene.scene, self.plan.seed) {
+        for whom in planned.targets(&self.plan.scenario.spec, self.plan.seed) {
             fired
                 .orders
                 .extend(self.strike(planned.kind, planned.permille, whom, begins)?);
@@ -29,7 +29,7 @@
     fn link_fault(&mut self, fault: usize, trouble: LinkFault, begins: bool) {
         if begins {
             let mut nodes = vec![false; self.nodes.len()];
-            for node in self.plan.faults[fault].targets(&self.plan.scene.scene, self.plan.seed) {
+            for node in self.plan.faults[fault].targets(&self.plan.scenario.spec, self.plan.seed) {
                 nodes[node] = true;
             }
             let bad = BadLink {
@@ -57,7 +57,7 @@
         begins: bool,
     ) -> io::Result<Option<Order>> {
         let order = |order| Ok(Some(order));
-        let notice = self.now + self.plan.scene.scene.discovery.notice_ms * MILLISECOND;
+        let notice = self.now + self.plan.scenario.spec.discovery.notice_ms * MILLISECOND;
         match (trouble, begins) {
             (FaultKind::Drain | FaultKind::Remove, _) => {
                 let state = match trouble {
--- a/testkit/scenarios/src/world/links.rs
+++ b/testkit/scenarios/src/world/links.rs
@@ -6,7 +6,7 @@
 use badgerpost_fakes::net::ConnId;
 
 use super::stage::{Job, Peer, Sending, Todo, World};
-use crate::scene::{LinkEnd, LinkFault, LinkFaultKind};
+use crate::scenario::{LinkEnd, LinkFault, LinkFaultKind};
 use badgerpost_time::{MILLISECOND, Nanos};
 
 /// What a connection has lost is sent again after this long, and after twice as long when that is lost too, as TCP
@@ -81,7 +81,7 @@
 
     /// How long a message between a node and another end takes where no link does badly.
     fn usual(&self, node: usize, end: End) -> Nanos {
-        let network = self.plan.scene.scene.network;
+        let network = self.plan.scenario.spec.network;
         let zone = match end {
             End::Server(server) => Some(self.sites[server].zone_number),
             End::Node(other) => Some(self.nodes[other].zone_number),
--- a/testkit/scenarios/src/world/misbehaviour.rs
+++ b/testkit/scenarios/src/world/misbehaviour.rs
@@ -69,7 +69,7 @@
         }
         let is_open = |peer: &Peer| matches!(peer, Peer::Client { node: of, open, .. } if *of == node && !open.is_empty());
         let open = self.peers.values().filter(|peer| is_open(peer)).count();
-        open >= self.plan.scene.scene.node[node].sockets / 3
+        open >= self.plan.scenario.spec.node[node].sockets / 3
     }
 
     /// Whether the system before the nodes, or a client with a connection of its own, brings a node requests.
@@ -181,7 +181,7 @@
             self.adopt(conn, Peer::Silent { node, since });
             self.at(since + OWED_WITHIN + OWED_SLACK, Todo::Owed(conn));
         }
-        if self.now < self.plan.scene.scene.length_ms.get_ref() * MILLISECOND {
+        if self.now < self.plan.scenario.spec.length_ms.get_ref() * MILLISECOND {
             self.at(self.now + SILENT_PERIOD, Todo::Silent(node));
         }
         None
@@ -227,7 +227,7 @@
         }
         let since = self.now;
         self.nodes[node].stopping = Some(since);
-        let deadlines = self.plan.scene.scene.class.iter();
+        let deadlines = self.plan.scenario.spec.class.iter();
         let longest = deadlines.map(|class| class.deadline_ms.get_ref() * MILLISECOND);
         let longest = longest.max().unwrap_or(0).min(LONGEST_COUNTED);
         let series = [
--- a/testkit/scenarios/src/world/servers.rs
+++ b/testkit/scenarios/src/world/servers.rs
@@ -11,7 +11,7 @@
 use super::links::Carried;
 use super::stage::{ConnectionFate, Job, Open, Peer, Sending, Todo, World, body};
 use crate::outcome::{Attempt, AttemptOutcome, DedupScope};
-use crate::scene::{FaultKind, Reports};
+use crate::scenario::{FaultKind, Reports};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// A change of the list counts as told this long after discovery had it and could be reached.
@@ -154,7 +154,7 @@
             return;
         }
         let work = request.map_or(
-            self.plan.scene.scene.class[0].work_ms.get_ref().0 * MILLISECOND,
+            self.plan.scenario.spec.class[0].work_ms.get_ref().0 * MILLISECOND,
             |request| self.plan.arrivals[self.requests[request].arrival].work,
         );
         let site = &mut self.sites[server];
@@ -167,7 +167,7 @@
         });
         let offer = site.model.offer(now, ticket, work);
         site.cold_sends.push_back((now, is_told));
-        let window = self.plan.scene.scene.rules.fall_ms * MILLISECOND;
+        let window = self.plan.scenario.spec.rules.fall_ms * MILLISECOND;
         while site
             .cold_sends
             .front()
@@ -228,7 +228,7 @@
         if silent || self.sites[server].paused() {
             return;
         }
-        let told = self.plan.scene.scene.reports == Reports::Probes;
+        let told = self.plan.scenario.spec.reports == Reports::Probes;
         let bytes = if told {
             let util = self.sites[server].model.util(self.now);
             message::answer(200, "", format!("{{\"util\":{util:.4}}}").as_bytes())
@@ -249,7 +249,7 @@
     }
 
     pub(super) fn report(&mut self, server: usize, more: &str) -> String {
-        if self.plan.scene.scene.reports == Reports::Probes {
+        if self.plan.scenario.spec.reports == Reports::Probes {
             return more.to_owned();
         }
         let util = self.sites[server].model.util(self.now);
@@ -451,7 +451,7 @@
         (site.up, site.booted, site.wake) = (true, Some(now), None);
         site.jobs.clear();
         self.net.accept_again(site.listener)?;
-        let notice = self.plan.scene.scene.discovery.notice_ms * MILLISECOND;
+        let notice = self.plan.scenario.spec.discovery.notice_ms * MILLISECOND;
         self.at(now + notice, Todo::List(server, State::Ready, true));
         Ok(())
     }
--- a/testkit/scenarios/src/world/stage.rs
+++ b/testkit/scenarios/src/world/stage.rs
@@ -17,7 +17,7 @@
 use crate::outcome::{AttemptOutcome, ClientResult, Request};
 use crate::plan::Plan;
 use crate::rules::{self, Breach};
-use crate::scene::FaultKind;
+use crate::scenario::FaultKind;
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// On sockets each time limit is this much longer.
@@ -356,7 +356,7 @@
     /// Whether all clients have had their answers, or given up.
     pub fn is_done(&self) -> bool {
         self.pending == 0
-            || self.now > self.plan.scene.scene.length_ms.get_ref() * MILLISECOND + ENDS_AFTER
+            || self.now > self.plan.scenario.spec.length_ms.get_ref() * MILLISECOND + ENDS_AFTER
     }
 
     /// Bytes read from all nodes so far.
--- a/testkit/scenarios/tests/command.rs
+++ b/testkit/scenarios/tests/command.rs
@@ -189,7 +189,7 @@
 #[test]
 fn real_time_gives_a_verdict_and_a_picture() {
     let (scene, picture) = (file("short.toml"), file("short.svg"));
-    let calm = badgerpost_scenarios::scene::SHIPPED
+    let calm = badgerpost_scenarios::scenario::SHIPPED
         .iter()
         .find(|shipped| shipped.0 == "calm")
         .unwrap()
@@ -281,7 +281,7 @@
 #[test]
 fn the_shipped_scenes_are_listed() {
     let output = rehearse(&["list"]).output().unwrap();
-    for (name, _) in badgerpost_scenarios::scene::SHIPPED {
+    for (name, _) in badgerpost_scenarios::scenario::SHIPPED {
         assert!(
             said(&output).lines().any(|line| line.starts_with(name)),
             "{name}"
--- a/testkit/scenarios/tests/common/mod.rs
+++ b/testkit/scenarios/tests/common/mod.rs
@@ -10,8 +10,8 @@
 use std::path::PathBuf;
 
 use badgerpost_scenarios::plan::Plan;
-use badgerpost_scenarios::run::{self, Options, Played};
-use badgerpost_scenarios::scene;
+use badgerpost_scenarios::run::{self, Options, RunReport};
+use badgerpost_scenarios::scenario;
 use badgerpost_settings::file::Source;
 
 pub const MS: u64 = 1_000_000;
@@ -64,7 +64,7 @@
 
 /// The plan of a scene under a seed.
 pub fn plan(text: &str, seed: u64) -> Plan {
-    let checked = scene::check("scene", Source::embedded("scene.toml", text));
+    let checked = scenario::check("scene", Source::embedded("scene.toml", text));
     Plan::draw(checked.unwrap_or_else(|error| panic!("{error}")), seed)
 }
 
@@ -74,7 +74,7 @@
 }
 
 /// Plays a plan in steps, with this as the operators' own file of every node.
-pub fn play(plan: &Plan, program: PathBuf, own: &str, peers: bool) -> Played {
+pub fn play(plan: &Plan, program: PathBuf, own: &str, peers: bool) -> RunReport {
     let options = Options {
         program,
         real_time: false,
@@ -87,7 +87,7 @@
 }
 
 /// Which nodes logged that a zone is in this state, and how often.
-pub fn told<'a>(played: &'a Played, why: &str) -> Vec<(&'a str, usize)> {
+pub fn told<'a>(played: &'a RunReport, why: &str) -> Vec<(&'a str, usize)> {
     let word = format!("why=\"{why}\"");
     let lines = |log: &str| {
         log.lines()
--- a/testkit/scenarios/tests/file_formats.rs
+++ b/testkit/scenarios/tests/file_formats.rs
@@ -11,7 +11,7 @@
 
 use badgerpost_scenarios::outcome;
 use badgerpost_scenarios::plan::Plan;
-use badgerpost_scenarios::scene;
+use badgerpost_scenarios::scenario;
 use badgerpost_settings::file::Source;
 use sha2::{Digest, Sha256};
 
@@ -72,7 +72,7 @@
 /// The plan that seed 1 draws from the recorded scenario, which has every kind of fault.
 fn plan_with_every_fault() -> Plan {
     let scenario = text("every-fault.toml");
-    let checked = scene::check(
+    let checked = scenario::check(
         "every-fault",
         Source::embedded("every-fault.toml", &scenario),
     );
@@ -82,7 +82,7 @@
 #[test]
 fn shipped_scenarios_draw_the_recorded_repro_files() {
     for (name, digest) in SHIPPED {
-        let plan = Plan::draw(scene::find(name).unwrap(), 1).vary();
+        let plan = Plan::draw(scenario::find(name).unwrap(), 1).vary();
         let written = plan.to_repro().unwrap();
         assert_eq!(format!("{:x}", Sha256::digest(&written)), digest, "{name}");
     }
--- a/testkit/scenarios/tests/identical.rs
+++ b/testkit/scenarios/tests/identical.rs
@@ -12,11 +12,11 @@
 use badgerpost_scenarios::outcome;
 use badgerpost_scenarios::plan::Plan;
 use badgerpost_scenarios::run::{self, Options};
-use badgerpost_scenarios::scene;
+use badgerpost_scenarios::scenario;
 
 fn log(name: &str, seed: u64) -> String {
     let program = badgerpost_fakes::program("badgerpost").unwrap_or_else(|error| panic!("{error}"));
-    let plan = Plan::draw(scene::find(name).expect("a shipped scene"), seed);
+    let plan = Plan::draw(scenario::find(name).expect("a shipped scene"), seed);
     let options = Options {
         program,
         real_time: false,
@@ -79,7 +79,7 @@
     let _alone = ALONE.lock();
     // The fleets' have a test of their own, smaller.
     let small = |name: &str| name != "night" && !name.starts_with("zone-");
-    for (name, _) in scene::SHIPPED.iter().filter(|shipped| small(shipped.0)) {
+    for (name, _) in scenario::SHIPPED.iter().filter(|shipped| small(shipped.0)) {
         same(&log(name, 7), &log(name, 7), 7);
     }
 }
--- a/testkit/scenarios/tests/links.rs
+++ b/testkit/scenarios/tests/links.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use badgerpost_scenarios::outcome::{AttemptOutcome, ClientResult, Request};
-use badgerpost_scenarios::run::Played;
+use badgerpost_scenarios::run::RunReport;
 use common::MS;
 
 const SCENE: &str = r#"
@@ -40,7 +40,7 @@
 "#;
 
 /// Plays the scene with a fault from 1 s to 2 s.
-fn play(fault: &str) -> Played {
+fn play(fault: &str) -> RunReport {
     let text = format!("{SCENE}[[fault]]\nat_ms = 1000\nfor_ms = 1000\n{fault}\n");
     let plan = common::plan(&text, 5);
     let played = common::play(&plan, common::program("badgerpost"), "", false);
@@ -49,7 +49,7 @@
 }
 
 /// The requests that came to nodes of this name while the link was bad, and before.
-fn of<'a>(played: &'a Played, node: &'a str) -> [Vec<&'a Request>; 2] {
+fn of<'a>(played: &'a RunReport, node: &'a str) -> [Vec<&'a Request>; 2] {
     // What is stuck at the end comes through then, if its client still waits.
     [1000..1400, 100..950].map(|span| {
         let within = |request: &&Request| span.contains(&(request.arrival / MS));
--- a/testkit/scenarios/tests/peers.rs
+++ b/testkit/scenarios/tests/peers.rs
@@ -12,14 +12,14 @@
 
 use badgerpost_scenarios::fleet::{self, Conduct};
 use badgerpost_scenarios::plan::Plan;
-use badgerpost_scenarios::run::Played;
+use badgerpost_scenarios::run::RunReport;
 use common::{MS, WATCHED};
 
 const SEED: u64 = 7;
 
 struct Shown {
     plan: Plan,
-    played: Played,
+    played: RunReport,
 }
 
 /// Twelve nodes and thirty servers in three zones; each node sees 15 requests a second.
--- a/testkit/scenarios/tests/zones.rs
+++ b/testkit/scenarios/tests/zones.rs
@@ -13,7 +13,7 @@
 use badgerpost_scenarios::fleet;
 use badgerpost_scenarios::outcome::ClientResult;
 use badgerpost_scenarios::plan::Plan;
-use badgerpost_scenarios::run::Played;
+use badgerpost_scenarios::run::RunReport;
 use common::{MS, WATCHED};
 
 /// Six nodes and thirty servers in three zones.
@@ -23,7 +23,7 @@
 
 struct Shown {
     plan: Plan,
-    played: Played,
+    played: RunReport,
     lost: Vec<String>,
 }
 
