--- a/testkit/scenarios/src/commands/up.rs
+++ b/testkit/scenarios/src/commands/up.rs
@@ -30,13 +30,13 @@
 
 /// The scene with so many of its nodes, without faults and requests.
 fn plan(name: &str, node_count: Option<usize>) -> Result<Plan, Failure> {
-    let mut checked = scene::find(name)?;
+    let mut checked = scenario::find(name)?;
     if let Some(count) = node_count {
-        let available = checked.scene.node.len();
+        let available = checked.spec.node.len();
         if !(1..=available).contains(&count) {
             return Err(Failure::Nodes(available));
         }
-        checked.scene.node.truncate(count);
+        checked.spec.node.truncate(count);
     }
     checked.faults.clear();
     let mut plan = Plan::draw(checked, SEED);
@@ -57,7 +57,7 @@
         .map(|(uid, listen)| json!({"uid": uid, "listen": listen}))
         .collect();
     json!({
-        "scene": plan.scene.name,
+        "scene": plan.scenario.name,
         "nodes": nodes,
         "discovery": runner.discovery_address(0),
         "backends": backends,
--- a/testkit/scenarios/src/lib.rs
+++ b/testkit/scenarios/src/lib.rs
@@ -2,7 +2,6 @@
 //! runs with one seed give the same outcomes byte for byte, or in real time. See `docs/operators/rehearsal.md`.
 
 pub mod fleet;
-pub mod hunt;
 mod one_core;
 pub mod outcome;
 pub mod plan;
--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use badgerpost_fakes::net::{Happening, Reserved};
+use badgerpost_fakes::net::{NetworkEvent, ReservedPort};
 use badgerpost_fakes::random::Random;
 use badgerpost_fakes::system_faults::{SystemFaults, WallClock};
 
@@ -57,7 +57,7 @@
 }
 
 /// What came of it.
-pub struct Played {
+pub struct RunReport {
     /// The outcome log.
     pub log: Vec<Request>,
     /// The most that each server was sent while cold, as a multiple of what it could do; with its zone.
@@ -82,7 +82,7 @@
     pub late: u64,
 }
 
-impl Played {
+impl RunReport {
     /// Counts over the log.
     pub fn counts(&self) -> Counts {
         Counts::of(&self.log)
@@ -149,7 +149,7 @@
     plan: &Plan,
     options: &Options,
     progress: &mut dyn FnMut(f64),
-) -> Result<Played, RunError> {
+) -> Result<RunReport, RunError> {
     let sha256 = process::sha256(&options.program)?;
     let started_at = Instant::now();
     let mut runner = Runner::set(plan, options)?;
@@ -181,8 +181,8 @@
         ..
     } = runner;
     let names = plan
-        .scene
-        .scene
+        .scenario
+        .spec
         .node
         .iter()
         .map(|node| node.name.get_ref().clone());
@@ -206,7 +206,7 @@
     };
     let mut breaches = rules::check(&log, &figures);
     breaches.extend(owed);
-    Ok(Played {
+    Ok(RunReport {
         log,
         cold_peaks,
         logs,
@@ -236,7 +236,7 @@
     options: Options,
     simulation: Simulation,
     /// Where the nodes listen, also while they are away.
-    ports: Vec<Reserved>,
+    ports: Vec<ReservedPort>,
     processes: Vec<Option<Process>>,
     /// Bytes written to each node's sockets of which it has not been told.
     unread_bytes: Vec<u64>,
@@ -272,7 +272,7 @@
         let simulation = Simulation::new(plan.clone(), base, options.peers)?;
         let port = |node| {
             let at = SocketAddr::from(([127, 0, 0, 1], if node == 0 { options.port } else { 0 }));
-            Reserved::new(at).map_err(|source| RunError::Port { at, source })
+            ReservedPort::new(at).map_err(|source| RunError::Port { at, source })
         };
         let ports = (0..count).map(port).collect::<Result<Vec<_>, _>>()?;
         let ahead = plan.behaviour.clocks_ahead_ms.0;
@@ -348,7 +348,7 @@
         let now = self.simulation.base() + self.simulation.now();
         let start = Start {
             program: &self.options.program,
-            name: scene.scene.node[node].name.get_ref(),
+            name: scenario.spec.node[node].name.get_ref(),
             edge,
             stepped: (!self.options.real_time).then_some(now),
             own: scene.scene.own.clone()
@@ -458,7 +458,7 @@
                 polls += 1;
                 let ends = events
                     .iter()
-                    .filter(|one| matches!(one, Happening::Ended { .. }))
+                    .filter(|one| matches!(one, NetworkEvent::Closed { .. }))
                     .count() as u64;
                 let seen = self.simulation.ended_connections(node) + ends;
                 let all = seen + self.missing_ends[node] >= ended
--- a/testkit/scenarios/src/scene.rs
+++ b/testkit/scenarios/src/scenario.rs
@@ -1,8 +1,8 @@
 //! Scenes: what is rehearsed, as files that operators write in TOML. A bad one is refused with file, line and
 //! key.
 
+mod fault;
 mod groups;
-mod trouble;
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -11,11 +11,13 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::outcome::{Effect, Scope};
+use crate::outcome::{DedupScope, Idempotency};
 use badgerpost_time::MILLISECOND;
+use fault::FaultScope;
+pub use fault::{
+    FaultKind, FaultTarget, LinkEnd, LinkFault, LinkFaultKind, PlannedFault, TargetGroup,
+};
 pub use groups::{NodeGroup, ServerGroup};
-use trouble::About;
-pub use trouble::{Far, Group, LinkTrouble, LinkWhat, Planned, Trouble, Whom};
 
 /// The scenes that are shipped, by name.
 pub const SHIPPED: [(&str, &str); 10] = [
@@ -48,7 +50,7 @@
 /// A scene.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Scene {
+pub struct Scenario {
     /// What it shows, in a line.
     pub about: String,
     /// The operators' own file of every node, in TOML; none if empty.
@@ -95,7 +97,7 @@
     pub fault: Vec<Fault>,
 }
 
-impl Scene {
+impl Scenario {
     /// Every zone that a node or a server names, sorted.
     pub fn zones(&self) -> Vec<&str> {
         let nodes = self.node.iter().map(|node| node.zone.as_str());
@@ -193,10 +195,11 @@
     /// Its name.
     pub name: Spanned<String>,
     /// Whether its requests may take effect twice.
-    pub effect: Effect,
+    #[serde(rename = "effect")]
+    pub idempotency: Idempotency,
     /// Which servers drop repeats of keyed ones ...
-    #[serde(default = "zone")]
-    pub scope: Scope,
+    #[serde(rename = "scope", default = "zone")]
+    pub dedup_scope: DedupScope,
     /// ... and for how long.
     #[serde(default = "window")]
     pub window_ms: u64,
@@ -210,8 +213,8 @@
     pub deadline_ms: Spanned<u64>,
 }
 
-fn zone() -> Scope {
-    Scope::Zone
+fn zone() -> DedupScope {
+    DedupScope::Zone
 }
 
 fn window() -> u64 {
@@ -347,19 +350,19 @@
 }
 
 /// A scene that has been read and checked, and its text.
-pub struct Checked {
+pub struct LoadedScenario {
     /// Its name.
     pub name: String,
     /// The scene.
-    pub scene: Scene,
+    pub spec: Scenario,
     /// Its faults.
-    pub faults: Vec<Planned>,
+    pub faults: Vec<PlannedFault>,
     /// The file's text.
     pub text: String,
 }
 
 /// Finds a scene by the name of a shipped one or by its file.
-pub fn find(name: &str) -> Result<Checked, FileError> {
+pub fn find(name: &str) -> Result<LoadedScenario, FileError> {
     if let Some((name, text)) = SHIPPED.iter().find(|shipped| shipped.0 == name) {
         return check(name, Source::embedded(&format!("{name}.toml"), text));
     }
@@ -375,8 +378,8 @@
 /// Reads and checks a scene.
 #[expect(clippy::needless_pass_by_value, reason = "callers hand the value over")]
 #[expect(clippy::too_many_lines, reason = "to be split with the module")]
-pub fn check(name: &str, source: Source) -> Result<Checked, FileError> {
-    let mut scene: Scene = source.parse()?;
+pub fn check(name: &str, source: Source) -> Result<LoadedScenario, FileError> {
+    let mut scene: Scenario = source.parse()?;
     let whole = |problem: &str| source.error_at(0..0, problem);
     let within = |span, good: bool, problem: &str| {
         if good {
@@ -479,7 +482,7 @@
     names(scene.class.iter().map(|class| &class.name).collect())?;
     let mut faults = Vec::new();
     for fault in &scene.fault {
-        let (trouble, about) = Trouble::read(fault, &scene, &source)?;
+        let (kind, about) = FaultKind::read(fault, &scene, &source)?;
         let position = |found: Option<usize>, wanted: &Option<Spanned<String>>| {
             let span = wanted.as_ref().map(Spanned::span).unwrap_or_default();
             found.ok_or_else(|| source.error_at(span, "there is none of this name"))
@@ -489,7 +492,7 @@
             position(names.iter().position(|one| Some(*one) == name), wanted)
         };
         let one = match about {
-            About::Server if fault.server.is_some() => Some(named(
+            FaultScope::Server if fault.server.is_some() => Some(named(
                 scene
                     .server
                     .iter()
@@ -497,7 +500,7 @@
                     .collect(),
                 &fault.server,
             )?),
-            About::Node if fault.node.is_some() => Some(named(
+            FaultScope::Node if fault.node.is_some() => Some(named(
                 scene
                     .node
                     .iter()
@@ -505,11 +508,11 @@
                     .collect(),
                 &fault.node,
             )?),
-            About::Server | About::Node => None,
-            About::List => Some(0),
+            FaultScope::Server | FaultScope::Node => None,
+            FaultScope::Discovery => Some(0),
         };
-        let whom = match one {
-            Some(one) => Whom::One(one),
+        let target = match one {
+            Some(one) => FaultTarget::Single(one),
             None => {
                 let zone = match &fault.zone {
                     Some(_) => Some(named(scene.zones(), &fault.zone)?),
@@ -518,7 +521,7 @@
                 let share = fault.share.as_ref().map_or(1.0, |share| *share.get_ref());
                 let span = fault.share.as_ref().map(Spanned::span).unwrap_or_default();
                 within(span, share > 0.0 && share <= 1.0, "above 0, up to 1")?;
-                Whom::Group(Group {
+                FaultTarget::Group(TargetGroup {
                     zone,
                     from: 0,
                     to: (share * 1000.0).round().max(1.0) as u16,
@@ -544,20 +547,20 @@
             (0..repeats).flat_map(|repeat| (0..waves).map(move |wave| (repeat, wave)))
         {
             let at = at.get_ref() * MILLISECOND + every.saturating_mul(repeat * waves + wave);
-            let whom = whom.part(wave, waves);
-            faults.push(Planned {
+            let target = target.part(wave, waves);
+            faults.push(PlannedFault {
                 at,
                 lasts,
-                whom,
-                trouble,
+                target,
+                kind,
                 permille: (chance * 1000.0) as u16,
             });
         }
     }
     faults.sort_by_key(|fault| fault.at);
-    Ok(Checked {
+    Ok(LoadedScenario {
         name: name.to_owned(),
-        scene,
+        spec: scene,
         faults,
         text: source.text().to_owned(),
     })
--- a/testkit/scenarios/src/simulation/misbehaviour.rs
+++ b/testkit/scenarios/src/simulation/misbehaviour.rs
@@ -84,7 +84,7 @@
         }
         let ends = |request: usize| {
             let log = &self.requests[request].log;
-            log.arrival + log.budget
+            log.arrival + log.timeout
         };
         let is_busy = |peer: &Connection| match peer {
             Connection::Client {
@@ -118,7 +118,7 @@
         if !self.chance(self.plan.behaviour.leaving) {
             return;
         }
-        let budget = self.requests[request].log.budget;
+        let budget = self.requests[request].log.timeout;
         let after = self
             .misbehaviour
             .random
@@ -152,7 +152,7 @@
         };
         let others: Vec<usize> = open.iter().copied().filter(|one| *one != but).collect();
         for request in others {
-            self.requests[request].log.left = Some(self.now);
+            self.requests[request].log.client_left_at = Some(self.now);
             self.finish(request, false);
         }
     }
@@ -236,7 +236,7 @@
         }
         let since = self.now;
         self.nodes[node].stopping = Some(since);
-        let deadlines = self.plan.scene.scene.class.iter();
+        let deadlines = self.plan.scenario.spec.class.iter();
         let longest = deadlines.map(|class| class.deadline_ms.get_ref() * MILLISECOND);
         let longest = longest.max().unwrap_or(0).min(LONGEST_COUNTED);
         let series = [
@@ -280,7 +280,7 @@
                 .requests
                 .iter_mut()
                 .filter(|open| !open.done && open.node == node && open.written <= excused);
-            open.for_each(|open| open.log.excused = true);
+            open.for_each(|open| open.log.is_excused = true);
         }
         StepOutcome {
             touched: None,
