--- a/testkit/scenarios/src/commands/up.rs
+++ b/testkit/scenarios/src/commands/up.rs
@@ -4,7 +4,7 @@
 
 use badgerpost_scenarios::plan::Plan;
 use badgerpost_scenarios::run::Runner;
-use badgerpost_scenarios::scene;
+use badgerpost_scenarios::scenario;
 use serde_json::{Value, json};
 
 use crate::arguments::UpArguments;
@@ -47,7 +47,7 @@
 /// What has been started, and where it listens.
 fn describe(plan: &Plan, runner: &mut Runner) -> Value {
     let mut nodes = Vec::new();
-    for (index, node) in plan.scene.scene.node.iter().enumerate() {
+    for (index, node) in plan.scenario.spec.node.iter().enumerate() {
         if let Some((listen, pid)) = runner.node(index) {
             nodes.push(json!({"name": node.name.get_ref(), "listen": listen, "pid": pid}));
         }
--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -153,7 +153,7 @@
     let sha256 = process::sha256(&options.program)?;
     let started_at = Instant::now();
     let mut runner = Runner::set(plan, options)?;
-    let length = plan.scene.scene.length_ms.get_ref() * MILLISECOND;
+    let length = plan.scenario.spec.length_ms.get_ref() * MILLISECOND;
     let mut next_progress = 0;
     while !runner.simulation.is_done() {
         if options.real_time {
@@ -194,7 +194,7 @@
     let (cold_peaks, talk) = (simulation.cold_peaks(), simulation.gossip_traffic());
     let owed = simulation.missed_responses();
     let log = simulation.into_log();
-    let scene = &plan.scene.scene.rules;
+    let scene = &plan.scenario.spec.rules;
     let figures = rules::Figures {
         answer_slack: match plan.behaviour.strict {
             true => LATE_ANSWER,
@@ -248,7 +248,7 @@
     incarnations: u64,
     /// The wall clocks that the nodes read, where their system calls have faults.
     wall_clocks: Vec<WallClock>,
-    events: Vec<Happening>,
+    events: Vec<NetworkEvent>,
     started_at: Instant,
     checked_at: Nanos,
     steps: u64,
@@ -268,7 +268,7 @@
             STEPPED_BASE
         };
         let core = (!options.real_time).then(OneCore::take);
-        let count = plan.scene.scene.node.len();
+        let count = plan.scenario.spec.node.len();
         let simulation = Simulation::new(plan.clone(), base, options.peers)?;
         let port = |node| {
             let at = SocketAddr::from(([127, 0, 0, 1], if node == 0 { options.port } else { 0 }));
@@ -325,17 +325,17 @@
 
     fn start(&mut self, node: usize) -> Result<(), RunError> {
         // Under the same address each time.
-        let listen = self.ports[node].at();
+        let listen = self.ports[node].address();
         self.incarnations += 1;
         let seed = Random::new(self.plan.seed ^ self.incarnations, "node").bits();
-        let scene = &self.plan.scene;
-        let known = scene
-            .scene
+        let scenario = &self.plan.scenario;
+        let known = scenario
+            .spec
             .discovery
             .known
             .then(|| self.simulation.endpoint_snapshot());
         let mut edge = process::edge(
-            scene,
+            scenario,
             node,
             listen,
             self.simulation.discovery_address(node),
@@ -351,7 +351,7 @@
             name: scenario.spec.node[node].name.get_ref(),
             edge,
             stepped: (!self.options.real_time).then_some(now),
-            own: scene.scene.own.clone()
+            own: scenario.spec.own.clone()
                 + &self.options.own
                 + &self.simulation.gossip_settings(node),
             files: if self.simulation.has_gossip() {
--- a/testkit/scenarios/src/simulation.rs
+++ b/testkit/scenarios/src/simulation.rs
@@ -22,9 +22,9 @@
 use std::io;
 
 use badgerpost_fakes::message::{Inbox, Side};
-use badgerpost_fakes::net::{ConnId, Happening, ListenerId};
+use badgerpost_fakes::net::{ConnId, ListenerId, NetworkEvent};
 
-use crate::outcome::Ended;
+use crate::outcome::AttemptOutcome;
 use connection::{Connection, ListenerOwner};
 pub use events::{NodeInput, ProcessCommand, StepOutcome, StopSignal};
 use events::{ScheduledEvent, ServerEvent};
@@ -90,15 +90,15 @@
     }
 
     /// Handles what has come on a socket.
-    pub fn handle_socket_event(&mut self, happening: Happening) {
+    pub fn handle_socket_event(&mut self, happening: NetworkEvent) {
         match happening {
-            Happening::Opened { listener, conn } => self.accept(listener, conn),
-            Happening::Bytes { conn, bytes } => match self.connections.get_mut(&conn) {
+            NetworkEvent::Accepted { listener, conn } => self.accept(listener, conn),
+            NetworkEvent::Received { conn, bytes } => match self.connections.get_mut(&conn) {
                 Some(Connection::Server { inbox, .. }) => {
                     inbox.push(&bytes);
                     self.read_server(conn);
                 }
-                Some(Connection::List { inbox, .. }) => {
+                Some(Connection::Discovery { inbox, .. }) => {
                     inbox.push(&bytes);
                     self.read_discovery(conn);
                 }
@@ -110,8 +110,12 @@
                 Some(Connection::Silent { .. }) => self.silent_client_notified(conn),
                 None => {}
             },
-            Happening::Datagram { door, from, bytes } => self.forward_datagram(door, from, bytes),
-            Happening::Ended { conn, .. } => self.connection_ended(conn),
+            NetworkEvent::Datagram {
+                socket,
+                from,
+                bytes,
+            } => self.forward_datagram(socket, from, bytes),
+            NetworkEvent::Closed { conn, .. } => self.connection_ended(conn),
         }
     }
 
@@ -124,7 +128,7 @@
                 inbox,
                 attempt: None,
             },
-            Some(&ListenerOwner::List(node)) => Connection::List {
+            Some(&ListenerOwner::Discovery(node)) => Connection::Discovery {
                 node,
                 inbox,
                 watch: None,
@@ -136,7 +140,9 @@
 
     fn connection_ended(&mut self, conn: ConnId) {
         match self.remove_connection(conn) {
-            Some(Connection::Server { attempt, .. }) => self.end_attempt(attempt, Ended::Abandoned),
+            Some(Connection::Server { attempt, .. }) => {
+                self.end_attempt(attempt, AttemptOutcome::Abandoned);
+            }
             Some(Connection::Client {
                 node, open, last, ..
             }) => {
@@ -146,7 +152,7 @@
                 }
             }
             Some(Connection::Silent { node, since }) => self.record_silent_client_end(node, since),
-            Some(Connection::List { .. }) | None => {}
+            Some(Connection::Discovery { .. }) | None => {}
         }
     }
 }
--- a/testkit/scenarios/src/simulation/clients.rs
+++ b/testkit/scenarios/src/simulation/clients.rs
@@ -54,12 +54,12 @@
         let key = format!("{:x}-{:08x}", self.plan.seed, plan.number);
         let number = self.requests.len();
         self.request_by_id.insert(id, number);
-        let rules = &self.plan.scene.scene.rules;
+        let rules = &self.plan.scenario.spec.rules;
         let slack = match self.plan.behaviour.strict {
             true => LATE_ANSWER,
             false => rules.answer_slack_ms * MILLISECOND + SOCKET_SLACK,
         };
-        let due = self.now + log.budget + slack + LISTENS_ON;
+        let due = self.now + log.timeout + slack + LISTENS_ON;
         self.requests.push(OpenRequest {
             log,
             arrival,
@@ -94,7 +94,7 @@
         };
         let Some(conn) = open_connection.or_else(|| self.connect_client(node)) else {
             // The node does not listen any more, so it has taken nothing.
-            self.requests[number].log.excused = true;
+            self.requests[number].log.is_excused = true;
             self.finish(number, true);
             return None;
         };
@@ -280,8 +280,9 @@
             Verdict::Refused { .. } => ClientResult::Rejected,
             Verdict::Failed => ClientResult::Failed,
         };
-        let own = log.attempts.iter().any(|attempt| {
-            attempt.ended == Ended::Served && answer.body == response_body(&log.id, &attempt.server)
+        let is_from_own_attempt = log.attempts.iter().any(|attempt| {
+            attempt.outcome == AttemptOutcome::Served
+                && answer.body == response_body(&log.id, &attempt.server)
         });
         log.response = Some(FinalResponse {
             at: now,
--- a/testkit/scenarios/src/simulation/connection.rs
+++ b/testkit/scenarios/src/simulation/connection.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy)]
 pub(super) enum ListenerOwner {
     Server(usize),
-    List(usize),
+    Discovery(usize),
 }
 
 /// An open connection of a node, by who holds its other end.
@@ -30,7 +30,7 @@
         inbox: Inbox,
         attempt: Option<AttemptId>,
     },
-    List {
+    Discovery {
         node: usize,
         inbox: Inbox,
         watch: Option<Watch>,
@@ -55,9 +55,9 @@
     pub(super) fn node(&self) -> Option<usize> {
         match self {
             Self::Server { node, .. } => *node,
-            Self::List { node, .. } | Self::Client { node, .. } | Self::Silent { node, .. } => {
-                Some(*node)
-            }
+            Self::Discovery { node, .. }
+            | Self::Client { node, .. }
+            | Self::Silent { node, .. } => Some(*node),
         }
     }
 }
--- a/testkit/scenarios/src/simulation/discovery.rs
+++ b/testkit/scenarios/src/simulation/discovery.rs
@@ -37,7 +37,8 @@
 
     /// Whoever waits for news of the list gets it, one after the other.
     pub(super) fn notify_watchers(&mut self) {
-        let waits = |peer: &Connection| matches!(peer, Connection::List { watch: Some(_), .. });
+        let waits =
+            |peer: &Connection| matches!(peer, Connection::Discovery { watch: Some(_), .. });
         let conns: Vec<ConnId> = self
             .connections
             .iter()
@@ -50,7 +51,7 @@
     }
 
     pub(super) fn read_discovery(&mut self, conn: ConnId) {
-        let Some(Connection::List { inbox, .. }) = self.connections.get_mut(&conn) else {
+        let Some(Connection::Discovery { inbox, .. }) = self.connections.get_mut(&conn) else {
             return;
         };
         let message = match inbox.take() {
@@ -62,12 +63,12 @@
                 return;
             }
         };
-        let _ = self.transmit(InFlightMessage::ToList(conn, message));
+        let _ = self.transmit(InFlightMessage::ToDiscovery(conn, message));
     }
 
     /// A call has come to the list.
     pub(super) fn receive_poll(&mut self, conn: ConnId, message: &Message) {
-        let Some(Connection::List { watch, .. }) = self.connections.get_mut(&conn) else {
+        let Some(Connection::Discovery { watch, .. }) = self.connections.get_mut(&conn) else {
             return;
         };
         let Some((from, hold)) = discovery::read_target(&message.target) else {
@@ -94,7 +95,7 @@
     }
 
     pub(super) fn time_out_watch(&mut self, conn: ConnId, number: u64) -> Option<NodeInput> {
-        let Some(Connection::List {
+        let Some(Connection::Discovery {
             watch: Some(watch), ..
         }) = self.connections.get(&conn)
         else {
@@ -105,7 +106,7 @@
     }
 
     pub(super) fn notify_watcher(&mut self, conn: ConnId) -> Option<NodeInput> {
-        let Some(Connection::List {
+        let Some(Connection::Discovery {
             watch: Some(watch), ..
         }) = self.connections.get(&conn)
         else {
@@ -119,10 +120,10 @@
         if matches!(reply, Reply::Hold | Reply::Silence) {
             return None;
         }
-        if let Some(Connection::List { watch, .. }) = self.connections.get_mut(&conn) {
+        if let Some(Connection::Discovery { watch, .. }) = self.connections.get_mut(&conn) {
             *watch = None;
         }
-        self.transmit(InFlightMessage::FromList(conn, reply))
+        self.transmit(InFlightMessage::FromDiscovery(conn, reply))
     }
 
     /// What the list has to say has come to its node.
@@ -132,7 +133,7 @@
             Reply::Fail => message::answer(503, "", b""),
             Reply::Hold | Reply::Silence => return None,
         };
-        let Some(Connection::List { node, .. }) = self.connections.get(&conn) else {
+        let Some(Connection::Discovery { node, .. }) = self.connections.get(&conn) else {
             return None;
         };
         let node = *node;
--- a/testkit/scenarios/src/simulation/faults.rs
+++ b/testkit/scenarios/src/simulation/faults.rs
@@ -8,28 +8,28 @@
 use super::events::{ProcessCommand, ScheduledEvent, ServerEvent, StepOutcome};
 use super::in_flight::LinkImpairment;
 use super::state::Simulation;
-use crate::scene::{LinkTrouble, LinkWhat, Trouble};
+use crate::scenario::{FaultKind, LinkFault, LinkFaultKind};
 
 impl Simulation {
     /// Begins or ends a fault of the plan.
     pub(super) fn change_fault(&mut self, number: usize, begins: bool) -> io::Result<StepOutcome> {
         let planned = self.plan.faults[number];
         let mut outcome = StepOutcome::default();
-        if let Trouble::Link(trouble) = planned.trouble {
+        if let FaultKind::Link(trouble) = planned.kind {
             self.change_link_fault(number, trouble, begins);
             return Ok(outcome);
         }
-        for target in planned.strikes(&self.plan.scene.scene, self.plan.seed) {
-            match planned.trouble {
-                Trouble::KillNode | Trouble::StopNode | Trouble::PauseNode => {
-                    let command = self.change_node_fault(planned.trouble, target, begins);
+        for target in planned.targets(&self.plan.scenario.spec, self.plan.seed) {
+            match planned.kind {
+                FaultKind::KillNode | FaultKind::StopNode | FaultKind::PauseNode => {
+                    let command = self.change_node_fault(planned.kind, target, begins);
                     outcome.commands.extend(command);
                 }
-                Trouble::Drain | Trouble::Gone | Trouble::List(_) => {
-                    self.change_discovery_fault(planned.trouble, target, begins);
+                FaultKind::Drain | FaultKind::Remove | FaultKind::Discovery(_) => {
+                    self.change_discovery_fault(planned.kind, target, begins);
                 }
-                Trouble::KillServer if begins => self.kill_server(target)?,
-                Trouble::KillServer => self.restart_server(target)?,
+                FaultKind::KillServer if begins => self.kill_server(target)?,
+                FaultKind::KillServer => self.restart_server(target)?,
                 fault if begins => self.begin_server_fault(target, fault, planned.permille)?,
                 fault => self.end_server_fault(target, fault, planned.permille)?,
             }
@@ -37,10 +37,10 @@
         Ok(outcome)
     }
 
-    fn change_link_fault(&mut self, fault: usize, trouble: LinkTrouble, begins: bool) {
+    fn change_link_fault(&mut self, fault: usize, trouble: LinkFault, begins: bool) {
         if begins {
             let mut nodes = vec![false; self.nodes.len()];
-            for node in self.plan.faults[fault].strikes(&self.plan.scene.scene, self.plan.seed) {
+            for node in self.plan.faults[fault].targets(&self.plan.scenario.spec, self.plan.seed) {
                 nodes[node] = true;
             }
             let impairment = LinkImpairment {
@@ -48,7 +48,7 @@
                 nodes,
                 trouble,
             };
-            if trouble.what == LinkWhat::Reset {
+            if trouble.kind == LinkFaultKind::Reset {
                 self.reset_links(&impairment);
             }
             self.impairments.push(impairment);
@@ -61,26 +61,26 @@
     /// The command for the process of the node, unless its state has made the fault void.
     fn change_node_fault(
         &mut self,
-        fault: Trouble,
+        fault: FaultKind,
         node: usize,
         begins: bool,
     ) -> Option<ProcessCommand> {
         let is_up = self.nodes[node].up;
         match (fault, begins) {
-            (Trouble::KillNode, true) if is_up => Some(ProcessCommand::Kill { node }),
-            (Trouble::StopNode, true) if is_up => {
+            (FaultKind::KillNode, true) if is_up => Some(ProcessCommand::Kill { node }),
+            (FaultKind::StopNode, true) if is_up => {
                 self.plan_shutdown(node);
                 Some(ProcessCommand::Stop { node })
             }
-            (Trouble::KillNode | Trouble::StopNode, false) if !is_up => {
+            (FaultKind::KillNode | FaultKind::StopNode, false) if !is_up => {
                 Some(ProcessCommand::Start { node })
             }
-            (Trouble::PauseNode, true) if is_up => {
+            (FaultKind::PauseNode, true) if is_up => {
                 self.nodes[node].paused = true;
                 self.excuse_open_requests(node);
                 Some(ProcessCommand::Pause { node })
             }
-            (Trouble::PauseNode, false) if self.nodes[node].paused => {
+            (FaultKind::PauseNode, false) if self.nodes[node].paused => {
                 self.nodes[node].paused = false;
                 Some(ProcessCommand::Resume { node })
             }
@@ -88,8 +88,8 @@
         }
     }
 
-    fn change_discovery_fault(&mut self, fault: Trouble, server: usize, begins: bool) {
-        if let Trouble::List(mode) = fault {
+    fn change_discovery_fault(&mut self, fault: FaultKind, server: usize, begins: bool) {
+        if let FaultKind::Discovery(mode) = fault {
             self.discovery
                 .set_mode(if begins { mode } else { Mode::Good });
             self.mark_discovery_reachable();
@@ -98,7 +98,7 @@
         }
         let state = match fault {
             _ if !begins => State::Ready,
-            Trouble::Drain => State::Terminating,
+            FaultKind::Drain => State::Terminating,
             _ => State::Gone,
         };
         self.schedule_endpoint_change(server, state);
@@ -106,7 +106,7 @@
 
     /// When discovery learns of what happens now.
     pub(super) fn discovery_notice(&self) -> Nanos {
-        self.now + self.plan.scene.scene.discovery.notice_ms * MILLISECOND
+        self.now + self.plan.scenario.spec.discovery.notice_ms * MILLISECOND
     }
 
     fn schedule_endpoint_change(&mut self, server: usize, state: State) {
@@ -136,19 +136,24 @@
     fn begin_server_fault(
         &mut self,
         server: usize,
-        fault: Trouble,
+        fault: FaultKind,
         permille: u16,
     ) -> io::Result<()> {
         let server_state = &mut self.servers[server];
-        if fault == Trouble::Refuse && server_state.up {
-            self.net.refuse(server_state.listener)?;
+        if fault == FaultKind::RefuseConnections && server_state.up {
+            self.net.stop_listening(server_state.listener)?;
         }
         server_state.faults.push((fault, permille));
         server_state.set_pace();
         Ok(())
     }
 
-    fn end_server_fault(&mut self, server: usize, fault: Trouble, permille: u16) -> io::Result<()> {
+    fn end_server_fault(
+        &mut self,
+        server: usize,
+        fault: FaultKind,
+        permille: u16,
+    ) -> io::Result<()> {
         let server_state = &mut self.servers[server];
         let position = server_state
             .faults
@@ -158,11 +163,11 @@
             server_state.faults.remove(position);
         }
         server_state.set_pace();
-        let refuses = server_state.has(Trouble::Refuse, 0);
-        if fault == Trouble::Refuse && server_state.up && !refuses {
-            self.net.accept_again(server_state.listener)?;
+        let refuses = server_state.has(FaultKind::RefuseConnections, 0);
+        if fault == FaultKind::RefuseConnections && server_state.up && !refuses {
+            self.net.resume_listening(server_state.listener)?;
         }
-        if fault == Trouble::PauseServer {
+        if fault == FaultKind::PauseServer {
             let resume = ServerEvent::Resume { server };
             self.schedule(self.now, ScheduledEvent::Server(resume));
         }
--- a/testkit/scenarios/src/simulation/gossip.rs
+++ b/testkit/scenarios/src/simulation/gossip.rs
@@ -84,7 +84,7 @@
     pub(super) fn deliver_datagram(&mut self, to: usize, bytes: &[u8]) -> Option<NodeInput> {
         let node = &self.nodes[to];
         let gossip = node.gossip.as_ref().filter(|_| node.up)?;
-        let sent = self.net.send(gossip.door, gossip.real?, bytes);
+        let sent = self.net.send_datagram(gossip.door, gossip.real?, bytes);
         Some(NodeInput {
             node: to,
             bytes: sent as u64,
--- a/testkit/scenarios/src/simulation/in_flight.rs
+++ b/testkit/scenarios/src/simulation/in_flight.rs
@@ -4,8 +4,8 @@
 use badgerpost_fakes::message::Message;
 use badgerpost_fakes::net::ConnId;
 
-use crate::outcome::Ended;
-use crate::scene::LinkTrouble;
+use crate::outcome::AttemptOutcome;
+use crate::scenario::LinkFault;
 
 /// One attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     pub(super) conn: ConnId,
     pub(super) attempt: Option<AttemptId>,
     pub(super) bytes: Vec<u8>,
-    pub(super) ended: Ended,
+    pub(super) ended: AttemptOutcome,
     /// What becomes of the connection afterwards.
     pub(super) then: ConnectionFate,
 }
@@ -50,9 +50,9 @@
     /// A server's response.
     FromServer(ServerResponse),
     /// A poll of the endpoint list.
-    ToList(ConnId, Message),
+    ToDiscovery(ConnId, Message),
     /// Discovery's response.
-    FromList(ConnId, Reply),
+    FromDiscovery(ConnId, Reply),
     /// A client's request, by its number, as it is written.
     ToNode(ConnId, usize, Vec<u8>),
     /// A node's answer to the request of this number.
@@ -65,8 +65,8 @@
         match self {
             Self::ToServer(job) => job.conn,
             Self::FromServer(sending) => sending.conn,
-            Self::ToList(conn, _)
-            | Self::FromList(conn, _)
+            Self::ToDiscovery(conn, _)
+            | Self::FromDiscovery(conn, _)
             | Self::ToNode(conn, ..)
             | Self::ToClient(conn, ..) => *conn,
         }
@@ -78,5 +78,5 @@
     pub(super) fault: usize,
     /// Whether it concerns a node, by index.
     pub(super) nodes: Vec<bool>,
-    pub(super) trouble: LinkTrouble,
+    pub(super) trouble: LinkFault,
 }
--- a/testkit/scenarios/src/simulation/misbehaviour.rs
+++ b/testkit/scenarios/src/simulation/misbehaviour.rs
@@ -64,7 +64,7 @@
             .values()
             .filter(|peer| is_open(peer))
             .count();
-        open >= self.plan.scene.scene.node[node].sockets / 3
+        open >= self.plan.scenario.spec.node[node].sockets / 3
     }
 
     /// Whether the system before the nodes, or a client with a connection of its own, brings a node requests.
@@ -136,7 +136,7 @@
         }
         let conn = self.connection_of(request)?;
         self.abandon_pipelined(conn, request);
-        self.requests[request].log.left = Some(self.now);
+        self.requests[request].log.client_left_at = Some(self.now);
         self.finish(request, false);
         if self.chance(0.3) {
             self.reset(conn)
@@ -187,7 +187,7 @@
                 ScheduledEvent::SilentClientTimeout(conn),
             );
         }
-        if self.now < self.plan.scene.scene.length_ms.get_ref() * MILLISECOND {
+        if self.now < self.plan.scenario.spec.length_ms.get_ref() * MILLISECOND {
             self.schedule(
                 self.now + SILENT_PERIOD,
                 ScheduledEvent::OpenSilentClients { node },
--- a/testkit/scenarios/src/simulation/network.rs
+++ b/testkit/scenarios/src/simulation/network.rs
@@ -1,204 +1,235 @@
-//! The network between the machines: each message between a node and a server, its list, its clients or another
-//! node passes here, and is late, stuck, lost or reset as the scene says.
+//! The links between nodes and the processes around them: each message is delayed, held, lost or reset as the link
+//! faults of the scenario say.
 
 use badgerpost_fakes::net::ConnId;
+use badgerpost_time::{MILLISECOND, Nanos};
 
 use super::connection::Connection;
 use super::events::{NodeInput, ScheduledEvent};
 use super::in_flight::{InFlightMessage, LinkImpairment};
 use super::state::Simulation;
-use crate::scene::{Far, LinkTrouble, LinkWhat};
-use badgerpost_time::{MILLISECOND, Nanos};
+use crate::scenario::{LinkEnd, LinkFaultKind};
 
-/// What a connection has lost is sent again after this long, and after twice as long when that is lost too, as TCP
-/// does.
-const SENT_AGAIN: Nanos = 200 * MILLISECOND;
-/// Given up after so many losses in a row, long after anybody still waits.
-const MOST_LOSSES: u32 = 8;
+/// The first retransmission of a lost segment comes after this; each further one takes twice as long, as in TCP.
+const RETRANSMISSION_TIMEOUT: Nanos = 200 * MILLISECOND;
+/// After so many losses in a row the message arrives all the same, long after anybody waits for it.
+const MAX_LOSSES: u32 = 8;
 
 /// The other end of a node's link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum LinkEnd {
+enum Remote {
     Server(usize),
-    List,
+    Discovery,
     Clients,
     /// Another node.
     Node(usize),
 }
 
-/// What a message meets.
-enum PathState {
-    /// It comes through after so long.
-    Open(Nanos),
+/// One direction of a link.
+#[derive(Clone, Copy, Debug)]
+struct Route {
+    node: usize,
+    remote: Remote,
+    /// From the node to the remote end.
+    is_outbound: bool,
+}
+
+impl Route {
+    fn outbound(node: usize, remote: Remote) -> Self {
+        Self {
+            node,
+            remote,
+            is_outbound: true,
+        }
+    }
+
+    fn inbound(node: usize, remote: Remote) -> Self {
+        Self {
+            node,
+            remote,
+            is_outbound: false,
+        }
+    }
+}
+
+/// What all impairments of a route that lets messages through add up to.
+struct Degradation {
+    delay: Nanos,
+    /// The thousandths of messages that are lost.
+    loss: u16,
+}
+
+/// What a route does with a message.
+enum Path {
+    /// It arrives after this delay.
+    Delayed(Nanos),
     Cut,
     Reset,
 }
 
 impl Simulation {
-    fn touches(&self, bad: &LinkImpairment, node: usize, end: LinkEnd, there: bool) -> bool {
-        let LinkTrouble {
-            far,
-            there: cut_there,
-            back,
-            ..
-        } = bad.trouble;
-        let fits = match (far, end) {
-            (Far::Clients, end) => end == LinkEnd::Clients,
-            (_, LinkEnd::Clients) => false,
-            (Far::All, _) => true,
-            (Far::Servers, end) => matches!(end, LinkEnd::Server(_)),
-            (Far::List, end) => end == LinkEnd::List,
-            (Far::Zone(zone), LinkEnd::Server(server)) => self.servers[server].zone_number == zone,
-            (Far::Zone(zone), LinkEnd::Node(other)) => self.nodes[other].zone_number == zone,
-            (Far::Nodes, end) => matches!(end, LinkEnd::Node(_)),
-            (Far::Zone(_), LinkEnd::List) => false,
+    fn affects(&self, impairment: &LinkImpairment, route: Route) -> bool {
+        let fault = impairment.trouble;
+        let matches_remote = match (fault.remote, route.remote) {
+            (LinkEnd::Clients, remote) => remote == Remote::Clients,
+            (_, Remote::Clients) => false,
+            (LinkEnd::All, _) => true,
+            (LinkEnd::Servers, remote) => matches!(remote, Remote::Server(_)),
+            (LinkEnd::Discovery, remote) => remote == Remote::Discovery,
+            (LinkEnd::Zone(zone), Remote::Server(server)) => {
+                self.servers[server].zone_number == zone
+            }
+            (LinkEnd::Zone(zone), Remote::Node(other)) => self.nodes[other].zone_number == zone,
+            (LinkEnd::Nodes, remote) => matches!(remote, Remote::Node(_)),
+            (LinkEnd::Zone(_), Remote::Discovery) => false,
         };
-        fits && bad.nodes[node] && if there { cut_there } else { back }
+        let matches_direction = if route.is_outbound {
+            fault.outbound
+        } else {
+            fault.inbound
+        };
+        matches_remote && impairment.nodes[route.node] && matches_direction
     }
 
-    /// How long a message between a node and another end takes where no link does badly.
-    fn base_latency(&self, node: usize, end: LinkEnd) -> Nanos {
-        let network = self.plan.scene.scene.network;
-        let zone = match end {
-            LinkEnd::Server(server) => Some(self.servers[server].zone_number),
-            LinkEnd::Node(other) => Some(self.nodes[other].zone_number),
-            LinkEnd::List | LinkEnd::Clients => None,
+    /// The delay of a link without impairments.
+    fn base_latency(&self, node: usize, remote: Remote) -> Nanos {
+        let network = self.plan.scenario.spec.network;
+        let zone = match remote {
+            Remote::Server(server) => Some(self.servers[server].zone_number),
+            Remote::Node(other) => Some(self.nodes[other].zone_number),
+            Remote::Discovery | Remote::Clients => None,
         };
-        let near = zone.is_none_or(|zone| zone == self.nodes[node].zone_number);
-        1000 * if near {
+        let is_local = zone.is_none_or(|zone| zone == self.nodes[node].zone_number);
+        1000 * if is_local {
             network.within_us
         } else {
             network.between_us
         }
     }
 
-    /// What the bad links that a message meets add to its way, and the thousandths of it that they lose; or what the
-    /// first of them that lets nothing through does.
+    /// Combines the active impairments of a route; the first one that lets nothing through is an error.
     fn combined_impairment(
         &self,
-        meets: impl Fn(&LinkImpairment) -> bool,
-    ) -> Result<(Nanos, u16), LinkWhat> {
+        applies: impl Fn(&LinkImpairment) -> bool,
+    ) -> Result<Degradation, LinkFaultKind> {
         let (mut delay, mut loss) = (0, 0);
-        for bad in self.impairments.iter().filter(|bad| meets(bad)) {
-            match bad.trouble.what {
-                stops @ (LinkWhat::Cut | LinkWhat::Reset) => return Err(stops),
-                LinkWhat::Slow { by } => delay += by,
-                LinkWhat::Lossy { permille } => loss = loss.max(permille),
+        for impairment in self.impairments.iter().filter(|active| applies(active)) {
+            match impairment.trouble.kind {
+                stops @ (LinkFaultKind::Cut | LinkFaultKind::Reset) => return Err(stops),
+                LinkFaultKind::Slow { by } => delay += by,
+                LinkFaultKind::Lossy { permille } => loss = loss.max(permille),
             }
         }
-        Ok((delay, loss))
+        Ok(Degradation { delay, loss })
     }
 
     fn is_lost(&mut self, permille: u16) -> bool {
         permille > 0 && self.random.chance(f64::from(permille) / 1000.0)
     }
 
-    fn path(&mut self, node: usize, end: LinkEnd, there: bool) -> PathState {
-        let (late, loss) = match self.combined_impairment(|bad| self.touches(bad, node, end, there))
-        {
-            Ok(met) => met,
-            Err(LinkWhat::Reset) => return PathState::Reset,
-            Err(_) => return PathState::Cut,
+    fn path(&mut self, route: Route) -> Path {
+        let degradation = match self.combined_impairment(|active| self.affects(active, route)) {
+            Ok(degradation) => degradation,
+            Err(LinkFaultKind::Reset) => return Path::Reset,
+            Err(_) => return Path::Cut,
         };
-        let mut delay = self.base_latency(node, end) + late;
-        for round in 0..MOST_LOSSES {
-            if !self.is_lost(loss) {
+        let mut delay = self.base_latency(route.node, route.remote) + degradation.delay;
+        for round in 0..MAX_LOSSES {
+            if !self.is_lost(degradation.loss) {
                 break;
             }
-            delay += SENT_AGAIN << round;
+            delay += RETRANSMISSION_TIMEOUT << round;
         }
-        PathState::Open(delay)
+        Path::Delayed(delay)
     }
 
-    /// How long a datagram from one node to another is under way; none where it gets lost. There is no connection that
-    /// a link could reset.
+    /// The delay of a datagram from one node to another; none if it is lost. Faults that reset connections leave
+    /// datagrams alone.
     pub(super) fn datagram_delay(&mut self, from: usize, to: usize) -> Option<Nanos> {
-        let meets = |bad: &LinkImpairment| {
-            bad.trouble.what != LinkWhat::Reset
-                && (self.touches(bad, from, LinkEnd::Node(to), true)
-                    || self.touches(bad, to, LinkEnd::Node(from), false))
+        let applies = |impairment: &LinkImpairment| {
+            impairment.trouble.kind != LinkFaultKind::Reset
+                && (self.affects(impairment, Route::outbound(from, Remote::Node(to)))
+                    || self.affects(impairment, Route::inbound(to, Remote::Node(from))))
         };
-        let (late, loss) = self.combined_impairment(meets).ok()?;
-        let delay = self.base_latency(from, LinkEnd::Node(to)) + late;
-        (!self.is_lost(loss)).then_some(delay)
+        let degradation = self.combined_impairment(applies).ok()?;
+        let delay = self.base_latency(from, Remote::Node(to)) + degradation.delay;
+        (!self.is_lost(degradation.loss)).then_some(delay)
     }
 
-    /// Sends a message on its way. What needs no time arrives at once, and a node that has news then is returned.
-    pub(super) fn transmit(&mut self, carried: InFlightMessage) -> Option<NodeInput> {
-        let Some((node, end, there)) = self.endpoints_of(&carried) else {
-            return self.deliver_message(carried);
+    /// Sends a message. One that needs no time is delivered at once; returns the node that has input then.
+    pub(super) fn transmit(&mut self, message: InFlightMessage) -> Option<NodeInput> {
+        let Some(route) = self.route(&message) else {
+            return self.deliver_message(message);
         };
-        match self.path(node, end, there) {
-            PathState::Open(0) => self.deliver_message(carried),
-            PathState::Open(delay) => {
-                self.schedule(
-                    self.now.saturating_add(delay),
-                    ScheduledEvent::MessageDelivery(Box::new(carried)),
-                );
+        match self.path(route) {
+            Path::Delayed(0) => self.deliver_message(message),
+            Path::Delayed(delay) => {
+                let at = self.now.saturating_add(delay);
+                self.schedule(at, ScheduledEvent::MessageDelivery(Box::new(message)));
                 None
             }
-            PathState::Cut => {
-                self.excuse_held(&carried);
-                self.held_messages.push(carried);
+            Path::Cut => {
+                self.excuse_request_of(&message);
+                self.held_messages.push(message);
                 None
             }
-            PathState::Reset => {
-                let conn = carried.conn();
-                self.excuse_held(&carried);
+            Path::Reset => {
+                let conn = message.conn();
+                self.excuse_request_of(&message);
                 self.schedule(self.now, ScheduledEvent::ResetConnection(conn));
                 None
             }
         }
     }
 
-    /// The node, the other end, and whether it goes there; none where the node is not known yet.
-    fn endpoints_of(&self, carried: &InFlightMessage) -> Option<(usize, LinkEnd, bool)> {
-        let peer = self.connections.get(&carried.conn())?;
-        match (carried, peer) {
+    /// The route of a message; none if its connection is gone or its node is not known yet.
+    fn route(&self, message: &InFlightMessage) -> Option<Route> {
+        let connection = self.connections.get(&message.conn())?;
+        match (message, connection) {
             (InFlightMessage::ToServer(_), Connection::Server { server, node, .. }) => {
-                Some(((*node)?, LinkEnd::Server(*server), true))
+                Some(Route::outbound((*node)?, Remote::Server(*server)))
             }
             (InFlightMessage::FromServer(_), Connection::Server { server, node, .. }) => {
-                Some(((*node)?, LinkEnd::Server(*server), false))
+                Some(Route::inbound((*node)?, Remote::Server(*server)))
             }
-            (InFlightMessage::ToList(..), Connection::List { node, .. }) => {
-                Some((*node, LinkEnd::List, true))
+            (InFlightMessage::ToDiscovery(..), Connection::Discovery { node, .. }) => {
+                Some(Route::outbound(*node, Remote::Discovery))
             }
-            (InFlightMessage::FromList(..), Connection::List { node, .. }) => {
-                Some((*node, LinkEnd::List, false))
+            (InFlightMessage::FromDiscovery(..), Connection::Discovery { node, .. }) => {
+                Some(Route::inbound(*node, Remote::Discovery))
             }
             (InFlightMessage::ToNode(..), Connection::Client { node, .. }) => {
-                Some((*node, LinkEnd::Clients, false))
+                Some(Route::inbound(*node, Remote::Clients))
             }
             (InFlightMessage::ToClient(..), Connection::Client { node, .. }) => {
-                Some((*node, LinkEnd::Clients, true))
+                Some(Route::outbound(*node, Remote::Clients))
             }
             _ => None,
         }
     }
 
-    /// A message that does not come through may have been the one that the rules ask for: nothing is owed then.
-    fn excuse_held(&mut self, carried: &InFlightMessage) {
+    /// The rules ask nothing of a request whose message to or from its client did not come through.
+    fn excuse_request_of(&mut self, message: &InFlightMessage) {
         if let InFlightMessage::ToNode(_, number, _) | InFlightMessage::ToClient(_, number, _) =
-            carried
+            message
         {
-            self.requests[*number].log.excused = true;
+            self.requests[*number].log.is_excused = true;
         }
     }
 
-    /// A message has arrived.
-    pub(super) fn deliver_message(&mut self, carried: InFlightMessage) -> Option<NodeInput> {
-        match carried {
+    /// Delivers a message to its receiver.
+    pub(super) fn deliver_message(&mut self, message: InFlightMessage) -> Option<NodeInput> {
+        match message {
             InFlightMessage::ToServer(job) => {
                 self.receive_request(job);
                 None
             }
-            InFlightMessage::FromServer(sending) => self.write_response(sending),
-            InFlightMessage::ToList(conn, message) => {
+            InFlightMessage::FromServer(response) => self.write_response(response),
+            InFlightMessage::ToDiscovery(conn, message) => {
                 self.receive_poll(conn, &message);
                 None
             }
-            InFlightMessage::FromList(conn, reply) => self.write_endpoint_list(conn, &reply),
+            InFlightMessage::FromDiscovery(conn, reply) => self.write_endpoint_list(conn, &reply),
             InFlightMessage::ToNode(conn, number, bytes) => {
                 self.deliver_to_node(conn, number, &bytes)
             }
@@ -209,33 +240,36 @@
         }
     }
 
-    /// A link has become bad, or good again: what was stuck goes on, or is stuck once more.
+    /// Sends all held messages once more after the impairments have changed.
     pub(super) fn release_held_messages(&mut self) {
-        for carried in std::mem::take(&mut self.held_messages) {
-            if self.connections.contains_key(&carried.conn()) {
-                self.schedule(self.now, ScheduledEvent::HeldMessage(Box::new(carried)));
+        for message in std::mem::take(&mut self.held_messages) {
+            if self.connections.contains_key(&message.conn()) {
+                self.schedule(self.now, ScheduledEvent::HeldMessage(Box::new(message)));
             }
         }
     }
 
-    /// Connections under a link that resets them are reset as it begins to.
-    pub(super) fn reset_links(&mut self, bad: &LinkImpairment) {
-        let reset: Vec<ConnId> = self
-            .connections
-            .iter()
-            .filter(|(_, peer)| match peer {
-                Connection::Server {
-                    server,
-                    node: Some(node),
-                    ..
-                } => self.touches(bad, *node, LinkEnd::Server(*server), true),
-                Connection::List { node, .. } => self.touches(bad, *node, LinkEnd::List, true),
-                _ => false,
-            })
-            .map(|(conn, _)| *conn)
-            .collect();
-        reset
-            .into_iter()
-            .for_each(|conn| self.schedule(self.now, ScheduledEvent::ResetConnection(conn)));
+    /// Resets the connections that a new impairment affects.
+    pub(super) fn reset_links(&mut self, impairment: &LinkImpairment) {
+        let is_affected = |connection: &Connection| match connection {
+            Connection::Server {
+                server,
+                node: Some(node),
+                ..
+            } => self.affects(impairment, Route::outbound(*node, Remote::Server(*server))),
+            Connection::Discovery { node, .. } => {
+                self.affects(impairment, Route::outbound(*node, Remote::Discovery))
+            }
+            _ => false,
+        };
+        let mut conns: Vec<ConnId> = Vec::new();
+        for (conn, connection) in &self.connections {
+            if is_affected(connection) {
+                conns.push(*conn);
+            }
+        }
+        for conn in conns {
+            self.schedule(self.now, ScheduledEvent::ResetConnection(conn));
+        }
     }
 }
--- a/testkit/scenarios/src/simulation/server_lifecycle.rs
+++ b/testkit/scenarios/src/simulation/server_lifecycle.rs
@@ -15,7 +15,7 @@
         server_state.up = false;
         server_state.jobs.clear();
         server_state.held.clear();
-        self.net.refuse(server_state.listener)?;
+        self.net.stop_listening(server_state.listener)?;
         let mut conns = Vec::new();
         for (conn, connection) in &self.connections {
             if matches!(connection, Connection::Server { server: of, .. } if *of == server) {
@@ -35,7 +35,7 @@
         server_state.model.restart(now);
         (server_state.up, server_state.booted, server_state.wake) = (true, Some(now), None);
         server_state.jobs.clear();
-        self.net.accept_again(server_state.listener)?;
+        self.net.resume_listening(server_state.listener)?;
         let change = ServerEvent::EndpointChange {
             server,
             state: State::Ready,
--- a/testkit/scenarios/src/simulation/server_responses.rs
+++ b/testkit/scenarios/src/simulation/server_responses.rs
@@ -10,8 +10,8 @@
 use super::in_flight::{AttemptId, ConnectionFate, InFlightMessage, ServerResponse};
 use super::server_state::response_body;
 use super::state::Simulation;
-use crate::outcome::Ended;
-use crate::scene::{Reports, Trouble};
+use crate::outcome::AttemptOutcome;
+use crate::scenario::{FaultKind, Reports};
 
 /// An invalid response.
 const NOISE: &[u8] = b"HTTP/1.1 2x0 \x01\x02\r\n\r\n";
@@ -29,28 +29,32 @@
         let mut at = self.now;
         for trouble in server_state.faults_in_order(draw) {
             match trouble {
-                Trouble::NoLength => {
+                FaultKind::CloseDelimited => {
                     response.bytes = message::answer_without_length(200, &headers, &body);
                     response.then = ConnectionFate::Closes;
                 }
-                Trouble::Fail => {
-                    (response.bytes, response.ended) =
-                        (message::answer(500, &headers, b""), Ended::Error);
+                FaultKind::ServerError => {
+                    (response.bytes, response.ended) = (
+                        message::answer(500, &headers, b""),
+                        AttemptOutcome::ServerError,
+                    );
                 }
-                Trouble::Spoilt => {
-                    (response.bytes, response.ended) = (NOISE.to_vec(), Ended::Spoilt);
+                FaultKind::InvalidResponse => {
+                    (response.bytes, response.ended) =
+                        (NOISE.to_vec(), AttemptOutcome::InvalidResponse);
                 }
-                Trouble::Reset { after } => {
+                FaultKind::ResetConnection { after } => {
                     response
                         .bytes
                         .truncate(usize::try_from(after).unwrap_or(usize::MAX));
-                    (response.ended, response.then) = (Ended::Reset, ConnectionFate::Resets);
+                    (response.ended, response.then) =
+                        (AttemptOutcome::ConnectionReset, ConnectionFate::Resets);
                 }
-                Trouble::Late { by } => at = at.saturating_add(by),
+                FaultKind::DelayResponse { by } => at = at.saturating_add(by),
                 _ => {}
             }
         }
-        let is_complete = response.ended == Ended::Served;
+        let is_complete = response.ended == AttemptOutcome::Served;
         if is_complete
             && response.then == ConnectionFate::Closes
             && let Some(AttemptId { request, number }) = response.attempt
@@ -75,7 +79,7 @@
             ..
         }) = self.connections.get_mut(&conn)
         else {
-            self.end_attempt(attempt, Ended::Abandoned);
+            self.end_attempt(attempt, AttemptOutcome::Abandoned);
             return None;
         };
         let server = *server;
@@ -143,18 +147,18 @@
 
     /// Answers a health check outside the queue; a server that is paused or hangs does not.
     pub(super) fn answer_health_check(&mut self, conn: ConnId, server: usize) {
-        let silent = self.servers[server].has(Trouble::Hang, 0);
+        let silent = self.servers[server].has(FaultKind::Hang, 0);
         if silent || self.servers[server].is_paused() {
             return;
         }
-        let has_endpoint = self.plan.scene.scene.reports == Reports::Probes;
+        let has_endpoint = self.plan.scenario.spec.reports == Reports::Probes;
         let bytes = if has_endpoint {
             let util = self.servers[server].model.util(self.now);
             message::answer(200, "", format!("{{\"util\":{util:.4}}}").as_bytes())
         } else {
             message::answer(404, "", b"")
         };
-        let (attempt, ended, then) = (None, Ended::Served, ConnectionFate::Stays);
+        let (attempt, ended, then) = (None, AttemptOutcome::Served, ConnectionFate::Stays);
         self.schedule(
             self.now,
             ScheduledEvent::ServerResponse(Box::new(ServerResponse {
@@ -169,7 +173,7 @@
 
     /// Response headers: the load report, where responses carry it, and then `more`.
     pub(super) fn load_report_headers(&mut self, server: usize, more: &str) -> String {
-        if self.plan.scene.scene.reports == Reports::Probes {
+        if self.plan.scenario.spec.reports == Reports::Probes {
             return more.to_owned();
         }
         let util = self.servers[server].model.util(self.now);
--- a/testkit/scenarios/src/simulation/server_state.rs
+++ b/testkit/scenarios/src/simulation/server_state.rs
@@ -9,7 +9,7 @@
 use badgerpost_time::{MILLISECOND, Nanos};
 
 use super::in_flight::ServerJob;
-use crate::scene::Trouble;
+use crate::scenario::FaultKind;
 
 /// A server: its model, its socket and its active faults.
 pub(super) struct SimulatedServer {
@@ -27,7 +27,7 @@
     pub(super) held: Vec<ServerJob>,
     pub(super) wake: Option<Nanos>,
     /// Active faults, each with the thousandths of the requests that it affects.
-    pub(super) faults: Vec<(Trouble, u16)>,
+    pub(super) faults: Vec<(FaultKind, u16)>,
     pub(super) up: bool,
     pub(super) booted: Option<Nanos>,
     /// The highest load during slow start, as a multiple of the capacity at that time.
@@ -40,20 +40,20 @@
 
 impl SimulatedServer {
     /// Whether a fault is active and affects a request with this draw, in thousandths.
-    pub(super) fn has(&self, trouble: Trouble, draw: u16) -> bool {
+    pub(super) fn has(&self, trouble: FaultKind, draw: u16) -> bool {
         self.faults
             .iter()
             .any(|(one, permille)| *one == trouble && draw < *permille)
     }
 
     /// The faults that affect a request with this draw, in thousandths, in the order in which they change its response.
-    pub(super) fn faults_in_order(&self, draw: u16) -> Vec<Trouble> {
-        let strikes = |one: &&(Trouble, u16)| draw < one.1;
+    pub(super) fn faults_in_order(&self, draw: u16) -> Vec<FaultKind> {
+        let strikes = |one: &&(FaultKind, u16)| draw < one.1;
         let struck = self.faults.iter().filter(strikes);
-        let mut faults: Vec<Trouble> = struck.map(|one| one.0).collect();
+        let mut faults: Vec<FaultKind> = struck.map(|one| one.0).collect();
         faults.sort_by_key(|trouble| match trouble {
-            Trouble::NoLength => 0,
-            Trouble::Reset { .. } => 2,
+            FaultKind::CloseDelimited => 0,
+            FaultKind::ResetConnection { .. } => 2,
             _ => 1,
         });
         faults
@@ -62,7 +62,7 @@
     /// Sets the speed of the model to the slowest active fault.
     pub(super) fn set_pace(&mut self) {
         let slow = self.faults.iter().filter_map(|(trouble, _)| match trouble {
-            Trouble::Slow { percent } => Some(f64::from(*percent) / 100.0),
+            FaultKind::SlowDown { percent } => Some(f64::from(*percent) / 100.0),
             _ => None,
         });
         let times = slow.fold(1.0, |most: f64, times| most.max(times));
@@ -71,7 +71,7 @@
 
     /// Whether its process is paused.
     pub(super) fn is_paused(&self) -> bool {
-        self.has(Trouble::PauseServer, 0)
+        self.has(FaultKind::PauseServer, 0)
     }
 
     /// Notes a request for the load during slow start; those before the window no longer count.
--- a/testkit/scenarios/src/simulation/servers.rs
+++ b/testkit/scenarios/src/simulation/servers.rs
@@ -10,8 +10,8 @@
 use super::in_flight::{AttemptId, ConnectionFate, InFlightMessage, ServerJob, ServerResponse};
 use super::server_state::response_body;
 use super::state::{OpenRequest, Simulation};
-use crate::outcome::{Attempt, Ended, Scope};
-use crate::scene::Trouble;
+use crate::outcome::{Attempt, AttemptOutcome, DedupScope};
+use crate::scenario::FaultKind;
 
 /// A node counts as notified of a change this long after discovery had it and was reachable.
 const NOTIFICATION_LIMIT: Nanos = 6 * SECOND;
@@ -64,7 +64,7 @@
             .unlisted_since
             .map(|since| since + NOTIFICATION_LIMIT);
         let notified = notified.copied().into_iter().chain(counted).min();
-        let left = (open.written + open.log.budget).saturating_sub(now);
+        let left = (open.written + open.log.timeout).saturating_sub(now);
         let deadline = message
             .value("x-budget-ms")
             .and_then(|text| text.parse().ok());
@@ -77,12 +77,12 @@
             cell: server_state.cell,
             start: now,
             end: None,
-            ended: Ended::Open,
-            ran: false,
-            told_for: notified.and_then(|notified| now.checked_sub(notified)),
-            felled: false,
+            outcome: AttemptOutcome::Unfinished,
+            executed: false,
+            drain_known_for: notified.and_then(|notified| now.checked_sub(notified)),
+            caused_overload: false,
             without_length: false,
-            overstated: (over > DEADLINE_TOLERANCE).then_some(over),
+            deadline_excess: (over > DEADLINE_TOLERANCE).then_some(over),
         });
         AttemptId {
             request,
@@ -124,11 +124,11 @@
         let now = self.now;
         let request = job.attempt.map(|attempt| attempt.request);
         let draw = self.fault_draw(job.attempt);
-        if self.servers[server].has(Trouble::Hang, draw) {
+        if self.servers[server].has(FaultKind::Hang, draw) {
             return;
         }
         let rejection = self.rejection(server, &job);
-        if self.servers[server].has(Trouble::TurnAway, draw) {
+        if self.servers[server].has(FaultKind::RejectRequests, draw) {
             self.schedule(now, ScheduledEvent::ServerResponse(Box::new(rejection)));
             return;
         }
@@ -139,7 +139,7 @@
                     &self.load_report_headers(server, ""),
                     &response_body(&job.id, &self.servers[server].name),
                 ),
-                ended: Ended::Served,
+                ended: AttemptOutcome::Served,
                 ..rejection
             };
             self.schedule(now, ScheduledEvent::ServerResponse(Box::new(response)));
@@ -168,7 +168,7 @@
             conn: job.conn,
             attempt: job.attempt,
             bytes: message::answer(503, &headers, b""),
-            ended: Ended::TurnedAway,
+            ended: AttemptOutcome::Rejected,
             then: ConnectionFate::Stays,
         }
     }
@@ -178,19 +178,19 @@
         let now = self.now;
         let request = attempt.map(|attempt| attempt.request);
         let work = request.map_or(
-            self.plan.scene.scene.class[0].work_ms.get_ref().0 * MILLISECOND,
+            self.plan.scenario.spec.class[0].work_ms.get_ref().0 * MILLISECOND,
             |request| self.plan.arrivals[self.requests[request].arrival].work,
         );
         let is_notified = request.is_some_and(|request| self.knows_start(request, server));
-        let window = self.plan.scene.scene.rules.fall_ms * MILLISECOND;
+        let window = self.plan.scenario.spec.rules.fall_ms * MILLISECOND;
         let server_state = &mut self.servers[server];
         let offer = server_state.model.offer(now, ticket, work);
         server_state.record_slow_start_send(now, is_notified, window);
         let is_breach = !self.plan.behaviour.strict || server_state.is_mostly_notified();
         if let Some(AttemptId { request, number }) = attempt {
             let attempt = &mut self.requests[request].log.attempts[number];
-            attempt.ran = offer == Offer::Taken;
-            attempt.felled = offer == Offer::Felled && is_breach;
+            attempt.executed = offer == Offer::Taken;
+            attempt.caused_overload = offer == Offer::Felled && is_breach;
         }
         offer
     }
@@ -212,9 +212,9 @@
         };
         let server_state = &self.servers[server];
         let group = match scope {
-            Scope::All => String::new(),
-            Scope::Zone => server_state.zone.clone(),
-            Scope::Cell => format!("{}", server_state.cell),
+            DedupScope::All => String::new(),
+            DedupScope::Zone => server_state.zone.clone(),
+            DedupScope::Cell => format!("{}", server_state.cell),
         };
         let now = self.now;
         // Never evicted: a run has a bounded number of requests, and so of keys.
@@ -259,7 +259,7 @@
             conn,
             attempt,
             bytes: Vec::new(),
-            ended: Ended::Served,
+            ended: AttemptOutcome::Served,
             then: ConnectionFate::Stays,
         };
         self.respond(server, &id, response);
--- a/testkit/scenarios/src/simulation/setup.rs
+++ b/testkit/scenarios/src/simulation/setup.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use badgerpost_fakes::discovery::{Discovery, State};
-use badgerpost_fakes::net::Net;
+use badgerpost_fakes::net::{BoundSocket, LoopbackNetwork};
 use badgerpost_fakes::random::Random;
 use badgerpost_fakes::server::{Choke, Figures, Server};
 use badgerpost_time::{MILLISECOND, Nanos};
@@ -16,7 +16,7 @@
 use super::server_state::{SimulatedServer, entry};
 use super::state::{Misbehaviour, Simulation};
 use crate::plan::Plan;
-use crate::scene::{Planned, Scene};
+use crate::scenario::{PlannedFault, Scenario};
 
 /// How often servers refresh their load report.
 const REPORT_PERIOD: Nanos = 100 * MILLISECOND;
@@ -28,11 +28,11 @@
     /// if the scenario does not ask for it.
     pub fn new(plan: Plan, base: Nanos, gossip: bool) -> io::Result<Self> {
         let mut simulation = Self::empty(plan, base)?;
-        for index in 0..simulation.plan.scene.scene.server.len() {
+        for index in 0..simulation.plan.scenario.spec.server.len() {
             simulation.add_server(index)?;
         }
-        let gossip = gossip || simulation.plan.scene.scene.peers;
-        for index in 0..simulation.plan.scene.scene.node.len() {
+        let gossip = gossip || simulation.plan.scenario.spec.peers;
+        for index in 0..simulation.plan.scenario.spec.node.len() {
             simulation.add_node(index, gossip)?;
         }
         simulation.schedule_faults();
@@ -44,7 +44,7 @@
 
     fn empty(plan: Plan, base: Nanos) -> io::Result<Self> {
         Ok(Self {
-            net: Net::new()?,
+            net: LoopbackNetwork::new()?,
             now: 0,
             base,
             queue: BTreeMap::new(),
@@ -70,14 +70,17 @@
     }
 
     fn add_server(&mut self, index: usize) -> io::Result<()> {
-        let (listener, at) = self.net.listen(ANY_PORT)?;
+        let BoundSocket {
+            id: listener,
+            address: at,
+        } = self.net.listen(ANY_PORT)?;
         self.listeners
             .insert(listener, ListenerOwner::Server(index));
-        let scene = &self.plan.scene.scene;
+        let scene = &self.plan.scenario.spec;
         let server = &scene.server[index];
         let up = server.starts_ms.is_none();
         if !up {
-            self.net.refuse(listener)?;
+            self.net.stop_listening(listener)?;
         }
         let server_state = SimulatedServer {
             name: server.name.get_ref().clone(),
@@ -107,12 +110,16 @@
     }
 
     fn add_node(&mut self, index: usize, gossip: bool) -> io::Result<()> {
-        let (listener, discovery_address) = self.net.listen(ANY_PORT)?;
-        self.listeners.insert(listener, ListenerOwner::List(index));
+        let BoundSocket {
+            id: listener,
+            address: discovery_address,
+        } = self.net.listen(ANY_PORT)?;
+        self.listeners
+            .insert(listener, ListenerOwner::Discovery(index));
         let gossip_socket = gossip
-            .then(|| self.net.open_datagrams(ANY_PORT))
+            .then(|| self.net.bind_datagrams(ANY_PORT))
             .transpose()?;
-        let scene = &self.plan.scene.scene;
+        let scene = &self.plan.scenario.spec;
         let node = &scene.node[index];
         self.nodes.push(SimulatedNode {
             name: node.name.get_ref().clone(),
@@ -127,20 +134,25 @@
             stopping: None,
             open: 0,
             ended: 0,
-            gossip: gossip_socket.map(|(door, at)| GossipEndpoint {
-                door,
-                at,
-                real: None,
-                datagrams: 0,
-                bytes: 0,
-            }),
+            gossip: gossip_socket.map(
+                |BoundSocket {
+                     id: door,
+                     address: at,
+                 }| GossipEndpoint {
+                    door,
+                    at,
+                    real: None,
+                    datagrams: 0,
+                    bytes: 0,
+                },
+            ),
         });
         Ok(())
     }
 
     fn schedule_faults(&mut self) {
         for fault in 0..self.plan.faults.len() {
-            let Planned { at, lasts, .. } = self.plan.faults[fault];
+            let PlannedFault { at, lasts, .. } = self.plan.faults[fault];
             self.schedule(at, ScheduledEvent::FaultStart { fault });
             if let Some(lasts) = lasts {
                 let end = at.saturating_add(lasts);
@@ -157,8 +169,8 @@
     }
 
     fn schedule_server_starts(&mut self) {
-        for server in 0..self.plan.scene.scene.server.len() {
-            if let Some(at) = self.plan.scene.scene.server[server].starts_ms {
+        for server in 0..self.plan.scenario.spec.server.len() {
+            if let Some(at) = self.plan.scenario.spec.server[server].starts_ms {
                 let start = ServerEvent::Start { server };
                 self.schedule(at * MILLISECOND, ScheduledEvent::Server(start));
             }
@@ -167,13 +179,13 @@
 }
 
 /// The position of a zone among those of the scenario.
-fn zone_number(scene: &Scene, zone: &str) -> usize {
+fn zone_number(scene: &Scenario, zone: &str) -> usize {
     let zones = scene.zones();
     zones.iter().position(|one| *one == zone).unwrap_or(0)
 }
 
 fn server_figures(plan: &Plan, index: usize) -> Figures {
-    let scene = &plan.scene.scene;
+    let scene = &plan.scenario.spec;
     let (server, rules) = (&scene.server[index], &scene.rules);
     Figures {
         slots: server.slots.max(1),
@@ -195,7 +207,7 @@
 }
 
 /// The mean work of the requests of a scenario.
-fn mean_work(scene: &Scene) -> Nanos {
+fn mean_work(scene: &Scenario) -> Nanos {
     let (mut total, mut shares) = (0.0, 0.0);
     for class in &scene.class {
         let (least, most) = *class.work_ms.get_ref();
--- a/testkit/scenarios/src/simulation/state.rs
+++ b/testkit/scenarios/src/simulation/state.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use badgerpost_fakes::discovery::{Discovery, Entry};
-use badgerpost_fakes::net::{ConnId, Happening, ListenerId, Net};
+use badgerpost_fakes::net::{ConnId, ListenerId, LoopbackNetwork, NetworkEvent};
 use badgerpost_fakes::random::Random;
 
 use super::connection::{Connection, ListenerOwner};
@@ -14,7 +14,7 @@
 use super::in_flight::{AttemptId, InFlightMessage, LinkImpairment};
 use super::node_state::SimulatedNode;
 use super::server_state::SimulatedServer;
-use crate::outcome::{Ended, Request, Told};
+use crate::outcome::{AttemptOutcome, ClientResult, Request};
 use crate::plan::Plan;
 use crate::rules::{self, Breach};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
@@ -59,7 +59,7 @@
 /// The peers of all nodes.
 pub struct Simulation {
     pub(super) plan: Plan,
-    pub(super) net: Net,
+    pub(super) net: LoopbackNetwork,
     pub(super) now: Nanos,
     /// Unix time at the scene's start.
     pub(super) base: Nanos,
@@ -120,7 +120,7 @@
     /// Whether all clients have had their answers, or given up.
     pub fn is_done(&self) -> bool {
         self.pending == 0
-            || self.now > self.plan.scene.scene.length_ms.get_ref() * MILLISECOND + ENDS_AFTER
+            || self.now > self.plan.scenario.spec.length_ms.get_ref() * MILLISECOND + ENDS_AFTER
     }
 
     /// Bytes read from all nodes so far.
@@ -216,7 +216,7 @@
             .requests
             .iter_mut()
             .filter(|open| !open.done && open.node == node);
-        open.for_each(|open| open.log.excused = true);
+        open.for_each(|open| open.log.is_excused = true);
     }
 
     /// What clients that say nothing, and answers with no length, were owed and did not get.
@@ -228,8 +228,7 @@
         let logs = self.requests.iter().map(|open| &open.log);
         let is_bare = |log: &&Request| log.attempts.iter().any(|attempt| attempt.without_length);
         let bare: Vec<&Request> = logs.filter(is_bare).collect();
-        let is_served =
-            |log: &&&Request| log.answer.is_some_and(|answer| answer.told == Told::Served);
+        let is_served = |log: &&&Request| log.result() == Some(ClientResult::Served);
         let forwarded = bare.iter().filter(is_served).count();
         if bare.len() >= LEAST_WITHOUT_LENGTH && 2 * forwarded < bare.len() {
             breaches.push(rules::answers_without_length_dropped(forwarded, bare.len()));
@@ -245,13 +244,13 @@
     }
 
     /// Looks at all sockets for at most `wait` and adds what has come.
-    pub fn poll(&mut self, wait: Duration, told: &mut Vec<Happening>) -> io::Result<()> {
+    pub fn poll(&mut self, wait: Duration, told: &mut Vec<NetworkEvent>) -> io::Result<()> {
         self.net.poll(wait, told)
     }
 
     /// Puts what several looks have brought into an order that is always the same.
-    pub fn sort_events(&mut self, told: &mut [Happening]) -> io::Result<()> {
-        self.net.in_order(told)
+    pub fn sort_events(&mut self, told: &mut [NetworkEvent]) -> io::Result<()> {
+        self.net.sort_events(told)
     }
 
     /// Says which node alone runs now, if only one does.
@@ -260,13 +259,13 @@
     }
 
     /// Ends an attempt that has not ended yet.
-    pub(super) fn end_attempt(&mut self, attempt: Option<AttemptId>, ended: Ended) {
+    pub(super) fn end_attempt(&mut self, attempt: Option<AttemptId>, ended: AttemptOutcome) {
         let Some(AttemptId { request, number }) = attempt else {
             return;
         };
         let attempt = &mut self.requests[request].log.attempts[number];
         if attempt.end.is_none() {
-            (attempt.end, attempt.ended) = (Some(self.now), ended);
+            (attempt.end, attempt.outcome) = (Some(self.now), ended);
         }
     }
 
@@ -275,7 +274,7 @@
         self.net.close(conn);
         let node = match self.remove_connection(conn)? {
             Connection::Server { node, .. } => node,
-            Connection::List { node, .. } => Some(node),
+            Connection::Discovery { node, .. } => Some(node),
             Connection::Client { node, .. } | Connection::Silent { node, .. } => {
                 self.nodes[node].idle.retain(|idle| *idle != conn);
                 Some(node)
@@ -289,10 +288,10 @@
         self.net.reset(conn);
         match self.remove_connection(conn)? {
             Connection::Server { node, attempt, .. } => {
-                self.end_attempt(attempt, Ended::Reset);
+                self.end_attempt(attempt, AttemptOutcome::ConnectionReset);
                 node.map(|node| NodeInput { node, bytes: 0 })
             }
-            Connection::List { node, .. } => Some(NodeInput { node, bytes: 0 }),
+            Connection::Discovery { node, .. } => Some(NodeInput { node, bytes: 0 }),
             Connection::Client { node, .. } | Connection::Silent { node, .. } => {
                 self.nodes[node].idle.retain(|idle| *idle != conn);
                 Some(NodeInput { node, bytes: 0 })
