--- a/adapters/http/src/connection_limiter.rs
+++ b/adapters/http/src/connection_limiter.rs
@@ -1,5 +1,5 @@
 //! Admission of client connections: bounds their number, evicts one to admit another, and closes those that time out. A
-//! connection with a request on it is never evicted.
+//! connection with a complete request, or with an upload that waits for a backend, is never evicted.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/adapters/http/src/connection_state.rs
+++ b/adapters/http/src/connection_state.rs
@@ -19,7 +19,7 @@
 use badgerpost_time::{Nanos, SECOND};
 
 use crate::timeouts::{
-    BODY_STALL_TIMEOUT, CLOSE_TIMEOUT, FIRST_REQUEST_GRACE, HEAD_READ_TIMEOUT, IDLE_TIMEOUT,
+    BODY_STALL_TIMEOUT, CLOSE_TIMEOUT, DRAIN_FIRST_REQUEST_GRACE, HEAD_READ_TIMEOUT, IDLE_TIMEOUT,
     LINGER_TIMEOUT, MIN_BODY_BYTES_PER_SECOND, MIN_IDLE_BEFORE_EVICTION,
     MIN_SILENCE_BEFORE_EVICTION, MIN_STALL_BEFORE_EVICTION, SEND_TIMEOUT, STREAM_STALL_TIMEOUT,
     TIMEOUT_RESPONSE_GRACE,
@@ -197,7 +197,7 @@
     pub(crate) fn expects_first_request(&self, now: Nanos) -> bool {
         match *self {
             Self::New { accepted_at } => {
-                now.saturating_sub(accepted_at) < nanos(FIRST_REQUEST_GRACE)
+                now.saturating_sub(accepted_at) < nanos(DRAIN_FIRST_REQUEST_GRACE)
             }
             _ => false,
         }
--- a/adapters/http/src/discovery.rs
+++ b/adapters/http/src/discovery.rs
@@ -21,7 +21,7 @@
 
 /// Follows the endpoint list of one fleet.
 pub struct EndpointWatcher<P: Protocol> {
-    node: Engine<P>,
+    engine: Engine<P>,
     address: SocketAddr,
     /// The version that is known; none where a snapshot has to be asked for.
     version: Option<u64>,
@@ -36,15 +36,15 @@
     /// A watcher of the list at this address, which starts from `cached`, a list that may be old. The seed drives how
     /// long watches are held.
     pub fn new(
-        node: Engine<P>,
+        engine: Engine<P>,
         address: SocketAddr,
         cached: Option<EndpointList>,
         seed: u64,
     ) -> Self {
-        let schedule = PollSchedule::new(node.polls_discovery(), seed);
-        let log = LogLimiter::new(node.clock().clone());
+        let schedule = PollSchedule::new(engine.polls_discovery(), seed);
+        let log = LogLimiter::new(engine.clock().clone());
         let mut watcher = Self {
-            node,
+            engine,
             address,
             version: None,
             entries: KnownEntries::default(),
@@ -56,7 +56,7 @@
             watcher.version = Some(list.version);
             let merged = watcher.entries.merge(list);
             watcher
-                .node
+                .engine
                 .endpoints_updated(EndpointUpdate::Cached, &merged.endpoints);
         }
         watcher
@@ -96,7 +96,7 @@
         self.version = None;
         self.connection = None;
         self.schedule.reset();
-        self.log = LogLimiter::new(self.node.clock().clone());
+        self.log = LogLimiter::new(self.engine.clock().clone());
     }
 
     /// Reports a list to the engine, and logs its invalid entries.
@@ -108,7 +108,7 @@
             invalid,
         } = self.entries.merge(list);
         if update == EndpointUpdate::Snapshot || !endpoints.is_empty() {
-            self.node.endpoints_updated(update, &endpoints);
+            self.engine.endpoints_updated(update, &endpoints);
         }
         let at = self.address;
         for InvalidEntry { name, error, .. } in invalid {
@@ -130,18 +130,18 @@
         if backoff.needs_snapshot {
             self.version = None;
         }
-        self.node.discovery_failed();
+        self.engine.discovery_failed();
         tokio::select! {
             biased;
-            () = self.node.clock().sleep(backoff.delay) => {}
-            () = self.node.discovery_requested() => {}
+            () = self.engine.clock().sleep(backoff.delay) => {}
+            () = self.engine.discovery_requested() => {}
             () = address_changed(address) => {}
         }
     }
 
     /// Makes the call that is next on the schedule.
     async fn poll(&mut self) -> Result<EndpointList, PollError> {
-        let wants_snapshot = self.node.take_snapshot_request();
+        let wants_snapshot = self.engine.take_snapshot_request();
         let version = self.version.filter(|_| !wants_snapshot);
         let PollCall {
             kind,
@@ -152,7 +152,7 @@
             PollKind::Snapshot | PollKind::Delta => PollError::ResponseTimedOut,
             PollKind::Watch(_) => PollError::WatchTimedOut,
         };
-        let clock = self.node.clock().clone();
+        let clock = self.engine.clock().clone();
         let response = self.first_response(target(kind, version), hedge_delay);
         clock
             .timeout(timeout, response)
@@ -167,7 +167,7 @@
         target: String,
         hedge_delay: Duration,
     ) -> Result<EndpointList, PollError> {
-        let clock = self.node.clock().clone();
+        let clock = self.engine.clock().clone();
         let mut calls = Vec::new();
         loop {
             calls.push(Box::pin(poll_once(
--- a/adapters/http/src/timeouts.rs
+++ b/adapters/http/src/timeouts.rs
@@ -11,12 +11,13 @@
 pub(crate) const HEAD_READ_TIMEOUT: Duration = Duration::from_millis(2300);
 /// Longest time without a byte of a body that is incomplete: the same as for a head, for the same reason.
 pub(crate) const BODY_STALL_TIMEOUT: Duration = HEAD_READ_TIMEOUT;
-/// Lowest average rate of a body, from its head on: half of what clients in service need at least.
+/// Lowest average rate of a body, from its head on: half of the 64 kB/s that the slowest clients in service keep up.
 pub(crate) const MIN_BODY_BYTES_PER_SECOND: u64 = 32 * 1024;
 /// Longest time in which the body of an upload may arrive. Its progress is limited by the two limits above; this one is
 /// the budget that the engine is given until the body is complete.
 pub(crate) const UPLOAD_TIMEOUT: Duration = Duration::from_secs(3600);
-/// Time after a read timeout until the connection is closed: the response that reports the timeout goes out first.
+/// Time after a read timeout until the connection is closed. A body that timed out gets its 408 first; a head that timed
+/// out gets no response, only the close.
 pub(crate) const TIMEOUT_RESPONSE_GRACE: Duration = Duration::from_millis(200);
 /// Interval at which an upload is checked for progress: whether it waits for its client or for a backend changes without
 /// a notification.
@@ -27,8 +28,8 @@
 /// Time that a request and its response spend on the network, subtracted from the client's budget. The client counts its
 /// time from its send to the last byte of the response: one that leaves as the budget ends arrives too late.
 pub(crate) const NETWORK_ALLOWANCE: Nanos = 4 * MILLISECOND;
-/// Longest time without progress of a streamed response. A client that reads at the lowest rate takes this long to empty
-/// the system's buffers on both sides before it makes room again.
+/// Longest time without progress of a streamed response, whichever side stalls. A client that reads slowly (64 kB/s) takes
+/// this long to empty the system's buffers on both sides before more can be written.
 pub(crate) const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Longest time in which a client has to take a response that is complete.
 pub(crate) const SEND_TIMEOUT: Duration = Duration::from_secs(3);
@@ -41,9 +42,6 @@
 /// Divisor of the connection limit: with more than that part of it idle, a connection closes after its response. Clients
 /// that keep a connection and send no more would occupy what the system holds for connections, and leave none to others.
 pub(crate) const IDLE_LIMIT_DIVISOR: usize = 2;
-/// Time from the accept in which the first request is expected: clients in service connect to send one at once.
-pub(crate) const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(500);
-
 // Admission of new connections at the connection limit.
 
 /// Time between requests after which a connection may be evicted: long enough that a client with sequential requests is
@@ -65,6 +63,9 @@
 
 // Closing a connection.
 
+/// While the node drains or stops, time from the accept in which a first request is still waited for: clients in service
+/// connect to send one at once.
+pub(crate) const DRAIN_FIRST_REQUEST_GRACE: Duration = Duration::from_millis(500);
 /// Longest time in which a client has to close its side after the node has closed its own: some network round trips.
 pub(crate) const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest lingering close (RFC 9112, section 9.6): after an error, what the client still sends is read and discarded, or
--- a/adapters/http/src/upload.rs
+++ b/adapters/http/src/upload.rs
@@ -44,7 +44,7 @@
     }
 
     /// The body of a message to a backend. One made before for the same request ends with an error.
-    pub fn message(&self, node: &HttpEngine, attempt: AttemptId) -> OutgoingBody {
+    pub fn message(&self, engine: &HttpEngine, attempt: AttemptId) -> OutgoingBody {
         match self {
             Self::Buffered(buffered) => OutgoingBody::from(buffered.bytes.clone()),
             Self::Streaming(upload) => {
@@ -52,7 +52,7 @@
                 let reader = UploadReader {
                     number: upload.replace_reader(),
                     upload: upload.clone(),
-                    node: node.clone(),
+                    engine: engine.clone(),
                     attempt,
                 };
                 OutgoingBody::Streaming(StreamingBody::from_source(reader, received, upload.length))
@@ -175,7 +175,7 @@
 pub struct UploadReader {
     upload: Rc<Upload>,
     number: u64,
-    node: HttpEngine,
+    engine: HttpEngine,
     attempt: AttemptId,
 }
 
@@ -207,7 +207,7 @@
             }
             Some(Ok(frame)) => {
                 if frame.is_data() && !upload.is_consumed.replace(true) {
-                    self.node.body_consumed(self.attempt);
+                    self.engine.body_consumed(self.attempt);
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
--- a/adapters/http/src/upstream.rs
+++ b/adapters/http/src/upstream.rs
@@ -1,6 +1,6 @@
 //! The backends' side: attempts and health checks over a bounded pool of connections. What happened to an attempt is
-//! reported as an [`Outcome`](badgerpost_balancer::Outcome); whether there is another one is not decided here, and no
-//! request is written twice.
+//! reported as an [`Outcome`](badgerpost_balancer::Outcome). Whether a retry follows is the balancer's decision: only a
+//! connection that closed before anything was written to it is replaced here, within the same attempt.
 
 mod attempt;
 mod connection;
@@ -59,12 +59,12 @@
 }
 
 impl Transport<Http> for HttpTransport {
-    fn start_attempt(&self, node: &HttpEngine, command: AttemptCommand) {
-        spawn(attempt::run(self.0.clone(), node.clone(), command));
+    fn start_attempt(&self, engine: &HttpEngine, command: AttemptCommand) {
+        spawn(attempt::run(self.0.clone(), engine.clone(), command));
     }
 
-    fn check_health(&self, node: &HttpEngine, target: BackendAddress) {
-        spawn(health_check::run(self.0.clone(), node.clone(), target));
+    fn check_health(&self, engine: &HttpEngine, target: BackendAddress) {
+        spawn(health_check::run(self.0.clone(), engine.clone(), target));
     }
 
     fn close_idle_connections(&self, backend: BackendId) {
--- a/adapters/http/src/upstream/attempt.rs
+++ b/adapters/http/src/upstream/attempt.rs
@@ -31,11 +31,11 @@
 const BUDGET_HEADER: &str = "x-budget-ms";
 
 /// Makes an attempt, and reports its end to the engine once.
-pub(super) async fn run(pool: Rc<ConnectionPool>, node: HttpEngine, mut command: AttemptCommand) {
+pub(super) async fn run(pool: Rc<ConnectionPool>, engine: HttpEngine, mut command: AttemptCommand) {
     let cancelled = std::mem::replace(&mut command.cancelled, oneshot::channel().1);
     let attempt = Attempt {
         pool: &pool,
-        node: &node,
+        engine: &engine,
         command: &command,
         progress: Cell::new(Progress::NotWritten),
     };
@@ -48,7 +48,7 @@
     };
     command.payload.body.abandon();
     let may_finish_late = attempt.may_finish_late(end.outcome);
-    node.attempt_ended(command.attempt, end);
+    engine.attempt_ended(command.attempt, end);
     if may_finish_late && pool.has_spare_connections() {
         let _ = pool.clock.timeout(LATE_RESPONSE_TIMEOUT, sending).await;
     }
@@ -66,7 +66,7 @@
 /// An attempt while it is made.
 struct Attempt<'a> {
     pool: &'a Rc<ConnectionPool>,
-    node: &'a HttpEngine,
+    engine: &'a HttpEngine,
     command: &'a AttemptCommand,
     progress: Cell<Progress>,
 }
@@ -134,14 +134,14 @@
 
     /// Leases a connection to which a request can be written.
     async fn lease(&self) -> Result<LeasedConnection, ConnectError> {
-        while let Some(mut leased) = self.pool.lease_idle(self.node, self.destination()) {
+        while let Some(mut leased) = self.pool.lease_idle(self.engine, self.destination()) {
             // A close or stray bytes that the system has already received are seen first.
             yield_now().await;
             if leased.is_ready().await {
                 return Ok(leased);
             }
         }
-        let mut leased = self.pool.lease_new(self.node, self.destination()).await?;
+        let mut leased = self.pool.lease_new(self.engine, self.destination()).await?;
         if leased.is_ready().await {
             Ok(leased)
         } else {
@@ -152,7 +152,7 @@
     /// Makes the exchange over one connection. None if nothing of the request was written.
     async fn send_over(&self, leased: LeasedConnection) -> Option<AttemptEnd> {
         // The connect may have outlasted the request, or the backend's place on the list.
-        if !self.node.may_write(self.command.attempt) {
+        if !self.engine.may_write(self.command.attempt) {
             leased.release();
             return Some(AttemptEnd::bare(Outcome::NotSent));
         }
@@ -192,7 +192,7 @@
             // A client that breaks off its request is no fault of the backend's.
             Some(Outcome::NotSent)
         } else if end.outcome == Outcome::Reset && !body.is_complete() {
-            // A request that the backend never had all of has not run.
+            // A request that the backend never had all of has not run, and unlike above the backend is to blame.
             Some(Outcome::ConnectFailed)
         } else {
             None
@@ -206,7 +206,7 @@
         let time_left_ms = ends_at.saturating_sub(self.pool.clock.now()) / MILLISECOND;
         // While its body is being uploaded, its client's time has not begun.
         let budget_ms = time_left_ms.min(request.budget_ms);
-        let mut message = Request::new(request.body.message(self.node, self.command.attempt));
+        let mut message = Request::new(request.body.message(self.engine, self.command.attempt));
         *message.method_mut() = request.method.clone();
         *message.uri_mut() = request.target.clone();
         *message.headers_mut() = request.headers.clone();
--- a/adapters/http/src/upstream/health_check.rs
+++ b/adapters/http/src/upstream/health_check.rs
@@ -23,14 +23,14 @@
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Checks a backend's health, and reports the result to the engine.
-pub(super) async fn run(pool: Rc<ConnectionPool>, node: HttpEngine, target: BackendAddress) {
+pub(super) async fn run(pool: Rc<ConnectionPool>, engine: HttpEngine, target: BackendAddress) {
     let started_at = pool.clock.now();
     let end = pool
         .clock
-        .timeout(HEALTH_CHECK_TIMEOUT, request_load(&pool, &node, target))
+        .timeout(HEALTH_CHECK_TIMEOUT, request_load(&pool, &engine, target))
         .await
         .unwrap_or_else(|_| AttemptEnd::bare(Outcome::TimedOut));
-    node.health_check_ended(HealthCheckResult {
+    engine.health_check_ended(HealthCheckResult {
         backend: target.backend,
         outcome: end.outcome,
         elapsed: pool.clock.now().saturating_sub(started_at),
@@ -42,13 +42,13 @@
 /// requests need them more.
 async fn request_load(
     pool: &Rc<ConnectionPool>,
-    node: &HttpEngine,
+    engine: &HttpEngine,
     target: BackendAddress,
 ) -> AttemptEnd {
-    let mut leased = match pool.lease_idle(node, target) {
+    let mut leased = match pool.lease_idle(engine, target) {
         Some(leased) => leased,
         None if !pool.has_spare_connections() => return AttemptEnd::bare(Outcome::NotSent),
-        None => match pool.lease_new(node, target).await {
+        None => match pool.lease_new(engine, target).await {
             Ok(leased) => leased,
             Err(_) => return AttemptEnd::bare(Outcome::ConnectFailed),
         },
@@ -57,7 +57,7 @@
         return AttemptEnd::bare(Outcome::NotSent);
     };
     // The backend may have left the list while the connection was established.
-    if !node.is_in_service_at(target.backend, target.address) || !leased.is_ready().await {
+    if !engine.is_in_service_at(target.backend, target.address) || !leased.is_ready().await {
         return AttemptEnd::bare(Outcome::NotSent);
     }
     exchange(leased, message).await
--- a/adapters/http/src/upstream/pool.rs
+++ b/adapters/http/src/upstream/pool.rs
@@ -96,7 +96,7 @@
     /// Leases the idle connection to a backend that was used last, so that those in excess reach their idle timeout.
     pub(super) fn lease_idle(
         self: &Rc<Self>,
-        node: &HttpEngine,
+        engine: &HttpEngine,
         destination: BackendAddress,
     ) -> Option<LeasedConnection> {
         let idle = self
@@ -109,22 +109,22 @@
             idle_time: Some(idle.idle_time),
             destination,
             pool: self.clone(),
-            node: node.clone(),
+            engine: engine.clone(),
         })
     }
 
     /// Opens a connection to a backend.
     pub(super) async fn lease_new(
         self: &Rc<Self>,
-        node: &HttpEngine,
+        engine: &HttpEngine,
         destination: BackendAddress,
     ) -> Result<LeasedConnection, ConnectError> {
         Ok(LeasedConnection {
-            connection: self.open(node, destination.address).await?,
+            connection: self.open(engine, destination.address).await?,
             idle_time: None,
             destination,
             pool: self.clone(),
-            node: node.clone(),
+            engine: engine.clone(),
         })
     }
 
@@ -135,7 +135,7 @@
 
     async fn open(
         &self,
-        node: &HttpEngine,
+        engine: &HttpEngine,
         address: SocketAddr,
     ) -> Result<BackendConnection, ConnectError> {
         // A test that steps the node's clock must reach nothing but its fakes.
@@ -151,7 +151,7 @@
         }
         let guard = self.open.open();
         let timeout = Duration::from_nanos(self.settings.connect_timeout);
-        BackendConnection::open(address, timeout, &self.clock, node.metrics(), guard).await
+        BackendConnection::open(address, timeout, &self.clock, engine.metrics(), guard).await
     }
 
     fn max_idle_time(&self) -> Nanos {
@@ -166,7 +166,7 @@
     pub(super) idle_time: Option<Nanos>,
     pub(super) destination: BackendAddress,
     pub(super) pool: Rc<ConnectionPool>,
-    pub(super) node: HttpEngine,
+    pub(super) engine: HttpEngine,
 }
 
 impl LeasedConnection {
@@ -178,7 +178,7 @@
     /// Returns the connection to the pool for the next exchange, unless its backend has left or moved meanwhile.
     pub(super) fn release(mut self) {
         let BackendAddress { backend, address } = self.destination;
-        if self.connection.is_idle() && self.node.is_in_service_at(backend, address) {
+        if self.connection.is_idle() && self.engine.is_in_service_at(backend, address) {
             let now = self.pool.clock.now();
             self.pool.idle.put(self.destination, self.connection, now);
         }
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -104,7 +104,7 @@
     }
     let on_end = Box::new(move |end| match end {
         Some(RequestEnd::Served) => leased.release(),
-        Some(_) => leased.node.response_aborted(leased.destination.backend),
+        Some(_) => leased.engine.response_aborted(leased.destination.backend),
         None => {}
     });
     head.end(Some(BackendResponse::Streaming(StreamingResponse {
--- a/balancer/src/balancer/retries.rs
+++ b/balancer/src/balancer/retries.rs
@@ -1,10 +1,13 @@
 //! Retries and hedged requests: further attempts, as far as retry safety and the retry budget allow.
 
 use super::Balancer;
-use crate::api::{Action, Idempotency, RequestId, ZoneId};
+use crate::api::{Action, Idempotency, Nanos, RequestId, ZoneId};
 use crate::request::{Phase, Request};
 use crate::retry_safety::is_eligible;
 
+/// No advice on when the client should retry.
+const NO_RETRY_AFTER: Nanos = 0;
+
 impl Balancer {
     /// After an attempt that did not succeed: another one, or the end of the request.
     pub(super) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) {
@@ -15,12 +18,13 @@
             return;
         }
         if self.fleet.now >= request.objective_deadline {
+            // As for a request that expires in the queue.
             let retry_after = self.fleet.settings.limits.max_retry_after;
             self.end(id, retry_after, actions);
             return;
         }
         if !self.can_pay_for_retry(request) || !self.has_retry_target(request) {
-            self.end(id, 0, actions);
+            self.end(id, NO_RETRY_AFTER, actions);
             return;
         }
         // Queued where no backend has capacity now: most have some before the objective's end.
