--- a/testkit/scenarios/tests/file_formats.rs
+++ b/testkit/scenarios/tests/file_formats.rs
@@ -1,5 +1,8 @@
 //! Files that operators keep stay readable, and are written as before, byte for byte: scenarios, repro files, outcome
 //! logs. What is compared with was recorded before the test kit's types were renamed.
+//!
+//! A new kind of fault goes to the end of `recorded/every-fault.toml`; `every-fault.repro.json` is then recorded anew, and
+//! may differ by the new entry only.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -88,6 +91,28 @@
     }
 }
 
+/// The names of all kinds of faults, from the error that lists them.
+fn kinds_of_faults() -> Vec<String> {
+    let unknown = text("every-fault.toml").replace("\"refuse\"", "\"no-such-kind\"");
+    let checked = scenario::check(
+        "every-fault",
+        Source::embedded("every-fault.toml", &unknown),
+    );
+    let error = checked.err().expect("an unknown kind").to_string();
+    let (_, kinds) = error.split_once("there are ").expect("a list");
+    kinds.trim().split(", ").map(str::to_owned).collect()
+}
+
+#[test]
+fn the_recorded_scenario_has_every_kind_of_fault() {
+    let scenario = text("every-fault.toml");
+    let kinds = kinds_of_faults();
+    assert!(kinds.len() >= 25, "{kinds:?}");
+    for kind in kinds {
+        assert!(scenario.contains(&format!("kind = \"{kind}\"")), "{kind}");
+    }
+}
+
 #[test]
 fn a_scenario_with_every_kind_of_fault_draws_the_recorded_repro_file() {
     let written = plan_with_every_fault().to_repro().unwrap();
