--- a/testkit/scenarios/src/commands/summary.rs
+++ b/testkit/scenarios/src/commands/summary.rs
@@ -130,7 +130,7 @@
         ))?;
         print_line(&fleet::conduct(&played.log, &fault).to_string())?;
         let peak = played.cold_peak(Some(&fault.zone));
-        let overload_multiple = plan.scenario.spec.rules.tip_multiple;
+        let overload_multiple = plan.scenario.spec.rules.overload_multiple;
         print_line(&format!(
             "  most at one cold server there: {peak:.2} of what it could do; it falls over at {overload_multiple:.2}"
         ))?;
--- a/testkit/scenarios/src/commands/up.rs
+++ b/testkit/scenarios/src/commands/up.rs
@@ -32,11 +32,11 @@
 fn plan(name: &str, node_count: Option<usize>) -> Result<Plan, Failure> {
     let mut checked = scenario::find(name)?;
     if let Some(count) = node_count {
-        let available = checked.spec.node.len();
+        let available = checked.spec.nodes.len();
         if !(1..=available).contains(&count) {
             return Err(Failure::Nodes(available));
         }
-        checked.spec.node.truncate(count);
+        checked.spec.nodes.truncate(count);
     }
     checked.faults.clear();
     let mut plan = Plan::draw(checked, SEED);
@@ -47,7 +47,7 @@
 /// What has been started, and where it listens.
 fn describe(plan: &Plan, stage: &mut Stage) -> Value {
     let mut nodes = Vec::new();
-    for (index, node) in plan.scenario.spec.node.iter().enumerate() {
+    for (index, node) in plan.scenario.spec.nodes.iter().enumerate() {
         if let Some((listen, pid)) = stage.node(index) {
             nodes.push(json!({"name": node.name.get_ref(), "listen": listen, "pid": pid}));
         }
--- a/testkit/scenarios/src/fleet.rs
+++ b/testkit/scenarios/src/fleet.rs
@@ -42,9 +42,9 @@
         };
         let zone = (*zones.get(group.zone?)?).to_owned();
         let until = fault
-            .lasts
-            .map_or(end, |lasts| fault.at.saturating_add(lasts));
-        let whole = fault.kind.is_about_server() && group.from == 0 && group.to == 1000;
+            .duration
+            .map_or(end, |duration| fault.at.saturating_add(duration));
+        let whole = fault.kind.affects_server() && group.from == 0 && group.to == 1000;
         whole.then(|| Self {
             what: fault.kind.name(),
             zone,
@@ -281,7 +281,7 @@
         let own = plan
             .scenario
             .spec
-            .node
+            .nodes
             .iter()
             .find(|known| known.name.get_ref() == node);
         let Some(main) = own.map(|own| own.zone.as_str()) else {
@@ -302,7 +302,7 @@
 /// What a scene expects and the run did not show.
 #[expect(clippy::too_many_lines, reason = "to be split with the module")]
 pub fn lost(plan: &Plan, played: &RunReport) -> Vec<String> {
-    let expect = &plan.scenario.spec.expect;
+    let expect = &plan.scenario.spec.expectations;
     let mut lost = Vec::new();
     let mut need = |good: bool, what: String| {
         if !good {
@@ -313,14 +313,17 @@
     if counts.requests > 0 {
         let share = counts.served_fraction();
         need(
-            share >= expect.served,
-            format!("served {share:.3}, wanted {:.3}", expect.served),
+            share >= expect.min_served_fraction,
+            format!(
+                "served {share:.3}, wanted {:.3}",
+                expect.min_served_fraction
+            ),
         );
     }
     for trouble in troubles(plan) {
         let seen = conduct(&played.log, &trouble);
         let zone = &trouble.zone;
-        if let Some(most) = expect.left_ms {
+        if let Some(most) = expect.max_failover_ms {
             let last = seen.left_after.last().copied().unwrap_or(0);
             let good = seen.stayed == 0 && last <= most * MILLISECOND;
             need(
@@ -332,7 +335,7 @@
                 ),
             );
         }
-        if let Some(most) = expect.spent {
+        if let Some(most) = expect.max_failed_over_attempts {
             need(
                 seen.spent <= most,
                 format!(
@@ -341,13 +344,13 @@
                 ),
             );
         }
-        if let Some(least) = expect.worst_second {
+        if let Some(least) = expect.min_served_fraction_in_a_second {
             need(
                 seen.worst.0 >= least,
                 format!("a second served {:.3}, wanted {least:.3}", seen.worst.0),
             );
         }
-        if let Some(most) = expect.full_back_ms {
+        if let Some(most) = expect.max_recovery_ms {
             let back = seen.full_back.map_or("never".to_owned(), |span| {
                 format!("after {} ms", span / MILLISECOND)
             });
@@ -360,14 +363,14 @@
             );
         }
     }
-    if let Some(most) = expect.cold {
+    if let Some(most) = expect.max_slow_start_load {
         let peak = played.cold_peak(None);
         need(
             peak <= most,
             format!("a cold server got {peak:.2} of what it could do, wanted {most:.2}"),
         );
     }
-    if let Some(most) = expect.strayed {
+    if let Some(most) = expect.max_false_ejections {
         let strayed = strayed(plan, &played.log).len();
         need(
             strayed <= most,
--- a/testkit/scenarios/src/plan/tests.rs
+++ b/testkit/scenarios/src/plan/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::scenario;
 
 #[test]
 fn a_plan_follows_from_its_seed() {
--- a/testkit/scenarios/src/plot.rs
+++ b/testkit/scenarios/src/plot.rs
@@ -76,7 +76,7 @@
         (name.to_owned(), request.arrival)
     }));
     let attempts = log.iter().flat_map(|request| &request.attempts);
-    let many = plan.scenario.spec.server.len() > MANY;
+    let many = plan.scenario.spec.servers.len() > MANY;
     let name = |server: &str, zone: &str| {
         if many {
             zone.to_owned()
@@ -124,8 +124,8 @@
             .draw()?;
         for fault in &plan.faults {
             let ends = fault
-                .lasts
-                .map_or(end, |lasts| fault.at.saturating_add(lasts))
+                .duration
+                .map_or(end, |duration| fault.at.saturating_add(duration))
                 .min(end);
             let corners = [(seconds(fault.at), 0.0), (seconds(ends), most * 1.15)];
             chart.draw_series([Rectangle::new(corners, RED.mix(0.07).filled())])?;
--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -183,7 +183,7 @@
     let names = plan
         .scenario
         .spec
-        .node
+        .nodes
         .iter()
         .map(|node| node.name.get_ref().clone());
     let logs = names
@@ -198,7 +198,7 @@
     let figures = rules::Figures {
         answer_slack: match plan.behaviour.strict {
             true => LATE_ANSWER,
-            false => rules.answer_slack_ms * MILLISECOND + SOCKETS,
+            false => rules.response_slack_ms * MILLISECOND + SOCKETS,
         },
         drain_grace: rules.drain_grace_ms * MILLISECOND + SOCKETS,
         leave_slack: LEAVE_SLACK + SOCKETS,
@@ -268,7 +268,7 @@
             STEPPED_BASE
         };
         let core = (!options.real_time).then(OneCore::take);
-        let count = plan.scenario.spec.node.len();
+        let count = plan.scenario.spec.nodes.len();
         let world = World::new(plan.clone(), base, options.peers)?;
         let port = |node| {
             let at = SocketAddr::from(([127, 0, 0, 1], if node == 0 { options.port } else { 0 }));
@@ -329,7 +329,11 @@
         self.lives += 1;
         let seed = Random::new(self.plan.seed ^ self.lives, "node").bits();
         let scenario = &self.plan.scenario;
-        let known = scenario.spec.discovery.known.then(|| self.world.known());
+        let known = scenario
+            .spec
+            .discovery
+            .is_preconfigured
+            .then(|| self.world.known());
         let mut edge = process::edge(
             scenario,
             node,
@@ -338,16 +342,18 @@
             seed,
             known,
         );
-        if self.plan.behaviour.polled_list {
+        if self.plan.behaviour.polled_discovery {
             edge["settings"]["discovery"] = "on_request".into();
         }
         let now = self.world.base() + self.world.now();
         let start = Start {
             program: &self.options.program,
-            name: scenario.spec.node[node].name.get_ref(),
+            name: scenario.spec.nodes[node].name.get_ref(),
             edge,
             stepped: (!self.options.real_time).then_some(now),
-            own: scenario.spec.own.clone() + &self.options.own + &self.world.peers_section(node),
+            own: scenario.spec.operator_settings.clone()
+                + &self.options.own
+                + &self.world.peers_section(node),
             files: if self.world.has_peers() {
                 vec![(PEERS_KEY.0, PEERS_KEY.1.to_owned())]
             } else {
--- a/testkit/scenarios/src/run/processes.rs
+++ b/testkit/scenarios/src/run/processes.rs
@@ -90,7 +90,7 @@
             return self.collect(node, 0, Nanos::MAX);
         }
         Err(RunError::Crashed {
-            name: self.plan.scenario.spec.node[node].name.get_ref().clone(),
+            name: self.plan.scenario.spec.nodes[node].name.get_ref().clone(),
             status: status.map_or_else(|| "it still runs".to_owned(), |status| status.to_string()),
             at: self.world.now(),
             log: process.log(),
--- a/testkit/scenarios/src/scenario/tests.rs
+++ b/testkit/scenarios/src/scenario/tests.rs
@@ -13,10 +13,10 @@
     let good = "about = 'x'\nlength_ms = 10\n[clients]\nrate = 1.0\n[[node]]\nname = 'n0'\nzone = 'a'\n\
             [[server]]\nname = 'm1'\nzone = 'a'\n[[class]]\nname = 'c'\neffect = 'safe'\nshare = 1.0\n\
             work_ms = [1, 2]\naim_ms = 5\ndeadline_ms = 9\n[[fault]]\nkind = 'hang'\nat_ms = 3\nserver = 'm1'\n";
-    assert!(check("x", Source::embedded("x.toml", good)).is_ok());
+    assert!(load("x", &Source::embedded("x.toml", good)).is_ok());
     let text = good.replace(from, to);
     assert_ne!(text, good);
-    check("x", Source::embedded("x.toml", &text))
+    load("x", &Source::embedded("x.toml", &text))
         .err()
         .expect(to)
         .to_string()
--- a/testkit/scenarios/src/soak.rs
+++ b/testkit/scenarios/src/soak.rs
@@ -42,8 +42,8 @@
         let behaviour = draw.behaviour();
         let text = draw.scene(nodes, &behaviour);
         let name = format!("soak-{seed}");
-        let scene = scenario::check(&name, Source::embedded(&format!("{name}.toml"), &text))?;
-        let mut plan = Plan::draw(scene, seed);
+        let scenario = scenario::load(&name, &Source::embedded(&format!("{name}.toml"), &text))?;
+        let mut plan = Plan::draw(scenario, seed);
         plan.behaviour = behaviour;
         let system_faults = (0..nodes).map(|_| draw.system_faults()).collect();
         Ok(Self {
@@ -98,7 +98,7 @@
             .map(|fault| fault.kind.name())
             .collect();
         let behaviour = self.plan.behaviour;
-        let list = if behaviour.polled_list {
+        let list = if behaviour.polled_discovery {
             "polled"
         } else {
             "pushed"
@@ -111,8 +111,8 @@
             .collect();
         format!(
             "{} nodes, {} servers, list {list}, clocks ahead {:?} ms, {} silent clients; faults: {}; calls: {}",
-            scene.node.len(),
-            scene.server.len(),
+            scene.nodes.len(),
+            scene.servers.len(),
             behaviour.clocks_ahead_ms,
             behaviour.silent_clients,
             faults.join(" "),
@@ -133,11 +133,11 @@
 
     fn behaviour(&mut self) -> Behaviour {
         Behaviour {
-            leaving: self.one_of(&[0.0, 0.03, 0.15]),
+            disconnecting: self.one_of(&[0.0, 0.03, 0.15]),
             half_heads: self.one_of(&[0.0, 0.02]),
             pipelined: self.one_of(&[0.0, 0.1, 0.3]),
             silent_clients: self.one_of(&[0, 0, 0, 150]),
-            polled_list: self.random.chance(0.3),
+            polled_discovery: self.random.chance(0.3),
             clocks_ahead_ms: (self.clock_error(), self.clock_error()),
             clocks_step_at: self.random.between(SECOND, LENGTH_MS * MILLISECOND),
             strict: true,
--- a/testkit/scenarios/src/world.rs
+++ b/testkit/scenarios/src/world.rs
@@ -36,10 +36,10 @@
 /// The mean work of a scene's requests.
 fn mean_work(scene: &Scenario) -> Nanos {
     let (mut total, mut shares) = (0.0, 0.0);
-    for class in &scene.class {
-        let (least, most) = *class.work_ms.get_ref();
-        total += class.share.get_ref() * (least + most) as f64 / 2.0;
-        shares += class.share.get_ref();
+    for class in &scene.classes {
+        let (least, most) = *class.service_time_ms.get_ref();
+        total += class.weight.get_ref() * (least + most) as f64 / 2.0;
+        shares += class.weight.get_ref();
     }
     (total / shares * MILLISECOND as f64) as Nanos
 }
@@ -56,24 +56,24 @@
         let mut list = Discovery::default();
         let zones = scenario.spec.zones();
         let zone_number = |zone: &str| zones.iter().position(|one| *one == zone).unwrap_or(0);
-        for (number, server) in scenario.spec.server.iter().enumerate() {
+        for (number, server) in scenario.spec.servers.iter().enumerate() {
             let (listener, at) = net.listen(loopback)?;
             places.insert(listener, Place::Server(number));
             let figures = Figures {
                 slots: server.slots.max(1),
-                queue: server.queue,
+                queue: server.queue_capacity,
                 speed: *server.speed.get_ref(),
-                cold_share: rules.start_share,
-                warm_after: rules.warm_ms * MILLISECOND,
-                tip_multiple: rules.tip_multiple,
-                fall_span: rules.fall_ms * MILLISECOND,
+                cold_share: rules.slow_start_capacity,
+                warm_after: rules.slow_start_duration_ms * MILLISECOND,
+                tip_multiple: rules.overload_multiple,
+                fall_span: rules.overload_window_ms * MILLISECOND,
                 report_period: REPORT_PERIOD,
                 mean_work: plan.behaviour.strict.then(|| mean_work(&scenario.spec)),
-                choke: server.choke.as_ref().map(|choke| Choke {
-                    waiting: choke.waiting,
-                    over: choke.over_ms.get_ref() * MILLISECOND,
-                    slower: *choke.slower.get_ref(),
-                    rest: choke.rest_ms.get_ref() * MILLISECOND,
+                choke: server.degradation.as_ref().map(|choke| Choke {
+                    waiting: choke.queue_length,
+                    over: choke.after_ms.get_ref() * MILLISECOND,
+                    slower: *choke.slowdown.get_ref(),
+                    rest: choke.recovery_ms.get_ref() * MILLISECOND,
                 }),
             };
             let up = server.starts_ms.is_none();
@@ -104,11 +104,11 @@
             }
             sites.push(site);
         }
-        for (number, node) in scenario.spec.node.iter().enumerate() {
+        for (number, node) in scenario.spec.nodes.iter().enumerate() {
             let (listener, list_at) = net.listen(loopback)?;
             places.insert(listener, Place::List(number));
             let name = node.name.get_ref().clone();
-            let talks = (peers || scenario.spec.peers)
+            let talks = (peers || scenario.spec.gossip)
                 .then(|| net.open_datagrams(loopback))
                 .transpose()?;
             let (idle, told, open, ended) = (Vec::new(), BTreeMap::new(), 0, 0);
@@ -161,17 +161,17 @@
             plan,
         };
         for number in 0..world.plan.faults.len() {
-            let PlannedFault { at, lasts, .. } = world.plan.faults[number];
+            let PlannedFault { at, duration, .. } = world.plan.faults[number];
             world.at(at, Todo::FaultOn(number));
-            lasts
+            duration
                 .into_iter()
-                .for_each(|lasts| world.at(at.saturating_add(lasts), Todo::FaultOff(number)));
+                .for_each(|duration| world.at(at.saturating_add(duration), Todo::FaultOff(number)));
         }
         for number in 0..world.plan.arrivals.len() {
             world.at(world.plan.arrivals[number].at, Todo::Arrive(number));
         }
         world.begin_misbehaviour();
-        for (number, server) in scenario.spec.server.iter().enumerate() {
+        for (number, server) in scenario.spec.servers.iter().enumerate() {
             server
                 .starts_ms
                 .into_iter()
--- a/testkit/scenarios/src/world/clients.rs
+++ b/testkit/scenarios/src/world/clients.rs
@@ -19,14 +19,14 @@
     /// A try comes to a node: the first one of an arrival, or one more after another.
     pub(super) fn arrive(&mut self, arrival: usize, of: Option<usize>) -> Option<(usize, u64)> {
         let plan = self.plan.arrivals[arrival];
-        let class = &self.plan.scenario.spec.class[plan.class];
+        let class = &self.plan.scenario.spec.classes[plan.class];
         let tries = of.map_or(0, |of| self.requests[of].tries + 1);
         let id = match tries {
             0 => format!("{:016x}", plan.number),
             tries => format!("{:016x}-{tries}", plan.number),
         };
         let dedup = (class.idempotency == Idempotency::Keyed)
-            .then_some((class.dedup_scope, class.window_ms * MILLISECOND));
+            .then_some((class.dedup_scope, class.dedup_window_ms * MILLISECOND));
         // The system before the nodes has noticed by now which of them are down.
         let count = self.nodes.len();
         let up = (0..count)
@@ -54,7 +54,7 @@
         let rules = &self.plan.scenario.spec.rules;
         let slack = match self.plan.behaviour.strict {
             true => LATE_ANSWER,
-            false => rules.answer_slack_ms * MILLISECOND + SOCKETS,
+            false => rules.response_slack_ms * MILLISECOND + SOCKETS,
         };
         let due = self.now + log.timeout + slack + LISTENS_ON;
         self.requests.push(Open {
--- a/testkit/scenarios/src/world/faults.rs
+++ b/testkit/scenarios/src/world/faults.rs
@@ -57,7 +57,8 @@
         begins: bool,
     ) -> io::Result<Option<Order>> {
         let order = |order| Ok(Some(order));
-        let notice = self.now + self.plan.scenario.spec.discovery.notice_ms * MILLISECOND;
+        let notice =
+            self.now + self.plan.scenario.spec.discovery.propagation_delay_ms * MILLISECOND;
         match (trouble, begins) {
             (FaultKind::Drain | FaultKind::Remove, _) => {
                 let state = match trouble {
--- a/testkit/scenarios/src/world/links.rs
+++ b/testkit/scenarios/src/world/links.rs
@@ -89,9 +89,9 @@
         };
         let near = zone.is_none_or(|zone| zone == self.nodes[node].zone_number);
         1000 * if near {
-            network.within_us
+            network.latency_in_zone_us
         } else {
-            network.between_us
+            network.latency_between_zones_us
         }
     }
 
--- a/testkit/scenarios/src/world/misbehaviour.rs
+++ b/testkit/scenarios/src/world/misbehaviour.rs
@@ -69,7 +69,7 @@
         }
         let is_open = |peer: &Peer| matches!(peer, Peer::Client { node: of, open, .. } if *of == node && !open.is_empty());
         let open = self.peers.values().filter(|peer| is_open(peer)).count();
-        open >= self.plan.scenario.spec.node[node].sockets / 3
+        open >= self.plan.scenario.spec.nodes[node].max_descriptors / 3
     }
 
     /// Whether the system before the nodes, or a client with a connection of its own, brings a node requests.
@@ -120,7 +120,7 @@
 
     /// A client decides whether, and when, it leaves before its answer.
     pub(super) fn plan_to_leave(&mut self, request: usize) {
-        if !self.chance(self.plan.behaviour.leaving) {
+        if !self.chance(self.plan.behaviour.disconnecting) {
             return;
         }
         let budget = self.requests[request].log.timeout;
@@ -227,7 +227,7 @@
         }
         let since = self.now;
         self.nodes[node].stopping = Some(since);
-        let deadlines = self.plan.scenario.spec.class.iter();
+        let deadlines = self.plan.scenario.spec.classes.iter();
         let longest = deadlines.map(|class| class.deadline_ms.get_ref() * MILLISECOND);
         let longest = longest.max().unwrap_or(0).min(LONGEST_COUNTED);
         let series = [
--- a/testkit/scenarios/src/world/servers.rs
+++ b/testkit/scenarios/src/world/servers.rs
@@ -11,7 +11,7 @@
 use super::links::Carried;
 use super::stage::{ConnectionFate, Job, Open, Peer, Sending, Todo, World, body};
 use crate::outcome::{Attempt, AttemptOutcome, DedupScope};
-use crate::scenario::{FaultKind, Reports};
+use crate::scenario::{FaultKind, LoadReports};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// A change of the list counts as told this long after discovery had it and could be reached.
@@ -154,8 +154,12 @@
             return;
         }
         let work = request.map_or(
-            self.plan.scenario.spec.class[0].work_ms.get_ref().0 * MILLISECOND,
-            |request| self.plan.arrivals[self.requests[request].arrival].work,
+            self.plan.scenario.spec.classes[0]
+                .service_time_ms
+                .get_ref()
+                .0
+                * MILLISECOND,
+            |request| self.plan.arrivals[self.requests[request].arrival].service_time,
         );
         let site = &mut self.sites[server];
         let ticket = site.next_job;
@@ -167,7 +171,7 @@
         });
         let offer = site.model.offer(now, ticket, work);
         site.cold_sends.push_back((now, is_told));
-        let window = self.plan.scenario.spec.rules.fall_ms * MILLISECOND;
+        let window = self.plan.scenario.spec.rules.overload_window_ms * MILLISECOND;
         while site
             .cold_sends
             .front()
@@ -228,7 +232,7 @@
         if silent || self.sites[server].paused() {
             return;
         }
-        let told = self.plan.scenario.spec.reports == Reports::Probes;
+        let told = self.plan.scenario.spec.load_reports == LoadReports::HealthChecks;
         let bytes = if told {
             let util = self.sites[server].model.util(self.now);
             message::answer(200, "", format!("{{\"util\":{util:.4}}}").as_bytes())
@@ -249,7 +253,7 @@
     }
 
     pub(super) fn report(&mut self, server: usize, more: &str) -> String {
-        if self.plan.scenario.spec.reports == Reports::Probes {
+        if self.plan.scenario.spec.load_reports == LoadReports::HealthChecks {
             return more.to_owned();
         }
         let util = self.sites[server].model.util(self.now);
@@ -451,7 +455,7 @@
         (site.up, site.booted, site.wake) = (true, Some(now), None);
         site.jobs.clear();
         self.net.accept_again(site.listener)?;
-        let notice = self.plan.scenario.spec.discovery.notice_ms * MILLISECOND;
+        let notice = self.plan.scenario.spec.discovery.propagation_delay_ms * MILLISECOND;
         self.at(now + notice, Todo::List(server, State::Ready, true));
         Ok(())
     }
--- a/testkit/scenarios/tests/common/mod.rs
+++ b/testkit/scenarios/tests/common/mod.rs
@@ -64,7 +64,7 @@
 
 /// The plan of a scene under a seed.
 pub fn plan(text: &str, seed: u64) -> Plan {
-    let checked = scenario::check("scene", Source::embedded("scene.toml", text));
+    let checked = scenario::load("scene", &Source::embedded("scene.toml", text));
     Plan::draw(checked.unwrap_or_else(|error| panic!("{error}")), seed)
 }
 
--- a/testkit/scenarios/tests/file_formats.rs
+++ b/testkit/scenarios/tests/file_formats.rs
@@ -72,9 +72,9 @@
 /// The plan that seed 1 draws from the recorded scenario, which has every kind of fault.
 fn plan_with_every_fault() -> Plan {
     let scenario = text("every-fault.toml");
-    let checked = scenario::check(
+    let checked = scenario::load(
         "every-fault",
-        Source::embedded("every-fault.toml", &scenario),
+        &Source::embedded("every-fault.toml", &scenario),
     );
     Plan::draw(checked.unwrap_or_else(|error| panic!("{error}")), 1)
 }
