--- a/testkit/scenarios/tests/file_formats.rs
+++ b/testkit/scenarios/tests/file_formats.rs
@@ -94,11 +94,9 @@
 /// The names of all kinds of faults, from the error that lists them.
 fn kinds_of_faults() -> Vec<String> {
     let unknown = text("every-fault.toml").replace("\"refuse\"", "\"no-such-kind\"");
-    let checked = scenario::check(
-        "every-fault",
-        Source::embedded("every-fault.toml", &unknown),
-    );
-    let error = checked.err().expect("an unknown kind").to_string();
+    let source = Source::embedded("every-fault.toml", &unknown);
+    let loaded = scenario::load("every-fault", &source);
+    let error = loaded.err().expect("an unknown kind").to_string();
     let (_, kinds) = error.split_once("there are ").expect("a list");
     kinds.trim().split(", ").map(str::to_owned).collect()
 }
