--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -183,7 +183,7 @@
     let names = plan
         .scenario
         .spec
-        .node
+        .nodes
         .iter()
         .map(|node| node.name.get_ref().clone());
     let logs = names
@@ -198,7 +198,7 @@
     let figures = rules::Figures {
         answer_slack: match plan.behaviour.strict {
             true => LATE_ANSWER,
-            false => scene.answer_slack_ms * MILLISECOND + SOCKET_SLACK,
+            false => scene.response_slack_ms * MILLISECOND + SOCKET_SLACK,
         },
         drain_grace: scene.drain_grace_ms * MILLISECOND + SOCKET_SLACK,
         leave_slack: LEAVE_SLACK + SOCKET_SLACK,
@@ -268,7 +268,7 @@
             STEPPED_BASE
         };
         let core = (!options.real_time).then(OneCore::take);
-        let count = plan.scenario.spec.node.len();
+        let count = plan.scenario.spec.nodes.len();
         let simulation = Simulation::new(plan.clone(), base, options.peers)?;
         let port = |node| {
             let at = SocketAddr::from(([127, 0, 0, 1], if node == 0 { options.port } else { 0 }));
@@ -332,7 +332,7 @@
         let known = scenario
             .spec
             .discovery
-            .known
+            .is_preconfigured
             .then(|| self.simulation.endpoint_snapshot());
         let mut edge = process::edge(
             scenario,
@@ -342,16 +342,16 @@
             seed,
             known,
         );
-        if self.plan.behaviour.polled_list {
+        if self.plan.behaviour.polled_discovery {
             edge["settings"]["discovery"] = "on_request".into();
         }
         let now = self.simulation.base() + self.simulation.now();
         let start = Start {
             program: &self.options.program,
-            name: scenario.spec.node[node].name.get_ref(),
+            name: scenario.spec.nodes[node].name.get_ref(),
             edge,
             stepped: (!self.options.real_time).then_some(now),
-            own: scenario.spec.own.clone()
+            own: scenario.spec.operator_settings.clone()
                 + &self.options.own
                 + &self.simulation.gossip_settings(node),
             files: if self.simulation.has_gossip() {
--- a/testkit/scenarios/src/simulation/clients.rs
+++ b/testkit/scenarios/src/simulation/clients.rs
@@ -22,14 +22,14 @@
     /// A try comes to a node: the first one of an arrival, or one more after another.
     pub(super) fn start_request(&mut self, arrival: usize, of: Option<usize>) -> Option<NodeInput> {
         let plan = self.plan.arrivals[arrival];
-        let class = &self.plan.scenario.spec.class[plan.class];
+        let class = &self.plan.scenario.spec.classes[plan.class];
         let tries = of.map_or(0, |of| self.requests[of].tries + 1);
         let id = match tries {
             0 => format!("{:016x}", plan.number),
             tries => format!("{:016x}-{tries}", plan.number),
         };
         let dedup = (class.idempotency == Idempotency::Keyed)
-            .then_some((class.dedup_scope, class.window_ms * MILLISECOND));
+            .then_some((class.dedup_scope, class.dedup_window_ms * MILLISECOND));
         // The system before the nodes has noticed by now which of them are down.
         let count = self.nodes.len();
         let up = (0..count)
@@ -57,7 +57,7 @@
         let rules = &self.plan.scenario.spec.rules;
         let slack = match self.plan.behaviour.strict {
             true => LATE_ANSWER,
-            false => rules.answer_slack_ms * MILLISECOND + SOCKET_SLACK,
+            false => rules.response_slack_ms * MILLISECOND + SOCKET_SLACK,
         };
         let due = self.now + log.timeout + slack + LISTENS_ON;
         self.requests.push(OpenRequest {
--- a/testkit/scenarios/src/simulation/faults.rs
+++ b/testkit/scenarios/src/simulation/faults.rs
@@ -106,7 +106,7 @@
 
     /// When discovery learns of what happens now.
     pub(super) fn discovery_notice(&self) -> Nanos {
-        self.now + self.plan.scenario.spec.discovery.notice_ms * MILLISECOND
+        self.now + self.plan.scenario.spec.discovery.propagation_delay_ms * MILLISECOND
     }
 
     fn schedule_endpoint_change(&mut self, server: usize, state: State) {
--- a/testkit/scenarios/src/simulation/network.rs
+++ b/testkit/scenarios/src/simulation/network.rs
@@ -101,9 +101,9 @@
         };
         let is_local = zone.is_none_or(|zone| zone == self.nodes[node].zone_number);
         1000 * if is_local {
-            network.within_us
+            network.latency_in_zone_us
         } else {
-            network.between_us
+            network.latency_between_zones_us
         }
     }
 
--- a/testkit/scenarios/src/simulation/server_responses.rs
+++ b/testkit/scenarios/src/simulation/server_responses.rs
@@ -11,7 +11,7 @@
 use super::server_state::response_body;
 use super::state::Simulation;
 use crate::outcome::AttemptOutcome;
-use crate::scenario::{FaultKind, Reports};
+use crate::scenario::{FaultKind, LoadReports};
 
 /// An invalid response.
 const NOISE: &[u8] = b"HTTP/1.1 2x0 \x01\x02\r\n\r\n";
@@ -151,7 +151,7 @@
         if silent || self.servers[server].is_paused() {
             return;
         }
-        let has_endpoint = self.plan.scenario.spec.reports == Reports::Probes;
+        let has_endpoint = self.plan.scenario.spec.load_reports == LoadReports::HealthChecks;
         let bytes = if has_endpoint {
             let util = self.servers[server].model.util(self.now);
             message::answer(200, "", format!("{{\"util\":{util:.4}}}").as_bytes())
@@ -173,7 +173,7 @@
 
     /// Response headers: the load report, where responses carry it, and then `more`.
     pub(super) fn load_report_headers(&mut self, server: usize, more: &str) -> String {
-        if self.plan.scenario.spec.reports == Reports::Probes {
+        if self.plan.scenario.spec.load_reports == LoadReports::HealthChecks {
             return more.to_owned();
         }
         let util = self.servers[server].model.util(self.now);
--- a/testkit/scenarios/src/simulation/servers.rs
+++ b/testkit/scenarios/src/simulation/servers.rs
@@ -178,11 +178,15 @@
         let now = self.now;
         let request = attempt.map(|attempt| attempt.request);
         let work = request.map_or(
-            self.plan.scenario.spec.class[0].work_ms.get_ref().0 * MILLISECOND,
-            |request| self.plan.arrivals[self.requests[request].arrival].work,
+            self.plan.scenario.spec.classes[0]
+                .service_time_ms
+                .get_ref()
+                .0
+                * MILLISECOND,
+            |request| self.plan.arrivals[self.requests[request].arrival].service_time,
         );
         let is_notified = request.is_some_and(|request| self.knows_start(request, server));
-        let window = self.plan.scenario.spec.rules.fall_ms * MILLISECOND;
+        let window = self.plan.scenario.spec.rules.overload_window_ms * MILLISECOND;
         let server_state = &mut self.servers[server];
         let offer = server_state.model.offer(now, ticket, work);
         server_state.record_slow_start_send(now, is_notified, window);
--- a/testkit/scenarios/src/simulation/setup.rs
+++ b/testkit/scenarios/src/simulation/setup.rs
@@ -28,11 +28,11 @@
     /// if the scenario does not ask for it.
     pub fn new(plan: Plan, base: Nanos, gossip: bool) -> io::Result<Self> {
         let mut simulation = Self::empty(plan, base)?;
-        for index in 0..simulation.plan.scenario.spec.server.len() {
+        for index in 0..simulation.plan.scenario.spec.servers.len() {
             simulation.add_server(index)?;
         }
-        let gossip = gossip || simulation.plan.scenario.spec.peers;
-        for index in 0..simulation.plan.scenario.spec.node.len() {
+        let gossip = gossip || simulation.plan.scenario.spec.gossip;
+        for index in 0..simulation.plan.scenario.spec.nodes.len() {
             simulation.add_node(index, gossip)?;
         }
         simulation.schedule_faults();
@@ -77,7 +77,7 @@
         self.listeners
             .insert(listener, ListenerOwner::Server(index));
         let scene = &self.plan.scenario.spec;
-        let server = &scene.server[index];
+        let server = &scene.servers[index];
         let up = server.starts_ms.is_none();
         if !up {
             self.net.stop_listening(listener)?;
@@ -120,7 +120,7 @@
             .then(|| self.net.bind_datagrams(ANY_PORT))
             .transpose()?;
         let scene = &self.plan.scenario.spec;
-        let node = &scene.node[index];
+        let node = &scene.nodes[index];
         self.nodes.push(SimulatedNode {
             name: node.name.get_ref().clone(),
             zone_number: zone_number(scene, &node.zone),
@@ -152,10 +152,10 @@
 
     fn schedule_faults(&mut self) {
         for fault in 0..self.plan.faults.len() {
-            let PlannedFault { at, lasts, .. } = self.plan.faults[fault];
+            let PlannedFault { at, duration, .. } = self.plan.faults[fault];
             self.schedule(at, ScheduledEvent::FaultStart { fault });
-            if let Some(lasts) = lasts {
-                let end = at.saturating_add(lasts);
+            if let Some(duration) = duration {
+                let end = at.saturating_add(duration);
                 self.schedule(end, ScheduledEvent::FaultEnd { fault });
             }
         }
@@ -169,8 +169,8 @@
     }
 
     fn schedule_server_starts(&mut self) {
-        for server in 0..self.plan.scenario.spec.server.len() {
-            if let Some(at) = self.plan.scenario.spec.server[server].starts_ms {
+        for server in 0..self.plan.scenario.spec.servers.len() {
+            if let Some(at) = self.plan.scenario.spec.servers[server].starts_ms {
                 let start = ServerEvent::Start { server };
                 self.schedule(at * MILLISECOND, ScheduledEvent::Server(start));
             }
@@ -186,22 +186,22 @@
 
 fn server_figures(plan: &Plan, index: usize) -> Figures {
     let scene = &plan.scenario.spec;
-    let (server, rules) = (&scene.server[index], &scene.rules);
+    let (server, rules) = (&scene.servers[index], &scene.rules);
     Figures {
         slots: server.slots.max(1),
-        queue: server.queue,
+        queue: server.queue_capacity,
         speed: *server.speed.get_ref(),
-        cold_share: rules.start_share,
-        warm_after: rules.warm_ms * MILLISECOND,
-        tip_multiple: rules.tip_multiple,
-        fall_span: rules.fall_ms * MILLISECOND,
+        cold_share: rules.slow_start_capacity,
+        warm_after: rules.slow_start_duration_ms * MILLISECOND,
+        tip_multiple: rules.overload_multiple,
+        fall_span: rules.overload_window_ms * MILLISECOND,
         report_period: REPORT_PERIOD,
         mean_work: plan.behaviour.strict.then(|| mean_work(scene)),
-        choke: server.choke.as_ref().map(|choke| Choke {
-            waiting: choke.waiting,
-            over: choke.over_ms.get_ref() * MILLISECOND,
-            slower: *choke.slower.get_ref(),
-            rest: choke.rest_ms.get_ref() * MILLISECOND,
+        choke: server.degradation.as_ref().map(|choke| Choke {
+            waiting: choke.queue_length,
+            over: choke.after_ms.get_ref() * MILLISECOND,
+            slower: *choke.slowdown.get_ref(),
+            rest: choke.recovery_ms.get_ref() * MILLISECOND,
         }),
     }
 }
@@ -209,10 +209,10 @@
 /// The mean work of the requests of a scenario.
 fn mean_work(scene: &Scenario) -> Nanos {
     let (mut total, mut shares) = (0.0, 0.0);
-    for class in &scene.class {
-        let (least, most) = *class.work_ms.get_ref();
-        total += class.share.get_ref() * (least + most) as f64 / 2.0;
-        shares += class.share.get_ref();
+    for class in &scene.classes {
+        let (least, most) = *class.service_time_ms.get_ref();
+        total += class.weight.get_ref() * (least + most) as f64 / 2.0;
+        shares += class.weight.get_ref();
     }
     (total / shares * MILLISECOND as f64) as Nanos
 }
