--- a/daemon/tests/large_bodies.rs
+++ b/daemon/tests/large_bodies.rs
@@ -7,11 +7,13 @@
 )]
 
 use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
 use badgerpost_fakes::scripted::*;
+use serde_json::json;
 
 const LARGE: usize = 4 * 1024 * 1024;
 /// The most that a node may hold resident while many large bodies are under way, in kB.
@@ -56,7 +58,7 @@
 }
 
 #[test]
-fn bodies_of_any_size_pass_unchanged_in_either_framing() {
+fn bodies_of_any_size_are_forwarded_unchanged_in_either_framing() {
     let backend = echo();
     let (node, _discovery) = Node::with(&[&backend]);
     for (n, length) in [0, 1, 1000, 65_535, 65_536, 65_537, 200_000, LARGE]
@@ -96,7 +98,7 @@
 }
 
 #[test]
-fn pieces_cut_anywhere_and_requests_ahead_of_their_answers() {
+fn requests_split_anywhere_and_pipelined_ones_are_answered() {
     let backend = echo();
     let (node, _discovery) = Node::with(&[&backend]);
     let body = pattern(3000);
@@ -123,7 +125,7 @@
 }
 
 #[test]
-fn answers_of_every_framing_pass_unchanged() {
+fn responses_of_every_framing_are_forwarded_unchanged() {
     let body = pattern(LARGE);
     let sent = body.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
@@ -154,7 +156,7 @@
 
 /// The first bytes of a large answer do not wait for its last.
 #[test]
-fn a_large_answer_goes_on_as_it_comes() {
+fn a_large_response_is_streamed_as_it_arrives() {
     let gate = Arc::new(Gate::default());
     let waits = gate.clone();
     let backend = Backend::new(move |_| {
@@ -186,7 +188,7 @@
 
 /// Once begun, an answer is not replaced; the client can tell that it is not whole.
 #[test]
-fn a_large_answer_that_breaks_off_is_cut_short_and_never_repeated() {
+fn an_aborted_large_response_is_truncated_and_never_retried() {
     let backend = Backend::new(|_| {
         let body = pattern(300_000);
         Does::Ends(format!(
@@ -204,7 +206,7 @@
 
 /// A small one that breaks off is repeated where that is safe: nothing of it has gone out.
 #[test]
-fn a_small_answer_that_breaks_off_is_repeated_if_that_is_safe() {
+fn an_aborted_small_response_is_retried_if_that_is_safe() {
     for (text, wanted, tries) in [
         (get("s1", ""), 200, 2),
         (post("pay", "s1", "", "x"), 502, 1),
@@ -228,7 +230,7 @@
 /// What has gone out of a body can't be had again. Never whole at a server, the request never ran: it is refused, and
 /// trying again is harmless.
 #[test]
-fn a_server_that_resets_in_the_midst_of_a_body_ends_the_request_as_refused() {
+fn a_reset_within_an_upload_rejects_the_request() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let connections = Arc::new(std::sync::atomic::AtomicU32::new(0));
@@ -261,7 +263,7 @@
 
 /// A client that goes away in the midst of its body ends the attempt, and harms nobody.
 #[test]
-fn a_client_that_goes_in_the_midst_of_its_body_leaves_nothing_behind() {
+fn a_client_that_disconnects_within_its_upload_leaks_nothing() {
     let backend = echo();
     let (node, _discovery) = Node::with(&[&backend]);
     for n in 0..20 {
@@ -284,7 +286,7 @@
 
 /// A slow client's time runs from its last byte, and a body may come at 64 kB a second.
 #[test]
-fn a_body_may_come_slowly_and_a_stalled_one_is_cut_off() {
+fn a_slow_body_is_accepted_and_a_stalled_one_times_out() {
     let backend = echo();
     let (node, _discovery) = Node::with(&[&backend]);
     let body = pattern(200_000);
@@ -318,7 +320,7 @@
 
 /// Many large answers to readers that take their time: together far more than the node may hold.
 #[test]
-fn many_large_answers_to_slow_readers_stay_within_memory() {
+fn many_large_responses_to_slow_readers_stay_within_the_memory_limit() {
     const EACH: usize = 8 * 1024 * 1024;
     let body = pattern(EACH);
     let backend = Backend::new(move |_| Does::Writes(ok(&body)));
@@ -339,3 +341,36 @@
     let most = resident(&node);
     assert!(most < RESIDENT_MOST, "{most} kB resident at most");
 }
+
+/// A backend that responds once a request has begun to arrive, and reads no more of it.
+fn backend_that_responds_early(response: String) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    thread::spawn(move || {
+        for mut stream in listener.incoming().flatten() {
+            let response = response.clone();
+            thread::spawn(move || {
+                let _ = stream.read(&mut [0; 4096]);
+                let _ = stream.write_all(response.as_bytes());
+                thread::sleep(Duration::from_secs(5));
+            });
+        }
+    });
+    address
+}
+
+#[test]
+fn an_early_response_reaches_a_client_that_still_uploads() {
+    let response = ok(&"x".repeat(200_000));
+    let address = backend_that_responds_early(response.clone());
+    let targets = json!([target("s-0", address, "Ready")]);
+    let discovery = Discovery::new(targets.clone());
+    let node = Node::start(&config(discovery.at, targets));
+    let mut reader = TcpStream::connect(node.at).unwrap();
+    let mut writer = reader.try_clone().unwrap();
+    let request = post("pay", "r1", "", &"b".repeat(20_000_000));
+    thread::spawn(move || writer.write_all(request.as_bytes()));
+    let mut received = Vec::new();
+    reader.read_to_end(&mut received).unwrap();
+    assert!(received.len() > 200_000, "{} bytes", received.len());
+}
