--- a/daemon/tests/client_disconnect.rs
+++ b/daemon/tests/client_disconnect.rs
@@ -4,36 +4,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerpost_fakes::late::Late;
 use badgerpost_fakes::scripted::*;
+use badgerpost_fakes::slow_connect::SlowConnectBackend;
 use serde_json::json;
 
 /// A node that knows of no backend: what it takes, it holds.
 fn holding(mut more: impl FnMut(&mut serde_json::Value)) -> (Node, Discovery) {
     let discovery = Discovery::new(json!([]));
-    let mut config = config(discovery.at, json!([]));
+    let mut config = config(discovery.address, json!([]));
     more(&mut config);
     let node = Node::start(&config);
-    discovery.watched_from(1);
+    discovery.wait_for_watch_from(1);
     (node, discovery)
 }
 
 /// Whatever the node was told before this has been taken in: it has one thread, and this comes last.
 fn settle(node: &Node) {
-    let answer = node.ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
+    let answer = node.request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
     assert!(matches!(answer.status(), 200 | 503), "{answer:?}");
 }
 
 /// What reaches the first backend that comes up, up to a request of a client that stayed.
 fn reached(node: &Node, discovery: &Discovery) -> Vec<String> {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
-    discovery.set(json!([target("s-0", backend.at, "Ready")]));
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
+    discovery.set_endpoints(json!([target("s-0", backend.address, "Ready")]));
     // Each answer has what is held sent on.
     for n in 0..3 {
-        assert_eq!(node.ask(&get(&format!("stays{n}"), "")).status(), 200);
+        assert_eq!(node.request(&get(&format!("stays{n}"), "")).status(), 200);
     }
     let ids = backend
-        .got
+        .requests
         .try_iter()
         .filter_map(|message| message.value("x-call-id").map(str::to_owned));
     ids.filter(|id| !id.starts_with("stays")).collect()
@@ -54,7 +54,7 @@
         &flood,
     ] {
         let (node, discovery) = holding(|_| {});
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         client.write(&(get("gone", "") + behind));
         settle(&node);
         drop(client);
@@ -82,7 +82,7 @@
         get("gone", "").replace("HTTP/1.1", "HTTP/1.0"),
     ] {
         let (node, discovery) = holding(|_| {});
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         client.write(&text);
         settle(&node);
         drop(client);
@@ -96,7 +96,7 @@
 fn a_disconnect_within_a_request_body_is_detected() {
     for sent in [70_000, 100_000] {
         let (node, discovery) = holding(|_| {});
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         client.write(&post("pay", "gone", "", &"b".repeat(100_000))[..sent]);
         settle(&node);
         drop(client);
@@ -109,7 +109,7 @@
 #[test]
 fn hundreds_of_simultaneous_disconnects_leak_nothing() {
     let (node, discovery) = holding(|_| {});
-    let mut clients: Vec<Client> = (0..300).map(|_| Client::to(node.at)).collect();
+    let mut clients: Vec<Client> = (0..300).map(|_| Client::connect(node.address)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.write(&(get(&format!("gone{n}"), "") + "\r\n"));
     }
@@ -122,47 +122,47 @@
 /// The connection to its backend comes up when its client has left.
 #[test]
 fn nothing_is_written_for_a_client_that_disconnected_during_the_connect() {
-    let late = Late::new();
+    let late = SlowConnectBackend::new();
     let (node, discovery) = holding(|config| {
         config["settings"]["policy-limits"]["connect-timeout-ns"] = json!(5_000_000_000u64);
     });
-    discovery.set(json!([target("s-0", late.at, "Ready")]));
-    discovery.watched_from(2);
-    let mut client = Client::to(node.at);
+    discovery.set_endpoints(json!([target("s-0", late.address, "Ready")]));
+    discovery.wait_for_watch_from(2);
+    let mut client = Client::connect(node.address);
     client.write(&get("gone", ""));
-    late.is_tried();
+    late.wait_for_connect_attempt();
     drop(client);
     settle(&node);
-    late.lets_in();
-    assert_eq!(late.reads(Duration::from_millis(300)), "");
+    late.make_room();
+    assert_eq!(late.read_until_closed(Duration::from_millis(300)), "");
 }
 
 /// Backends remember keys for a while from the first attempt. The second one was begun within that, its connection came
 /// up behind it, and it ran again.
 #[test]
 fn a_retry_is_not_written_after_its_deduplication_window() {
-    let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
-    let first = Backend::new(move |_| Does::Breaks(waits.clone()));
-    let late = Late::new();
+    let latch = Arc::new(Latch::default());
+    let waits = latch.clone();
+    let first = Backend::new(move |_| ResponsePlan::CloseAfter(waits.clone()));
+    let late = SlowConnectBackend::new();
     let (node, discovery) = holding(|config| {
         config["settings"]["policy-limits"]["connect-timeout-ns"] = json!(5_000_000_000u64);
         config["settings"]["classes"][1]["window-ns"] = json!(700_000_000u64);
     });
-    let listed = target("s-0", first.at, "Ready");
-    discovery.set(json!([listed]));
-    discovery.watched_from(2);
-    let mut client = Client::to(node.at);
+    let listed = target("s-0", first.address, "Ready");
+    discovery.set_endpoints(json!([listed]));
+    discovery.wait_for_watch_from(2);
+    let mut client = Client::connect(node.address);
     client.write(&post("join", "j1", "Idempotency-Key: k1\r\n", ""));
-    assert_eq!(first.next().value("x-call-id"), Some("j1"));
-    discovery.set(json!([listed, target("s-1", late.at, "Ready")]));
-    discovery.watched_from(3);
+    assert_eq!(first.next_request().value("x-call-id"), Some("j1"));
+    discovery.set_endpoints(json!([listed, target("s-1", late.address, "Ready")]));
+    discovery.wait_for_watch_from(3);
     // It may have run there. The other one of its group lets connections up a second from now.
-    gate.open();
-    late.is_tried();
-    late.lets_in();
+    latch.release();
+    late.wait_for_connect_attempt();
+    late.make_room();
     assert_eq!(
-        late.reads(Duration::from_millis(300)),
+        late.read_until_closed(Duration::from_millis(300)),
         "",
         "too late for a repeat"
     );
@@ -181,7 +181,7 @@
         config["settings"]["classes"][2]["deadline-ns"] = json!(30_000_000_000u64);
     });
     let text = post("pay", "large", "", &"b".repeat(400_000)).replace("3000", "2000");
-    assert_eq!(node.ask(&text).status(), 503);
+    assert_eq!(node.request(&text).status(), 503);
 }
 
 /// A backend that takes the connection and nothing more.
@@ -189,9 +189,9 @@
 fn a_large_request_to_a_backend_that_reads_nothing_is_rejected_in_time() {
     let deaf = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let (node, discovery) = holding(|_| {});
-    discovery.set(json!([target("s-0", deaf.local_addr().unwrap(), "Ready")]));
-    discovery.watched_from(2);
-    let mut client = Client::to(node.at);
+    discovery.set_endpoints(json!([target("s-0", deaf.local_addr().unwrap(), "Ready")]));
+    discovery.wait_for_watch_from(2);
+    let mut client = Client::connect(node.address);
     let mut stream = client.stream();
     let text = post("pay", "large", "", &"b".repeat(40_000_000)).replace("3000", "1000");
     // Its sockets' buffers fill up long before the end.
@@ -205,43 +205,43 @@
 /// The same with a retry: the first attempt broke, the connection of the second one comes up when its client has left.
 #[test]
 fn nothing_is_written_for_a_client_that_disconnected_while_its_retry_connects() {
-    let late = Late::new();
+    let late = SlowConnectBackend::new();
     let (node, discovery) = holding(|config| {
         config["settings"]["policy-limits"]["connect-timeout-ns"] = json!(5_000_000_000u64);
     });
-    let breaks = Backend::new(|_| Does::Ends(String::new()));
-    discovery.set(json!([
-        target("s-0", breaks.at, "Ready"),
-        target("s-1", late.at, "Ready")
+    let breaks = Backend::new(|_| ResponsePlan::RespondAndClose(String::new()));
+    discovery.set_endpoints(json!([
+        target("s-0", breaks.address, "Ready"),
+        target("s-1", late.address, "Ready")
     ]));
-    discovery.watched_from(2);
+    discovery.wait_for_watch_from(2);
     // Whichever server is chosen first, both are tried.
-    let mut clients: Vec<Client> = (0..6).map(|_| Client::to(node.at)).collect();
+    let mut clients: Vec<Client> = (0..6).map(|_| Client::connect(node.address)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.write(&get(&format!("gone{n}"), ""));
     }
-    breaks.next();
-    late.is_tried();
+    breaks.next_request();
+    late.wait_for_connect_attempt();
     drop(clients);
     settle(&node);
-    late.lets_in();
-    assert_eq!(late.reads(Duration::from_millis(300)), "");
+    late.make_room();
+    assert_eq!(late.read_until_closed(Duration::from_millis(300)), "");
 }
 
 /// The request and its client's end are read together, as the node was held up: nothing is begun for it, on a new
 /// connection, on one that has served, nor behind another request.
 #[test]
 fn no_attempt_starts_for_a_client_that_disconnected_before_its_request_was_read() {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
-    let (node, _discovery) = Node::with(&[&backend]);
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     for round in 0..5 {
-        let mut served = Client::to(node.at);
-        let first = served.ask(&get(&format!("served{round}"), ""));
+        let mut served = Client::connect(node.address);
+        let first = served.request(&get(&format!("served{round}"), ""));
         assert_eq!(first.expect("an answer").status(), 200);
-        let fresh = Client::to(node.at);
+        let fresh = Client::connect(node.address);
         settle(&node);
         node.signal("-STOP");
-        let clients = [served, fresh, Client::to(node.at)];
+        let clients = [served, fresh, Client::connect(node.address)];
         for (n, mut client) in clients.into_iter().enumerate() {
             let gone = |part| get(&format!("gone{round}-{n}-{part}"), "");
             client.write(&(gone(1) + &post("pay", &format!("gone{round}-{n}-2"), "", "b")));
@@ -252,7 +252,7 @@
     }
     std::thread::sleep(Duration::from_millis(200));
     let ids = backend
-        .got
+        .requests
         .try_iter()
         .filter_map(|message| message.value("x-call-id").map(str::to_owned));
     let begun: Vec<String> = ids.filter(|id| id.starts_with("gone")).collect();
--- a/daemon/tests/endpoint_list.rs
+++ b/daemon/tests/endpoint_list.rs
@@ -17,7 +17,7 @@
 const TOLD_WITHIN: Duration = Duration::from_secs(6);
 
 fn serving(body: &'static str) -> Backend {
-    Backend::new(move |_| Does::Writes(ok(body)))
+    Backend::new(move |_| ResponsePlan::Respond(ok(body)))
 }
 
 fn list(rev: u64, targets: &[Value]) -> String {
@@ -26,17 +26,17 @@
 
 /// How long a change takes to be in force where the first watch, and so many calls behind it, end like this.
 fn in_force_after(
-    bad: impl Fn() -> Does + Send + Sync + 'static,
+    bad: impl Fn() -> ResponsePlan + Send + Sync + 'static,
     calls: usize,
     asked: bool,
 ) -> Duration {
     let (old, new) = (serving("old"), serving("new"));
-    let before = list(5, &[target("s-0", old.at, "Ready")]);
+    let before = list(5, &[target("s-0", old.address, "Ready")]);
     let after = list(
         6,
         &[
-            target("s-0", old.at, "Terminating"),
-            target("s-1", new.at, "Ready"),
+            target("s-0", old.address, "Terminating"),
+            target("s-1", new.address, "Ready"),
         ],
     );
     let count = Arc::new(AtomicUsize::new(0));
@@ -44,19 +44,19 @@
     let discovery = Backend::new(move |message| {
         let call = counted.fetch_add(1, Ordering::SeqCst);
         match call {
-            0 => Does::Writes(ok(&before)),
+            0 => ResponsePlan::Respond(ok(&before)),
             call if call <= calls => bad(),
             // Nothing newer than that.
-            _ if message.first.contains("from=6") => Does::Hangs,
-            _ => Does::Writes(ok(&after)),
+            _ if message.start_line.contains("from=6") => ResponsePlan::Hang,
+            _ => ResponsePlan::Respond(ok(&after)),
         }
     });
-    let mut config = config(discovery.at, json!([]));
+    let mut config = config(discovery.address, json!([]));
     if asked {
         config["settings"]["discovery"] = json!("on_request");
     }
     let node = Node::start(&config);
-    until("the first watch", || count.load(Ordering::SeqCst) >= 2);
+    wait_until("the first watch", || count.load(Ordering::SeqCst) >= 2);
     until_new(&node)
 }
 
@@ -64,9 +64,9 @@
 fn until_new(node: &Node) -> Duration {
     let began = Instant::now();
     let mut n = 0;
-    while node.ask(&get(&format!("u{n}"), "")).body != b"new" {
+    while node.request(&get(&format!("u{n}"), "")).body != b"new" {
         n += 1;
-        assert!(began.elapsed() < PATIENCE, "never");
+        assert!(began.elapsed() < TEST_TIMEOUT, "never");
         std::thread::sleep(Duration::from_millis(10));
     }
     began.elapsed()
@@ -90,30 +90,43 @@
 
 #[test]
 fn a_pushed_update_is_in_force_in_time_however_the_call_failed() {
-    let case =
-        |bad: fn() -> Does, calls| -> Play { Box::new(move || in_force_after(bad, calls, false)) };
+    let case = |bad: fn() -> ResponsePlan, calls| -> Play {
+        Box::new(move || in_force_after(bad, calls, false))
+    };
     all_in_time(vec![
-        ("a watch falls silent", case(|| Does::Hangs, 1)),
-        ("and the call behind it too", case(|| Does::Hangs, 2)),
+        ("a watch falls silent", case(|| ResponsePlan::Hang, 1)),
+        ("and the call behind it too", case(|| ResponsePlan::Hang, 2)),
         (
             "silent in mid-head",
             case(
-                || Does::Writes("HTTP/1.1 200 OK\r\nContent-Le".to_owned()),
+                || ResponsePlan::Respond("HTTP/1.1 200 OK\r\nContent-Le".to_owned()),
                 1,
             ),
         ),
         (
             "silent in mid-body",
-            case(|| Does::Writes(HALF.to_owned()), 1),
+            case(|| ResponsePlan::Respond(HALF.to_owned()), 1),
+        ),
+        (
+            "reset",
+            case(|| ResponsePlan::RespondAndClose(String::new()), 1),
+        ),
+        (
+            "reset five times",
+            case(|| ResponsePlan::RespondAndClose(String::new()), 5),
+        ),
+        (
+            "ends in mid-body",
+            case(|| ResponsePlan::RespondAndClose(HALF.to_owned()), 3),
+        ),
+        (
+            "503 five times",
+            case(|| ResponsePlan::Respond(status(503, "")), 5),
         ),
-        ("reset", case(|| Does::Ends(String::new()), 1)),
-        ("reset five times", case(|| Does::Ends(String::new()), 5)),
-        ("ends in mid-body", case(|| Does::Ends(HALF.to_owned()), 3)),
-        ("503 five times", case(|| Does::Writes(status(503, "")), 5)),
         (
             "broken in the middle",
             case(
-                || Does::Writes(ok("{\"rev\":6,\"all\":true,\"targets\":[{\"uid\"")),
+                || ResponsePlan::Respond(ok("{\"rev\":6,\"all\":true,\"targets\":[{\"uid\"")),
                 3,
             ),
         ),
@@ -123,15 +136,28 @@
 /// A watch that falls silent there is another matter: see `pace.rs`.
 #[test]
 fn a_polled_update_is_in_force_in_time_after_failed_calls() {
-    let case =
-        |bad: fn() -> Does, calls| -> Play { Box::new(move || in_force_after(bad, calls, true)) };
+    let case = |bad: fn() -> ResponsePlan, calls| -> Play {
+        Box::new(move || in_force_after(bad, calls, true))
+    };
     all_in_time(vec![
-        ("reset", case(|| Does::Ends(String::new()), 1)),
-        ("reset twice", case(|| Does::Ends(String::new()), 2)),
-        ("503 three times", case(|| Does::Writes(status(503, "")), 3)),
+        (
+            "reset",
+            case(|| ResponsePlan::RespondAndClose(String::new()), 1),
+        ),
+        (
+            "reset twice",
+            case(|| ResponsePlan::RespondAndClose(String::new()), 2),
+        ),
+        (
+            "503 three times",
+            case(|| ResponsePlan::Respond(status(503, "")), 3),
+        ),
         (
             "broken in the middle",
-            case(|| Does::Writes(ok("{\"rev\":6,\"all\":true,\"tar")), 2),
+            case(
+                || ResponsePlan::Respond(ok("{\"rev\":6,\"all\":true,\"tar")),
+                2,
+            ),
         ),
     ]);
 }
@@ -140,28 +166,28 @@
 #[test]
 fn an_invalid_entry_among_valid_ones_delays_nothing() {
     let (old, new) = (serving("old"), serving("new"));
-    let (node, discovery) = Node::with(&[&old]);
-    assert_eq!(node.ask(&get("o0", "")).body, b"old");
-    let mut odd = target("s-1", new.at, "Ready");
+    let (node, discovery) = Node::start_with_backends(&[&old]);
+    assert_eq!(node.request(&get("o0", "")).body, b"old");
+    let mut odd = target("s-1", new.address, "Ready");
     odd["endpoint"] = json!("somewhere");
-    let unknown = target("s-2", new.at, "Quarantined");
-    discovery.set(json!([target("s-0", old.at, "Ready"), odd, unknown]));
-    discovery.watched_from(2);
-    until("the entry is logged", || {
-        node.logged("an entry of the list can't be read") && node.logged("server=\"s-1\"")
+    let unknown = target("s-2", new.address, "Quarantined");
+    discovery.set_endpoints(json!([target("s-0", old.address, "Ready"), odd, unknown]));
+    discovery.wait_for_watch_from(2);
+    wait_until("the entry is logged", || {
+        node.has_logged("an entry of the list can't be read") && node.has_logged("server=\"s-1\"")
     });
     for n in 1..5 {
         assert_eq!(
-            node.ask(&get(&format!("o{n}"), "")).body,
+            node.request(&get(&format!("o{n}"), "")).body,
             b"old",
             "nobody is sent to an unknown state"
         );
     }
     odd["uid"] = json!("s-0");
-    discovery.set(json!([odd, target("s-3", new.at, "Ready")]));
-    discovery.watched_from(3);
+    discovery.set_endpoints(json!([odd, target("s-3", new.address, "Ready")]));
+    discovery.wait_for_watch_from(3);
     let bodies = (0..40)
-        .map(|n| node.ask(&get(&format!("p{n}"), "")).body)
+        .map(|n| node.request(&get(&format!("p{n}"), "")).body)
         .collect::<Vec<_>>();
     assert!(
         bodies.contains(&b"old".to_vec()) && bodies.contains(&b"new".to_vec()),
@@ -169,11 +195,11 @@
     );
     let mut drains = odd;
     drains["state"] = json!("Terminating");
-    discovery.set(json!([drains, target("s-3", new.at, "Ready")]));
-    discovery.watched_from(4);
+    discovery.set_endpoints(json!([drains, target("s-3", new.address, "Ready")]));
+    discovery.wait_for_watch_from(4);
     for n in 0..10 {
         assert_eq!(
-            node.ask(&get(&format!("q{n}"), "")).body,
+            node.request(&get(&format!("q{n}"), "")).body,
             b"new",
             "its state could be read"
         );
@@ -184,13 +210,13 @@
 #[test]
 fn a_version_that_goes_back_after_a_failure_is_accepted() {
     let (old, new) = (serving("old"), serving("new"));
-    let (node, discovery) = Node::with(&[&old]);
-    discovery.set_text(900, list(900, &[target("s-0", old.at, "Ready")]));
-    discovery.watched_from(900);
+    let (node, discovery) = Node::start_with_backends(&[&old]);
+    discovery.set_response(900, list(900, &[target("s-0", old.address, "Ready")]));
+    discovery.wait_for_watch_from(900);
     // A failed call, then the list of a new agent.
-    discovery.set_text(901, "no list".to_owned());
-    until("the call fails", || node.logged("error=not a list"));
-    discovery.set_text(2, list(2, &[target("s-1", new.at, "Ready")]));
+    discovery.set_response(901, "no list".to_owned());
+    wait_until("the call fails", || node.has_logged("error=not a list"));
+    discovery.set_response(2, list(2, &[target("s-1", new.address, "Ready")]));
     until_new(&node);
 }
 
@@ -199,12 +225,12 @@
 #[test]
 fn the_list_of_an_agent_that_returns_is_known_within_the_drain_grace() {
     let (old, new) = (serving("old"), serving("new"));
-    let before = list(5, &[target("s-0", old.at, "Ready")]);
+    let before = list(5, &[target("s-0", old.address, "Ready")]);
     let after = list(
         6,
         &[
-            target("s-0", old.at, "Terminating"),
-            target("s-1", new.at, "Ready"),
+            target("s-0", old.address, "Terminating"),
+            target("s-1", new.address, "Ready"),
         ],
     );
     let (count, back) = (
@@ -214,17 +240,19 @@
     let (counted, is_back) = (count.clone(), back.clone());
     let discovery = Backend::new(
         move |message| match counted.fetch_add(1, Ordering::SeqCst) {
-            0 => Does::Writes(ok(&before)),
-            _ if !is_back.load(Ordering::SeqCst) || message.first.contains("from=6") => Does::Hangs,
-            _ => Does::Writes(ok(&after)),
+            0 => ResponsePlan::Respond(ok(&before)),
+            _ if !is_back.load(Ordering::SeqCst) || message.start_line.contains("from=6") => {
+                ResponsePlan::Hang
+            }
+            _ => ResponsePlan::Respond(ok(&after)),
         },
     );
-    let node = Node::start(&config(discovery.at, json!([])));
-    until("some calls are not answered", || {
+    let node = Node::start(&config(discovery.address, json!([])));
+    wait_until("some calls are not answered", || {
         count.load(Ordering::SeqCst) >= 4
     });
     let calls = count.load(Ordering::SeqCst);
-    until("another has just been made in vain", || {
+    wait_until("another has just been made in vain", || {
         count.load(Ordering::SeqCst) > calls
     });
     back.store(true, Ordering::SeqCst);
--- a/daemon/tests/gossip.rs
+++ b/daemon/tests/gossip.rs
@@ -74,8 +74,8 @@
 
     fn start(&self, number: usize, discovery: &Discovery, key: &std::path::Path) -> Node {
         let own = file(&format!("n{number}.toml"), &self.own(number, key), 0o600);
-        let node = Node::start_with(&allowed(discovery.at, number), &own);
-        self.nodes.lock().unwrap()[number] = Some(node.address("peers may call listen="));
+        let node = Node::start_with_file(&allowed(discovery.address, number), &own);
+        self.nodes.lock().unwrap()[number] = Some(node.logged_address("peers may call listen="));
         std::fs::remove_file(own).unwrap();
         node
     }
@@ -91,27 +91,27 @@
 }
 
 fn number(node: &Node, name: &str) -> Option<u64> {
-    figure(node.console(), name)?.parse().ok()
+    metric(node.console(), name)?.parse().ok()
 }
 
 #[test]
 fn nodes_discover_each_other_and_learn_at_once_who_leaves() {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
-    let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
+    let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
     let key = file("key", KEY, 0o600);
     let doors = Doors::open(3);
     let mut nodes: Vec<Node> = (0..3)
         .map(|number| doors.start(number, &discovery, &key))
         .collect();
     for node in &nodes {
-        until("three members", || {
+        wait_until("three members", || {
             number(node, "node.peers.members") == Some(3)
         });
     }
     nodes[2].signal("-TERM");
     let began = Instant::now();
     for node in &nodes[..2] {
-        until("two members", || {
+        wait_until("two members", || {
             number(node, "node.peers.members") == Some(2)
         });
     }
@@ -123,10 +123,10 @@
     nodes[1].signal("-KILL");
     drop(nodes.remove(1));
     let again = doors.start(1, &discovery, &key);
-    until("let in again", || {
+    wait_until("let in again", || {
         number(&again, "node.peers.members") == Some(2)
     });
-    until("known again", || {
+    wait_until("known again", || {
         number(&nodes[0], "node.peers.members") == Some(2)
     });
     std::fs::remove_file(key).unwrap();
@@ -134,8 +134,8 @@
 
 #[test]
 fn unauthenticated_datagrams_are_counted_and_dropped() {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
-    let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
+    let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
     let (key, other) = (
         file("one", KEY, 0o600),
         file("other", "another key, of another fleet", 0o600),
@@ -144,7 +144,7 @@
     let node = doors.start(0, &discovery, &key);
     // Another fleet's node knocks, and noise comes.
     let stranger = doors.start(1, &discovery, &other);
-    until("the stranger is counted", || {
+    wait_until("the stranger is counted", || {
         number(&node, "node.peers.strangers") >= Some(1)
     });
     let noise = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -152,7 +152,7 @@
     for datagram in [&b""[..], b"x", &[0; 40], &[1; 4000]] {
         noise.send_to(datagram, doors.at(0)).unwrap();
     }
-    until("noise is counted", || {
+    wait_until("noise is counted", || {
         number(&node, "node.peers.malformed") >= before.map(|before| before + 3)
     });
     assert_eq!(
@@ -161,8 +161,8 @@
         "nobody was let in"
     );
     assert_eq!(number(&stranger, "node.peers.members"), Some(1));
-    assert_eq!(node.ask(&get("r1", "")).status(), 200);
-    until("the drop is logged", || node.logged("datagram dropped"));
+    assert_eq!(node.request(&get("r1", "")).status(), 200);
+    wait_until("the drop is logged", || node.has_logged("datagram dropped"));
     [key, other]
         .into_iter()
         .for_each(|path| std::fs::remove_file(path).unwrap());
@@ -170,8 +170,8 @@
 
 #[test]
 fn an_invalid_peers_section_is_an_error_that_names_the_key() {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
-    let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
+    let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
     let (key, open) = (file("good", KEY, 0o600), file("open", KEY, 0o644));
     let short = file("short", "abc", 0o600);
     let section = |listen: &str, seeds: &str, key: &std::path::Path| {
@@ -182,10 +182,10 @@
     };
     let good = section("127.0.0.1:7946", "\"127.0.0.1:7947\"", &key);
     let unwatched = good.replace("watch = true", "watch = false");
-    let mut forbidden = allowed(discovery.at, 0);
+    let mut forbidden = allowed(discovery.address, 0);
     forbidden["settings"]["policy-limits"]["peers"] = json!(false);
-    let yes = allowed(discovery.at, 0);
-    let silent = config(discovery.at, json!([]));
+    let yes = allowed(discovery.address, 0);
+    let silent = config(discovery.address, json!([]));
     for (edge, own, wanted) in [
         (&forbidden, good.clone(), "settings.policy-limits.peers"),
         (&silent, good, "settings.policy-limits.peers"),
@@ -215,7 +215,7 @@
         ),
     ] {
         let own = file("bad.toml", &own, 0o600);
-        let (child, _) = spawn_with(&edge.to_string(), Some(&own));
+        let NodeProcess { child, .. } = spawn_with_file(&edge.to_string(), &own);
         let output = child.wait_with_output().unwrap();
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
@@ -324,10 +324,10 @@
 
 #[test]
 fn one_false_observation_ejects_no_zone_and_two_do() {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
-    let mut there = target("s-1", backend.at, "Ready");
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
+    let mut there = target("s-1", backend.address, "Ready");
     there["az"] = json!("b");
-    let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready"), there]));
+    let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready"), there]));
     let key = file("liars", KEY, 0o600);
     let doors = Doors::open(3);
     let nodes: Vec<Node> = (0..3)
@@ -338,10 +338,10 @@
             .iter()
             .all(|node| number(node, "node.peers.members") == Some(members))
     };
-    until("three members", || all(3));
+    wait_until("three members", || all(3));
     let share = |node: &Node| number(node, "node.zone.a.share");
     let _one = Liar::start(1, doors.at(0));
-    until("the liar is a member", || all(4));
+    wait_until("the liar is a member", || all(4));
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(2) {
         assert!(
@@ -350,10 +350,10 @@
         );
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert!(!nodes.iter().any(|node| node.logged("zone changed")));
+    assert!(!nodes.iter().any(|node| node.has_logged("zone changed")));
     // Two of five agree, and nobody has had an answer from there: the check can fail.
     let _two = Liar::start(2, doors.at(0));
-    until("all have left", || {
+    wait_until("all have left", || {
         nodes.iter().all(|node| share(node) == Some(0))
     });
     std::fs::remove_file(key).unwrap();
--- a/daemon/tests/large_bodies.rs
+++ b/daemon/tests/large_bodies.rs
@@ -45,7 +45,7 @@
 }
 
 fn echo() -> Backend {
-    Backend::new(|message| Does::Writes(ok(&String::from_utf8_lossy(&message.body))))
+    Backend::new(|message| ResponsePlan::Respond(ok(&String::from_utf8_lossy(&message.body))))
 }
 
 fn resident(node: &Node) -> u64 {
@@ -60,7 +60,7 @@
 #[test]
 fn bodies_of_any_size_are_forwarded_unchanged_in_either_framing() {
     let backend = echo();
-    let (node, _discovery) = Node::with(&[&backend]);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     for (n, length) in [0, 1, 1000, 65_535, 65_536, 65_537, 200_000, LARGE]
         .into_iter()
         .enumerate()
@@ -77,7 +77,7 @@
                 post("pay", &format!("e{n}"), "Expect: 100-continue\r\n", &body),
             ),
         ] {
-            let mut client = Client::to(node.at);
+            let mut client = Client::connect(node.address);
             let writer = thread::spawn({
                 let mut stream = client.stream();
                 move || stream.write_all(text.as_bytes())
@@ -100,25 +100,25 @@
 #[test]
 fn requests_split_anywhere_and_pipelined_ones_are_answered() {
     let backend = echo();
-    let (node, _discovery) = Node::with(&[&backend]);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let body = pattern(3000);
     let texts = [
         post("pay", "p1", "", &body),
         post_chunked("pay", "p2", &body, 700),
         get("p3", ""),
     ];
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.address);
     client.write_in_pieces(texts.concat().as_bytes(), 97);
     for wanted in [body.as_bytes(), body.as_bytes(), b""] {
         let answer = client.read().expect("an answer");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, wanted));
     }
     let absolute = get("p4", "").replace("GET /api", "GET http://origin.svc/api");
-    assert_eq!(client.ask(&absolute).expect("an answer").status(), 200);
+    assert_eq!(client.request(&absolute).expect("an answer").status(), 200);
     let first = backend
-        .got
+        .requests
         .try_iter()
-        .map(|message| message.first)
+        .map(|message| message.start_line)
         .last()
         .unwrap();
     assert_eq!(first, "GET /api?x=1 HTTP/1.1", "servers get path and query");
@@ -129,22 +129,22 @@
     let body = pattern(LARGE);
     let sent = body.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
-        Some("chunks") => Does::Writes(format!(
+        Some("chunks") => ResponsePlan::Respond(format!(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
             chunked(&sent, 100_000)
         )),
-        Some("interim") => Does::Writes(format!(
+        Some("interim") => ResponsePlan::Respond(format!(
             "HTTP/1.1 103 Early\r\nLink: x\r\n\r\n{}",
             ok(&sent)
         )),
-        Some("close") => Does::Ends(format!(
+        Some("close") => ResponsePlan::RespondAndClose(format!(
             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{sent}"
         )),
-        _ => Does::Writes(ok(&sent)),
+        _ => ResponsePlan::Respond(ok(&sent)),
     });
-    let (node, _discovery) = Node::with(&[&backend]);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     for id in ["length", "chunks", "interim", "close"] {
-        let answer = node.ask(&get(id, ""));
+        let answer = node.request(&get(id, ""));
         assert_eq!(answer.status(), 200, "{id}");
         assert!(
             answer.body == body.as_bytes(),
@@ -157,18 +157,18 @@
 /// The first bytes of a large answer do not wait for its last.
 #[test]
 fn a_large_response_is_streamed_as_it_arrives() {
-    let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
+    let latch = Arc::new(Latch::default());
+    let waits = latch.clone();
     let backend = Backend::new(move |_| {
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
-        Does::Then(
-            head + &pattern(10_000),
-            waits.clone(),
-            pattern(LARGE)[10_000..].to_owned(),
-        )
+        ResponsePlan::RespondInTwoParts {
+            first: head + &pattern(10_000),
+            latch: waits.clone(),
+            second: pattern(LARGE)[10_000..].to_owned(),
+        }
     });
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     client.write(&get("g1", ""));
     let mut stream = client.stream();
     let mut seen = Vec::new();
@@ -180,7 +180,7 @@
         assert!(read > 0);
         seen.extend_from_slice(&piece[..read]);
     }
-    gate.open();
+    latch.release();
     let mut rest = vec![0; LARGE - 10_000];
     stream.read_exact(&mut rest).expect("the rest");
     assert!(rest == pattern(LARGE).as_bytes()[10_000..]);
@@ -191,17 +191,17 @@
 fn an_aborted_large_response_is_truncated_and_never_retried() {
     let backend = Backend::new(|_| {
         let body = pattern(300_000);
-        Does::Ends(format!(
+        ResponsePlan::RespondAndClose(format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n{body}"
         ))
     });
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     client.write(&get("b1", ""));
     let mut all = Vec::new();
     let _ = client.stream().read_to_end(&mut all);
     assert!(all.starts_with(b"HTTP/1.1 200 ") && all.len() < LARGE);
-    assert_eq!(backend.count(), 1);
+    assert_eq!(backend.take_request_count(), 1);
 }
 
 /// A small one that breaks off is repeated where that is safe: nothing of it has gone out.
@@ -215,15 +215,15 @@
         let backend =
             Backend::new(
                 move |_| match seen.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
-                    0 => {
-                        Does::Ends("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nabc".to_owned())
-                    }
-                    _ => Does::Writes(ok("yes")),
+                    0 => ResponsePlan::RespondAndClose(
+                        "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nabc".to_owned(),
+                    ),
+                    _ => ResponsePlan::Respond(ok("yes")),
                 },
             );
-        let (node, _discovery) = Node::with(&[&backend]);
-        assert_eq!(node.ask(&text).status(), wanted);
-        assert_eq!(backend.count(), tries);
+        let (node, _discovery) = Node::start_with_backends(&[&backend]);
+        assert_eq!(node.request(&text).status(), wanted);
+        assert_eq!(backend.take_request_count(), tries);
     }
 }
 
@@ -245,10 +245,10 @@
         }
     });
     let discovery = Discovery::new(serde_json::json!([target("s-0", at, "Ready")]));
-    let node = Node::start(&config(discovery.at, serde_json::json!([])));
-    discovery.watched_from(1);
+    let node = Node::start(&config(discovery.address, serde_json::json!([])));
+    discovery.wait_for_watch_from(1);
     for (id, class, more) in [("r1", "pay", ""), ("r2", "join", "Idempotency-Key: k\r\n")] {
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         let text = post(class, id, more, &pattern(LARGE));
         let mut stream = client.stream();
         thread::spawn(move || stream.write_all(text.as_bytes()));
@@ -265,18 +265,18 @@
 #[test]
 fn a_client_that_disconnects_within_its_upload_leaks_nothing() {
     let backend = echo();
-    let (node, _discovery) = Node::with(&[&backend]);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     for n in 0..20 {
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         let text = post("pay", &format!("gone{n}"), "", &pattern(LARGE));
         client.write(&text[..300_000]);
         drop(client);
     }
-    assert_eq!(node.ask(&post("pay", "after", "", "yes")).body, b"yes");
-    assert!(!node.logged("ejected"));
+    assert_eq!(node.request(&post("pay", "after", "", "yes")).body, b"yes");
+    assert!(!node.has_logged("ejected"));
     assert_eq!(
         backend
-            .got
+            .requests
             .try_iter()
             .filter(|m| m.value("x-call-id") != Some("after"))
             .count(),
@@ -288,10 +288,10 @@
 #[test]
 fn a_slow_body_is_accepted_and_a_stalled_one_times_out() {
     let backend = echo();
-    let (node, _discovery) = Node::with(&[&backend]);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let body = pattern(200_000);
     let text = post("pay", "slow", "", &body).replace("Budget-Ms: 3000", "Budget-Ms: 500");
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.address);
     let began = Instant::now();
     for piece in text.as_bytes().chunks(6_400) {
         client.stream().write_all(piece).unwrap();
@@ -304,7 +304,7 @@
     let answer = client.read().expect("an answer");
     assert_eq!((answer.status(), answer.body.len()), (200, body.len()));
     for (id, part) in [("half", 1000), ("part", 100_000)] {
-        let mut stalled = Client::to(node.at);
+        let mut stalled = Client::connect(node.address);
         let text = post("pay", id, "", &body);
         stalled.write(&text[..part]);
         let began = Instant::now();
@@ -312,7 +312,7 @@
         assert!(began.elapsed() < Duration::from_secs(10), "{id}");
     }
     assert_eq!(
-        backend.got.try_iter().count(),
+        backend.requests.try_iter().count(),
         1,
         "none that is not whole arrives"
     );
@@ -323,11 +323,11 @@
 fn many_large_responses_to_slow_readers_stay_within_the_memory_limit() {
     const EACH: usize = 8 * 1024 * 1024;
     let body = pattern(EACH);
-    let backend = Backend::new(move |_| Does::Writes(ok(&body)));
-    let (node, _discovery) = Node::with(&[&backend]);
+    let backend = Backend::new(move |_| ResponsePlan::Respond(ok(&body)));
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let readers: Vec<_> = (0..40)
         .map(|n| {
-            let mut client = Client::to(node.at);
+            let mut client = Client::connect(node.address);
             client.write(&get(&format!("m{n}"), ""));
             thread::spawn(move || {
                 thread::sleep(Duration::from_millis(300));
@@ -365,8 +365,8 @@
     let address = backend_that_responds_early(response.clone());
     let targets = json!([target("s-0", address, "Ready")]);
     let discovery = Discovery::new(targets.clone());
-    let node = Node::start(&config(discovery.at, targets));
-    let mut reader = TcpStream::connect(node.at).unwrap();
+    let node = Node::start(&config(discovery.address, targets));
+    let mut reader = TcpStream::connect(node.address).unwrap();
     let mut writer = reader.try_clone().unwrap();
     let request = post("pay", "r1", "", &"b".repeat(20_000_000));
     thread::spawn(move || writer.write_all(request.as_bytes()));
--- a/daemon/tests/lifecycle.rs
+++ b/daemon/tests/lifecycle.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 
 fn serving(body: &'static str) -> Backend {
-    Backend::new(move |_| Does::Writes(ok(body)))
+    Backend::new(move |_| ResponsePlan::Respond(ok(body)))
 }
 
 /// An address at which nobody listens.
@@ -30,14 +30,14 @@
     let backend = serving("yes");
     let node = Node::start(&config(
         nowhere(),
-        json!([target("s-0", backend.at, "Ready")]),
+        json!([target("s-0", backend.address, "Ready")]),
     ));
     assert_eq!(
-        node.ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+        node.request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
             .status(),
         200
     );
-    assert_eq!(node.ask(&get("k1", "")).status(), 200);
+    assert_eq!(node.request(&get("k1", "")).status(), 200);
 }
 
 /// A restart beside a list that comes late, or not at all: ready means that there is somebody to send to, and the wait for
@@ -45,24 +45,24 @@
 #[test]
 fn is_ready_once_it_knows_a_backend_or_the_timeout_is_over() {
     let ready = |node: &Node| {
-        node.ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+        node.request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
             .status()
     };
     let backend = serving("yes");
     let down = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start(&config(down.local_addr().unwrap(), json!([])));
     assert_eq!(ready(&node), 503, "nobody to send to");
-    let _discovery = Discovery::at(down, json!([target("s-0", backend.at, "Ready")]));
-    until("the list is there", || ready(&node) == 200);
-    assert_eq!(node.ask(&get("w1", "")).status(), 200);
+    let _discovery = Discovery::on_listener(down, json!([target("s-0", backend.address, "Ready")]));
+    wait_until("the list is there", || ready(&node) == 200);
+    assert_eq!(node.request(&get("w1", "")).status(), 200);
 
     let began = std::time::Instant::now();
     let alone = Node::start(&config(
         nowhere(),
-        json!([target("s-0", backend.at, "Terminating")]),
+        json!([target("s-0", backend.address, "Terminating")]),
     ));
     assert_eq!(ready(&alone), 503, "nobody that wants anything new");
-    until("it has waited long enough", || ready(&alone) == 200);
+    wait_until("it has waited long enough", || ready(&alone) == 200);
     assert!(
         began.elapsed() < std::time::Duration::from_secs(9),
         "{:?}",
@@ -73,7 +73,7 @@
 #[test]
 fn an_invalid_list_leaves_the_last_valid_one_in_force() {
     let backend = serving("yes");
-    let (node, discovery) = Node::with(&[&backend]);
+    let (node, discovery) = Node::start_with_backends(&[&backend]);
     for (rev, text) in [
         (2, "{"),
         (
@@ -82,17 +82,20 @@
         ),
         (4, r#"{"rev":4,"all":true}"#),
     ] {
-        discovery.set_text(rev, text.to_owned());
-        until("the bad list is logged", || node.logged("error=not a list"));
-        assert_eq!(node.ask(&get(&format!("b{rev}"), "")).status(), 200);
+        discovery.set_response(rev, text.to_owned());
+        wait_until("the bad list is logged", || {
+            node.has_logged("error=not a list")
+        });
+        assert_eq!(node.request(&get(&format!("b{rev}"), "")).status(), 200);
     }
     let other = serving("other");
-    discovery.set_text(
+    discovery.set_response(
         5,
-        json!({"rev": 5, "all": true, "targets": [target("s-1", other.at, "Ready")]}).to_string(),
+        json!({"rev": 5, "all": true, "targets": [target("s-1", other.address, "Ready")]})
+            .to_string(),
     );
-    discovery.watched_from(5);
-    assert_eq!(node.ask(&get("b9", "")).body, b"other");
+    discovery.wait_for_watch_from(5);
+    assert_eq!(node.request(&get("b9", "")).body, b"other");
 }
 
 /// Where discovery has to be asked, a call that failed is made again when the module asks for it.
@@ -100,76 +103,88 @@
 fn polls_again_after_a_failed_call() {
     let backend = serving("yes");
     let discovery = Discovery::new(json!([]));
-    discovery.set_text(1, "no list".to_owned());
-    let mut config = config(discovery.at, json!([]));
+    discovery.set_response(1, "no list".to_owned());
+    let mut config = config(discovery.address, json!([]));
     config["settings"]["discovery"] = json!("on_request");
     let node = Node::start(&config);
-    until("the failure is logged", || node.logged("error=not a list"));
-    discovery.set(json!([target("s-0", backend.at, "Ready")]));
-    discovery.watched_from(discovery.rev());
-    assert_eq!(node.ask(&get("a1", "")).status(), 200);
+    wait_until("the failure is logged", || {
+        node.has_logged("error=not a list")
+    });
+    discovery.set_endpoints(json!([target("s-0", backend.address, "Ready")]));
+    discovery.wait_for_watch_from(discovery.revision());
+    assert_eq!(node.request(&get("a1", "")).status(), 200);
 }
 
 #[test]
 fn no_attempt_goes_to_a_draining_or_removed_backend() {
     for state in ["Terminating", "Gone"] {
         let (old, new) = (serving("old"), serving("new"));
-        let (node, discovery) = Node::with(&[&old]);
-        assert_eq!(node.ask(&get("d0", "")).body, b"old");
-        discovery.set(json!([
-            target("s-0", old.at, state),
-            target("s-1", new.at, "Ready")
+        let (node, discovery) = Node::start_with_backends(&[&old]);
+        assert_eq!(node.request(&get("d0", "")).body, b"old");
+        discovery.set_endpoints(json!([
+            target("s-0", old.address, state),
+            target("s-1", new.address, "Ready")
         ]));
-        discovery.watched_from(discovery.rev());
+        discovery.wait_for_watch_from(discovery.revision());
         for n in 1..10 {
-            assert_eq!(node.ask(&get(&format!("d{n}"), "")).body, b"new", "{state}");
+            assert_eq!(
+                node.request(&get(&format!("d{n}"), "")).body,
+                b"new",
+                "{state}"
+            );
         }
-        assert_eq!(old.count(), 1);
+        assert_eq!(old.take_request_count(), 1);
     }
 }
 
 #[test]
 fn follows_a_backend_whose_address_changes() {
     let (before, after) = (serving("before"), serving("after"));
-    let (node, discovery) = Node::with(&[&before]);
-    assert_eq!(node.ask(&get("e0", "")).body, b"before");
-    discovery.set(json!([target("s-0", after.at, "Ready")]));
-    discovery.watched_from(discovery.rev());
+    let (node, discovery) = Node::start_with_backends(&[&before]);
+    assert_eq!(node.request(&get("e0", "")).body, b"before");
+    discovery.set_endpoints(json!([target("s-0", after.address, "Ready")]));
+    discovery.wait_for_watch_from(discovery.revision());
     for n in 1..5 {
-        assert_eq!(node.ask(&get(&format!("e{n}"), "")).body, b"after");
+        assert_eq!(node.request(&get(&format!("e{n}"), "")).body, b"after");
     }
 }
 
 /// At a planned restart requests go on coming: on connections from before, and on new ones.
 #[test]
 fn answers_every_request_before_it_ends_on_sigterm() {
-    let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
+    let latch = Arc::new(Latch::default());
+    let waits = latch.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
-        Some("slow") => Does::Waits(waits.clone(), ok("slow")),
-        _ => Does::Writes(ok("yes")),
+        Some("slow") => ResponsePlan::RespondAfter(waits.clone(), ok("slow")),
+        _ => ResponsePlan::Respond(ok("yes")),
     });
-    let (mut node, _discovery) = Node::with(&[&backend]);
+    let (mut node, _discovery) = Node::start_with_backends(&[&backend]);
     let (mut slow, mut idle, mut kept) = (
-        Client::to(node.at),
-        Client::to(node.at),
-        Client::to(node.at),
+        Client::connect(node.address),
+        Client::connect(node.address),
+        Client::connect(node.address),
+    );
+    assert_eq!(
+        idle.request(&get("i0", "")).expect("an answer").status(),
+        200
+    );
+    assert_eq!(
+        kept.request(&get("k0", "")).expect("an answer").status(),
+        200
     );
-    assert_eq!(idle.ask(&get("i0", "")).expect("an answer").status(), 200);
-    assert_eq!(kept.ask(&get("k0", "")).expect("an answer").status(), 200);
     slow.write(&get("slow", ""));
-    until("the slow one is out", || {
+    wait_until("the slow one is out", || {
         backend
-            .got
+            .requests
             .try_iter()
             .any(|m| m.value("x-call-id") == Some("slow"))
     });
     node.signal("-TERM");
-    until("the node has heard", || node.logged("stopping node="));
-    for (id, client) in [("a1", kept), ("a2", Client::to(node.at))] {
+    wait_until("the node has heard", || node.has_logged("stopping node="));
+    for (id, client) in [("a1", kept), ("a2", Client::connect(node.address))] {
         let mut client = client;
         let answer = client
-            .ask(&get(id, ""))
+            .request(&get(id, ""))
             .expect("an answer after the signal");
         assert_eq!(answer.status(), 200);
         assert_eq!(answer.value("connection"), Some("close"));
@@ -179,7 +194,7 @@
         );
     }
     assert!(idle.read().is_none(), "an idle connection is closed");
-    gate.open();
+    latch.release();
     let answer = slow.read().expect("the slow one is answered");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
@@ -192,17 +207,20 @@
 #[test]
 fn a_restarted_node_binds_its_address_at_once() {
     let backend = serving("yes");
-    let known = json!([target("s-0", backend.at, "Ready")]);
+    let known = json!([target("s-0", backend.address, "Ready")]);
     let mut node = Node::start(&config(nowhere(), known.clone()));
-    let mut client = Client::to(node.at);
-    assert_eq!(client.ask(&get("r0", "")).expect("an answer").status(), 200);
+    let mut client = Client::connect(node.address);
+    assert_eq!(
+        client.request(&get("r0", "")).expect("an answer").status(),
+        200
+    );
     node.child.kill().unwrap();
     node.child.wait().unwrap();
     let mut again = config(nowhere(), known);
-    again["listen"] = json!(node.at.to_string());
+    again["listen"] = json!(node.address.to_string());
     let next = Node::start(&again);
-    assert_eq!(next.at, node.at);
-    assert_eq!(next.ask(&get("r1", "")).status(), 200);
+    assert_eq!(next.address, node.address);
+    assert_eq!(next.request(&get("r1", "")).status(), 200);
 }
 
 #[test]
@@ -228,7 +246,7 @@
         with("limits", json!({"sockets": 3})),
     ];
     for text in texts {
-        let (mut child, _) = spawn(&text);
+        let NodeProcess { mut child, .. } = spawn(&text);
         let mut said = String::new();
         child
             .stderr
@@ -248,26 +266,26 @@
 #[test]
 fn more_clients_than_descriptors_are_served_in_turn() {
     let backend = serving("yes");
-    let mut config = config(nowhere(), json!([target("s-0", backend.at, "Ready")]));
+    let mut config = config(nowhere(), json!([target("s-0", backend.address, "Ready")]));
     // Sixteen of these are for clients.
     config["limits"]["sockets"] = json!(50);
     let node = Node::start(&config);
-    let at = node.at;
+    let at = node.address;
     let mut clients: Vec<Client> = Vec::new();
     // Each has asked before the next one comes: a silent one would have to make room.
     for n in 0..16 {
-        clients.push(Client::to(at));
+        clients.push(Client::connect(at));
         assert_eq!(
             clients[n]
-                .ask(&get(&format!("c{n}"), ""))
+                .request(&get(&format!("c{n}"), ""))
                 .expect("an answer")
                 .status(),
             200
         );
     }
     let last = thread::spawn(move || {
-        Client::to(at)
-            .ask(&get("last", ""))
+        Client::connect(at)
+            .request(&get("last", ""))
             .expect("an answer")
             .status()
     });
@@ -279,22 +297,22 @@
 #[test]
 fn sighup_moves_the_watch_to_another_discovery_address() {
     let (old, new) = (serving("old"), serving("new"));
-    let (mut node, first) = Node::with(&[&old]);
-    first.set_text(
+    let (mut node, first) = Node::start_with_backends(&[&old]);
+    first.set_response(
         900,
         json!({"rev": 900, "all": false, "targets": []}).to_string(),
     );
-    first.watched_from(900);
-    let second = Discovery::new(json!([target("s-1", new.at, "Ready")]));
-    node.reconfigure(&config(second.at, json!([])).to_string());
-    second.watched_from(1);
+    first.wait_for_watch_from(900);
+    let second = Discovery::new(json!([target("s-1", new.address, "Ready")]));
+    node.reconfigure(&config(second.address, json!([])).to_string());
+    second.wait_for_watch_from(1);
     assert_eq!(
-        second.calls.lock().unwrap()[0],
+        second.watch_requests.lock().unwrap()[0],
         "GET /registry/instances HTTP/1.1"
     );
-    assert_eq!(node.ask(&get("h0", "")).body, b"new");
+    assert_eq!(node.request(&get("h0", "")).body, b"new");
     // Once more, and out: a signal of one kind must not deafen the node to the other.
-    node.reconfigure(&config(first.at, json!([])).to_string());
+    node.reconfigure(&config(first.address, json!([])).to_string());
     node.signal("-TERM");
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
@@ -302,30 +320,34 @@
 #[test]
 fn sighup_with_an_invalid_file_or_list_changes_nothing() {
     let backend = serving("yes");
-    let (node, discovery) = Node::with(&[&backend]);
-    let mut unusable = config(discovery.at, json!([]));
+    let (node, discovery) = Node::start_with_backends(&[&backend]);
+    let mut unusable = config(discovery.address, json!([]));
     unusable["settings"] = json!({});
     for (n, text) in ["{".to_owned(), unusable.to_string()]
         .into_iter()
         .enumerate()
     {
         node.reconfigure(&text);
-        until("it is logged", || node.count("the old one stays") == n + 1);
-        assert_eq!(node.ask(&get(&format!("u{n}"), "")).status(), 200);
+        wait_until("it is logged", || {
+            node.log_count("the old one stays") == n + 1
+        });
+        assert_eq!(node.request(&get(&format!("u{n}"), "")).status(), 200);
     }
     let other = serving("other");
-    discovery.set(json!([target("s-1", other.at, "Ready")]));
-    discovery.watched_from(discovery.rev());
+    discovery.set_endpoints(json!([target("s-1", other.address, "Ready")]));
+    discovery.wait_for_watch_from(discovery.revision());
     assert_eq!(
-        node.ask(&get("u8", "")).body,
+        node.request(&get("u8", "")).body,
         b"other",
         "the old watch goes on"
     );
     let bad = Discovery::new(json!([]));
-    bad.set_text(1, "{".to_owned());
-    node.reconfigure(&config(bad.at, json!([])).to_string());
-    until("the bad list is logged", || node.logged("error=not a list"));
-    assert_eq!(node.ask(&get("u9", "")).body, b"other");
+    bad.set_response(1, "{".to_owned());
+    node.reconfigure(&config(bad.address, json!([])).to_string());
+    wait_until("the bad list is logged", || {
+        node.has_logged("error=not a list")
+    });
+    assert_eq!(node.request(&get("u9", "")).body, b"other");
 }
 
 /// Two new configurations within one call that discovery is slow to answer: what the addresses before answer later counts
@@ -334,29 +356,30 @@
 fn late_responses_of_earlier_discovery_addresses_are_ignored() {
     let (old, stale, new) = (serving("old"), serving("stale"), serving("new"));
     let list = |server: &Backend, uid: &str| {
-        let targets = [target(uid, server.at, "Ready")];
+        let targets = [target(uid, server.address, "Ready")];
         ok(&json!({"rev": 7, "all": true, "targets": targets}).to_string())
     };
-    let gate = Arc::new(Gate::default());
+    let latch = Arc::new(Latch::default());
     let first_list = list(&old, "s-0");
-    let (waits, late_list) = (gate.clone(), list(&stale, "s-1"));
-    let first = Backend::new(move |message| match message.first.contains("from=") {
-        false => Does::Writes(first_list.clone()),
-        true => Does::Waits(waits.clone(), late_list.clone()),
+    let (waits, late_list) = (latch.clone(), list(&stale, "s-1"));
+    let first = Backend::new(move |message| match message.start_line.contains("from=") {
+        false => ResponsePlan::Respond(first_list.clone()),
+        true => ResponsePlan::RespondAfter(waits.clone(), late_list.clone()),
     });
-    let (waits, late_list) = (gate.clone(), list(&stale, "s-2"));
-    let second = Backend::new(move |_| Does::Waits(waits.clone(), late_list.clone()));
-    let node = Node::start(&config(first.at, json!([])));
-    first.next();
-    first.next();
-    node.reconfigure(&config(second.at, json!([])).to_string());
-    second.next();
-    let third = Discovery::new(json!([target("s-3", new.at, "Ready")]));
-    node.reconfigure(&config(third.at, json!([])).to_string());
-    third.watched_from(1);
-    gate.open();
+    let (waits, late_list) = (latch.clone(), list(&stale, "s-2"));
+    let second =
+        Backend::new(move |_| ResponsePlan::RespondAfter(waits.clone(), late_list.clone()));
+    let node = Node::start(&config(first.address, json!([])));
+    first.next_request();
+    first.next_request();
+    node.reconfigure(&config(second.address, json!([])).to_string());
+    second.next_request();
+    let third = Discovery::new(json!([target("s-3", new.address, "Ready")]));
+    node.reconfigure(&config(third.address, json!([])).to_string());
+    third.wait_for_watch_from(1);
+    latch.release();
     for n in 0..20 {
-        assert_eq!(node.ask(&get(&format!("l{n}"), "")).body, b"new");
+        assert_eq!(node.request(&get(&format!("l{n}"), "")).body, b"new");
         thread::sleep(std::time::Duration::from_millis(10));
     }
 }
@@ -433,7 +456,10 @@
     let (edge, own) = (config(nowhere(), json!([])), "[log]\nformat = \"json\"\n");
     let file = std::env::temp_dir().join(format!("badgerpost-json-{}.toml", std::process::id()));
     std::fs::write(&file, own).unwrap();
-    let (mut child, path) = spawn_with(&edge.to_string(), Some(&file));
+    let NodeProcess {
+        mut child,
+        config_file: path,
+    } = spawn_with_file(&edge.to_string(), &file);
     let mut stderr = child.stderr.take().unwrap();
     let (mut log, mut piece) = (String::new(), [0; 4096]);
     while !log.contains("asking discovery failed\"") {
--- a/daemon/tests/limits.rs
+++ b/daemon/tests/limits.rs
@@ -27,10 +27,10 @@
 fn a_request_with_almost_no_time_fails_only_if_an_attempt_was_written() {
     let backend = Backend::new(|_| {
         thread::sleep(Duration::from_millis(4));
-        Does::Writes(ok("yes"))
+        ResponsePlan::Respond(ok("yes"))
     });
-    let (node, _discovery) = Node::with(&[&backend]);
-    let at = node.at;
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let at = node.address;
     let clients: Vec<_> = (0..8u64)
         .map(|client| {
             thread::spawn(move || {
@@ -39,7 +39,7 @@
                     let id = format!("t{client}-{n}");
                     let budget = (n % 15).to_string();
                     let text = post("pay", &id, "", "b").replace("3000", &budget);
-                    let answer = Client::to(at).ask(&text).expect("an answer");
+                    let answer = Client::connect(at).request(&text).expect("an answer");
                     answers.push((id, budget, answer.status()));
                 }
                 answers
@@ -52,7 +52,7 @@
         .collect();
     thread::sleep(Duration::from_millis(300));
     let reached: HashSet<String> = backend
-        .got
+        .requests
         .try_iter()
         .filter_map(|message| message.value("x-call-id").map(str::to_owned))
         .collect();
@@ -69,8 +69,8 @@
 /// Clients that stop in the middle of a body of any size and stay are told so within 3 s of their last byte.
 #[test]
 fn a_stalled_large_body_times_out() {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
-    let (node, _discovery) = Node::with(&[&backend]);
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let chunk = format!("{:x}\r\n{}\r\n", 50_000, "b".repeat(50_000));
     let chunked_head = post("pay", "chunked", "Transfer-Encoding: chunked\r\n", "")
         .replace("Content-Length: 0\r\n", "");
@@ -82,7 +82,7 @@
     ]
     .into_iter()
     .map(|(what, text)| {
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         thread::spawn(move || {
             client.write(&text);
             let began = Instant::now();
@@ -97,7 +97,7 @@
         let (what, took) = play.join().unwrap();
         assert!(took < BAD_CLIENT_LIMIT, "{what}: {took:?}");
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.take_request_count(), 0);
 }
 
 /// The client has sent all of its request, and waits: its connection makes no room for a crowd, though no server takes
@@ -105,15 +105,15 @@
 #[test]
 fn a_request_whose_body_waits_for_a_backend_is_not_evicted() {
     let discovery = Discovery::new(json!([]));
-    let mut config = config(discovery.at, json!([]));
+    let mut config = config(discovery.address, json!([]));
     // Sixteen of these are for clients.
     config["limits"]["sockets"] = json!(50);
     let node = Node::start(&config);
-    discovery.watched_from(1);
-    let mut client = Client::to(node.at);
+    discovery.wait_for_watch_from(1);
+    let mut client = Client::connect(node.address);
     client.write(&post("pay", "large", "", &"b".repeat(100_000)).replace("3000", "2000"));
     thread::sleep(Duration::from_millis(700));
-    let _crowd: Vec<Client> = (0..40).map(|_| Client::to(node.at)).collect();
+    let _crowd: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
     assert_eq!(client.read().expect("an answer").status(), 503);
 }
 
@@ -124,9 +124,9 @@
     let chunked = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}");
     let bare = format!("HTTP/1.1 200 OK\r\n\r\n{}", "b".repeat(100_000));
     for text in [chunked, bare] {
-        let backend = Backend::new(move |_| Does::Resets(text.clone()));
-        let (node, _discovery) = Node::with(&[&backend]);
-        let mut stream = Client::to(node.at).stream();
+        let backend = Backend::new(move |_| ResponsePlan::RespondAndReset(text.clone()));
+        let (node, _discovery) = Node::start_with_backends(&[&backend]);
+        let mut stream = Client::connect(node.address).stream();
         let request = get("old", "").replace("HTTP/1.1", "HTTP/1.0");
         stream.write_all(request.as_bytes()).unwrap();
         let mut all = Vec::new();
@@ -148,24 +148,24 @@
             let told = value("x-budget-ms").parse().unwrap();
             let arrival = (value("x-call-id"), Instant::now(), told);
             arrivals.lock().unwrap().push(arrival);
-            Does::Writes(answer.clone())
+            ResponsePlan::Respond(answer.clone())
         })
     };
     let refusing = recording(status(503, "X-Rejected: 1\r\n"));
     let serving = recording(ok("yes"));
     let targets = json!([
-        target("s-0", refusing.at, "Ready"),
-        target("s-1", serving.at, "Ready")
+        target("s-0", refusing.address, "Ready"),
+        target("s-1", serving.address, "Ready")
     ]);
     let discovery = Discovery::new(targets.clone());
     let faults = SystemFaults::seeded(3).with(Call::Send, Fault::Hold, 1000);
-    let node = Node::start_with_faults(&config(discovery.at, targets), &faults);
+    let node = Node::start_with_faults(&config(discovery.address, targets), &faults);
     // Its next call to discovery comes 2.7 s behind this one: a hold in that would keep a request from being read, which
     // is another matter.
-    discovery.watched_from(1);
+    discovery.wait_for_watch_from(1);
     thread::sleep(Duration::from_millis(300));
     for n in 0..REQUESTS {
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         let id = format!("h{n}");
         let began = Instant::now();
         client.write(&post("pay", &id, "", "").replace("3000", "1000"));
@@ -188,21 +188,21 @@
 /// up for 0.15 s twice, before it hears of the drain and before it writes, so nothing of it is used on purpose.
 #[test]
 fn nothing_is_written_to_a_backend_that_drains_while_it_is_connected_to() {
-    let late = badgerpost_fakes::late::Late::new();
-    let listed = json!([target("s-0", late.at, "Ready")]);
+    let late = badgerpost_fakes::slow_connect::SlowConnectBackend::new();
+    let listed = json!([target("s-0", late.address, "Ready")]);
     let discovery = Discovery::new(listed.clone());
-    let mut config = config(discovery.at, listed);
+    let mut config = config(discovery.address, listed);
     config["settings"]["policy-limits"]["connect-timeout-ns"] = json!(5_000_000_000u64);
     config["settings"]["rules"]["drain-grace-ns"] = json!(3_000_000_000u64);
     let node = Node::start(&config);
-    discovery.watched_from(1);
-    let mut client = Client::to(node.at);
+    discovery.wait_for_watch_from(1);
+    let mut client = Client::connect(node.address);
     client.write(&get("d0", ""));
-    late.is_tried();
-    discovery.set(json!([target("s-0", late.at, "Terminating")]));
-    discovery.watched_from(2);
-    late.lets_in();
-    assert_eq!(late.reads(Duration::from_millis(300)), "");
+    late.wait_for_connect_attempt();
+    discovery.set_endpoints(json!([target("s-0", late.address, "Terminating")]));
+    discovery.wait_for_watch_from(2);
+    late.make_room();
+    assert_eq!(late.read_until_closed(Duration::from_millis(300)), "");
     assert_eq!(client.read().expect("an answer").status(), 503);
 }
 
@@ -212,9 +212,9 @@
     let deaf = TcpListener::bind("127.0.0.1:0").unwrap();
     let listed = json!([target("s-0", deaf.local_addr().unwrap(), "Ready")]);
     let discovery = Discovery::new(listed.clone());
-    let node = Node::start(&config(discovery.at, listed));
+    let node = Node::start(&config(discovery.address, listed));
     let began = Instant::now();
-    let answer = node.ask(&post("pay", "deaf", "", "").replace("3000", "500"));
+    let answer = node.request(&post("pay", "deaf", "", "").replace("3000", "500"));
     assert_eq!(answer.status(), 502, "it may have run");
     assert!(began.elapsed() < Duration::from_millis(700));
 }
--- a/daemon/tests/log_output.rs
+++ b/daemon/tests/log_output.rs
@@ -32,19 +32,21 @@
 #[track_caller]
 fn serves_logging_to(log: impl Into<Stdio>, mut once_it_serves: impl FnMut()) {
     let backends = [
-        Backend::new(|_| Does::Writes(ok("yes"))),
-        Backend::new(|_| Does::Writes(ok("yes"))),
+        Backend::new(|_| ResponsePlan::Respond(ok("yes"))),
+        Backend::new(|_| ResponsePlan::Respond(ok("yes"))),
     ];
     let targets = json!([
-        target("s-0", backends[0].at, "Ready"),
-        target("s-1", backends[1].at, "Ready")
+        target("s-0", backends[0].address, "Ready"),
+        target("s-1", backends[1].address, "Ready")
     ]);
     let discovery = Discovery::new(targets.clone());
-    let mut config = config(discovery.at, targets);
+    let mut config = config(discovery.address, targets);
     config["listen"] = json!(free_address().to_string());
     let mut node = Node::start_logging_to(&config, log.into());
     once_it_serves();
-    let load = Load::start(node.at, "r", 5, Duration::from_millis(50), |id| get(id, ""));
+    let load = Load::start(node.address, "r", 5, Duration::from_millis(50), |id| {
+        get(id, "")
+    });
     thread::sleep(HALF);
     node.reconfigure(&config.to_string());
     thread::sleep(HALF);
@@ -54,10 +56,7 @@
         "{} requests are no load",
         results.len()
     );
-    let lost: Vec<_> = results
-        .iter()
-        .filter(|(_, status)| *status != Some(200))
-        .collect();
+    let lost: Vec<_> = results.iter().filter(|result| !result.is_ok()).collect();
     assert!(lost.is_empty(), "not served: {lost:?}");
     node.signal("-TERM");
     let told = Instant::now();
--- a/daemon/tests/misbehaving_clients.rs
+++ b/daemon/tests/misbehaving_clients.rs
@@ -11,20 +11,23 @@
 use serde_json::json;
 
 fn serving() -> Backend {
-    Backend::new(|_| Does::Writes(ok("yes")))
+    Backend::new(|_| ResponsePlan::Respond(ok("yes")))
 }
 
 /// A node with room for few connections, a third of what these tests open.
 fn small(backend: &Backend) -> Node {
-    let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
-    let mut config = config(discovery.at, json!([target("s-0", backend.at, "Ready")]));
+    let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
+    let mut config = config(
+        discovery.address,
+        json!([target("s-0", backend.address, "Ready")]),
+    );
     // Sixteen of these are for clients.
     config["limits"]["sockets"] = json!(50);
     Node::start(&config)
 }
 
 fn silent(node: &Node, count: usize) -> Vec<Client> {
-    (0..count).map(|_| Client::to(node.at)).collect()
+    (0..count).map(|_| Client::connect(node.address)).collect()
 }
 
 #[test]
@@ -32,7 +35,7 @@
     let backend = serving();
     let node = small(&backend);
     let mut crowd = silent(&node, 48);
-    assert_eq!(node.ask(&get("s0", "")).status(), 200);
+    assert_eq!(node.request(&get("s0", "")).status(), 200);
     crowd
         .iter_mut()
         .for_each(|client| assert!(client.is_closed(), "a silent one is closed"));
@@ -45,10 +48,10 @@
     let node = small(&backend);
     let mut kept = Vec::new();
     for n in 0..40 {
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         assert_eq!(
             client
-                .ask(&get(&format!("i{n}"), ""))
+                .request(&get(&format!("i{n}"), ""))
                 .expect("an answer")
                 .status(),
             200
@@ -65,8 +68,10 @@
     let asked = Cell::new(0);
     let ask = || {
         let n = asked.replace(asked.get() + 1);
-        let mut client = Client::to(node.at);
-        let answer = client.ask(&get(&format!("m{n}"), "")).expect("an answer");
+        let mut client = Client::connect(node.address);
+        let answer = client
+            .request(&get(&format!("m{n}"), ""))
+            .expect("an answer");
         assert_eq!(answer.status(), 200);
         (
             client,
@@ -80,24 +85,24 @@
     let (mut surplus, closes) = ask();
     assert!(closes && surplus.is_closed());
     drop(kept);
-    until("there is room again", || !ask().1);
+    wait_until("there is room again", || !ask().1);
 }
 
 #[test]
 fn a_connection_with_a_request_is_not_evicted() {
-    let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
-    let backend = Backend::new(move |_| Does::Waits(waits.clone(), ok("late")));
+    let latch = Arc::new(Latch::default());
+    let waits = latch.clone();
+    let backend = Backend::new(move |_| ResponsePlan::RespondAfter(waits.clone(), ok("late")));
     let node = small(&backend);
-    let mut open = Client::to(node.at);
+    let mut open = Client::connect(node.address);
     open.write(&get("o0", ""));
-    assert_eq!(backend.next().value("x-call-id"), Some("o0"));
+    assert_eq!(backend.next_request().value("x-call-id"), Some("o0"));
     let mut crowd = silent(&node, 48);
     crowd
         .iter_mut()
         .take(8)
         .for_each(|client| assert!(client.is_closed()));
-    gate.open();
+    latch.release();
     assert_eq!(open.read().expect("an answer").body, b"late");
 }
 
@@ -105,12 +110,12 @@
 #[test]
 fn an_incomplete_request_times_out() {
     let backend = serving();
-    let (node, _discovery) = Node::with(&[&backend]);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let started = Instant::now();
     let head = "GET /api HTTP/1.1\r\nX-Drop: ".to_owned();
     let body = post("pay", "t1", "", "").replace("Content-Length: 0", "Content-Length: 60000");
     for (text, wanted) in [(head, None), (body, Some(408))] {
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         client.write(&text);
         let mut trickle = client.stream();
         thread::spawn(move || {
@@ -125,14 +130,14 @@
     }
     // Either is owed its end within 3 s; the margin is for slow machines.
     assert!(started.elapsed() < Duration::from_secs(8));
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.take_request_count(), 0);
 }
 
 /// A request with two lengths may hide another one: each side would see a different end.
 #[test]
 fn a_length_beside_a_transfer_coding_is_rejected_in_either_order() {
     let backend = serving();
-    let (node, _discovery) = Node::with(&[&backend]);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let hidden = get("hidden", "");
     let chunked = format!("{:x}\r\n{hidden}\r\n0\r\n\r\n", hidden.len());
     let (length, coding) = (
@@ -149,9 +154,9 @@
         "X: y\r\n z: folded\r\nContent-Length: 0\r\n".to_owned(),
     ] {
         let text = post("pay", "c1", "", "").replace("Content-Length: 0\r\n", &headers) + &chunked;
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         assert_eq!(
-            client.ask(&text).expect("an answer").status(),
+            client.request(&text).expect("an answer").status(),
             400,
             "{headers}"
         );
@@ -163,23 +168,23 @@
     // Also behind a good one, which is sent ahead of its answer.
     let bad =
         post("pay", "c2", "", "").replace("Content-Length: 0\r\n", &format!("{length}{coding}"));
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.address);
     assert_eq!(
         client
-            .ask(&(get("good", "") + &bad + &chunked))
+            .request(&(get("good", "") + &bad + &chunked))
             .expect("an answer")
             .status(),
         200
     );
     assert_eq!(client.read().expect("an answer").status(), 400);
     assert!(client.is_closed());
-    assert_eq!(backend.count(), 1);
+    assert_eq!(backend.take_request_count(), 1);
 }
 
 #[test]
 fn invalid_lengths_are_rejected_before_the_body_is_read() {
     let backend = serving();
-    let (node, _discovery) = Node::with(&[&backend]);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     for length in [
         "-1",
         "1\r\nContent-Length: 2",
@@ -191,24 +196,24 @@
         "99999999999999999999999999",
     ] {
         let text = post("pay", "l1", "", "").replace("Length: 0", &format!("Length: {length}"));
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         assert_eq!(
-            client.ask(&text).expect("an answer").status(),
+            client.request(&text).expect("an answer").status(),
             400,
             "{length}"
         );
         assert!(client.is_closed(), "{length}");
     }
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.take_request_count(), 0);
 }
 
 /// The error is not lost in a reset while the client still sends.
 #[test]
 fn the_error_response_is_sent_while_a_large_body_arrives() {
     let backend = serving();
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut stream = TcpStream::connect(node.at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut stream = TcpStream::connect(node.address).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let length = 60_000_000;
     let text = post("nobody", "b1", "", "").replace("Length: 0", &format!("Length: {length}"));
     stream.write_all(text.as_bytes()).unwrap();
@@ -224,17 +229,17 @@
 /// Backends tell requests apart by their ids: another's open one must not reach them.
 #[test]
 fn the_id_of_an_open_request_is_rejected() {
-    let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
-    let backend = Backend::new(move |_| Does::Waits(waits.clone(), ok("mine")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut owner = Client::to(node.at);
+    let latch = Arc::new(Latch::default());
+    let waits = latch.clone();
+    let backend = Backend::new(move |_| ResponsePlan::RespondAfter(waits.clone(), ok("mine")));
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut owner = Client::connect(node.address);
     owner.write(&post("pay", "d1", "", "mine"));
-    assert_eq!(backend.next().value("x-call-id"), Some("d1"));
-    assert_eq!(node.ask(&post("pay", "d1", "", "theirs")).status(), 409);
-    gate.open();
+    assert_eq!(backend.next_request().value("x-call-id"), Some("d1"));
+    assert_eq!(node.request(&post("pay", "d1", "", "theirs")).status(), 409);
+    latch.release();
     assert_eq!(owner.read().expect("an answer").body, b"mine");
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.take_request_count(), 0);
 }
 
 /// Idle clients fill what they may while discovery is down: the node still reaches its backends, and discovery once it is
@@ -242,12 +247,15 @@
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_backends() {
     for sockets in [32, 64, 256] {
-        let (old, new) = (serving(), Backend::new(|_| Does::Writes(ok("new"))));
+        let (old, new) = (
+            serving(),
+            Backend::new(|_| ResponsePlan::Respond(ok("new"))),
+        );
         // Connections come up, and nobody says a word.
         let down = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let mut config = config(
             down.local_addr().unwrap(),
-            json!([target("s-0", old.at, "Ready")]),
+            json!([target("s-0", old.address, "Ready")]),
         );
         config["limits"]["sockets"] = json!(sockets);
         let node = Node::start(&config);
@@ -260,7 +268,7 @@
         // Idle, silent and half way.
         let mut crowd = Vec::new();
         for n in 0..sockets {
-            let mut client = Client::to(node.at);
+            let mut client = Client::connect(node.address);
             match n % 3 {
                 0 => client.write(&get(&format!("{sockets}idle{n}"), "")),
                 1 => client.write("GET /api HTTP/1.1\r\nHos"),
@@ -270,14 +278,14 @@
         }
         for n in 0..5 {
             assert_eq!(
-                node.ask(&get(&format!("{sockets}r{n}"), "")).body,
+                node.request(&get(&format!("{sockets}r{n}"), "")).body,
                 b"yes",
                 "{sockets}"
             );
         }
-        let discovery = Discovery::at(down, json!([target("s-1", new.at, "Ready")]));
+        let discovery = Discovery::on_listener(down, json!([target("s-1", new.address, "Ready")]));
         let began = std::time::Instant::now();
-        discovery.watched_from(1);
+        discovery.wait_for_watch_from(1);
         assert!(
             began.elapsed() < Duration::from_secs(6),
             "{sockets}: {:?}",
@@ -285,12 +293,12 @@
         );
         for n in 0..5 {
             assert_eq!(
-                node.ask(&get(&format!("{sockets}q{n}"), "")).body,
+                node.request(&get(&format!("{sockets}q{n}"), "")).body,
                 b"new",
                 "{sockets}"
             );
         }
-        assert!(!node.logged("Too many open files"), "{sockets}");
+        assert!(!node.has_logged("Too many open files"), "{sockets}");
         drop(crowd);
     }
 }
@@ -299,15 +307,15 @@
 #[test]
 fn stalled_and_idle_connections_are_evicted_for_requests() {
     let backend = serving();
-    let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
-    let mut config = config(discovery.at, json!([]));
+    let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
+    let mut config = config(discovery.address, json!([]));
     // 32 of these are for clients.
     config["limits"]["sockets"] = json!(79);
     let node = Node::start(&config);
-    discovery.watched_from(1);
+    discovery.wait_for_watch_from(1);
     let mut crowd = Vec::new();
     for n in 0..200 {
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         match n % 3 {
             0 => client.write(&get(&format!("once{n}"), "")),
             1 => client.write("GET /api HTTP/1.1\r\nHos"),
@@ -319,7 +327,7 @@
     }
     let began = std::time::Instant::now();
     for n in 0..10 {
-        assert_eq!(node.ask(&get(&format!("r{n}"), "")).status(), 200);
+        assert_eq!(node.request(&get(&format!("r{n}"), "")).status(), 200);
     }
     // 133 who stopped half way hold 32 places; without making room each of them stays for 2.5 s: ten seconds.
     assert!(
@@ -336,9 +344,9 @@
 fn half_a_request_on_a_used_connection_times_out() {
     let backend = Backend::new(|_| {
         thread::sleep(Duration::from_millis(100));
-        Does::Writes(ok("yes"))
+        ResponsePlan::Respond(ok("yes"))
     });
-    let (node, _discovery) = Node::with(&[&backend]);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let half_body = post("pay", "half", "", "0123456789");
     let halves = [
         "GET /api HTTP/1.1\r\nX-Ca",
@@ -351,14 +359,14 @@
     let mut clients = Vec::new();
     for (n, (half, when)) in cases.enumerate() {
         let whole = get(&format!("whole{n}"), "");
-        let mut client = Client::to(node.at);
+        let mut client = Client::connect(node.address);
         if when == "with it" {
             client.write(&(whole + half));
         } else {
             client.write(&whole);
         }
         if when == "behind it" {
-            assert!(backend.next().value("x-call-id").is_some());
+            assert!(backend.next_request().value("x-call-id").is_some());
             client.write(half);
         }
         clients.push((client, half, when));
--- a/daemon/tests/operations.rs
+++ b/daemon/tests/operations.rs
@@ -22,20 +22,20 @@
 fn operated(backends: &[&Backend]) -> (Node, Discovery, Value) {
     let listed = (0..)
         .zip(backends)
-        .map(|(n, backend)| target(&format!("s-{n}"), backend.at, "Ready"));
+        .map(|(n, backend)| target(&format!("s-{n}"), backend.address, "Ready"));
     let discovery = Discovery::new(listed.collect());
-    let mut config = config(discovery.at, json!([]));
+    let mut config = config(discovery.address, json!([]));
     config["console"] = json!("127.0.0.1:0");
     let node = Node::start(&config);
-    discovery.watched_from(1);
+    discovery.wait_for_watch_from(1);
     (node, discovery, config)
 }
 
 fn call(console: SocketAddr, method: &str, path: &str) -> Message {
     let began = Instant::now();
-    let mut client = Client::to(console);
+    let mut client = Client::connect(console);
     let answer = client
-        .ask(&format!("{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n"))
+        .request(&format!("{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n"))
         .expect("an answer");
     assert!(
         began.elapsed() < CALLER,
@@ -60,14 +60,14 @@
 }
 
 fn ready(at: SocketAddr) -> u16 {
-    Client::to(at)
-        .ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+    Client::connect(at)
+        .request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
         .expect("an answer")
         .status()
 }
 
 fn serving(body: &'static str) -> Backend {
-    Backend::new(move |_| Does::Writes(ok(body)))
+    Backend::new(move |_| ResponsePlan::Respond(ok(body)))
 }
 
 #[test]
@@ -75,7 +75,7 @@
     let backend = serving("yes");
     let (node, _discovery, _) = operated(&[&backend]);
     let console = node.console();
-    until("the process can serve", || {
+    wait_until("the process can serve", || {
         call(console, "GET", "/status").status() == 200
     });
     for (method, path, status) in [
@@ -94,8 +94,8 @@
         );
     }
     assert_eq!(
-        Client::to(console)
-            .ask("nonsense\r\n\r\n")
+        Client::connect(console)
+            .request("nonsense\r\n\r\n")
             .expect("an answer")
             .status(),
         400
@@ -110,7 +110,7 @@
     let console = node.console();
     let silent: Vec<Client> = (0..100)
         .map(|n| {
-            let mut client = Client::to(console);
+            let mut client = Client::connect(console);
             if n % 2 == 0 {
                 client.write("GET /status HTTP/1.1\r\nHos");
             }
@@ -131,10 +131,10 @@
 fn figures_are_those_of_the_servers_and_clients() {
     let backend = Backend::new(|message| {
         match message.value("x-call-id").unwrap_or_default().as_bytes()[0] {
-            b'e' => Does::Writes(status(500, "")),
-            b'f' => Does::Writes(status(503, "X-Rejected: 1\r\n")),
-            b'h' => Does::Hangs,
-            _ => Does::Writes(ok("yes")),
+            b'e' => ResponsePlan::Respond(status(500, "")),
+            b'f' => ResponsePlan::Respond(status(503, "X-Rejected: 1\r\n")),
+            b'h' => ResponsePlan::Hang,
+            _ => ResponsePlan::Respond(ok("yes")),
         }
     });
     let (node, discovery, _) = operated(&[&backend]);
@@ -143,7 +143,7 @@
     for n in 0..20 {
         let kind = ["a", "e", "f", "a"][n % 4];
         match node
-            .ask(&post("pay", &format!("{kind}{n}"), "", "x"))
+            .request(&post("pay", &format!("{kind}{n}"), "", "x"))
             .status()
         {
             200 => answered += 1,
@@ -153,20 +153,20 @@
     }
     // Taken by nobody, but of a class: failed.
     assert_eq!(
-        node.ask(&post("pay", "b1", "Idempotency-Key: k\r\n", "x"))
+        node.request(&post("pay", "b1", "Idempotency-Key: k\r\n", "x"))
             .status(),
         400
     );
     // One that is still out.
-    let mut waiting = Client::to(node.at);
+    let mut waiting = Client::connect(node.address);
     waiting.write(&post("pay", "h1", "", "x"));
     let mut sends = 0;
-    while backend.next().value("x-call-id") != Some("h1") {
+    while backend.next_request().value("x-call-id") != Some("h1") {
         sends += 1;
     }
     sends += 1;
     // The server has it before the node has counted it.
-    until("the last send is counted", || {
+    wait_until("the last send is counted", || {
         figures(console)["node.sends"] >= sends
     });
     let told = figures(console);
@@ -181,16 +181,16 @@
     assert_eq!(told["node.sends"], sends);
     assert_eq!(told["node.current"], 1);
     assert_eq!((told["node.cluster_size"], told.len()), (1, 3 * 3 + 4));
-    discovery.set(json!([
-        target("s-0", backend.at, "Terminating"),
-        target("s-1", backend.at, "Ready")
+    discovery.set_endpoints(json!([
+        target("s-0", backend.address, "Terminating"),
+        target("s-1", backend.address, "Ready")
     ]));
-    until("the list shows", || {
+    wait_until("the list shows", || {
         let told = figures(console);
         (told["node.cluster_size"], told["node.cluster_unhealthy"]) == (2, 1)
     });
     drop(waiting);
-    until("who has gone is not counted as open", || {
+    wait_until("who has gone is not counted as open", || {
         figures(console)["node.current"] == 0
     });
 }
@@ -206,34 +206,37 @@
     let console = node.console();
     for round in 0..2 {
         let (mut idle, mut kept, mut silent) = (
-            Client::to(node.at),
-            Client::to(node.at),
-            Client::to(node.at),
+            Client::connect(node.address),
+            Client::connect(node.address),
+            Client::connect(node.address),
         );
         assert_eq!(
-            idle.ask(&get(&format!("i{round}"), ""))
+            idle.request(&get(&format!("i{round}"), ""))
                 .expect("an answer")
                 .status(),
             200
         );
         assert_eq!(
-            kept.ask(&get(&format!("k{round}"), ""))
+            kept.request(&get(&format!("k{round}"), ""))
                 .expect("an answer")
                 .status(),
             200
         );
-        assert_eq!(ready(node.at), 200);
+        assert_eq!(ready(node.address), 200);
         assert_eq!(call(console, "POST", "/standby").status(), 200);
-        assert_eq!(ready(node.at), 503, "at once");
+        assert_eq!(ready(node.address), 503, "at once");
         assert_eq!(
             call(console, "POST", "/standby").status(),
             200,
             "again: no harm"
         );
         // What still comes is served, on connections from before and on new ones, and ends its connection.
-        for (id, client) in [("old", &mut kept), ("new", &mut Client::to(node.at))] {
+        for (id, client) in [
+            ("old", &mut kept),
+            ("new", &mut Client::connect(node.address)),
+        ] {
             let answer = client
-                .ask(&get(&format!("{id}{round}"), ""))
+                .request(&get(&format!("{id}{round}"), ""))
                 .expect("an answer");
             assert_eq!(
                 (answer.status(), answer.value("connection")),
@@ -247,19 +250,19 @@
             "nothing is held idle"
         );
         assert!(began.elapsed() < Duration::from_secs(3));
-        assert_eq!(ready(node.at), 503);
+        assert_eq!(ready(node.address), 503);
         assert_eq!(
-            node.ask(&get(&format!("late{round}"), "")).status(),
+            node.request(&get(&format!("late{round}"), "")).status(),
             200,
             "it still serves who comes"
         );
         assert_eq!(call(console, "POST", "/active").status(), 200);
-        assert_eq!(ready(node.at), 200);
-        let mut again = Client::to(node.at);
+        assert_eq!(ready(node.address), 200);
+        let mut again = Client::connect(node.address);
         for n in 0..3 {
             assert_eq!(
                 again
-                    .ask(&get(&format!("b{round}-{n}"), ""))
+                    .request(&get(&format!("b{round}-{n}"), ""))
                     .expect("kept open")
                     .status(),
                 200
@@ -275,7 +278,7 @@
     let console = node.console();
     assert_eq!(call(console, "POST", "/standby").status(), 200);
     node.signal("-TERM");
-    until("the node has heard", || node.logged("stopping node="));
+    wait_until("the node has heard", || node.has_logged("stopping node="));
     assert_eq!(call(console, "POST", "/active").status(), 409, "too late");
     assert_eq!(call(console, "POST", "/standby").status(), 200);
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
@@ -285,18 +288,18 @@
 fn a_second_process_serves_beside_the_first_and_after_it() {
     let backend = serving("yes");
     let (mut old, _discovery, mut config) = operated(&[&backend]);
-    config["listen"] = json!(old.at.to_string());
+    config["listen"] = json!(old.address.to_string());
     let new = Node::start(&config);
-    until("the new one can serve", || {
+    wait_until("the new one can serve", || {
         call(new.console(), "GET", "/status").status() == 200
     });
     for n in 0..20 {
-        assert_eq!(old.ask(&get(&format!("both{n}"), "")).status(), 200);
+        assert_eq!(old.request(&get(&format!("both{n}"), "")).status(), 200);
     }
     old.signal("-TERM");
     assert_eq!(old.child.wait().unwrap().code(), Some(0));
     for n in 0..20 {
-        assert_eq!(new.ask(&get(&format!("after{n}"), "")).status(), 200);
+        assert_eq!(new.request(&get(&format!("after{n}"), "")).status(), 200);
     }
     let answered = |node: &Node| figures(node.console())["node.transactions.read.answered"];
     assert!(answered(&new) >= 20, "each counts for itself");
@@ -307,7 +310,10 @@
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = config(taken.local_addr().unwrap(), json!([]));
     config["console"] = json!(taken.local_addr().unwrap().to_string());
-    let (child, file) = spawn(&config.to_string());
+    let NodeProcess {
+        child,
+        config_file: file,
+    } = spawn(&config.to_string());
     let ended = child.wait_with_output().unwrap();
     let said = String::from_utf8_lossy(&ended.stderr);
     assert_eq!(ended.status.code(), Some(1));
@@ -331,13 +337,13 @@
 fn console_calls_are_answered_while_the_serving_thread_is_saturated() {
     let backend = serving("yes");
     let (node, _discovery, _) = operated(&[&backend]);
-    let (console, at) = (node.console(), node.at);
+    let (console, at) = (node.console(), node.address);
     let over = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..16)
         .map(|client| {
             let over = over.clone();
             thread::spawn(move || {
-                let mut stream = Client::to(at);
+                let mut stream = Client::connect(at);
                 for n in 0.. {
                     if over.load(Ordering::SeqCst) {
                         return;
@@ -348,7 +354,7 @@
                         .collect();
                     stream.write(&text);
                     if (0..10).any(|_| stream.read().is_none()) {
-                        stream = Client::to(at);
+                        stream = Client::connect(at);
                     }
                 }
             })
--- a/daemon/tests/serving.rs
+++ b/daemon/tests/serving.rs
@@ -6,15 +6,15 @@
 use badgerpost_fakes::scripted::*;
 use serde_json::json;
 
-fn always(does: Does) -> Backend {
-    Backend::new(move |_| does.clone())
+fn always(plan: ResponsePlan) -> Backend {
+    Backend::new(move |_| plan.clone())
 }
 
 #[test]
 fn forwards_a_request_unchanged_and_once() {
-    let backend = always(Does::Writes(ok("seated")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let answer = node.ask(&post(
+    let backend = always(ResponsePlan::Respond(ok("seated")));
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let answer = node.request(&post(
         "join",
         "a1b2",
         "Idempotency-Key: k-77\r\nX-Budget-Ms-Not: 1\r\n",
@@ -24,8 +24,8 @@
         (answer.status(), answer.body.as_slice()),
         (200, b"seated".as_slice())
     );
-    let got = backend.next();
-    assert_eq!(got.first, "POST /api HTTP/1.1");
+    let got = backend.next_request();
+    assert_eq!(got.start_line, "POST /api HTTP/1.1");
     assert_eq!(got.body, b"lobby");
     assert_eq!(got.values("x-call-id"), ["a1b2"]);
     assert_eq!(got.values("idempotency-key"), ["k-77"]);
@@ -34,16 +34,16 @@
         panic!("one budget: {got:?}")
     };
     assert!(budget.parse::<u64>().unwrap() <= 3000, "{budget}");
-    let answer = node.ask(&get("a1b3", ""));
+    let answer = node.request(&get("a1b3", ""));
     assert_eq!(answer.status(), 200);
-    assert_eq!(backend.next().first, "GET /api?x=1 HTTP/1.1");
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.next_request().start_line, "GET /api?x=1 HTTP/1.1");
+    assert_eq!(backend.take_request_count(), 0);
 }
 
 #[test]
 fn a_bad_request_gets_400_and_reaches_no_backend() {
-    let backend = always(Does::Writes(ok("no")));
-    let (node, _discovery) = Node::with(&[&backend]);
+    let backend = always(ResponsePlan::Respond(ok("no")));
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let key = "Idempotency-Key: k\r\n";
     let cases = [
         (404, get("1", "").replace("/api", "/other")),
@@ -63,20 +63,20 @@
     ];
     for (wanted, text) in cases {
         assert_eq!(
-            node.ask(&text).status(),
+            node.request(&text).status(),
             wanted,
             "{}",
             &text[..text.len().min(300)]
         );
     }
     assert_eq!(
-        node.ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+        node.request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
             .status(),
         200
     );
-    assert_eq!(node.ask(&get("last", "")).status(), 200);
-    assert_eq!(backend.next().value("x-call-id"), Some("last"));
-    assert_eq!(backend.count(), 0);
+    assert_eq!(node.request(&get("last", "")).status(), 200);
+    assert_eq!(backend.next_request().value("x-call-id"), Some("last"));
+    assert_eq!(backend.take_request_count(), 0);
 }
 
 /// Each of these may have run. An unsafe call then gets no other attempt and no refusal, which would tell the
@@ -84,24 +84,32 @@
 #[test]
 fn a_non_idempotent_request_that_may_have_run_fails() {
     let spoilt = [
-        Does::Writes(status(500, "")),
-        Does::Writes(status(503, "")),
-        Does::Writes(status(504, "X-Rejected: 0\r\n")),
-        Does::Writes(status(302, "")),
-        Does::Ends(String::new()),
-        Does::Ends("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_owned()),
-        Does::Resets("HTTP/1.1 200 OK\r\n\r\nwhole or half".to_owned()),
-        Does::Resets("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nwhole or half".to_owned()),
-        Does::Resets("HTTP/1.0 200 OK\r\n\r\nwhole or half".to_owned()),
-        Does::Ends("noise\r\n\r\n".to_owned()),
-        Does::Hangs,
+        ResponsePlan::Respond(status(500, "")),
+        ResponsePlan::Respond(status(503, "")),
+        ResponsePlan::Respond(status(504, "X-Rejected: 0\r\n")),
+        ResponsePlan::Respond(status(302, "")),
+        ResponsePlan::RespondAndClose(String::new()),
+        ResponsePlan::RespondAndClose(
+            "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_owned(),
+        ),
+        ResponsePlan::RespondAndReset("HTTP/1.1 200 OK\r\n\r\nwhole or half".to_owned()),
+        ResponsePlan::RespondAndReset(
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nwhole or half".to_owned(),
+        ),
+        ResponsePlan::RespondAndReset("HTTP/1.0 200 OK\r\n\r\nwhole or half".to_owned()),
+        ResponsePlan::RespondAndClose("noise\r\n\r\n".to_owned()),
+        ResponsePlan::Hang,
     ];
-    for (n, does) in spoilt.into_iter().enumerate() {
-        let (first, second) = (always(does.clone()), always(does));
-        let (node, _discovery) = Node::with(&[&first, &second]);
-        let answer = node.ask(&post("pay", "u1", "", "").replace("3000", "700"));
+    for (n, plan) in spoilt.into_iter().enumerate() {
+        let (first, second) = (always(plan.clone()), always(plan));
+        let (node, _discovery) = Node::start_with_backends(&[&first, &second]);
+        let answer = node.request(&post("pay", "u1", "", "").replace("3000", "700"));
         assert_eq!(answer.status(), 502, "case {n}");
-        assert_eq!(first.count() + second.count(), 1, "case {n}");
+        assert_eq!(
+            first.take_request_count() + second.take_request_count(),
+            1,
+            "case {n}"
+        );
     }
 }
 
@@ -116,36 +124,37 @@
         "HTTP/1.0 200 OK\r\n",
     ] {
         let text = format!("{head}X-Load-Report: {{\"util\":0.5}}\r\n\r\nwhole");
-        let backend = always(Does::Ends(text));
-        let (node, _discovery) = Node::with(&[&backend]);
+        let backend = always(ResponsePlan::RespondAndClose(text));
+        let (node, _discovery) = Node::start_with_backends(&[&backend]);
         for n in 0..5 {
-            let answer = node.ask(&post("pay", &format!("n{n}"), "", ""));
+            let answer = node.request(&post("pay", &format!("n{n}"), "", ""));
             assert_eq!(
                 (answer.status(), answer.body.as_slice()),
                 (200, b"whole".as_slice()),
                 "{head:?}"
             );
         }
-        assert_eq!(backend.count(), 5);
+        assert_eq!(backend.take_request_count(), 5);
     }
 }
 
 /// Turned away it never ran, so even an unsafe call goes elsewhere, or is refused where there is nobody.
 #[test]
 fn a_non_idempotent_request_that_never_ran_is_retried_elsewhere() {
-    let away = |code| always(Does::Writes(status(code, "X-Rejected: 1\r\n")));
-    let serves = always(Does::Writes(ok("paid")));
+    let away = |code| always(ResponsePlan::Respond(status(code, "X-Rejected: 1\r\n")));
+    let serves = always(ResponsePlan::Respond(ok("paid")));
     let (full, other) = (away(503), away(504));
-    let (node, _discovery) = Node::with(&[&full, &serves]);
+    let (node, _discovery) = Node::start_with_backends(&[&full, &serves]);
     for n in 0..8 {
         assert_eq!(
-            node.ask(&post("pay", &format!("p{n}"), "", "")).status(),
+            node.request(&post("pay", &format!("p{n}"), "", ""))
+                .status(),
             200
         );
     }
-    assert_eq!(serves.count(), 8);
-    let (node, _discovery) = Node::with(&[&other]);
-    assert_eq!(node.ask(&post("pay", "p9", "", "")).status(), 503);
+    assert_eq!(serves.take_request_count(), 8);
+    let (node, _discovery) = Node::start_with_backends(&[&other]);
+    assert_eq!(node.request(&post("pay", "p9", "", "")).status(), 503);
 }
 
 /// A process that has died refuses connections: nothing ran, and the module tries another.
@@ -154,32 +163,33 @@
     let dead = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = dead.local_addr().unwrap();
     drop(dead);
-    let serves = always(Does::Writes(ok("paid")));
+    let serves = always(ResponsePlan::Respond(ok("paid")));
     let discovery = Discovery::new(json!([
         target("s-0", at, "Ready"),
-        target("s-1", serves.at, "Ready")
+        target("s-1", serves.address, "Ready")
     ]));
-    let node = Node::start(&config(discovery.at, json!([])));
-    discovery.watched_from(1);
+    let node = Node::start(&config(discovery.address, json!([])));
+    discovery.wait_for_watch_from(1);
     for n in 0..8 {
         assert_eq!(
-            node.ask(&post("pay", &format!("p{n}"), "", "")).status(),
+            node.request(&post("pay", &format!("p{n}"), "", ""))
+                .status(),
             200
         );
     }
-    assert_eq!(serves.count(), 8);
+    assert_eq!(serves.take_request_count(), 8);
 }
 
 /// A silent backend must not hold a request past its client's time.
 #[test]
 fn an_attempt_at_a_silent_backend_times_out() {
-    let backend = always(Does::Hangs);
-    let (node, _discovery) = Node::with(&[&backend]);
-    let answer = node.ask(&get("s1", "").replace("3000", "200"));
+    let backend = always(ResponsePlan::Hang);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let answer = node.request(&get("s1", "").replace("3000", "200"));
     assert_ne!(answer.status(), 200);
     // Nothing that is left of it stands in the way of the next.
     assert_ne!(
-        node.ask(&get("s2", "").replace("3000", "200")).status(),
+        node.request(&get("s2", "").replace("3000", "200")).status(),
         200
     );
 }
@@ -188,16 +198,16 @@
 /// and writing to it would turn an unsafe call into one that may have run.
 #[test]
 fn a_connection_closed_while_idle_is_not_used() {
-    let backend = always(Does::Ends(ok("paid")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let backend = always(ResponsePlan::RespondAndClose(ok("paid")));
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     for n in 1..=20 {
         let answer = client
-            .ask(&post("pay", &format!("p{n}"), "", ""))
+            .request(&post("pay", &format!("p{n}"), "", ""))
             .expect("an answer");
         assert_eq!(answer.status(), 200, "call {n}");
-        until("the node closes its end", || {
-            backend.closed.load(Ordering::SeqCst) == n
+        wait_until("the node closes its end", || {
+            backend.closed_by_node.load(Ordering::SeqCst) == n
         });
     }
     assert_eq!(backend.connections.load(Ordering::SeqCst), 20);
@@ -206,13 +216,13 @@
 /// Connections are used again: a new one costs the backend work.
 #[test]
 fn backend_connections_are_reused() {
-    let backend = always(Does::Writes(ok("yes")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let backend = always(ResponsePlan::Respond(ok("yes")));
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     for n in 0..10 {
         assert_eq!(
             client
-                .ask(&get(&format!("k{n}"), ""))
+                .request(&get(&format!("k{n}"), ""))
                 .expect("an answer")
                 .status(),
             200
@@ -236,11 +246,11 @@
     ] {
         let text =
             format!("HTTP/1.1 200 OK\r\nX-Load-Report: {report}\r\nContent-Length: 2\r\n\r\nok");
-        let backend = always(Does::Writes(text));
-        let (node, _discovery) = Node::with(&[&backend]);
+        let backend = always(ResponsePlan::Respond(text));
+        let (node, _discovery) = Node::start_with_backends(&[&backend]);
         for n in 0..3 {
             assert_eq!(
-                node.ask(&get(&format!("r{n}"), "")).status(),
+                node.request(&get(&format!("r{n}"), "")).status(),
                 200,
                 "{report}"
             );
@@ -251,26 +261,26 @@
 /// A client that hangs up must leave nothing behind that the node trips over, nor be answered by mistake.
 #[test]
 fn a_request_is_cancelled_when_its_client_disconnects() {
-    let gate = Arc::new(Gate::default());
+    let latch = Arc::new(Latch::default());
     let first = AtomicBool::new(true);
-    let waits = gate.clone();
+    let waits = latch.clone();
     let backend = Backend::new(move |_| match first.swap(false, Ordering::SeqCst) {
-        true => Does::Waits(waits.clone(), ok("late")),
-        false => Does::Writes(ok("yes")),
+        true => ResponsePlan::RespondAfter(waits.clone(), ok("late")),
+        false => ResponsePlan::Respond(ok("yes")),
     });
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     client.write(&get("g1", ""));
-    assert_eq!(backend.next().value("x-call-id"), Some("g1"));
+    assert_eq!(backend.next_request().value("x-call-id"), Some("g1"));
     drop(client);
-    gate.open();
-    let answer = node.ask(&get("g2", ""));
+    latch.release();
+    let answer = node.request(&get("g2", ""));
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
         (200, b"yes".as_slice())
     );
-    assert_eq!(backend.next().value("x-call-id"), Some("g2"));
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.next_request().value("x-call-id"), Some("g2"));
+    assert_eq!(backend.take_request_count(), 0);
 }
 
 /// A spoilt answer is a failed attempt that may have run; its connection is of no further use, and the request
@@ -297,15 +307,15 @@
     ];
     for (n, text) in spoilt.into_iter().enumerate() {
         let first = Arc::new(AtomicBool::new(true));
-        let does = move |_: &Message| match first.swap(false, Ordering::SeqCst) {
-            true => Does::Writes(text.clone()),
-            false => Does::Writes(ok("good")),
+        let plan = move |_: &Message| match first.swap(false, Ordering::SeqCst) {
+            true => ResponsePlan::Respond(text.clone()),
+            false => ResponsePlan::Respond(ok("good")),
         };
-        let backend = Backend::new(does);
-        let (node, _discovery) = Node::with(&[&backend]);
+        let backend = Backend::new(plan);
+        let (node, _discovery) = Node::start_with_backends(&[&backend]);
         // The connection stays open on the backend's side: only the node can end the wait. Most of the
         // client's time is left for the other attempt.
-        let answer = node.ask(&get("s1", ""));
+        let answer = node.request(&get("s1", ""));
         assert_eq!(
             (answer.status(), answer.body.as_slice()),
             (200, b"good".as_slice()),
@@ -323,16 +333,16 @@
         "noise".to_owned(),
         "HTTP/1.1 200 OK\r\n".to_owned(),
     ] {
-        let backend = Backend::new(move |message| {
-            Does::Adds(
-                ok(message.value("x-call-id").unwrap_or_default()),
-                behind.clone(),
-            )
+        let backend = Backend::new(move |message| ResponsePlan::RespondWithExtraBytes {
+            response: ok(message.value("x-call-id").unwrap_or_default()),
+            extra: behind.clone(),
         });
-        let (node, _discovery) = Node::with(&[&backend]);
-        let mut client = Client::to(node.at);
+        let (node, _discovery) = Node::start_with_backends(&[&backend]);
+        let mut client = Client::connect(node.address);
         for n in 0..6 {
-            let answer = client.ask(&get(&format!("w{n}"), "")).expect("an answer");
+            let answer = client
+                .request(&get(&format!("w{n}"), ""))
+                .expect("an answer");
             assert_eq!(
                 (answer.status(), answer.body),
                 (200, format!("w{n}").into_bytes())
@@ -345,16 +355,20 @@
 #[test]
 fn interim_responses_are_skipped() {
     let interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-    let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
-    let backend = Backend::new(move |_| Does::Then(interim.to_owned(), waits.clone(), ok("real")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let latch = Arc::new(Latch::default());
+    let waits = latch.clone();
+    let backend = Backend::new(move |_| ResponsePlan::RespondInTwoParts {
+        first: interim.to_owned(),
+        latch: waits.clone(),
+        second: ok("real"),
+    });
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     client.write(&post("pay", "i1", "", ""));
-    backend.next();
+    backend.next_request();
     // Longer than an answer that has begun may take to become whole.
     std::thread::sleep(std::time::Duration::from_millis(300));
-    gate.open();
+    latch.release();
     let answer = client.read().expect("an answer");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
@@ -366,34 +380,34 @@
 #[test]
 fn bad_requests_eject_no_backend() {
     let backend = Backend::new(|message| match message.value("x-call-id") {
-        Some(id) if id.starts_with("bad") => Does::Writes(status(400, "")),
-        _ => Does::Writes(ok("yes")),
+        Some(id) if id.starts_with("bad") => ResponsePlan::Respond(status(400, "")),
+        _ => ResponsePlan::Respond(ok("yes")),
     });
-    let other = always(Does::Writes(status(400, "")));
-    let (node, _discovery) = Node::with(&[&backend, &other]);
+    let other = always(ResponsePlan::Respond(status(400, "")));
+    let (node, _discovery) = Node::start_with_backends(&[&backend, &other]);
     for n in 0..40 {
-        assert_ne!(node.ask(&get(&format!("bad{n}"), "")).status(), 200);
+        assert_ne!(node.request(&get(&format!("bad{n}"), "")).status(), 200);
     }
-    assert!(!node.logged("ejected"));
+    assert!(!node.has_logged("ejected"));
 }
 
 /// Clients with little time must not cost a handshake each: the late answer frees the connection.
 #[test]
 fn a_late_response_leaves_its_connection_usable() {
-    let (gate, first) = (Arc::new(Gate::default()), AtomicBool::new(true));
-    let waits = gate.clone();
+    let (latch, first) = (Arc::new(Latch::default()), AtomicBool::new(true));
+    let waits = latch.clone();
     let backend = Backend::new(move |_| match first.swap(false, Ordering::SeqCst) {
-        true => Does::Waits(waits.clone(), ok("late")),
-        false => Does::Writes(ok("good")),
+        true => ResponsePlan::RespondAfter(waits.clone(), ok("late")),
+        false => ResponsePlan::Respond(ok("good")),
     });
-    let (node, _discovery) = Node::with(&[&backend]);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
     assert_ne!(
-        node.ask(&get("l1", "").replace("3000", "300")).status(),
+        node.request(&get("l1", "").replace("3000", "300")).status(),
         200
     );
-    gate.open();
+    latch.release();
     std::thread::sleep(std::time::Duration::from_millis(250));
-    assert_eq!(node.ask(&get("l2", "")).body, b"good");
+    assert_eq!(node.request(&get("l2", "")).body, b"good");
     assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
 }
 
@@ -413,16 +427,18 @@
             .expect("set before the first request")
             .load(Ordering::SeqCst);
         if seen.swap(now, Ordering::SeqCst) != now {
-            return Does::Writes(ok("yes"));
+            return ResponsePlan::Respond(ok("yes"));
         }
         breaks.fetch_add(1, Ordering::SeqCst);
-        Does::Ends(String::new())
+        ResponsePlan::RespondAndClose(String::new())
     });
     opened.set(backend.connections.clone()).unwrap();
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     for n in 0..14 {
-        let answer = client.ask(&get(&format!("q{n}"), "")).expect("an answer");
+        let answer = client
+            .request(&get(&format!("q{n}"), ""))
+            .expect("an answer");
         assert_eq!(
             (answer.status(), answer.body.as_slice()),
             (200, b"yes".as_slice())
--- a/daemon/tests/shutdown.rs
+++ b/daemon/tests/shutdown.rs
@@ -9,19 +9,19 @@
 
 fn stopping(node: &Node) {
     node.signal("-TERM");
-    until("the node has heard", || node.logged("stopping node="));
+    wait_until("the node has heard", || node.has_logged("stopping node="));
 }
 
 /// A node whose one backend hangs, and whose clients wait for 1.5 s at most.
 fn hanging() -> (Node, Backend) {
-    let backend = Backend::new(|_| Does::Hangs);
-    let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
-    let mut config = config(discovery.at, json!([]));
+    let backend = Backend::new(|_| ResponsePlan::Hang);
+    let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
+    let mut config = config(discovery.address, json!([]));
     for class in 0..3 {
         config["settings"]["classes"][class]["deadline-ns"] = json!(1_500_000_000u64);
     }
     let node = Node::start(&config);
-    discovery.watched_from(1);
+    discovery.wait_for_watch_from(1);
     (node, backend)
 }
 
@@ -29,10 +29,13 @@
 /// and the second request was dropped.
 #[test]
 fn a_request_read_together_with_another_is_answered_during_shutdown() {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
-    let (mut node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
-    assert_eq!(client.ask(&get("r0", "")).expect("an answer").status(), 200);
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
+    let (mut node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
+    assert_eq!(
+        client.request(&get("r0", "")).expect("an answer").status(),
+        200
+    );
     stopping(&node);
     client.write(&(get("r1", "") + &get("r2", "") + &post("pay", "r3", "", "last")));
     for (n, closes) in [(1, false), (2, false), (3, true)] {
@@ -52,10 +55,10 @@
 /// connection is not reset under it: the client can tell that nobody has taken its request.
 #[test]
 fn an_idle_connection_is_not_reset_under_a_request_that_crosses_its_close() {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
-    let (node, _discovery) = Node::with(&[&backend]);
-    let mut stream = TcpStream::connect(node.at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
+    let (node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut stream = TcpStream::connect(node.address).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(get("c0", "").as_bytes()).unwrap();
     let mut answer = [0; 4096];
     assert!(stream.read(&mut answer).unwrap() > 0);
@@ -73,7 +76,11 @@
         );
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(backend.count(), 1, "and nothing of it was sent on");
+    assert_eq!(
+        backend.take_request_count(),
+        1,
+        "and nothing of it was sent on"
+    );
 }
 
 /// SIGKILL comes 0.7 s behind the longest deadline at the soonest. A request whose last byte comes late has no more time
@@ -82,20 +89,20 @@
 fn a_request_completed_at_the_last_moment_is_answered_before_the_end() {
     let (mut node, _backend) = hanging();
     let text = post("pay", "late", "", "0123456789");
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.address);
     client.write(&text[..text.len() - 1]);
     assert_eq!(
-        node.ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+        node.request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
             .status(),
         200
     );
     let began = Instant::now();
     stopping(&node);
-    until("no more connections are taken", || {
-        TcpStream::connect(node.at).is_err()
+    wait_until("no more connections are taken", || {
+        TcpStream::connect(node.address).is_err()
     });
     // The longest deadline from here on ends behind SIGKILL.
-    until("it is late", || {
+    wait_until("it is late", || {
         began.elapsed() > Duration::from_millis(1000)
     });
     client.write(&text[text.len() - 1..]);
@@ -117,7 +124,7 @@
     stopping(&node);
     let mut open = Vec::new();
     // For as long as somebody takes them.
-    while let Ok(mut stream) = TcpStream::connect(node.at) {
+    while let Ok(mut stream) = TcpStream::connect(node.address) {
         let id = format!("h{}", open.len());
         if stream.write_all(get(&id, "").as_bytes()).is_ok() {
             open.push(stream);
@@ -126,7 +133,7 @@
     }
     assert!(open.len() > 5, "{} were taken", open.len());
     let answers = open.into_iter().map(|mut stream| {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut text = String::new();
         let _ = stream.read_to_string(&mut text);
         text
@@ -149,12 +156,15 @@
 /// Half a request line is told that the node ends, and the node does not wait for the rest.
 #[test]
 fn half_a_request_line_does_not_keep_the_node_from_ending() {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
-    let (mut node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
-    assert_eq!(client.ask(&get("l0", "")).expect("an answer").status(), 200);
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
+    let (mut node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
+    assert_eq!(
+        client.request(&get("l0", "")).expect("an answer").status(),
+        200
+    );
     client.write("GET /api HT");
-    assert_eq!(node.ask(&get("l1", "")).status(), 200);
+    assert_eq!(node.request(&get("l1", "")).status(), 200);
     let began = Instant::now();
     stopping(&node);
     if let Some(answer) = client.read() {
@@ -178,9 +188,9 @@
     let burst: String = (0..30)
         .map(|n| post("pay", &format!("b{n}"), "", "0123456789").replace("3000", "1500"))
         .collect();
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.address);
     client.write(&burst);
-    assert_eq!(backend.next().value("x-call-id"), Some("b0"));
+    assert_eq!(backend.next_request().value("x-call-id"), Some("b0"));
     let began = Instant::now();
     stopping(&node);
     for n in 0..30 {
@@ -195,24 +205,28 @@
     assert!(client.is_closed());
     drop(client);
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
-    assert_eq!(backend.count(), 0, "only the first one was forwarded");
+    assert_eq!(
+        backend.take_request_count(),
+        0,
+        "only the first one was forwarded"
+    );
 }
 
 /// A client may take two seconds for a head. One that has begun before SIGTERM is answered, also when the head becomes
 /// whole after no more connections are taken, and whatever deadline its class has: SIGKILL comes 3.7 s after SIGTERM.
 #[test]
 fn a_head_completed_during_the_shutdown_is_answered_before_sigkill() {
-    let backend = Backend::new(|_| Does::Hangs);
-    let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
-    let mut config = config(discovery.at, json!([]));
+    let backend = Backend::new(|_| ResponsePlan::Hang);
+    let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
+    let mut config = config(discovery.address, json!([]));
     for class in 0..3 {
         config["settings"]["classes"][class]["deadline-ns"] = json!(10_000_000_000u64);
     }
     let node = Node::start(&config);
-    discovery.watched_from(1);
+    discovery.wait_for_watch_from(1);
     let text = get("slow", "").replace("3000", "9000");
     let (first, rest) = text.split_at(40);
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.address);
     client.write(first);
     std::thread::sleep(Duration::from_millis(100));
     let began = Instant::now();
@@ -229,7 +243,7 @@
 #[test]
 fn half_a_head_is_answered_before_the_node_ends() {
     let (mut node, _backend) = hanging();
-    let mut client = Client::to(node.at);
+    let mut client = Client::connect(node.address);
     client.write("GET /api HTTP/1.1\r\nX-Call-Id: half");
     std::thread::sleep(Duration::from_millis(100));
     let began = Instant::now();
@@ -247,11 +261,11 @@
 fn signals_in_series_lose_no_request() {
     let backend = Backend::new(|_| {
         std::thread::sleep(Duration::from_millis(400));
-        Does::Writes(ok("yes"))
+        ResponsePlan::Respond(ok("yes"))
     });
-    let (mut node, _discovery) = Node::with(&[&backend]);
+    let (mut node, _discovery) = Node::start_with_backends(&[&backend]);
     for round in 0..2 {
-        let mut open: Vec<Client> = (0..10).map(|_| Client::to(node.at)).collect();
+        let mut open: Vec<Client> = (0..10).map(|_| Client::connect(node.address)).collect();
         for (n, client) in open.iter_mut().enumerate() {
             client.write(&post("pay", &format!("s{round}-{n}"), "", "body"));
         }
@@ -271,7 +285,7 @@
         }
     }
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
-    assert_eq!(node.count("stopping node="), 1);
+    assert_eq!(node.log_count("stopping node="), 1);
 }
 
 /// The last answer has left before the process is gone, also to a client that reads late: a close over what it has not
@@ -280,11 +294,11 @@
 fn the_last_response_reaches_a_client_that_reads_after_the_end() {
     let body = "b".repeat(60_000);
     let text = ok(&body);
-    let backend = Backend::new(move |_| Does::Writes(text.clone()));
-    let (mut node, _discovery) = Node::with(&[&backend]);
-    let mut client = Client::to(node.at);
+    let backend = Backend::new(move |_| ResponsePlan::Respond(text.clone()));
+    let (mut node, _discovery) = Node::start_with_backends(&[&backend]);
+    let mut client = Client::connect(node.address);
     client.write(&get("last", ""));
-    assert_eq!(backend.next().value("x-call-id"), Some("last"));
+    assert_eq!(backend.next_request().value("x-call-id"), Some("last"));
     stopping(&node);
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
     let answer = client.read().expect("an answer");
--- a/daemon/tests/slow_start.rs
+++ b/daemon/tests/slow_start.rs
@@ -50,7 +50,7 @@
         let work = if number.is_multiple_of(10) { 30 } else { 5 };
         thread::sleep(Duration::from_millis(work));
         let report = "X-Load-Report: {\"util\":0.9}\r\n";
-        Does::Writes(if number % 12 == 5 {
+        ResponsePlan::Respond(if number % 12 == 5 {
             status(500, report)
         } else {
             ok("served").replace("\r\n\r\n", &format!("\r\n{report}\r\n"))
@@ -59,13 +59,13 @@
 }
 
 fn entry(uid: &str, backend: &Backend, boot_ms: u128) -> Value {
-    let mut entry = target(uid, backend.at, "Ready");
+    let mut entry = target(uid, backend.address, "Ready");
     entry["boot_ms"] = json!(u64::try_from(boot_ms).unwrap());
     entry
 }
 
 fn configuration(discovery: &Discovery, nodes: usize) -> Value {
-    let mut config = config(discovery.at, json!([]));
+    let mut config = config(discovery.address, json!([]));
     config["settings"]["n-instances"] = json!(nodes);
     config["settings"]["zones"] = json!(["a"]);
     config
@@ -73,7 +73,7 @@
 
 fn load_on(node: &Node, life: &str, nodes: usize) -> Load {
     let every = Duration::from_secs_f64(CLIENTS as f64 * nodes as f64 / RATE);
-    Load::start(node.at, life, CLIENTS, every, |id| {
+    Load::start(node.address, life, CLIENTS, every, |id| {
         get(id, "").replace("3000", "800")
     })
 }
@@ -101,7 +101,7 @@
     // The list brings it some hundred milliseconds later.
     thread::sleep(Duration::from_millis(300));
     entries.push(entry("new", &new, boot.as_millis()));
-    discovery.set(json!(entries));
+    discovery.set_endpoints(json!(entries));
     thread::sleep(Duration::from_millis(1500));
     // These know nothing but the list.
     let later: Vec<Node> = (0..more).map(|_| Node::start(&config)).collect();
--- a/daemon/tests/system_calls.rs
+++ b/daemon/tests/system_calls.rs
@@ -19,7 +19,7 @@
 fn serving() -> Backend {
     Backend::new(|_| {
         thread::sleep(Duration::from_millis(4));
-        Does::Writes(ok(
+        ResponsePlan::Respond(ok(
             "a body of some length that comes in more than one piece",
         ))
     })
@@ -31,11 +31,11 @@
     let backends = [serving(), serving(), serving()];
     let targets: Vec<_> = (0..)
         .zip(&backends)
-        .map(|(n, backend)| target(&format!("s-{n}"), backend.at, "Ready"))
+        .map(|(n, backend)| target(&format!("s-{n}"), backend.address, "Ready"))
         .collect();
     let discovery = Discovery::new(json!(targets));
-    let node = Node::start_with_faults(&config(discovery.at, json!(targets)), faults);
-    let load = Load::start(node.at, "r", 20, Duration::from_millis(50), |id| {
+    let node = Node::start_with_faults(&config(discovery.address, json!(targets)), faults);
+    let load = Load::start(node.address, "r", 20, Duration::from_millis(50), |id| {
         post("pay", id, "", "what is paid").replace("3000", "2000")
     });
     thread::sleep(LASTS);
@@ -44,7 +44,7 @@
     assert!(asked > 600, "{asked} requests are no load");
     let lost = results
         .into_iter()
-        .filter(|(_, status)| *status != Some(200))
+        .filter(|result| !result.is_ok())
         .collect();
     (asked, lost)
 }
@@ -88,12 +88,12 @@
 fn a_node_retries_to_listen_when_no_socket_is_available() {
     for (seed, error) in [(1, "ENFILE"), (2, "EMFILE"), (3, "ENOBUFS")] {
         let backend = serving();
-        let targets = json!([target("s-0", backend.at, "Ready")]);
+        let targets = json!([target("s-0", backend.address, "Ready")]);
         let discovery = Discovery::new(targets.clone());
         let faults = SystemFaults::seeded(seed).with(Call::Socket, Fault::Error(error), 900);
-        let node = Node::start_with_faults(&config(discovery.at, targets), &faults);
+        let node = Node::start_with_faults(&config(discovery.address, targets), &faults);
         assert_eq!(
-            node.ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+            node.request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
                 .status(),
             200,
             "{error}"
--- a/daemon/tests/upgrade.rs
+++ b/daemon/tests/upgrade.rs
@@ -51,21 +51,21 @@
 }
 
 fn operated(backend: &Backend, at: SocketAddr) -> Value {
-    let mut config = config(free(), json!([target("s-0", backend.at, "Ready")]));
+    let mut config = config(free(), json!([target("s-0", backend.address, "Ready")]));
     config["console"] = json!("127.0.0.1:0");
     config["listen"] = json!(at.to_string());
     config
 }
 
 fn serving() -> Backend {
-    Backend::new(|_| Does::Writes(ok("yes")))
+    Backend::new(|_| ResponsePlan::Respond(ok("yes")))
 }
 
 fn serves(node: &Node) {
     let console = node.console();
-    until("the process can serve", || {
-        Client::to(console)
-            .ask("GET /status HTTP/1.1\r\nHost: ops\r\n\r\n")
+    wait_until("the process can serve", || {
+        Client::connect(console)
+            .request("GET /status HTTP/1.1\r\nHost: ops\r\n\r\n")
             .is_some_and(|a| a.status() == 200)
     });
 }
@@ -73,7 +73,7 @@
 /// A request on a new connection; whether it was answered.
 fn asks(at: SocketAddr, id: &str) -> std::io::Result<bool> {
     let mut stream = TcpStream::connect(at)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT))?;
     stream.write_all(get(id, "Connection: close\r\n").as_bytes())?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer)?;
@@ -113,16 +113,16 @@
     for _ in 0..10 {
         let new = Node::start_in(&config, Some(&folder.0));
         serves(&new);
-        until("it has taken the socket over", || {
-            new.logged("took over the listening socket")
+        wait_until("it has taken the socket over", || {
+            new.has_logged("took over the listening socket")
         });
-        until("the old one knows", || {
-            running.logged("the next version takes connections here")
+        wait_until("the old one knows", || {
+            running.has_logged("the next version takes connections here")
         });
         running.signal("-TERM");
         assert_eq!(running.child.wait().unwrap().code(), Some(0));
-        until("the new one knows", || {
-            new.logged("the version before is gone")
+        wait_until("the new one knows", || {
+            new.has_logged("the version before is gone")
         });
         running = new;
     }
@@ -149,12 +149,12 @@
     serves(&old);
     for round in 0..2 {
         let new = Node::start_in(&config, Some(&folder.0));
-        until("the old one knows", || {
-            old.count("shared=true") == round + 1
+        wait_until("the old one knows", || {
+            old.log_count("shared=true") == round + 1
         });
         new.signal("-KILL");
-        until("the old one hears of it", || {
-            old.count("shared=false") == round + 1
+        wait_until("the old one hears of it", || {
+            old.log_count("shared=false") == round + 1
         });
         drop(new);
         for n in 0..10 {
@@ -176,7 +176,7 @@
         let mut new = Node::start_with_faults_in(&config, &faults, Some(&folder.0));
         serves(&new);
         old.signal("-TERM");
-        until("the old one stops", || old.logged("stopping node="));
+        wait_until("the old one stops", || old.has_logged("stopping node="));
         serves(&new);
         assert!(new.child.try_wait().unwrap().is_none(), "{error}");
     }
@@ -241,7 +241,7 @@
     let old = Node::start_in(&config, Some(&folder.0));
     serves(&old);
     let meet = folder.socket(at);
-    until("the meeting place is there", || meet.exists());
+    wait_until("the meeting place is there", || meet.exists());
     for (text, wanted) in [
         (
             format!("{{\"hello\":{{\"version\":9,\"listen\":\"{at}\"}}}}\n"),
@@ -256,7 +256,7 @@
         (String::new(), ""),
     ] {
         let mut peer = UnixStream::connect(&meet).unwrap();
-        peer.set_read_timeout(Some(PATIENCE)).unwrap();
+        peer.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         peer.write_all(text.as_bytes()).unwrap();
         let mut said = String::new();
         peer.read_to_string(&mut said)
@@ -264,23 +264,23 @@
         assert!(said.contains(wanted), "{text:?}: {said:?}");
     }
     let new = Node::start_in(&config, Some(&folder.0));
-    until("the socket goes over all the same", || {
-        new.logged("took over the listening socket")
+    wait_until("the socket goes over all the same", || {
+        new.has_logged("took over the listening socket")
     });
     assert!(asks(at, "last").unwrap());
 }
 
 fn calls(node: &Node, method: &str, path: &str) -> u16 {
     let text = format!("{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n");
-    Client::to(node.console())
-        .ask(&text)
+    Client::connect(node.console())
+        .request(&text)
         .expect("an answer")
         .status()
 }
 
 fn ready(at: SocketAddr) -> u16 {
-    Client::to(at)
-        .ask("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+    Client::connect(at)
+        .request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
         .expect("an answer")
         .status()
 }
@@ -297,17 +297,17 @@
     assert_eq!(calls(&old, "POST", "/standby"), 200);
     assert_eq!(ready(at), 503);
     let mut new = Node::start_in(&config, Some(&folder.0));
-    until("the old one knows", || old.logged("shared=true"));
+    wait_until("the old one knows", || old.has_logged("shared=true"));
     old.signal("-TERM");
     assert_eq!(old.child.wait().unwrap().code(), Some(0));
     assert_eq!(ready(at), 200, "the new one was not told to stand by");
     let last = Node::start_in(&config, Some(&folder.0));
-    until("the socket goes over", || new.logged("shared=true"));
+    wait_until("the socket goes over", || new.has_logged("shared=true"));
     assert_eq!(calls(&new, "POST", "/standby"), 200);
     new.signal("-TERM");
     assert_eq!(new.child.wait().unwrap().code(), Some(0));
-    until("the last one is alone", || {
-        last.logged("the version before is gone")
+    wait_until("the last one is alone", || {
+        last.has_logged("the version before is gone")
     });
     assert_eq!(ready(at), 200);
     assert!(asks(at, "meet").unwrap());
@@ -317,32 +317,32 @@
 #[test]
 fn the_old_version_answers_the_requests_it_has_accepted() {
     let folder = Folder::new("open");
-    let gate = Arc::new(Gate::default());
-    let waits = gate.clone();
+    let latch = Arc::new(Latch::default());
+    let waits = latch.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
-        Some("slow") => Does::Waits(waits.clone(), ok("slow")),
-        _ => Does::Writes(ok("yes")),
+        Some("slow") => ResponsePlan::RespondAfter(waits.clone(), ok("slow")),
+        _ => ResponsePlan::Respond(ok("yes")),
     });
     let at = free();
     let config = operated(&backend, at);
     let mut old = Node::start_in(&config, Some(&folder.0));
     serves(&old);
-    let mut slow = Client::to(at);
+    let mut slow = Client::connect(at);
     slow.write(&post("pay", "slow", "", "x"));
-    assert_eq!(backend.next().value("x-call-id"), Some("slow"));
-    let mut half = Client::to(at);
+    assert_eq!(backend.next_request().value("x-call-id"), Some("slow"));
+    let mut half = Client::connect(at);
     let text = post("pay", "half", "", "whole");
     half.write(&text[..text.len() - 2]);
     let new = Node::start_in(&config, Some(&folder.0));
     serves(&new);
     old.signal("-TERM");
-    until("the old one has heard", || old.logged("stopping node="));
+    wait_until("the old one has heard", || old.has_logged("stopping node="));
     half.write(&text[text.len() - 2..]);
     assert_eq!(
         half.read().expect("what was half read is served").status(),
         200
     );
-    gate.open();
+    latch.release();
     let answer = slow.read().expect("an answer");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
@@ -352,7 +352,7 @@
     assert!(asks(at, "next").unwrap());
     assert_eq!(
         backend
-            .got
+            .requests
             .try_iter()
             .filter(|m| m.value("x-call-id") == Some("slow"))
             .count(),
--- a/daemon/tests/wall_clock.rs
+++ b/daemon/tests/wall_clock.rs
@@ -39,12 +39,14 @@
 fn busy() -> Backend {
     Backend::new(|_| {
         thread::sleep(Duration::from_millis(4));
-        Does::Writes(ok("served").replace("\r\n\r\n", "\r\nX-Load-Report: {\"util\":0.9}\r\n\r\n"))
+        ResponsePlan::Respond(
+            ok("served").replace("\r\n\r\n", "\r\nX-Load-Report: {\"util\":0.9}\r\n\r\n"),
+        )
     })
 }
 
 fn started(uid: &str, backend: &Backend, boot_ms: i64) -> Value {
-    let mut entry = target(uid, backend.at, "Ready");
+    let mut entry = target(uid, backend.address, "Ready");
     entry["boot_ms"] = json!(boot_ms);
     entry
 }
@@ -68,11 +70,11 @@
             .collect();
         let discovery = Discovery::new(json!(entries));
         let node = Node::start_with_faults(
-            &config(discovery.at, json!([])),
+            &config(discovery.address, json!([])),
             &SystemFaults::seeded(1).on(clock),
         );
-        discovery.watched_from(1);
-        let load = Load::start(node.at, "r", 40, Duration::from_millis(100), |id| {
+        discovery.wait_for_watch_from(1);
+        let load = Load::start(node.address, "r", 40, Duration::from_millis(100), |id| {
             get(id, "").replace("3000", "500")
         });
         Self {
@@ -88,15 +90,15 @@
     fn sends_to_a_new_one(&mut self, uid: &str, boot_ms: i64) -> usize {
         let new = busy();
         self.entries.push(started(uid, &new, boot_ms));
-        self.discovery.set(json!(self.entries));
+        self.discovery.set_endpoints(json!(self.entries));
         self.count_in_window(&new)
     }
 
     fn count_in_window(&self, backend: &Backend) -> usize {
         let listed = Instant::now();
-        backend.count();
+        backend.take_request_count();
         thread::sleep(OVERLOAD_WINDOW.saturating_sub(listed.elapsed()));
-        backend.count()
+        backend.take_request_count()
     }
 }
 
@@ -159,9 +161,13 @@
         }
         thread::sleep(Duration::from_secs(1));
         let results = play.load.stop();
-        let served = results.iter().filter(|(_, status)| *status == Some(200));
+        let served = results.iter().filter(|result| result.is_ok());
         let share = served.count() as f64 / results.len() as f64;
         assert!(share > 0.9, "{case}: {share} served");
-        assert!(play.old.iter().all(|backend| backend.count() > 100));
+        assert!(
+            play.old
+                .iter()
+                .all(|backend| backend.take_request_count() > 100)
+        );
     });
 }
--- a/daemon/tests/zones.rs
+++ b/daemon/tests/zones.rs
@@ -22,8 +22,8 @@
 }
 
 fn operated(backend: &Backend) -> (Discovery, Value) {
-    let discovery = Discovery::new(json!([target("s-0", backend.at, "Ready")]));
-    let mut config = config(discovery.at, json!([]));
+    let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
+    let mut config = config(discovery.address, json!([]));
     config["console"] = json!("127.0.0.1:0");
     (discovery, config)
 }
@@ -56,12 +56,12 @@
 
 #[test]
 fn without_the_operators_file_there_is_no_zone_health_gossip_or_further_socket() {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let (discovery, config) = operated(&backend);
     let node = Node::start(&config);
-    discovery.watched_from(1);
+    discovery.wait_for_watch_from(1);
     for n in 0..20 {
-        assert_eq!(node.ask(&get(&format!("r{n}"), "")).status(), 200);
+        assert_eq!(node.request(&get(&format!("r{n}"), "")).status(), 200);
     }
     let (console, pid) = (node.console(), node.child.id());
     assert_eq!(
@@ -72,9 +72,12 @@
     for kind in ["udp", "udp6", "raw", "raw6", "tcp6"] {
         assert_eq!(sockets(pid, kind, None), 0, "{kind}");
     }
-    assert_eq!(figure(console, "node.zone.a.share"), None);
-    assert_eq!(call(console, "POST", "/zones/a/close/5").0, 404);
-    assert!(!node.logged("zone changed"));
+    assert_eq!(metric(console, "node.zone.a.share"), None);
+    assert_eq!(
+        console_request(console, "POST", "/zones/a/close/5").status(),
+        404
+    );
+    assert!(!node.has_logged("zone changed"));
 }
 
 #[test]
@@ -102,34 +105,40 @@
 
 #[test]
 fn operators_close_a_zone_keep_it_open_and_end_the_override() {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let (discovery, config) = operated(&backend);
     let own = file("on", "[zones]\nwatch = true\n");
-    let node = Node::start_with(&config, &own);
-    discovery.watched_from(1);
+    let node = Node::start_with_file(&config, &own);
+    discovery.wait_for_watch_from(1);
     let console = node.console();
-    let is = |name: &str, value: &str| figure(console, name).as_deref() == Some(value);
+    let is = |name: &str, value: &str| metric(console, name).as_deref() == Some(value);
     assert!(is("node.zone.a.share", "1000") && is("node.zone.b.why", "open"));
-    assert_eq!(node.ask(&get("r1", "")).status(), 200);
-    assert_eq!(call(console, "POST", "/zones/a/close/600").0, 200);
-    until("closed", || {
+    assert_eq!(node.request(&get("r1", "")).status(), 200);
+    assert_eq!(
+        console_request(console, "POST", "/zones/a/close/600").status(),
+        200
+    );
+    wait_until("closed", || {
         is("node.zone.a.share", "0") && is("node.zone.a.why", "by-hand")
     });
-    until("the change is logged", || node.logged("zone changed"));
+    wait_until("the change is logged", || node.has_logged("zone changed"));
     // Nothing is left: refused or failed in time, not sent.
-    assert_eq!(backend.next().value("x-call-id"), Some("r1"));
+    assert_eq!(backend.next_request().value("x-call-id"), Some("r1"));
     assert_ne!(
-        node.ask(&get("r2", "").replace("Budget-Ms: 3000", "Budget-Ms: 300"))
+        node.request(&get("r2", "").replace("Budget-Ms: 3000", "Budget-Ms: 300"))
             .status(),
         200
     );
-    assert_eq!(call(console, "POST", "/zones/a/auto").0, 200);
-    until("open", || {
+    assert_eq!(
+        console_request(console, "POST", "/zones/a/auto").status(),
+        200
+    );
+    wait_until("open", || {
         is("node.zone.a.share", "1000") && is("node.zone.a.why", "open")
     });
-    assert_eq!(node.ask(&get("r3", "")).status(), 200);
+    assert_eq!(node.request(&get("r3", "")).status(), 200);
     assert_eq!(
-        backend.next().value("x-call-id"),
+        backend.next_request().value("x-call-id"),
         Some("r3"),
         "r2 was not sent"
     );
@@ -140,18 +149,25 @@
         "/zones/x/auto",
         "/zones/a",
     ] {
-        assert_eq!(call(console, "POST", path).0, 404, "{path}");
+        assert_eq!(
+            console_request(console, "POST", path).status(),
+            404,
+            "{path}"
+        );
     }
-    assert_eq!(call(console, "GET", "/zones/a/auto").0, 405);
+    assert_eq!(
+        console_request(console, "GET", "/zones/a/auto").status(),
+        405
+    );
     std::fs::remove_file(own).unwrap();
 }
 
 #[test]
 fn an_unknown_key_is_named() {
-    let backend = Backend::new(|_| Does::Writes(ok("yes")));
+    let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let (_discovery, config) = operated(&backend);
     let own = file("bad", "[zones]\nwatch = true\nwatsh = 1\n");
-    let (child, _) = spawn_with(&config.to_string(), Some(&own));
+    let NodeProcess { child, .. } = spawn_with_file(&config.to_string(), &own);
     let output = child.wait_with_output().unwrap();
     assert!(!output.status.success());
     assert!(
--- a/testkit/fakes/src/lib.rs
+++ b/testkit/fakes/src/lib.rs
@@ -5,12 +5,12 @@
 pub mod client;
 pub mod database;
 pub mod discovery;
-pub mod late;
 pub mod message;
 pub mod net;
 pub mod random;
 pub mod scripted;
 pub mod server;
+pub mod slow_connect;
 pub mod system_faults;
 
 use std::path::PathBuf;
--- a/testkit/fakes/src/scripted.rs
+++ b/testkit/fakes/src/scripted.rs
@@ -1,5 +1,5 @@
-//! Peers for tests, scripted by hand on loopback sockets with a thread each: a node as a process, backends,
-//! discovery and clients. They panic where a test has failed, and are of use in tests only.
+//! Scripted peers of a node for tests: backends, a discovery service and clients on loopback sockets, with a thread for
+//! each connection, and the node itself as a process. They panic where a test has failed.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -10,16 +10,18 @@
 mod client;
 mod configuration;
 mod discovery;
+mod latch;
 mod load;
 mod message;
 mod node;
 mod wait;
 
-pub use backend::{Backend, Does, Gate, ok, status};
-pub use client::{Client, call, figure, get, post};
+pub use backend::{Backend, ResponsePlan, ok, status};
+pub use client::{Client, console_request, get, metric, post};
 pub use configuration::{config, settings, target};
 pub use discovery::Discovery;
+pub use latch::Latch;
 pub use load::{Load, LoadResult, RequestText};
 pub use message::{Message, read_message};
-pub use node::{Node, spawn, spawn_in, spawn_with};
-pub use wait::{PATIENCE, until};
+pub use node::{Node, NodeProcess, spawn, spawn_with_file};
+pub use wait::{TEST_TIMEOUT, wait_until};
--- a/testkit/fakes/src/scripted/backend.rs
+++ b/testkit/fakes/src/scripted/backend.rs
@@ -1,39 +1,55 @@
-//! A backend whose behaviour a test sets. Panics where a test has failed.
+//! An HTTP backend that answers each request by a plan that the test returns. Panics where a test has failed.
 
-use std::io::{BufReader, Write};
+use std::io::{self, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
-use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 use std::time::Duration;
 
 use socket2::SockRef;
 
+use super::latch::Latch;
 use super::message::{Message, read_message};
-use super::wait::PATIENCE;
+use super::wait::TEST_TIMEOUT;
 
-/// What a backend does with a request.
+/// Time for bytes on the loopback interface to arrive before the connection is reset.
+const DELIVERY_TIME: Duration = Duration::from_millis(20);
+
+/// What a backend does with one request.
 #[derive(Clone)]
-pub enum Does {
-    /// Writes these bytes and keeps the connection.
-    Writes(String),
-    /// Writes these bytes and closes.
-    Ends(String),
-    /// Writes these bytes, lets them arrive, and resets the connection.
-    Resets(String),
-    /// Writes these bytes, and in one go with them some more.
-    Adds(String, String),
-    /// Writes these bytes at once, and the others behind the gate.
-    Then(String, Arc<Gate>, String),
-    /// Says nothing and keeps the connection.
-    Hangs,
-    /// Waits for the gate and closes.
-    Breaks(Arc<Gate>),
-    /// Waits for the gate, then writes.
-    Waits(Arc<Gate>, String),
+pub enum ResponsePlan {
+    /// Writes the response and keeps the connection open.
+    Respond(String),
+    /// Writes the response, closes the connection and waits until the node has closed it too.
+    RespondAndClose(String),
+    /// Writes the response, lets it arrive, and resets the connection.
+    RespondAndReset(String),
+    /// Writes the response and bytes that do not belong to it in one write.
+    RespondWithExtraBytes { response: String, extra: String },
+    /// Writes the first part at once, and the second one after the latch is released.
+    RespondInTwoParts {
+        first: String,
+        latch: Arc<Latch>,
+        second: String,
+    },
+    /// Waits for the latch, then writes the response.
+    RespondAfter(Arc<Latch>, String),
+    /// Waits for the latch, then closes the connection without a response.
+    CloseAfter(Arc<Latch>),
+    /// Never responds and keeps the connection open.
+    Hang,
+}
+
+/// Whether the connection serves another request.
+#[derive(PartialEq, Eq)]
+enum Connection {
+    KeptAlive,
+    Closed,
 }
 
+/// The text of a response with status 200.
 pub fn ok(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -41,124 +57,129 @@
     )
 }
 
+/// The text of a response with this status, further headers and no body.
 pub fn status(code: u16, headers: &str) -> String {
     format!("HTTP/1.1 {code} X\r\n{headers}Content-Length: 0\r\n\r\n")
 }
 
-/// Opens once.
-#[derive(Default)]
-pub struct Gate {
-    open: Mutex<bool>,
-    changed: Condvar,
-}
-
-impl Gate {
-    pub fn open(&self) {
-        *self.open.lock().unwrap() = true;
-        self.changed.notify_all();
-    }
-
-    pub fn wait(&self) {
-        let open = self.open.lock().unwrap();
-        let (_open, timed_out) = self
-            .changed
-            .wait_timeout_while(open, PATIENCE, |open| !*open)
-            .unwrap();
-        assert!(!timed_out.timed_out(), "the gate never opened");
-    }
-}
-
-/// A backend: what it gets can be received, what it does is set by the test.
+/// A backend on a port of its own, with a thread for each connection.
 pub struct Backend {
-    pub at: SocketAddr,
-    pub got: Receiver<Message>,
+    pub address: SocketAddr,
+    /// Requests in the order in which they were read.
+    pub requests: Receiver<Message>,
+    /// Number of connections accepted so far.
     pub connections: Arc<AtomicU32>,
-    /// Connections that were ended here and that the node has closed in turn.
-    pub closed: Arc<AtomicU32>,
+    /// Number of connections that the backend has closed and that the node has closed in turn.
+    pub closed_by_node: Arc<AtomicU32>,
 }
 
 impl Backend {
-    pub fn new(does: impl Fn(&Message) -> Does + Send + Sync + 'static) -> Self {
+    /// Starts a backend that answers each request by the plan that `plan` returns.
+    pub fn new(plan: impl Fn(&Message) -> ResponsePlan + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
-        let (send, got) = channel();
+        let address = listener.local_addr().unwrap();
+        let (sender, requests) = channel();
         let connections = Arc::new(AtomicU32::new(0));
-        let closed = Arc::new(AtomicU32::new(0));
-        let (does, counter, ended) = (Arc::new(does), connections.clone(), closed.clone());
+        let closed_by_node = Arc::new(AtomicU32::new(0));
+        let (plan, accepted, closed) =
+            (Arc::new(plan), connections.clone(), closed_by_node.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                counter.fetch_add(1, Ordering::SeqCst);
-                let (does, send, ended) = (does.clone(), send.clone(), ended.clone());
-                thread::spawn(move || attend(stream, &*does, &send, &ended));
+                accepted.fetch_add(1, Ordering::SeqCst);
+                let (plan, sender, closed) = (plan.clone(), sender.clone(), closed.clone());
+                thread::spawn(move || serve_connection(stream, &*plan, &sender, &closed));
             }
         });
         Self {
-            at,
-            got,
+            address,
+            requests,
             connections,
-            closed,
+            closed_by_node,
         }
     }
 
+    /// Waits for the next request.
     #[expect(clippy::expect_used, reason = "a test fails here")]
-    pub fn next(&self) -> Message {
-        self.got
-            .recv_timeout(PATIENCE)
+    pub fn next_request(&self) -> Message {
+        self.requests
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a request reaches the backend")
     }
 
-    pub fn count(&self) -> usize {
-        self.got.try_iter().count()
+    /// Takes the requests that have been read since the last call and returns their number.
+    pub fn take_request_count(&self) -> usize {
+        self.requests.try_iter().count()
     }
 }
 
-fn attend(
+fn serve_connection(
     stream: TcpStream,
-    does: &dyn Fn(&Message) -> Does,
-    send: &Sender<Message>,
-    ended: &AtomicU32,
+    plan: &dyn Fn(&Message) -> ResponsePlan,
+    requests: &Sender<Message>,
+    closed_by_node: &AtomicU32,
 ) {
     let mut writer = stream.try_clone().unwrap();
     let mut reader = BufReader::new(stream);
     while let Some(message) = read_message(&mut reader) {
-        let next = does(&message);
-        if send.send(message).is_err() {
+        let plan = plan(&message);
+        if requests.send(message).is_err() {
             return;
         }
-        let written = match next {
-            Does::Writes(text) => writer.write_all(text.as_bytes()),
-            Does::Waits(gate, text) => {
-                gate.wait();
-                writer.write_all(text.as_bytes())
-            }
-            Does::Breaks(gate) => return gate.wait(),
-            Does::Ends(text) => {
-                let _ = writer.write_all(text.as_bytes());
-                let _ = writer.shutdown(Shutdown::Write);
-                let _ = std::io::copy(&mut reader, &mut std::io::sink());
-                ended.fetch_add(1, Ordering::SeqCst);
-                return;
-            }
-            Does::Resets(text) => {
-                let _ = writer.write_all(text.as_bytes());
-                thread::sleep(Duration::from_millis(20));
-                return reset(&writer);
-            }
-            Does::Adds(text, more) => writer.write_all((text + &more).as_bytes()),
-            Does::Then(first, gate, text) => {
-                let written = writer.write_all(first.as_bytes());
-                gate.wait();
-                written.and_then(|()| writer.write_all(text.as_bytes()))
-            }
-            Does::Hangs => Ok(()),
-        };
-        if written.is_err() {
-            return;
+        match execute(plan, &mut writer, &mut reader, closed_by_node) {
+            Ok(Connection::KeptAlive) => {}
+            Ok(Connection::Closed) | Err(_) => return,
+        }
+    }
+}
+
+fn execute(
+    plan: ResponsePlan,
+    writer: &mut TcpStream,
+    reader: &mut BufReader<TcpStream>,
+    closed_by_node: &AtomicU32,
+) -> io::Result<Connection> {
+    match plan {
+        ResponsePlan::Respond(response) => writer.write_all(response.as_bytes())?,
+        ResponsePlan::RespondAfter(latch, response) => {
+            latch.wait();
+            writer.write_all(response.as_bytes())?;
+        }
+        ResponsePlan::CloseAfter(latch) => {
+            latch.wait();
+            return Ok(Connection::Closed);
+        }
+        ResponsePlan::RespondAndClose(response) => {
+            let _ = writer.write_all(response.as_bytes());
+            let _ = writer.shutdown(Shutdown::Write);
+            let _ = io::copy(reader, &mut io::sink());
+            closed_by_node.fetch_add(1, Ordering::SeqCst);
+            return Ok(Connection::Closed);
+        }
+        ResponsePlan::RespondAndReset(response) => {
+            let _ = writer.write_all(response.as_bytes());
+            thread::sleep(DELIVERY_TIME);
+            reset_on_drop(writer);
+            return Ok(Connection::Closed);
+        }
+        ResponsePlan::RespondWithExtraBytes { response, extra } => {
+            writer.write_all((response + &extra).as_bytes())?;
+        }
+        ResponsePlan::RespondInTwoParts {
+            first,
+            latch,
+            second,
+        } => {
+            let written = writer.write_all(first.as_bytes());
+            latch.wait();
+            written?;
+            writer.write_all(second.as_bytes())?;
         }
+        ResponsePlan::Hang => {}
     }
+    Ok(Connection::KeptAlive)
 }
 
-/// Has a connection end by a reset, once its last handle is dropped.
-fn reset(stream: &TcpStream) {
+/// Makes the connection end by a reset once its last handle is dropped.
+fn reset_on_drop(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/testkit/fakes/src/scripted/client.rs
+++ b/testkit/fakes/src/scripted/client.rs
@@ -5,7 +5,10 @@
 use std::thread;
 use std::time::Duration;
 
-use super::{Message, PATIENCE, read_message};
+use super::{Message, TEST_TIMEOUT, read_message};
+
+/// Time between two pieces that are to be sent in packets of their own.
+const PIECE_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A client's connection.
 pub struct Client {
@@ -14,9 +17,9 @@
 }
 
 impl Client {
-    pub fn to(at: SocketAddr) -> Self {
-        let writer = TcpStream::connect(at).unwrap();
-        writer.set_read_timeout(Some(PATIENCE)).unwrap();
+    pub fn connect(address: SocketAddr) -> Self {
+        let writer = TcpStream::connect(address).unwrap();
+        writer.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let reader = BufReader::new(writer.try_clone().unwrap());
         Self { writer, reader }
     }
@@ -34,26 +37,28 @@
         self.writer.set_nodelay(true).unwrap();
         for piece in bytes.chunks(size) {
             self.writer.write_all(piece).unwrap();
-            thread::sleep(Duration::from_millis(1));
+            thread::sleep(PIECE_INTERVAL);
         }
     }
 
+    /// Reads one response; none where the connection is closed first.
     pub fn read(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
 
-    pub fn ask(&mut self, text: &str) -> Option<Message> {
+    /// Sends a request and reads its response.
+    pub fn request(&mut self, text: &str) -> Option<Message> {
         self.write(text);
         self.read()
     }
 
-    /// The same where the connection may have ended.
-    pub fn try_ask(&mut self, text: &str) -> Option<Message> {
+    /// Sends a request on a connection that the node may have closed.
+    pub fn try_request(&mut self, text: &str) -> Option<Message> {
         self.writer.write_all(text.as_bytes()).ok()?;
         self.read()
     }
 
-    /// Whether the node has ended the connection by now.
+    /// Whether the node has closed the connection by now, or has sent bytes that were not read.
     pub fn has_ended(&self) -> bool {
         self.writer.set_nonblocking(true).unwrap();
         let peeked = self.writer.peek(&mut [0]);
@@ -61,7 +66,7 @@
         !matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Whether the node closes the connection, with no answer that has not been read yet.
+    /// Waits until the node closes the connection; false where it sends something, or nothing in time.
     pub fn is_closed(&mut self) -> bool {
         match self.reader.read(&mut [0]) {
             Ok(read) => read == 0,
@@ -70,32 +75,36 @@
     }
 }
 
-/// A call of the operators' to a node's console: the status and the text.
+/// Sends a request to a node's console.
 #[expect(clippy::expect_used, reason = "a test fails here")]
-pub fn call(console: SocketAddr, method: &str, path: &str) -> (u16, String) {
-    let ask = format!("{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n");
-    let answer = Client::to(console).ask(&ask).expect("an answer");
-    (answer.status(), String::from_utf8(answer.body).unwrap())
+pub fn console_request(console: SocketAddr, method: &str, path: &str) -> Message {
+    let request = format!("{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n");
+    Client::connect(console)
+        .request(&request)
+        .expect("an answer")
 }
 
-/// One figure of a node's console, if it is there.
-pub fn figure(console: SocketAddr, name: &str) -> Option<String> {
-    let (_, text) = call(console, "GET", "/status/metrics");
+/// The value of one metric of a node's console, if it is there.
+pub fn metric(console: SocketAddr, name: &str) -> Option<String> {
+    let response = console_request(console, "GET", "/status/metrics");
+    let text = String::from_utf8(response.body).unwrap();
     text.lines()
         .find_map(|line| Some(line.strip_prefix(name)?.strip_prefix('=')?.to_owned()))
 }
 
-pub fn get(id: &str, more: &str) -> String {
+/// The text of a GET request of the class `read`, with further headers.
+pub fn get(id: &str, headers: &str) -> String {
     format!(
         "GET /api?x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: read\r\nX-Caller: acme\r\n\
-         X-Budget-Ms: 3000\r\n{more}\r\n"
+         X-Budget-Ms: 3000\r\n{headers}\r\n"
     )
 }
 
-pub fn post(class: &str, id: &str, more: &str, body: &str) -> String {
+/// The text of a POST request of this class, with further headers and a body.
+pub fn post(class: &str, id: &str, headers: &str, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Caller: acme\r\n\
-         X-Budget-Ms: 3000\r\nContent-Length: {}\r\n{more}\r\n{body}",
+         X-Budget-Ms: 3000\r\nContent-Length: {}\r\n{headers}\r\n{body}",
         body.len()
     )
 }
--- a/testkit/fakes/src/scripted/configuration.rs
+++ b/testkit/fakes/src/scripted/configuration.rs
@@ -1,14 +1,16 @@
-//! The platform's configuration of a node, and entries of the endpoint list.
+//! The platform's configuration of a node, and entries of the endpoint list, as JSON.
 
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
 
-pub fn target(uid: &str, at: SocketAddr, state: &str) -> Value {
-    json!({"uid": uid, "endpoint": at.to_string(), "az": "a", "model": "k", "pod_group": 0, "state": state,
+/// An entry of the endpoint list; `targets` is the wire's name of the list.
+pub fn target(uid: &str, address: SocketAddr, state: &str) -> Value {
+    json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "model": "k", "pod_group": 0, "state": state,
         "capacity_hint": 1.0, "boot_ms": 0})
 }
 
+/// The `settings` section: two zones, three request classes, one project.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "key-scope": "zone", "window-ns": 10_000_000_000u64,
@@ -25,6 +27,7 @@
             "start-capacity": 0.1, "tip-multiple": 2.5, "warm-after-ns": 20_000_000_000u64}})
 }
 
+/// The configuration of a node with this discovery service, and with a cached endpoint list.
 #[expect(clippy::needless_pass_by_value, reason = "callers hand the value over")]
 pub fn config(discovery: SocketAddr, known: Value) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
--- a/testkit/fakes/src/scripted/discovery.rs
+++ b/testkit/fakes/src/scripted/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery service with one list, and the answers to watches on it. Panics where a test has failed.
+//! A discovery service with one endpoint list, which a test changes. Panics where a test has failed.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,97 +10,129 @@
 
 use super::backend::ok;
 use super::message::read_message;
-use super::wait::until;
+use super::wait::wait_until;
 
-/// Discovery: one list, and the answers to watches on it.
+/// A watch without news is answered after this time, with an empty update.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
+
+/// A discovery service on a port of its own, with a thread for each connection.
 #[derive(Clone)]
 pub struct Discovery {
-    pub at: SocketAddr,
-    state: Arc<(Mutex<(u64, String)>, Condvar)>,
-    /// Watches that have been answered or are waiting, by the version they came from.
-    pub calls: Arc<Mutex<Vec<String>>>,
+    pub address: SocketAddr,
+    state: Arc<SharedState>,
+    /// The start lines of all watch requests, in the order in which they came.
+    pub watch_requests: Arc<Mutex<Vec<String>>>,
+}
+
+struct SharedState {
+    snapshot: Mutex<Snapshot>,
+    changed: Condvar,
+}
+
+/// The body of responses to watches from other revisions.
+struct Snapshot {
+    revision: u64,
+    body: String,
 }
 
 impl Discovery {
+    /// Starts a service with this endpoint list as revision 1.
     pub fn new(targets: Value) -> Self {
-        Self::at(TcpListener::bind("127.0.0.1:0").unwrap(), targets)
+        Self::on_listener(TcpListener::bind("127.0.0.1:0").unwrap(), targets)
     }
 
-    /// One that begins to answer now, at a listener that has been there before.
+    /// Starts a service on a listener that clients may have connected to already.
     #[expect(clippy::needless_pass_by_value, reason = "callers hand the value over")]
-    pub fn at(listener: TcpListener, targets: Value) -> Self {
+    pub fn on_listener(listener: TcpListener, targets: Value) -> Self {
+        let snapshot = Snapshot {
+            revision: 1,
+            body: endpoint_list(1, &targets),
+        };
         let discovery = Self {
-            at: listener.local_addr().unwrap(),
-            state: Arc::new((Mutex::new((1, list(1, &targets))), Condvar::new())),
-            calls: Arc::default(),
+            address: listener.local_addr().unwrap(),
+            state: Arc::new(SharedState {
+                snapshot: Mutex::new(snapshot),
+                changed: Condvar::new(),
+            }),
+            watch_requests: Arc::default(),
         };
-        let served = discovery.clone();
+        let service = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let served = served.clone();
-                thread::spawn(move || served.attend(stream));
+                let service = service.clone();
+                thread::spawn(move || service.serve_connection(stream));
             }
         });
         discovery
     }
 
-    fn attend(&self, stream: TcpStream) {
+    fn serve_connection(&self, stream: TcpStream) {
         let mut writer = stream.try_clone().unwrap();
         let mut reader = BufReader::new(stream);
         while let Some(message) = read_message(&mut reader) {
-            self.calls.lock().unwrap().push(message.first.clone());
-            let from = message
-                .first
+            let known_revision = message
+                .start_line
                 .split("from=")
                 .nth(1)
-                .and_then(|t| t.split('&').next()?.parse().ok());
-            let (lock, changed) = &*self.state;
-            let state = lock.lock().unwrap();
-            let seen = |state: &mut (u64, String)| Some(state.0) == from;
-            let wait = Duration::from_secs(4);
-            let (state, _) = changed.wait_timeout_while(state, wait, seen).unwrap();
-            let text = if Some(state.0) == from {
-                format!(r#"{{"rev":{},"all":false,"targets":[]}}"#, state.0)
-            } else {
-                state.1.clone()
-            };
-            drop(state);
-            if writer.write_all(ok(&text).as_bytes()).is_err() {
+                .and_then(|text| text.split('&').next()?.parse().ok());
+            self.watch_requests.lock().unwrap().push(message.start_line);
+            let body = self.wait_for_change(known_revision);
+            if writer.write_all(ok(&body).as_bytes()).is_err() {
                 return;
             }
         }
     }
 
-    /// Changes the list; watches get it whole.
+    /// The response to a watch: the endpoint list as soon as its revision differs from the known one, an empty update
+    /// where it does not change in time.
+    fn wait_for_change(&self, known_revision: Option<u64>) -> String {
+        let snapshot = self.state.snapshot.lock().unwrap();
+        let is_known = |snapshot: &mut Snapshot| Some(snapshot.revision) == known_revision;
+        let (mut snapshot, _) = self
+            .state
+            .changed
+            .wait_timeout_while(snapshot, WATCH_TIMEOUT, is_known)
+            .unwrap();
+        if is_known(&mut snapshot) {
+            format!(
+                r#"{{"rev":{},"all":false,"targets":[]}}"#,
+                snapshot.revision
+            )
+        } else {
+            snapshot.body.clone()
+        }
+    }
+
+    /// Replaces the endpoint list under the next revision; watches get the whole of it.
     #[expect(clippy::needless_pass_by_value, reason = "callers hand the value over")]
-    pub fn set(&self, targets: Value) {
-        let rev = self.state.0.lock().unwrap().0 + 1;
-        self.set_text(rev, list(rev, &targets));
+    pub fn set_endpoints(&self, targets: Value) {
+        let revision = self.revision() + 1;
+        self.set_response(revision, endpoint_list(revision, &targets));
     }
 
-    /// What watches get next, whatever it is.
-    pub fn set_text(&self, rev: u64, text: String) {
-        *self.state.0.lock().unwrap() = (rev, text);
-        self.state.1.notify_all();
+    /// Sets the body of the next responses, which need not be an endpoint list.
+    pub fn set_response(&self, revision: u64, body: String) {
+        *self.state.snapshot.lock().unwrap() = Snapshot { revision, body };
+        self.state.changed.notify_all();
     }
 
-    /// Waits until a watch from this version has come: what that version held has been taken in.
-    pub fn watched_from(&self, rev: u64) {
-        let mark = format!("from={rev}&");
-        until("the watch goes on", || {
-            self.calls
+    /// Waits for a watch from this revision: the node has then applied it.
+    pub fn wait_for_watch_from(&self, revision: u64) {
+        let parameter = format!("from={revision}&");
+        wait_until("the watch goes on", || {
+            self.watch_requests
                 .lock()
                 .unwrap()
                 .iter()
-                .any(|call| call.contains(&mark))
+                .any(|start_line| start_line.contains(&parameter))
         });
     }
 
-    pub fn rev(&self) -> u64 {
-        self.state.0.lock().unwrap().0
+    pub fn revision(&self) -> u64 {
+        self.state.snapshot.lock().unwrap().revision
     }
 }
 
-fn list(rev: u64, targets: &Value) -> String {
-    json!({"rev": rev, "all": true, "targets": targets}).to_string()
+fn endpoint_list(revision: u64, targets: &Value) -> String {
+    json!({"rev": revision, "all": true, "targets": targets}).to_string()
 }
--- a/testkit/fakes/src/scripted/message.rs
+++ b/testkit/fakes/src/scripted/message.rs
@@ -1,17 +1,19 @@
-//! An HTTP message as a fake reads it from a socket.
+//! HTTP messages as the scripted peers read them from a socket.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// A message as read from a socket.
+/// A request or a response.
 #[derive(Clone, Debug)]
 pub struct Message {
-    pub first: String,
+    /// The request line or the status line.
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// All values of a header.
     pub fn values(&self, name: &str) -> Vec<&str> {
         let named = self
             .headers
@@ -20,12 +22,14 @@
         named.map(|(_, value)| value.as_str()).collect()
     }
 
+    /// The first value of a header.
     pub fn value(&self, name: &str) -> Option<&str> {
         self.values(name).first().copied()
     }
 
+    /// The status code of a response; 0 where there is none.
     pub fn status(&self) -> u16 {
-        self.first
+        self.start_line
             .split(' ')
             .nth(1)
             .and_then(|code| code.parse().ok())
@@ -33,14 +37,14 @@
     }
 }
 
-/// Reads one message; none where the connection ends first.
+/// Reads one message; none where the connection is closed first.
 pub fn read_message(reader: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut line = || {
         let mut text = String::new();
         let read = reader.read_line(&mut text).ok()?;
         (read > 0).then(|| text.trim_end().to_owned())
     };
-    let first = line()?;
+    let start_line = line()?;
     let mut headers = Vec::new();
     loop {
         let text = line()?;
@@ -50,7 +54,7 @@
         headers.push((name.to_owned(), value.trim().to_owned()));
     }
     let mut message = Message {
-        first,
+        start_line,
         headers,
         body: Vec::new(),
     };
@@ -67,7 +71,7 @@
     Some(message)
 }
 
-/// Reads a body in chunks; none where the connection ends first.
+/// Reads a body in chunks; none where the connection is closed first.
 fn read_chunks(reader: &mut BufReader<TcpStream>) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
--- a/testkit/fakes/src/scripted/node.rs
+++ b/testkit/fakes/src/scripted/node.rs
@@ -1,4 +1,4 @@
-//! The node as a process. Panics where a test has failed.
+//! A node as a process of its own: its start, its log and signals to it. Panics where a test has failed.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -15,73 +15,90 @@
 use super::configuration::{config, target};
 use super::discovery::Discovery;
 use super::message::Message;
-use super::wait::until;
+use super::wait::wait_until;
 use crate::system_faults::SystemFaults;
 
-/// The node's process; ended with the test.
+/// A running node; killed when it is dropped.
 pub struct Node {
     pub child: Child,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     log: Arc<Mutex<String>>,
-    file: PathBuf,
+    config_file: PathBuf,
 }
 
-/// Starts the program on this text of a configuration, which stands in the file that is returned.
-pub fn spawn(config: &str) -> (Child, PathBuf) {
-    spawn_with(config, None)
+/// A node's process that has just been started, and may end before it serves.
+pub struct NodeProcess {
+    pub child: Child,
+    /// The platform's configuration of the node.
+    pub config_file: PathBuf,
+}
+
+/// What a node is started with besides the platform's configuration.
+#[derive(Default)]
+struct StartOptions<'a> {
+    /// The operators' own configuration file.
+    own_file: Option<&'a Path>,
+    /// The folder that the node stores its data in.
+    data_folder: Option<&'a Path>,
+    faults: Option<&'a SystemFaults>,
+    /// Where the log goes, if the test does not read it.
+    log: Option<Stdio>,
 }
 
-/// The same with the operators' own file too.
-pub fn spawn_with(config: &str, own: Option<&Path>) -> (Child, PathBuf) {
-    spawn_in(config, own, None)
+/// Starts the program with this text as the platform's configuration.
+pub fn spawn(config: &str) -> NodeProcess {
+    spawn_process(config, StartOptions::default())
 }
 
-/// The same with a folder of its own for what the platform keeps.
-pub fn spawn_in(config: &str, own: Option<&Path>, folder: Option<&Path>) -> (Child, PathBuf) {
-    spawn_process(config, own, folder, None, Stdio::piped())
+/// Starts the program with the operators' own file too.
+pub fn spawn_with_file(config: &str, own_file: &Path) -> NodeProcess {
+    let own_file = Some(own_file);
+    spawn_process(
+        config,
+        StartOptions {
+            own_file,
+            ..StartOptions::default()
+        },
+    )
 }
 
 #[expect(clippy::expect_used, reason = "a test fails here")]
 #[expect(clippy::panic, reason = "a test fails here")]
-fn spawn_process(
-    config: &str,
-    own: Option<&Path>,
-    folder: Option<&Path>,
-    faults: Option<&SystemFaults>,
-    log: Stdio,
-) -> (Child, PathBuf) {
+fn spawn_process(config: &str, options: StartOptions) -> NodeProcess {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
-    let path =
+    let config_file =
         std::env::temp_dir().join(format!("badgerpost-{}-{number}.json", std::process::id()));
-    std::fs::write(&path, config).unwrap();
+    std::fs::write(&config_file, config).unwrap();
     let program = crate::program("badgerpost").unwrap_or_else(|error| panic!("{error}"));
     let mut command = Command::new(program);
     command
-        .env("EDGE_CONFIG", &path)
+        .env("EDGE_CONFIG", &config_file)
         .env_remove("TMPDIR")
-        .envs(folder.map(|folder| ("TMPDIR", folder)))
-        .args(
-            own.into_iter()
-                .flat_map(|own| ["--config".as_ref(), own.as_os_str()]),
-        )
         .stdin(Stdio::null())
         .stdout(Stdio::null())
-        .stderr(log);
-    if let Some(faults) = faults {
+        .stderr(options.log.unwrap_or_else(Stdio::piped));
+    if let Some(folder) = options.data_folder {
+        command.env("TMPDIR", folder);
+    }
+    if let Some(own_file) = options.own_file {
+        command.arg("--config").arg(own_file);
+    }
+    if let Some(faults) = options.faults {
         faults.apply(&mut command).unwrap();
     }
     let child = command.spawn().expect("the node starts");
-    (child, path)
+    NodeProcess { child, config_file }
 }
 
+/// Reads the node's log up to the line that says where it listens, and returns that address.
 #[expect(clippy::panic, reason = "a test fails here")]
-fn listening(reader: &mut BufReader<ChildStderr>, log: &mut String) -> SocketAddr {
+fn wait_for_listen_line(reader: &mut BufReader<ChildStderr>, log: &mut String) -> SocketAddr {
     let mut line = String::new();
     while reader.read_line(&mut line).unwrap() > 0 {
         log.push_str(&line);
-        if let Some(at) = crate::listens_at(&line) {
-            return at;
+        if let Some(address) = crate::listens_at(&line) {
+            return address;
         }
         line.clear();
     }
@@ -89,123 +106,150 @@
 }
 
 impl Node {
+    /// Starts a node and waits until it listens.
     pub fn start(config: &Value) -> Self {
-        Self::start_in(config, None)
+        Self::start_with(config, StartOptions::default())
     }
 
-    /// One with this folder for what the platform keeps.
-    pub fn start_in(config: &Value, folder: Option<&Path>) -> Self {
-        Self::started(spawn_in(&config.to_string(), None, folder))
+    /// Starts a node that stores its data in this folder, if one is given.
+    pub fn start_in(config: &Value, data_folder: Option<&Path>) -> Self {
+        let options = StartOptions {
+            data_folder,
+            ..StartOptions::default()
+        };
+        Self::start_with(config, options)
     }
 
-    /// One with the operators' own file too.
-    pub fn start_with(config: &Value, own: &Path) -> Self {
-        Self::started(spawn_with(&config.to_string(), Some(own)))
+    /// Starts a node with the operators' own file too.
+    pub fn start_with_file(config: &Value, own_file: &Path) -> Self {
+        let options = StartOptions {
+            own_file: Some(own_file),
+            ..StartOptions::default()
+        };
+        Self::start_with(config, options)
     }
 
-    /// One whose system calls and wall clock do badly.
+    /// Starts a node with faults injected into its system calls and wall clock.
     pub fn start_with_faults(config: &Value, faults: &SystemFaults) -> Self {
         Self::start_with_faults_in(config, faults, None)
     }
 
-    /// The same with this folder for what the platform keeps.
+    /// Starts a node with injected faults that stores its data in this folder, if one is given.
     pub fn start_with_faults_in(
         config: &Value,
         faults: &SystemFaults,
-        folder: Option<&Path>,
+        data_folder: Option<&Path>,
     ) -> Self {
-        let text = config.to_string();
-        let log = Stdio::piped();
-        Self::started(spawn_process(&text, None, folder, Some(faults), log))
+        let options = StartOptions {
+            faults: Some(faults),
+            data_folder,
+            ..StartOptions::default()
+        };
+        Self::start_with(config, options)
     }
 
-    /// One that logs there, so that the configuration must say where it listens. Returns once it does.
+    /// Starts a node whose log goes elsewhere, so that the configuration must say where it listens. Returns once it
+    /// accepts connections.
     pub fn start_logging_to(config: &Value, log: Stdio) -> Self {
-        let at = config["listen"].as_str().unwrap().parse().unwrap();
-        let (mut child, file) = spawn_process(&config.to_string(), None, None, None, log);
-        until("the node listens", || {
-            assert_eq!(child.try_wait().unwrap(), None, "the node has ended");
-            TcpStream::connect(at).is_ok()
+        let address = config["listen"].as_str().unwrap().parse().unwrap();
+        let options = StartOptions {
+            log: Some(log),
+            ..StartOptions::default()
+        };
+        let mut process = spawn_process(&config.to_string(), options);
+        wait_until("the node listens", || {
+            let exit_status = process.child.try_wait().unwrap();
+            assert_eq!(exit_status, None, "the node has ended");
+            TcpStream::connect(address).is_ok()
         });
         Self {
-            child,
-            at,
+            child: process.child,
+            address,
             log: Arc::default(),
-            file,
+            config_file: process.config_file,
         }
     }
 
-    fn started((mut child, file): (Child, PathBuf)) -> Self {
+    fn start_with(config: &Value, options: StartOptions) -> Self {
+        let NodeProcess {
+            mut child,
+            config_file,
+        } = spawn_process(&config.to_string(), options);
         let mut reader = BufReader::new(child.stderr.take().unwrap());
-        let mut first = String::new();
-        let at = listening(&mut reader, &mut first);
-        let log = Arc::new(Mutex::new(first));
-        let kept = log.clone();
+        let mut first_lines = String::new();
+        let address = wait_for_listen_line(&mut reader, &mut first_lines);
+        let log = Arc::new(Mutex::new(first_lines));
+        let collected = log.clone();
         thread::spawn(move || {
             for line in reader.lines().map_while(Result::ok) {
-                kept.lock().unwrap().push_str(&(line + "\n"));
+                collected.lock().unwrap().push_str(&(line + "\n"));
             }
         });
         Self {
             child,
-            at,
+            address,
             log,
-            file,
+            config_file,
         }
     }
 
-    /// A node that discovery tells of these backends, as `s-0`, `s-1` and so on.
-    pub fn with(backends: &[&Backend]) -> (Self, Discovery) {
+    /// Starts a node and a discovery service that lists these backends, as `s-0`, `s-1` and so on.
+    pub fn start_with_backends(backends: &[&Backend]) -> (Self, Discovery) {
         let targets: Vec<Value> = (0..)
             .zip(backends)
-            .map(|(n, backend)| target(&format!("s-{n}"), backend.at, "Ready"))
+            .map(|(n, backend)| target(&format!("s-{n}"), backend.address, "Ready"))
             .collect();
         let discovery = Discovery::new(json!(targets));
-        let node = Self::start(&config(discovery.at, json!([])));
-        discovery.watched_from(1);
+        let node = Self::start(&config(discovery.address, json!([])));
+        discovery.wait_for_watch_from(1);
         (node, discovery)
     }
 
-    /// Where its operators call, from the line of its log that says so.
+    /// The address of its console, from its log.
     pub fn console(&self) -> SocketAddr {
-        self.address("operators may call console=")
+        self.logged_address("operators may call console=")
     }
 
-    /// The address behind these words in its log, once they are there.
-    pub fn address(&self, mark: &str) -> SocketAddr {
-        until(mark, || self.logged(mark));
+    /// Waits for this text in its log and returns the address that follows it.
+    pub fn logged_address(&self, mark: &str) -> SocketAddr {
+        wait_until(mark, || self.has_logged(mark));
         let log = self.log.lock().unwrap();
-        let (_, rest) = log.split_once(mark).unwrap();
-        rest.split_whitespace().next().unwrap().parse().unwrap()
+        let (_, text) = log.split_once(mark).unwrap();
+        text.split_whitespace().next().unwrap().parse().unwrap()
     }
 
-    pub fn logged(&self, text: &str) -> bool {
-        self.count(text) > 0
+    pub fn has_logged(&self, text: &str) -> bool {
+        self.log_count(text) > 0
     }
 
-    pub fn count(&self, text: &str) -> usize {
+    /// How often this text stands in its log.
+    pub fn log_count(&self, text: &str) -> usize {
         self.log.lock().unwrap().matches(text).count()
     }
 
-    /// Replaces the configuration's file and has it read.
+    /// Replaces the configuration file atomically and makes the node read it.
     pub fn reconfigure(&self, config: &str) {
-        let new = self.file.with_extension("new");
+        let new = self.config_file.with_extension("new");
         std::fs::write(&new, config).unwrap();
-        std::fs::rename(&new, &self.file).unwrap();
+        std::fs::rename(&new, &self.config_file).unwrap();
         self.signal("-HUP");
     }
 
+    /// Sends a signal, given as an option of `kill`, such as `-HUP`.
     pub fn signal(&self, name: &str) {
-        let done = Command::new("kill")
+        let status = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status()
             .unwrap();
-        assert!(done.success());
+        assert!(status.success());
     }
 
     #[expect(clippy::expect_used, reason = "a test fails here")]
-    pub fn ask(&self, text: &str) -> Message {
-        Client::to(self.at).ask(text).expect("an answer")
+    /// Sends a request on a connection of its own and reads the response.
+    pub fn request(&self, text: &str) -> Message {
+        Client::connect(self.address)
+            .request(text)
+            .expect("an answer")
     }
 }
 
--- a/testkit/fakes/src/scripted/wait.rs
+++ b/testkit/fakes/src/scripted/wait.rs
@@ -1,19 +1,21 @@
-//! Waits for conditions. Panics where a test has failed.
+//! Waiting for conditions. Panics where a test has failed.
 
 use std::thread;
 use std::time::Duration;
 
-/// Nothing here takes that long; a test that waits for it has failed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Nothing that a test waits for takes this long unless the test has failed.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits for a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Polls until the condition is met; fails the test after [`TEST_TIMEOUT`].
 #[expect(clippy::panic, reason = "a test fails here")]
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
-    for _ in 0..PATIENCE.as_millis() / 5 {
-        if done() {
+pub fn wait_until(description: &str, mut is_met: impl FnMut() -> bool) {
+    for _ in 0..TEST_TIMEOUT.as_millis() / POLL_INTERVAL.as_millis() {
+        if is_met() {
             return;
         }
-        thread::sleep(Duration::from_millis(5));
+        thread::sleep(POLL_INTERVAL);
     }
-    panic!("in vain: {what}");
+    panic!("in vain: {description}");
 }
--- a/testkit/scenarios/src/postgres/stage.rs
+++ b/testkit/scenarios/src/postgres/stage.rs
@@ -85,7 +85,7 @@
             &calm,
             0,
             SocketAddr::from(([127, 0, 0, 1], 0)),
-            no_servers.at,
+            no_servers.address,
             7,
             None,
         );
@@ -106,7 +106,7 @@
             aim_ms = 500
             deadline_ms = 3000
             "#,
-            discovery.at
+            discovery.address
         );
         let verifier = Verifier::from_password(PASSWORD, b"a salt of the rehearsal").to_text();
         let files = vec![
@@ -165,7 +165,7 @@
 
     /// Has the list say that a database drains, or that none does.
     pub fn set_draining(&mut self, which: Option<usize>) {
-        self.discovery.set(names(&self.databases, which));
+        self.discovery.set_endpoints(names(&self.databases, which));
     }
 
     /// Makes the table of work in each database.
@@ -385,12 +385,12 @@
         work.set_more(DRAINED.get().0 < drains.least);
         tokio::time::sleep(span(&mut random, drains.every_ms)).await;
         let which = random.between(0, databases.len() as u64 - 1) as usize;
-        discovery.set(names(databases, Some(which)));
+        discovery.set_endpoints(names(databases, Some(which)));
         tokio::time::sleep(GRACE).await;
         let begun = databases[which].begun();
         tokio::time::sleep(Duration::from_millis(drains.for_ms).saturating_sub(GRACE)).await;
         let late = databases[which].begun() - begun;
-        discovery.set(names(databases, None));
+        discovery.set_endpoints(names(databases, None));
         let (count, all) = DRAINED.get();
         DRAINED.set((count + 1, all + late));
     }
