--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// Reads until the body is complete, or `enough_bytes` of it are here. One with a length is complete with its last byte.
+/// Reads until the body is complete, or `enough_bytes` of it are here and more are to come.
 async fn read_body(
     body: &mut Incoming,
     length: Option<u64>,
@@ -104,7 +104,7 @@
     }
     let on_end = Box::new(move |end| match end {
         Some(RequestEnd::Served) => leased.release(),
-        Some(_) => leased.node.response_aborted(leased.destination.backend),
+        Some(_) => leased.engine.response_aborted(leased.destination.backend),
         None => {}
     });
     head.end(Some(BackendResponse::Streaming(StreamingResponse {
--- a/testkit/scenarios/src/world/misbehaviour.rs
+++ b/testkit/scenarios/src/world/misbehaviour.rs
@@ -69,7 +69,7 @@
         }
         let is_open = |peer: &Peer| matches!(peer, Peer::Client { node: of, open, .. } if *of == node && !open.is_empty());
         let open = self.peers.values().filter(|peer| is_open(peer)).count();
-        open >= self.plan.scene.scene.node[node].sockets / 3
+        open >= self.plan.scenario.spec.node[node].sockets / 3
     }
 
     /// Whether the system before the nodes, or a client with a connection of its own, brings a node requests.
@@ -89,7 +89,7 @@
         }
         let ends = |request: usize| {
             let log = &self.requests[request].log;
-            log.arrival + log.budget
+            log.arrival + log.timeout
         };
         let is_busy = |peer: &Peer| match peer {
             Peer::Client {
@@ -123,7 +123,7 @@
         if !self.chance(self.plan.behaviour.leaving) {
             return;
         }
-        let budget = self.requests[request].log.budget;
+        let budget = self.requests[request].log.timeout;
         let after = self
             .misbehaviour
             .random
@@ -138,7 +138,7 @@
         }
         let conn = self.connection_of(request)?;
         self.leave_behind(conn, request);
-        self.requests[request].log.left = Some(self.now);
+        self.requests[request].log.client_left_at = Some(self.now);
         self.finish(request, false);
         if self.chance(0.3) {
             self.reset(conn)
@@ -154,7 +154,7 @@
         };
         let others: Vec<usize> = open.iter().copied().filter(|one| *one != but).collect();
         for request in others {
-            self.requests[request].log.left = Some(self.now);
+            self.requests[request].log.client_left_at = Some(self.now);
             self.finish(request, false);
         }
     }
@@ -181,7 +181,7 @@
             self.adopt(conn, Peer::Silent { node, since });
             self.at(since + OWED_WITHIN + OWED_SLACK, Todo::Owed(conn));
         }
-        if self.now < self.plan.scene.scene.length_ms.get_ref() * MILLISECOND {
+        if self.now < self.plan.scenario.spec.length_ms.get_ref() * MILLISECOND {
             self.at(self.now + SILENT_PERIOD, Todo::Silent(node));
         }
         None
@@ -227,7 +227,7 @@
         }
         let since = self.now;
         self.nodes[node].stopping = Some(since);
-        let deadlines = self.plan.scene.scene.class.iter();
+        let deadlines = self.plan.scenario.spec.class.iter();
         let longest = deadlines.map(|class| class.deadline_ms.get_ref() * MILLISECOND);
         let longest = longest.max().unwrap_or(0).min(LONGEST_COUNTED);
         let series = [
@@ -260,7 +260,7 @@
                 .requests
                 .iter_mut()
                 .filter(|open| !open.done && open.node == node && open.written <= excused);
-            open.for_each(|open| open.log.excused = true);
+            open.for_each(|open| open.log.is_excused = true);
         }
         Fired {
             touched: None,
--- a/testkit/scenarios/src/world/servers.rs
+++ b/testkit/scenarios/src/world/servers.rs
@@ -10,8 +10,8 @@
 
 use super::links::Carried;
 use super::stage::{ConnectionFate, Job, Open, Peer, Sending, Todo, World, body};
-use crate::outcome::{Attempt, Ended, Scope};
-use crate::scene::{Reports, Trouble};
+use crate::outcome::{Attempt, AttemptOutcome, DedupScope};
+use crate::scenario::{FaultKind, Reports};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// A change of the list counts as told this long after discovery had it and could be reached.
@@ -57,7 +57,7 @@
             let told = self.nodes[open.node].told.get(&server);
             let counted = site.unlisted_since.map(|since| since + COUNTS_WITHIN);
             let told = told.copied().into_iter().chain(counted).min();
-            let left = (open.written + open.log.budget).saturating_sub(now);
+            let left = (open.written + open.log.timeout).saturating_sub(now);
             let deadline = message
                 .value("x-budget-ms")
                 .and_then(|text| text.parse().ok());
@@ -70,12 +70,12 @@
                 cell: site.cell,
                 start: now,
                 end: None,
-                ended: Ended::Open,
-                ran: false,
-                told_for: told.and_then(|told| now.checked_sub(told)),
-                felled: false,
+                outcome: AttemptOutcome::Unfinished,
+                executed: false,
+                drain_known_for: told.and_then(|told| now.checked_sub(told)),
+                caused_overload: false,
                 without_length: false,
-                overstated: (over > SEEN_OVER).then_some(over),
+                deadline_excess: (over > SEEN_OVER).then_some(over),
             });
             (request, open.log.attempts.len() - 1)
         });
@@ -123,17 +123,17 @@
         } = job;
         let request = attempt.map(|(request, _)| request);
         let lot = self.lot(attempt);
-        if self.sites[server].has(Trouble::Hang, lot) {
+        if self.sites[server].has(FaultKind::Hang, lot) {
             return;
         }
         let away = Sending {
             conn,
             attempt,
             bytes: message::answer(503, &self.report(server, "X-Rejected: 1\r\n"), b""),
-            ended: Ended::TurnedAway,
+            ended: AttemptOutcome::Rejected,
             then: ConnectionFate::Stays,
         };
-        if self.sites[server].has(Trouble::TurnAway, lot) {
+        if self.sites[server].has(FaultKind::RejectRequests, lot) {
             self.at(now, Todo::Answer(Box::new(away)));
             return;
         }
@@ -147,14 +147,14 @@
                 now,
                 Todo::Answer(Box::new(Sending {
                     bytes,
-                    ended: Ended::Served,
+                    ended: AttemptOutcome::Served,
                     ..away
                 })),
             );
             return;
         }
         let work = request.map_or(
-            self.plan.scene.scene.class[0].work_ms.get_ref().0 * MILLISECOND,
+            self.plan.scenario.spec.class[0].work_ms.get_ref().0 * MILLISECOND,
             |request| self.plan.arrivals[self.requests[request].arrival].work,
         );
         let site = &mut self.sites[server];
@@ -167,7 +167,7 @@
         });
         let offer = site.model.offer(now, ticket, work);
         site.cold_sends.push_back((now, is_told));
-        let window = self.plan.scene.scene.rules.fall_ms * MILLISECOND;
+        let window = self.plan.scenario.spec.rules.fall_ms * MILLISECOND;
         while site
             .cold_sends
             .front()
@@ -184,8 +184,8 @@
         site.cold_peak = site.cold_peak.max(site.model.cold_load(now).unwrap_or(0.0));
         if let Some((request, number)) = attempt {
             let attempt = &mut self.requests[request].log.attempts[number];
-            attempt.ran = offer == Offer::Taken;
-            attempt.felled = offer == Offer::Felled && is_breach;
+            attempt.executed = offer == Offer::Taken;
+            attempt.caused_overload = offer == Offer::Felled && is_breach;
         }
         match offer {
             Offer::Taken => {
@@ -208,9 +208,9 @@
         };
         let site = &self.sites[server];
         let group = match scope {
-            Scope::All => String::new(),
-            Scope::Zone => site.zone.clone(),
-            Scope::Cell => format!("{}", site.cell),
+            DedupScope::All => String::new(),
+            DedupScope::Zone => site.zone.clone(),
+            DedupScope::Cell => format!("{}", site.cell),
         };
         let now = self.now;
         // Kept for as long as a run lasts: its requests are bounded, and so are their keys.
@@ -224,18 +224,18 @@
 
     /// Answers a probe beside the queue; one to a server that is paused, or says nothing, stays unanswered.
     fn tell_load(&mut self, conn: ConnId, server: usize) {
-        let silent = self.sites[server].has(Trouble::Hang, 0);
+        let silent = self.sites[server].has(FaultKind::Hang, 0);
         if silent || self.sites[server].paused() {
             return;
         }
-        let told = self.plan.scene.scene.reports == Reports::Probes;
+        let told = self.plan.scenario.spec.reports == Reports::Probes;
         let bytes = if told {
             let util = self.sites[server].model.util(self.now);
             message::answer(200, "", format!("{{\"util\":{util:.4}}}").as_bytes())
         } else {
             message::answer(404, "", b"")
         };
-        let (attempt, ended, then) = (None, Ended::Served, ConnectionFate::Stays);
+        let (attempt, ended, then) = (None, AttemptOutcome::Served, ConnectionFate::Stays);
         self.at(
             self.now,
             Todo::Answer(Box::new(Sending {
@@ -249,7 +249,7 @@
     }
 
     pub(super) fn report(&mut self, server: usize, more: &str) -> String {
-        if self.plan.scene.scene.reports == Reports::Probes {
+        if self.plan.scenario.spec.reports == Reports::Probes {
             return more.to_owned();
         }
         let util = self.sites[server].model.util(self.now);
@@ -285,7 +285,7 @@
             conn,
             attempt,
             bytes: Vec::new(),
-            ended: Ended::Served,
+            ended: AttemptOutcome::Served,
             then: ConnectionFate::Stays,
         };
         self.answer_done(server, &id, sending);
@@ -300,26 +300,32 @@
         let mut at = self.now;
         for trouble in site.troubles_in_order(lot) {
             match trouble {
-                Trouble::NoLength => {
+                FaultKind::CloseDelimited => {
                     sending.bytes = message::answer_without_length(200, &headers, &body);
                     sending.then = ConnectionFate::Closes;
                 }
-                Trouble::Fail => {
+                FaultKind::ServerError => {
+                    (sending.bytes, sending.ended) = (
+                        message::answer(500, &headers, b""),
+                        AttemptOutcome::ServerError,
+                    );
+                }
+                FaultKind::InvalidResponse => {
                     (sending.bytes, sending.ended) =
-                        (message::answer(500, &headers, b""), Ended::Error);
+                        (NOISE.to_vec(), AttemptOutcome::InvalidResponse);
                 }
-                Trouble::Spoilt => (sending.bytes, sending.ended) = (NOISE.to_vec(), Ended::Spoilt),
-                Trouble::Reset { after } => {
+                FaultKind::ResetConnection { after } => {
                     sending
                         .bytes
                         .truncate(usize::try_from(after).unwrap_or(usize::MAX));
-                    (sending.ended, sending.then) = (Ended::Reset, ConnectionFate::Resets);
+                    (sending.ended, sending.then) =
+                        (AttemptOutcome::ConnectionReset, ConnectionFate::Resets);
                 }
-                Trouble::Late { by } => at = at.saturating_add(by),
+                FaultKind::DelayResponse { by } => at = at.saturating_add(by),
                 _ => {}
             }
         }
-        let is_complete = sending.ended == Ended::Served;
+        let is_complete = sending.ended == AttemptOutcome::Served;
         if is_complete
             && sending.then == ConnectionFate::Closes
             && let Some((request, number)) = sending.attempt
@@ -343,7 +349,7 @@
             ..
         }) = self.peers.get_mut(&conn)
         else {
-            self.attempt_ends(attempt, Ended::Abandoned);
+            self.attempt_ends(attempt, AttemptOutcome::Abandoned);
             return None;
         };
         let server = *server;
@@ -406,7 +412,7 @@
         self.net.reset(conn);
         match self.forget(conn)? {
             Peer::Server { node, attempt, .. } => {
-                self.attempt_ends(attempt, Ended::Reset);
+                self.attempt_ends(attempt, AttemptOutcome::ConnectionReset);
                 node.map(|node| (node, 0))
             }
             Peer::List { node, .. } => Some((node, 0)),
@@ -445,7 +451,7 @@
         (site.up, site.booted, site.wake) = (true, Some(now), None);
         site.jobs.clear();
         self.net.resume_listening(site.listener)?;
-        let notice = self.plan.scene.scene.discovery.notice_ms * MILLISECOND;
+        let notice = self.plan.scenario.spec.discovery.notice_ms * MILLISECOND;
         self.at(now + notice, Todo::List(server, State::Ready, true));
         Ok(())
     }
--- a/testkit/scenarios/src/world/stage.rs
+++ b/testkit/scenarios/src/world/stage.rs
@@ -14,10 +14,10 @@
 
 use super::links::{BadLink, Carried};
 use super::misbehaviour::Misbehaviour;
-use crate::outcome::{Ended, Request, Told};
+use crate::outcome::{AttemptOutcome, ClientResult, Request};
 use crate::plan::Plan;
 use crate::rules::{self, Breach};
-use crate::scene::Trouble;
+use crate::scenario::FaultKind;
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// On sockets each time limit is this much longer.
@@ -85,7 +85,7 @@
     pub(super) conn: ConnId,
     pub(super) attempt: Option<(usize, usize)>,
     pub(super) bytes: Vec<u8>,
-    pub(super) ended: Ended,
+    pub(super) ended: AttemptOutcome,
     /// How its connection ends behind it, if it does.
     pub(super) then: ConnectionFate,
 }
@@ -194,7 +194,7 @@
     pub(super) held: Vec<Job>,
     pub(super) wake: Option<Nanos>,
     /// With the thousandths of the requests that they strike.
-    pub(super) troubles: Vec<(Trouble, u16)>,
+    pub(super) troubles: Vec<(FaultKind, u16)>,
     pub(super) up: bool,
     pub(super) booted: Option<Nanos>,
     /// The most that it was sent while cold, as a multiple of what it could do.
@@ -207,20 +207,20 @@
 
 impl Site {
     /// Whether a request with this lot, in thousandths, meets a trouble.
-    pub(super) fn has(&self, trouble: Trouble, lot: u16) -> bool {
+    pub(super) fn has(&self, trouble: FaultKind, lot: u16) -> bool {
         self.troubles
             .iter()
             .any(|(one, permille)| *one == trouble && lot < *permille)
     }
 
     /// The troubles that strike a request with this lot, in thousandths: its form first, a reset in its midst last.
-    pub(super) fn troubles_in_order(&self, lot: u16) -> Vec<Trouble> {
-        let strikes = |one: &&(Trouble, u16)| lot < one.1;
+    pub(super) fn troubles_in_order(&self, lot: u16) -> Vec<FaultKind> {
+        let strikes = |one: &&(FaultKind, u16)| lot < one.1;
         let struck = self.troubles.iter().filter(strikes);
-        let mut troubles: Vec<Trouble> = struck.map(|one| one.0).collect();
+        let mut troubles: Vec<FaultKind> = struck.map(|one| one.0).collect();
         troubles.sort_by_key(|trouble| match trouble {
-            Trouble::NoLength => 0,
-            Trouble::Reset { .. } => 2,
+            FaultKind::CloseDelimited => 0,
+            FaultKind::ResetConnection { .. } => 2,
             _ => 1,
         });
         troubles
@@ -232,7 +232,7 @@
             .troubles
             .iter()
             .filter_map(|(trouble, _)| match trouble {
-                Trouble::Slow { percent } => Some(f64::from(*percent) / 100.0),
+                FaultKind::SlowDown { percent } => Some(f64::from(*percent) / 100.0),
                 _ => None,
             });
         let times = slow.fold(1.0, |most: f64, times| most.max(times));
@@ -240,7 +240,7 @@
     }
 
     pub(super) fn paused(&self) -> bool {
-        self.has(Trouble::PauseServer, 0)
+        self.has(FaultKind::PauseServer, 0)
     }
 }
 
@@ -356,7 +356,7 @@
     /// Whether all clients have had their answers, or given up.
     pub fn is_done(&self) -> bool {
         self.pending == 0
-            || self.now > self.plan.scene.scene.length_ms.get_ref() * MILLISECOND + ENDS_AFTER
+            || self.now > self.plan.scenario.spec.length_ms.get_ref() * MILLISECOND + ENDS_AFTER
     }
 
     /// Bytes read from all nodes so far.
@@ -450,7 +450,7 @@
             .requests
             .iter_mut()
             .filter(|open| !open.done && open.node == node);
-        open.for_each(|open| open.log.excused = true);
+        open.for_each(|open| open.log.is_excused = true);
     }
 
     /// What clients that say nothing, and answers with no length, were owed and did not get.
@@ -462,8 +462,7 @@
         let logs = self.requests.iter().map(|open| &open.log);
         let is_bare = |log: &&Request| log.attempts.iter().any(|attempt| attempt.without_length);
         let bare: Vec<&Request> = logs.filter(is_bare).collect();
-        let is_served =
-            |log: &&&Request| log.answer.is_some_and(|answer| answer.told == Told::Served);
+        let is_served = |log: &&&Request| log.result() == Some(ClientResult::Served);
         let forwarded = bare.iter().filter(is_served).count();
         if bare.len() >= LEAST_WITHOUT_LENGTH && 2 * forwarded < bare.len() {
             breaches.push(rules::answers_without_length_dropped(forwarded, bare.len()));
@@ -494,13 +493,13 @@
     }
 
     /// Ends an attempt that has not ended yet.
-    pub(super) fn attempt_ends(&mut self, attempt: Option<(usize, usize)>, ended: Ended) {
+    pub(super) fn attempt_ends(&mut self, attempt: Option<(usize, usize)>, ended: AttemptOutcome) {
         let Some((request, number)) = attempt else {
             return;
         };
         let attempt = &mut self.requests[request].log.attempts[number];
         if attempt.end.is_none() {
-            (attempt.end, attempt.ended) = (Some(self.now), ended);
+            (attempt.end, attempt.outcome) = (Some(self.now), ended);
         }
     }
 
--- a/testkit/scenarios/tests/zones.rs
+++ b/testkit/scenarios/tests/zones.rs
@@ -11,9 +11,9 @@
 mod common;
 
 use badgerpost_scenarios::fleet;
-use badgerpost_scenarios::outcome::Told;
+use badgerpost_scenarios::outcome::ClientResult;
 use badgerpost_scenarios::plan::Plan;
-use badgerpost_scenarios::run::Played;
+use badgerpost_scenarios::run::RunReport;
 use common::{MS, WATCHED};
 
 /// Six nodes and thirty servers in three zones.
@@ -23,7 +23,7 @@
 
 struct Shown {
     plan: Plan,
-    played: Played,
+    played: RunReport,
     lost: Vec<String>,
 }
 
@@ -177,7 +177,7 @@
     assert!(
         after
             .iter()
-            .all(|one| one.answer.is_some_and(|answer| answer.told == Told::Served))
+            .all(|one| one.result() == Some(ClientResult::Served))
     );
     // What had come meanwhile is there at once, and some of that overflows.
     let shown = good(
@@ -200,7 +200,7 @@
         .filter(|one| (4500..5300).contains(&(one.arrival / MS)));
     let served = during
         .clone()
-        .filter(|one| one.answer.is_some_and(|answer| answer.told == Told::Served));
+        .filter(|one| one.result() == Some(ClientResult::Served));
     assert!(served.count() as f64 > 0.85 * during.count() as f64);
     assert!(told(&shown, "silent") >= 4);
 }
@@ -214,7 +214,7 @@
     let after: Vec<_> = shown.played.log.iter().filter(late).collect();
     let served = after
         .iter()
-        .filter(|one| one.answer.is_some_and(|answer| answer.told == Told::Served));
+        .filter(|one| one.result() == Some(ClientResult::Served));
     assert!(served.count() as f64 > 0.98 * after.len() as f64);
     assert_eq!(shown.plan.seed, 7);
 }
