--- a/testkit/fakes/src/server.rs
+++ b/testkit/fakes/src/server.rs
@@ -1,273 +1,285 @@
-//! A match server, as far as a node notices: slots and a bounded queue, work that takes its time, a load report
-//! that is refreshed now and then, and a cold start during which too much work pushes it over. It does no I/O.
+//! Model of a match server: slots, a bounded queue, utilization reports, slow start and congestion. It does no I/O and is
+//! told the time.
+
+mod congestion;
 
 use std::collections::{BTreeSet, VecDeque};
 
 use badgerpost_time::Nanos;
 
-/// What a server is like.
+pub use congestion::CongestionConfig;
+use congestion::CongestionState;
+
+/// Expected requests below this vary more, relative to their number, than a normal distribution's two deviations.
+const SMALL_SAMPLE: f64 = 30.0;
+/// The lowest share of its speed at which a server that is warming up works.
+const MIN_WARMTH: f64 = 0.001;
+
+/// Properties of a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
-    /// Requests that it works on together, each at full speed.
+pub struct ServerConfig {
+    /// Requests that run concurrently, each at full speed.
     pub slots: usize,
-    /// Requests that may wait; with that many waiting the next one is turned away.
-    pub queue: usize,
-    /// Its speed against that of a standard one.
+    /// Requests that may wait for a slot; beyond this requests are rejected.
+    pub queue_limit: usize,
+    /// Speed relative to a standard server.
     pub speed: f64,
-    /// Share of its speed with which it starts.
-    pub cold_share: f64,
-    /// How long after its start it is warm; its speed grows in a straight line until then.
-    pub warm_after: Nanos,
-    /// Cold and sent more than this multiple of what it can do ...
-    pub tip_multiple: f64,
-    /// ... over a span of this length, it falls over and stays down.
-    pub fall_span: Nanos,
-    /// The mean work of a request, where it bears as many more of them as chance may bring: N + 2 * sqrt(N) + 2, N being
-    /// what that multiple allows, or N + 3 * sqrt(N) + 3 for an N under 30. Such a one works at its full speed while it is
-    /// cold: nothing shows before it falls.
-    pub mean_work: Option<Nanos>,
-    /// How often its load report is refreshed.
+    /// Share of the speed at which the server starts.
+    pub slow_start_capacity: f64,
+    /// Time after its start until it is warm; the speed grows linearly until then.
+    pub slow_start_duration: Nanos,
+    /// A server that is warming up crashes when it is sent more than this multiple of its capacity ...
+    pub overload_multiple: f64,
+    /// ... over a window of this length.
+    pub overload_window: Nanos,
+    /// The mean service time of a request. Where it is set, the server bears as many more requests as chance may bring:
+    /// N + 2 * sqrt(N) + 2, N being what the multiple allows, or N + 3 * sqrt(N) + 3 for an N under 30. Such a server runs
+    /// at full speed while it is warming up, so that nothing shows before it crashes.
+    pub mean_service_time: Option<Nanos>,
+    /// Time between two refreshes of the utilization report.
     pub report_period: Nanos,
-    /// How it slows down once too many requests wait in it, if it does.
-    pub choke: Option<Choke>,
+    /// How the server slows down with a long queue, if it does.
+    pub congestion: Option<CongestionConfig>,
 }
 
-/// A server that has been crowded for a while works more slowly, until it has been mostly idle for a while.
-#[derive(Clone, Copy, Debug)]
-pub struct Choke {
-    /// With so many waiting, or more ...
-    pub waiting: usize,
-    /// ... for so long, it chokes.
-    pub over: Nanos,
-    /// Its speed is divided by this from then on ...
-    pub slower: f64,
-    /// ... until nothing has waited, and a quarter of its slots at most were in use, for so long.
-    pub rest: Nanos,
+/// What became of a request that was offered to a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Admission {
+    /// It runs, or waits in the queue.
+    Accepted,
+    /// The queue is full; the request never runs.
+    Rejected,
+    /// It has overloaded a server that was warming up, which has crashed with all its requests.
+    Crashed,
 }
 
-/// What became of a request that was offered.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
-    /// It runs, or waits for its turn.
-    Taken,
-    /// The queue is full; it never runs.
-    TurnedAway,
-    /// It was the one too many: the server has fallen over, with all that it held.
-    Felled,
+/// Caller's id of a request.
+type RequestId = u64;
+
+#[derive(Debug)]
+struct QueuedRequest {
+    id: RequestId,
+    service_time: Nanos,
+}
+
+/// A request that was offered during slow start.
+#[derive(Debug)]
+struct SentRequest {
+    at: Nanos,
+    service_time: Nanos,
 }
 
-/// One server's work.
+/// State of one server.
 #[derive(Debug)]
 pub struct Server {
-    figures: Figures,
+    config: ServerConfig,
     /// When it started; none for long ago.
-    booted: Option<Nanos>,
-    /// What runs, by the time of its end.
-    running: BTreeSet<(Nanos, u64)>,
-    waiting: VecDeque<(u64, Nanos)>,
-    /// Work that was sent while it was cold, and when.
-    sent: VecDeque<(Nanos, Nanos)>,
-    fallen: bool,
-    choked: bool,
-    /// All work takes so many times as long.
-    pace: f64,
-    /// Since when it is crowded, or, once choked, mostly idle.
-    since: Option<Nanos>,
-    /// Slot time used since the report was refreshed last, up to `counted`.
-    used: Nanos,
-    counted: Nanos,
-    refreshed: Nanos,
-    util: f64,
+    started_at: Option<Nanos>,
+    /// Running requests by the time of their completion.
+    running: BTreeSet<(Nanos, RequestId)>,
+    queue: VecDeque<QueuedRequest>,
+    slow_start_sends: VecDeque<SentRequest>,
+    has_crashed: bool,
+    /// Service times are multiplied by this.
+    slowdown: f64,
+    congestion: CongestionState,
+    /// Slot time used since the last report, up to `accounted_until`.
+    used_slot_time: Nanos,
+    accounted_until: Nanos,
+    reported_at: Nanos,
+    utilization: f64,
 }
 
 impl Server {
-    /// A server that started at `booted`, or long ago.
-    pub fn new(figures: Figures, booted: Option<Nanos>, now: Nanos) -> Self {
+    /// A server that started at `started_at`, or long ago.
+    pub fn new(config: ServerConfig, started_at: Option<Nanos>, now: Nanos) -> Self {
         Self {
-            figures,
-            booted,
+            config,
+            started_at,
             running: BTreeSet::new(),
-            waiting: VecDeque::new(),
-            sent: VecDeque::new(),
-            fallen: false,
-            choked: false,
-            pace: 1.0,
-            since: None,
-            used: 0,
-            counted: now,
-            refreshed: now,
-            util: 0.0,
+            queue: VecDeque::new(),
+            slow_start_sends: VecDeque::new(),
+            has_crashed: false,
+            slowdown: 1.0,
+            congestion: CongestionState::default(),
+            used_slot_time: 0,
+            accounted_until: now,
+            reported_at: now,
+            utilization: 0.0,
         }
     }
 
-    /// Its process starts anew: what it held is gone, and it is cold.
+    /// Restarts the process: its requests are lost, and it warms up again.
     pub fn restart(&mut self, now: Nanos) {
         *self = Self {
-            pace: self.pace,
-            ..Self::new(self.figures, Some(now), now)
+            slowdown: self.slowdown,
+            ..Self::new(self.config, Some(now), now)
         };
     }
 
-    /// From now on work that is begun takes so many times as long.
-    pub fn set_pace(&mut self, times: f64) {
-        self.pace = times.max(1.0);
+    /// Multiplies the service times of requests that start from now on.
+    pub fn set_slowdown(&mut self, factor: f64) {
+        self.slowdown = factor.max(1.0);
     }
 
-    /// Whether it has fallen over.
-    pub fn has_fallen(&self) -> bool {
-        self.fallen
+    /// Whether it has crashed from overload during slow start.
+    pub fn has_crashed(&self) -> bool {
+        self.has_crashed
     }
 
-    /// Whether it is slow from having been crowded.
-    pub fn is_choked(&self) -> bool {
-        self.choked
+    /// Whether it is slow because its queue was long.
+    pub fn is_congested(&self) -> bool {
+        self.congestion.is_congested()
     }
 
-    /// Looks whether it has been crowded, or choked and mostly idle, for long enough by now.
-    fn watch_crowd(&mut self, now: Nanos) {
-        let Some(choke) = self.figures.choke else {
-            return;
-        };
-        let (goes_on, span) = if self.choked {
-            (
-                self.waiting.is_empty() && self.running.len() <= self.figures.slots / 4,
-                choke.rest,
-            )
-        } else {
-            (self.waiting.len() >= choke.waiting, choke.over)
-        };
-        let since = *self.since.get_or_insert(now);
-        if !goes_on {
-            self.since = None;
-        } else if now.saturating_sub(since) >= span {
-            (self.choked, self.since) = (!self.choked, None);
+    fn update_congestion(&mut self, now: Nanos) {
+        if let Some(config) = &self.config.congestion {
+            let is_mostly_idle =
+                self.queue.is_empty() && self.running.len() <= self.config.slots / 4;
+            self.congestion
+                .update(config, now, self.queue.len(), is_mostly_idle);
         }
     }
 
-    /// Its speed at this time.
+    /// The speed at this time, relative to a standard server.
     fn speed(&self, now: Nanos) -> f64 {
-        let Figures {
+        let ServerConfig {
             speed,
-            cold_share,
-            warm_after,
+            slow_start_capacity,
+            slow_start_duration,
             ..
-        } = self.figures;
-        let warmth = self.booted.map_or(1.0, |booted| {
-            let age = now.saturating_sub(booted) as f64 / warm_after.max(1) as f64;
-            (cold_share + (1.0 - cold_share) * age).clamp(0.001, 1.0)
+        } = self.config;
+        let warmth = self.started_at.map_or(1.0, |started_at| {
+            let age = now.saturating_sub(started_at) as f64 / slow_start_duration.max(1) as f64;
+            (slow_start_capacity + (1.0 - slow_start_capacity) * age).clamp(MIN_WARMTH, 1.0)
         });
-        speed * warmth
-            / self.pace
-            / self
-                .figures
-                .choke
-                .filter(|_| self.choked)
-                .map_or(1.0, |choke| choke.slower)
+        let congestion = self.config.congestion.filter(|_| self.is_congested());
+        let congestion_slowdown = congestion.map_or(1.0, |config| config.slowdown);
+        speed * warmth / self.slowdown / congestion_slowdown
     }
 
-    fn is_cold(&self, now: Nanos) -> bool {
-        self.booted
-            .is_some_and(|booted| now.saturating_sub(booted) < self.figures.warm_after)
+    fn is_warming_up(&self, now: Nanos) -> bool {
+        self.started_at.is_some_and(|started_at| {
+            now.saturating_sub(started_at) < self.config.slow_start_duration
+        })
     }
 
-    /// How much it was sent over the last fall span, as a multiple of what it can do now; none once warm.
-    pub fn cold_load(&self, now: Nanos) -> Option<f64> {
-        let lately = |sent: &&(Nanos, Nanos)| now.saturating_sub(sent.0) < self.figures.fall_span;
-        let sent: Nanos = self.sent.iter().filter(lately).map(|(_, work)| work).sum();
-        let can = self.speed(now) * self.figures.slots as f64 * self.figures.fall_span as f64;
-        self.is_cold(now).then(|| sent as f64 / can)
+    /// Service time that the server can provide in one overload window at its speed now.
+    fn capacity_per_window(&self, now: Nanos) -> f64 {
+        self.speed(now) * self.config.slots as f64 * self.config.overload_window as f64
     }
 
-    /// The most that it bears now, in the same unit.
-    fn most_cold_load(&self, now: Nanos) -> f64 {
-        let tip = self.figures.tip_multiple;
-        let Some(mean_work) = self.figures.mean_work else {
-            return tip;
+    /// Service time offered in the last overload window, as a multiple of the capacity; none once warm.
+    pub fn slow_start_load(&self, now: Nanos) -> Option<f64> {
+        let window = self.config.overload_window;
+        let recent = self
+            .slow_start_sends
+            .iter()
+            .filter(|sent| now.saturating_sub(sent.at) < window);
+        let offered: Nanos = recent.map(|sent| sent.service_time).sum();
+        let capacity = self.capacity_per_window(now);
+        self.is_warming_up(now).then(|| offered as f64 / capacity)
+    }
+
+    /// The load that the server bears at this time, in the unit of [`Server::slow_start_load`].
+    fn max_slow_start_load(&self, now: Nanos) -> f64 {
+        let multiple = self.config.overload_multiple;
+        let Some(mean_service_time) = self.config.mean_service_time else {
+            return multiple;
         };
-        let can = self.speed(now) * self.figures.slots as f64 * self.figures.fall_span as f64;
-        let requests = tip * can / mean_work as f64;
-        let chance = if requests < 30.0 { 3.0 } else { 2.0 };
-        let most = requests + chance * requests.sqrt() + chance;
-        tip * most / requests
+        let expected = multiple * self.capacity_per_window(now) / mean_service_time as f64;
+        let deviations = if expected < SMALL_SAMPLE { 3.0 } else { 2.0 };
+        let max_requests = expected + deviations * expected.sqrt() + deviations;
+        multiple * max_requests / expected
     }
 
-    /// A request of so much work, in nanoseconds on a standard server, under a number of the caller's.
-    pub fn offer(&mut self, now: Nanos, ticket: u64, work: Nanos) -> Offer {
-        self.count(now);
-        self.watch_crowd(now);
-        if self.is_cold(now) {
-            self.sent.push_back((now, work));
-            let span = self.figures.fall_span;
-            while self
-                .sent
-                .front()
-                .is_some_and(|(at, _)| now.saturating_sub(*at) >= span)
-            {
-                self.sent.pop_front();
-            }
+    /// Offers a request. `service_time` is what it takes on a standard server.
+    pub fn offer(&mut self, now: Nanos, id: u64, service_time: Nanos) -> Admission {
+        self.account_slot_time(now);
+        self.update_congestion(now);
+        if self.is_warming_up(now) {
+            self.record_slow_start_send(now, service_time);
             if self
-                .cold_load(now)
-                .is_some_and(|load| load > self.most_cold_load(now))
+                .slow_start_load(now)
+                .is_some_and(|load| load > self.max_slow_start_load(now))
             {
-                self.fallen = true;
+                self.has_crashed = true;
                 self.running.clear();
-                self.waiting.clear();
-                return Offer::Felled;
+                self.queue.clear();
+                return Admission::Crashed;
             }
         }
-        if self.running.len() < self.figures.slots {
-            self.begin(now, ticket, work);
-        } else if self.waiting.len() < self.figures.queue {
-            self.waiting.push_back((ticket, work));
+        if self.running.len() < self.config.slots {
+            self.start_request(now, id, service_time);
+        } else if self.queue.len() < self.config.queue_limit {
+            self.queue.push_back(QueuedRequest { id, service_time });
         } else {
-            return Offer::TurnedAway;
+            return Admission::Rejected;
+        }
+        self.update_congestion(now);
+        Admission::Accepted
+    }
+
+    fn record_slow_start_send(&mut self, now: Nanos, service_time: Nanos) {
+        self.slow_start_sends.push_back(SentRequest {
+            at: now,
+            service_time,
+        });
+        let window = self.config.overload_window;
+        while self
+            .slow_start_sends
+            .front()
+            .is_some_and(|sent| now.saturating_sub(sent.at) >= window)
+        {
+            self.slow_start_sends.pop_front();
         }
-        self.watch_crowd(now);
-        Offer::Taken
     }
 
-    fn begin(&mut self, now: Nanos, ticket: u64, work: Nanos) {
-        let speed = match self.figures.mean_work {
-            Some(_) => self.figures.speed / self.pace,
+    fn start_request(&mut self, now: Nanos, id: RequestId, service_time: Nanos) {
+        let speed = match self.config.mean_service_time {
+            Some(_) => self.config.speed / self.slowdown,
             None => self.speed(now),
         };
-        let takes = (work as f64 / speed) as Nanos;
+        let duration = (service_time as f64 / speed) as Nanos;
         self.running
-            .insert((now.saturating_add(takes.max(1)), ticket));
+            .insert((now.saturating_add(duration.max(1)), id));
     }
 
-    /// When the next request is done.
-    pub fn next_done(&self) -> Option<Nanos> {
+    /// When the next request completes.
+    pub fn next_completion(&self) -> Option<Nanos> {
         self.running.first().map(|(at, _)| *at)
     }
 
-    /// A request that is done by now, if there is one; another takes its slot.
-    pub fn take_done(&mut self, now: Nanos) -> Option<u64> {
-        let (at, ticket) = *self.running.first().filter(|(at, _)| *at <= now)?;
-        self.count(at);
-        self.watch_crowd(at);
-        self.running.remove(&(at, ticket));
-        if let Some((next, work)) = self.waiting.pop_front() {
-            self.begin(at, next, work);
+    /// Takes a request that has completed by now, if there is one; a queued one starts in its slot.
+    pub fn take_completed(&mut self, now: Nanos) -> Option<u64> {
+        let (at, id) = *self.running.first().filter(|(at, _)| *at <= now)?;
+        self.account_slot_time(at);
+        self.update_congestion(at);
+        self.running.remove(&(at, id));
+        if let Some(next) = self.queue.pop_front() {
+            self.start_request(at, next.id, next.service_time);
         }
-        self.watch_crowd(at);
-        Some(ticket)
+        self.update_congestion(at);
+        Some(id)
     }
 
-    /// The share of its slots in use, as refreshed last.
-    pub fn util(&mut self, now: Nanos) -> f64 {
-        self.count(now);
-        self.util
+    /// The share of slots in use, as in the last report.
+    pub fn utilization(&mut self, now: Nanos) -> f64 {
+        self.account_slot_time(now);
+        self.utilization
     }
 
-    fn count(&mut self, now: Nanos) {
-        let span = now.saturating_sub(self.counted);
-        self.used += span.saturating_mul(self.running.len() as u64);
-        self.counted = self.counted.max(now);
-        let since = now.saturating_sub(self.refreshed);
-        if since >= self.figures.report_period {
-            self.util = self.used as f64 / (since as f64 * self.figures.slots as f64);
-            (self.used, self.refreshed) = (0, now);
+    /// Adds the slot time used since the last call, and refreshes the report when it is due.
+    fn account_slot_time(&mut self, now: Nanos) {
+        let elapsed = now.saturating_sub(self.accounted_until);
+        self.used_slot_time += elapsed.saturating_mul(self.running.len() as u64);
+        self.accounted_until = self.accounted_until.max(now);
+        let since_report = now.saturating_sub(self.reported_at);
+        if since_report >= self.config.report_period {
+            let slot_time = since_report as f64 * self.config.slots as f64;
+            self.utilization = self.used_slot_time as f64 / slot_time;
+            self.used_slot_time = 0;
+            self.reported_at = now;
         }
     }
 }
--- a/testkit/fakes/src/server/tests.rs
+++ b/testkit/fakes/src/server/tests.rs
@@ -2,133 +2,139 @@
 
 use super::*;
 
-fn figures() -> Figures {
-    Figures {
-        mean_work: None,
+fn config() -> ServerConfig {
+    ServerConfig {
+        mean_service_time: None,
         slots: 2,
-        queue: 1,
+        queue_limit: 1,
         speed: 0.5,
-        cold_share: 0.1,
-        warm_after: 10_000 * MILLISECOND,
-        tip_multiple: 2.0,
-        fall_span: 1000 * MILLISECOND,
+        slow_start_capacity: 0.1,
+        slow_start_duration: 10_000 * MILLISECOND,
+        overload_multiple: 2.0,
+        overload_window: 1000 * MILLISECOND,
         report_period: 100 * MILLISECOND,
-        choke: None,
+        congestion: None,
     }
 }
 
 #[test]
-fn a_crowded_server_slows_down_until_it_has_rested() {
-    let choke = Choke {
-        waiting: 3,
-        over: 50 * MILLISECOND,
-        slower: 2.0,
-        rest: 200 * MILLISECOND,
+fn a_congested_server_is_slow_until_it_has_been_idle() {
+    let congestion = CongestionConfig {
+        queue_threshold: 3,
+        onset: 50 * MILLISECOND,
+        slowdown: 2.0,
+        recovery: 200 * MILLISECOND,
     };
     let mut server = Server::new(
-        Figures {
-            queue: 9,
+        ServerConfig {
+            queue_limit: 9,
             speed: 1.0,
-            choke: Some(choke),
-            ..figures()
+            congestion: Some(congestion),
+            ..config()
         },
         None,
         0,
     );
-    let work = |server: &mut Server, until: Nanos, waits: usize| {
-        let mut ticket = until;
+    let run = |server: &mut Server, until: Nanos, queued: usize| {
+        let mut id = until;
         for now in (until - 100 * MILLISECOND..until).step_by(MILLISECOND as usize) {
-            while server.take_done(now).is_some() {}
-            while server.waiting.len() < waits {
-                ticket += 1;
-                assert_eq!(server.offer(now, ticket, 10 * MILLISECOND), Offer::Taken);
+            while server.take_completed(now).is_some() {}
+            while server.queue.len() < queued {
+                id += 1;
+                assert_eq!(server.offer(now, id, 10 * MILLISECOND), Admission::Accepted);
             }
         }
-        server.is_choked()
+        server.is_congested()
     };
     assert!(
-        !work(&mut server, 100 * MILLISECOND, 2),
-        "two wait: no crowd"
+        !run(&mut server, 100 * MILLISECOND, 2),
+        "two wait: below the threshold"
     );
     assert!(
-        work(&mut server, 200 * MILLISECOND, 6),
+        run(&mut server, 200 * MILLISECOND, 6),
         "three or more wait for 50 ms"
     );
-    // Work goes on at half the speed, and the crowd's end alone does not help.
+    // Work goes on at half the speed, and a shorter queue alone does not help.
     server.offer(200 * MILLISECOND, 7, 10 * MILLISECOND);
-    assert!(work(&mut server, 300 * MILLISECOND, 1), "still in use");
-    while let Some(next) = server.next_done() {
-        assert!(server.take_done(next).is_some());
+    assert!(run(&mut server, 300 * MILLISECOND, 1), "still in use");
+    while let Some(next) = server.next_completion() {
+        assert!(server.take_completed(next).is_some());
     }
     let idle = 300 * MILLISECOND + 100 * MILLISECOND;
     server.offer(idle, 8, 10 * MILLISECOND);
     assert_eq!(
-        server.next_done(),
+        server.next_completion(),
         Some(idle + 20 * MILLISECOND),
         "half the speed"
     );
-    server.take_done(idle + 20 * MILLISECOND);
+    server.take_completed(idle + 20 * MILLISECOND);
     server.offer(idle + 230 * MILLISECOND, 9, 10 * MILLISECOND);
-    assert!(!server.is_choked() && server.next_done() == Some(idle + 240 * MILLISECOND));
+    assert!(!server.is_congested() && server.next_completion() == Some(idle + 240 * MILLISECOND));
 }
 
 #[test]
-fn work_takes_its_time_then_waits_then_is_turned_away() {
-    let mut server = Server::new(figures(), None, 0);
-    let offers: Vec<Offer> = (0..4)
-        .map(|ticket| server.offer(0, ticket, 10 * MILLISECOND))
+fn requests_run_then_queue_then_are_rejected() {
+    let mut server = Server::new(config(), None, 0);
+    let offers: Vec<Admission> = (0..4)
+        .map(|id| server.offer(0, id, 10 * MILLISECOND))
         .collect();
     assert_eq!(
         offers,
-        [Offer::Taken, Offer::Taken, Offer::Taken, Offer::TurnedAway]
+        [
+            Admission::Accepted,
+            Admission::Accepted,
+            Admission::Accepted,
+            Admission::Rejected
+        ]
     );
-    assert_eq!(server.next_done(), Some(20 * MILLISECOND));
-    assert_eq!(server.take_done(19 * MILLISECOND), None);
+    assert_eq!(server.next_completion(), Some(20 * MILLISECOND));
+    assert_eq!(server.take_completed(19 * MILLISECOND), None);
     assert_eq!(
         (
-            server.take_done(20 * MILLISECOND),
-            server.take_done(20 * MILLISECOND)
+            server.take_completed(20 * MILLISECOND),
+            server.take_completed(20 * MILLISECOND)
         ),
         (Some(0), Some(1))
     );
     // The third began when the first was done.
     assert_eq!(
         (
-            server.take_done(39 * MILLISECOND),
-            server.take_done(40 * MILLISECOND)
+            server.take_completed(39 * MILLISECOND),
+            server.take_completed(40 * MILLISECOND)
         ),
         (None, Some(2))
     );
-    assert_eq!(server.next_done(), None);
+    assert_eq!(server.next_completion(), None);
 }
 
 #[test]
-fn the_report_tells_the_share_of_slots_in_use() {
-    let mut server = Server::new(figures(), None, 0);
+fn utilization_is_the_share_of_slots_in_use() {
+    let mut server = Server::new(config(), None, 0);
     server.offer(0, 1, 500 * MILLISECOND);
-    assert_eq!(server.util(99 * MILLISECOND), 0.0);
-    assert_eq!(server.util(100 * MILLISECOND), 0.5);
+    assert_eq!(server.utilization(99 * MILLISECOND), 0.0);
+    assert_eq!(server.utilization(100 * MILLISECOND), 0.5);
 }
 
 #[test]
-fn a_cold_server_falls_over_and_a_warm_one_does_not() {
-    let sends = |booted| {
-        let mut server = Server::new(figures(), booted, 0);
-        let fell = (0..40)
-            .position(|n| server.offer(n * 10 * MILLISECOND, n, 10 * MILLISECOND) == Offer::Felled);
-        (fell, server.has_fallen())
+fn overload_crashes_a_server_during_slow_start_only() {
+    let send = |started_at| {
+        let mut server = Server::new(config(), started_at, 0);
+        let crashed_at = (0..40).position(|n| {
+            server.offer(n * 10 * MILLISECOND, n, 10 * MILLISECOND) == Admission::Crashed
+        });
+        (crashed_at, server.has_crashed())
     };
-    assert_eq!(sends(None), (None, false));
+    assert_eq!(send(None), (None, false));
     // A tenth of half of two slots does 100 ms of work a second; more than twice that is too much.
-    let (fell, fallen) = sends(Some(0));
+    let (crashed_at, has_crashed) = send(Some(0));
     assert!(
-        fallen && fell.is_some_and(|n| (20..26).contains(&n)),
-        "{fell:?}"
+        has_crashed && crashed_at.is_some_and(|n| (20..26).contains(&n)),
+        "{crashed_at:?}"
     );
-    let mut server = Server::new(figures(), Some(0), 0);
+    let mut server = Server::new(config(), Some(0), 0);
     server.offer(0, 1, 400 * MILLISECOND);
-    assert!(server.has_fallen());
+    assert!(server.has_crashed());
     server.restart(5000 * MILLISECOND);
-    assert!(!server.has_fallen() && server.next_done().is_none());
-    assert_eq!(server.cold_load(5000 * MILLISECOND), Some(0.0));
+    assert!(!server.has_crashed() && server.next_completion().is_none());
+    assert_eq!(server.slow_start_load(5000 * MILLISECOND), Some(0.0));
 }
--- a/testkit/scenarios/src/world.rs
+++ b/testkit/scenarios/src/world.rs
@@ -19,7 +19,7 @@
 use badgerpost_fakes::message::{Inbox, Side};
 use badgerpost_fakes::net::{BoundSocket, ConnId, LoopbackNetwork, NetworkEvent};
 use badgerpost_fakes::random::Random;
-use badgerpost_fakes::server::{Choke, Figures, Server};
+use badgerpost_fakes::server::{CongestionConfig, Server, ServerConfig};
 
 use crate::outcome::AttemptOutcome;
 use crate::plan::Plan;
@@ -62,21 +62,21 @@
                 address: at,
             } = net.listen(loopback)?;
             places.insert(listener, Place::Server(number));
-            let figures = Figures {
+            let config = ServerConfig {
                 slots: server.slots.max(1),
-                queue: server.queue,
+                queue_limit: server.queue,
                 speed: *server.speed.get_ref(),
-                cold_share: rules.start_share,
-                warm_after: rules.warm_ms * MILLISECOND,
-                tip_multiple: rules.tip_multiple,
-                fall_span: rules.fall_ms * MILLISECOND,
+                slow_start_capacity: rules.start_share,
+                slow_start_duration: rules.warm_ms * MILLISECOND,
+                overload_multiple: rules.tip_multiple,
+                overload_window: rules.fall_ms * MILLISECOND,
                 report_period: REPORT_PERIOD,
-                mean_work: plan.behaviour.strict.then(|| mean_work(&scenario.spec)),
-                choke: server.choke.as_ref().map(|choke| Choke {
-                    waiting: choke.waiting,
-                    over: choke.over_ms.get_ref() * MILLISECOND,
-                    slower: *choke.slower.get_ref(),
-                    rest: choke.rest_ms.get_ref() * MILLISECOND,
+                mean_service_time: plan.behaviour.strict.then(|| mean_work(&scenario.spec)),
+                congestion: server.choke.as_ref().map(|choke| CongestionConfig {
+                    queue_threshold: choke.waiting,
+                    onset: choke.over_ms.get_ref() * MILLISECOND,
+                    slowdown: *choke.slower.get_ref(),
+                    recovery: choke.rest_ms.get_ref() * MILLISECOND,
                 }),
             };
             let up = server.starts_ms.is_none();
@@ -90,7 +90,7 @@
                 cell: server.cell,
                 listener,
                 at,
-                model: Server::new(figures, None, 0),
+                model: Server::new(config, None, 0),
                 jobs: BTreeMap::new(),
                 next_job: 0,
                 held: Vec::new(),
--- a/testkit/scenarios/src/world/servers.rs
+++ b/testkit/scenarios/src/world/servers.rs
@@ -6,7 +6,7 @@
 use badgerpost_fakes::message::{self, Message};
 use badgerpost_fakes::net::ConnId;
 use badgerpost_fakes::random::Random;
-use badgerpost_fakes::server::Offer;
+use badgerpost_fakes::server::Admission;
 
 use super::links::Carried;
 use super::stage::{ConnectionFate, Job, Open, Peer, Sending, Todo, World, body};
@@ -181,19 +181,21 @@
             .filter(|(_, is_told)| *is_told)
             .count();
         let is_breach = !self.plan.behaviour.strict || 3 * told > 2 * site.cold_sends.len();
-        site.cold_peak = site.cold_peak.max(site.model.cold_load(now).unwrap_or(0.0));
+        site.cold_peak = site
+            .cold_peak
+            .max(site.model.slow_start_load(now).unwrap_or(0.0));
         if let Some((request, number)) = attempt {
             let attempt = &mut self.requests[request].log.attempts[number];
-            attempt.executed = offer == Offer::Taken;
-            attempt.caused_overload = offer == Offer::Felled && is_breach;
+            attempt.executed = offer == Admission::Accepted;
+            attempt.caused_overload = offer == Admission::Crashed && is_breach;
         }
         match offer {
-            Offer::Taken => {
+            Admission::Accepted => {
                 site.jobs.insert(ticket, job);
                 self.wake(server);
             }
-            Offer::TurnedAway => self.at(now, Todo::Answer(Box::new(away))),
-            Offer::Felled => {
+            Admission::Rejected => self.at(now, Todo::Answer(Box::new(away))),
+            Admission::Crashed => {
                 // It stays down: there is nobody left to say more than the system does.
                 let _ = self.shut(server);
             }
@@ -230,7 +232,7 @@
         }
         let told = self.plan.scenario.spec.reports == Reports::Probes;
         let bytes = if told {
-            let util = self.sites[server].model.util(self.now);
+            let util = self.sites[server].model.utilization(self.now);
             message::answer(200, "", format!("{{\"util\":{util:.4}}}").as_bytes())
         } else {
             message::answer(404, "", b"")
@@ -252,13 +254,13 @@
         if self.plan.scenario.spec.reports == Reports::Probes {
             return more.to_owned();
         }
-        let util = self.sites[server].model.util(self.now);
+        let util = self.sites[server].model.utilization(self.now);
         format!("X-Load-Report: {{\"util\":{util:.4}}}\r\n{more}")
     }
 
     pub(super) fn wake(&mut self, server: usize) {
         let site = &mut self.sites[server];
-        let next = site.model.next_done();
+        let next = site.model.next_completion();
         if let Some(next) = next.filter(|next| site.wake.is_none_or(|wake| *next < wake)) {
             site.wake = Some(next);
             self.at(next, Todo::Done(server));
@@ -275,7 +277,7 @@
         }
         let job = site
             .model
-            .take_done(now)
+            .take_completed(now)
             .and_then(|ticket| site.jobs.remove(&ticket));
         self.wake(server);
         let Some(Job { conn, attempt, id }) = job else {
--- a/testkit/scenarios/src/world/stage.rs
+++ b/testkit/scenarios/src/world/stage.rs
@@ -236,7 +236,7 @@
                 _ => None,
             });
         let times = slow.fold(1.0, |most: f64, times| most.max(times));
-        self.model.set_pace(times);
+        self.model.set_slowdown(times);
     }
 
     pub(super) fn paused(&self) -> bool {
