--- a/testkit/scenarios/src/world.rs
+++ b/testkit/scenarios/src/world.rs
@@ -19,7 +19,7 @@
 use badgerpost_fakes::message::{Inbox, Side};
 use badgerpost_fakes::net::{BoundSocket, ConnId, LoopbackNetwork, NetworkEvent};
 use badgerpost_fakes::random::Random;
-use badgerpost_fakes::server::{Choke, Figures, Server};
+use badgerpost_fakes::server::{CongestionConfig, Server, ServerConfig};
 
 use crate::outcome::AttemptOutcome;
 use crate::plan::Plan;
@@ -62,22 +62,25 @@
                 address: at,
             } = net.listen(loopback)?;
             places.insert(listener, Place::Server(number));
-            let figures = Figures {
+            let config = ServerConfig {
                 slots: server.slots.max(1),
-                queue: server.queue_capacity,
+                queue_limit: server.queue_capacity,
                 speed: *server.speed.get_ref(),
-                cold_share: rules.slow_start_capacity,
-                warm_after: rules.slow_start_duration_ms * MILLISECOND,
-                tip_multiple: rules.overload_multiple,
-                fall_span: rules.overload_window_ms * MILLISECOND,
+                slow_start_capacity: rules.slow_start_capacity,
+                slow_start_duration: rules.slow_start_duration_ms * MILLISECOND,
+                overload_multiple: rules.overload_multiple,
+                overload_window: rules.overload_window_ms * MILLISECOND,
                 report_period: REPORT_PERIOD,
-                mean_work: plan.behaviour.strict.then(|| mean_work(&scenario.spec)),
-                choke: server.degradation.as_ref().map(|choke| Choke {
-                    waiting: choke.queue_length,
-                    over: choke.after_ms.get_ref() * MILLISECOND,
-                    slower: *choke.slowdown.get_ref(),
-                    rest: choke.recovery_ms.get_ref() * MILLISECOND,
-                }),
+                mean_service_time: plan.behaviour.strict.then(|| mean_work(&scenario.spec)),
+                congestion: server
+                    .degradation
+                    .as_ref()
+                    .map(|degradation| CongestionConfig {
+                        queue_threshold: degradation.queue_length,
+                        onset: degradation.after_ms.get_ref() * MILLISECOND,
+                        slowdown: *degradation.slowdown.get_ref(),
+                        recovery: degradation.recovery_ms.get_ref() * MILLISECOND,
+                    }),
             };
             let up = server.starts_ms.is_none();
             if !up {
@@ -90,7 +93,7 @@
                 cell: server.cell,
                 listener,
                 at,
-                model: Server::new(figures, None, 0),
+                model: Server::new(config, None, 0),
                 jobs: BTreeMap::new(),
                 next_job: 0,
                 held: Vec::new(),
