--- a/testkit/scenarios/src/simulation/faults.rs
+++ b/testkit/scenarios/src/simulation/faults.rs
@@ -144,7 +144,7 @@
             self.net.stop_listening(server_state.listener)?;
         }
         server_state.faults.push((fault, permille));
-        server_state.set_pace();
+        server_state.update_slowdown();
         Ok(())
     }
 
@@ -162,7 +162,7 @@
         if let Some(position) = position {
             server_state.faults.remove(position);
         }
-        server_state.set_pace();
+        server_state.update_slowdown();
         let refuses = server_state.has(FaultKind::RefuseConnections, 0);
         if fault == FaultKind::RefuseConnections && server_state.up && !refuses {
             self.net.resume_listening(server_state.listener)?;
--- a/testkit/scenarios/src/simulation/server_responses.rs
+++ b/testkit/scenarios/src/simulation/server_responses.rs
@@ -153,7 +153,7 @@
         }
         let has_endpoint = self.plan.scenario.spec.load_reports == LoadReports::HealthChecks;
         let bytes = if has_endpoint {
-            let util = self.servers[server].model.util(self.now);
+            let util = self.servers[server].model.utilization(self.now);
             message::answer(200, "", format!("{{\"util\":{util:.4}}}").as_bytes())
         } else {
             message::answer(404, "", b"")
@@ -176,7 +176,7 @@
         if self.plan.scenario.spec.load_reports == LoadReports::HealthChecks {
             return more.to_owned();
         }
-        let util = self.servers[server].model.util(self.now);
+        let util = self.servers[server].model.utilization(self.now);
         format!("X-Load-Report: {{\"util\":{util:.4}}}\r\n{more}")
     }
 }
--- a/testkit/scenarios/src/simulation/server_state.rs
+++ b/testkit/scenarios/src/simulation/server_state.rs
@@ -60,13 +60,13 @@
     }
 
     /// Sets the speed of the model to the slowest active fault.
-    pub(super) fn set_pace(&mut self) {
+    pub(super) fn update_slowdown(&mut self) {
         let slow = self.faults.iter().filter_map(|(trouble, _)| match trouble {
             FaultKind::SlowDown { percent } => Some(f64::from(*percent) / 100.0),
             _ => None,
         });
         let times = slow.fold(1.0, |most: f64, times| most.max(times));
-        self.model.set_pace(times);
+        self.model.set_slowdown(times);
     }
 
     /// Whether its process is paused.
@@ -86,7 +86,7 @@
         }
         self.slow_start_peak = self
             .slow_start_peak
-            .max(self.model.cold_load(now).unwrap_or(0.0));
+            .max(self.model.slow_start_load(now).unwrap_or(0.0));
     }
 
     /// Whether more than two thirds of the recent requests came from nodes that knew of the start.
--- a/testkit/scenarios/src/simulation/servers.rs
+++ b/testkit/scenarios/src/simulation/servers.rs
@@ -2,7 +2,7 @@
 
 use badgerpost_fakes::message::{self, Message};
 use badgerpost_fakes::net::ConnId;
-use badgerpost_fakes::server::Offer;
+use badgerpost_fakes::server::Admission;
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 use super::connection::Connection;
@@ -148,14 +148,14 @@
         let ticket = self.servers[server].next_job;
         self.servers[server].next_job += 1;
         match self.offer(server, ticket, job.attempt) {
-            Offer::Taken => {
+            Admission::Accepted => {
                 self.servers[server].jobs.insert(ticket, job);
                 self.schedule_completion(server);
             }
-            Offer::TurnedAway => {
+            Admission::Rejected => {
                 self.schedule(now, ScheduledEvent::ServerResponse(Box::new(rejection)));
             }
-            Offer::Felled => {
+            Admission::Crashed => {
                 // It stays down, and its connections are reset.
                 let _ = self.stop_server(server);
             }
@@ -174,10 +174,10 @@
     }
 
     /// Offers a request to the model of a server, and notes in the log what came of it.
-    fn offer(&mut self, server: usize, ticket: u64, attempt: Option<AttemptId>) -> Offer {
+    fn offer(&mut self, server: usize, ticket: u64, attempt: Option<AttemptId>) -> Admission {
         let now = self.now;
         let request = attempt.map(|attempt| attempt.request);
-        let work = request.map_or(
+        let service_time = request.map_or(
             self.plan.scenario.spec.classes[0]
                 .service_time_ms
                 .get_ref()
@@ -188,13 +188,13 @@
         let is_notified = request.is_some_and(|request| self.knows_start(request, server));
         let window = self.plan.scenario.spec.rules.overload_window_ms * MILLISECOND;
         let server_state = &mut self.servers[server];
-        let offer = server_state.model.offer(now, ticket, work);
+        let offer = server_state.model.offer(now, ticket, service_time);
         server_state.record_slow_start_send(now, is_notified, window);
         let is_breach = !self.plan.behaviour.strict || server_state.is_mostly_notified();
         if let Some(AttemptId { request, number }) = attempt {
             let attempt = &mut self.requests[request].log.attempts[number];
-            attempt.executed = offer == Offer::Taken;
-            attempt.caused_overload = offer == Offer::Felled && is_breach;
+            attempt.executed = offer == Admission::Accepted;
+            attempt.caused_overload = offer == Admission::Crashed && is_breach;
         }
         offer
     }
@@ -233,7 +233,7 @@
     /// Schedules the next completion of a server, unless an event no later than it is scheduled.
     pub(super) fn schedule_completion(&mut self, server: usize) {
         let server_state = &mut self.servers[server];
-        let next = server_state.model.next_done();
+        let next = server_state.model.next_completion();
         if let Some(next) = next.filter(|next| server_state.wake.is_none_or(|wake| *next < wake)) {
             server_state.wake = Some(next);
             self.schedule(
@@ -253,7 +253,7 @@
         }
         let job = server_state
             .model
-            .take_done(now)
+            .take_completed(now)
             .and_then(|ticket| server_state.jobs.remove(&ticket));
         self.schedule_completion(server);
         let Some(ServerJob { conn, attempt, id }) = job else {
--- a/testkit/scenarios/src/simulation/setup.rs
+++ b/testkit/scenarios/src/simulation/setup.rs
@@ -7,7 +7,7 @@
 use badgerpost_fakes::discovery::{Discovery, State};
 use badgerpost_fakes::net::{BoundSocket, LoopbackNetwork};
 use badgerpost_fakes::random::Random;
-use badgerpost_fakes::server::{Choke, Figures, Server};
+use badgerpost_fakes::server::{CongestionConfig, Server, ServerConfig};
 use badgerpost_time::{MILLISECOND, Nanos};
 
 use super::connection::ListenerOwner;
@@ -89,7 +89,7 @@
             cell: server.cell,
             listener,
             at,
-            model: Server::new(server_figures(&self.plan, index), None, 0),
+            model: Server::new(server_config(&self.plan, index), None, 0),
             jobs: BTreeMap::new(),
             next_job: 0,
             held: Vec::new(),
@@ -184,30 +184,33 @@
     zones.iter().position(|one| *one == zone).unwrap_or(0)
 }
 
-fn server_figures(plan: &Plan, index: usize) -> Figures {
+fn server_config(plan: &Plan, index: usize) -> ServerConfig {
     let scene = &plan.scenario.spec;
     let (server, rules) = (&scene.servers[index], &scene.rules);
-    Figures {
+    ServerConfig {
         slots: server.slots.max(1),
-        queue: server.queue_capacity,
+        queue_limit: server.queue_capacity,
         speed: *server.speed.get_ref(),
-        cold_share: rules.slow_start_capacity,
-        warm_after: rules.slow_start_duration_ms * MILLISECOND,
-        tip_multiple: rules.overload_multiple,
-        fall_span: rules.overload_window_ms * MILLISECOND,
+        slow_start_capacity: rules.slow_start_capacity,
+        slow_start_duration: rules.slow_start_duration_ms * MILLISECOND,
+        overload_multiple: rules.overload_multiple,
+        overload_window: rules.overload_window_ms * MILLISECOND,
         report_period: REPORT_PERIOD,
-        mean_work: plan.behaviour.strict.then(|| mean_work(scene)),
-        choke: server.degradation.as_ref().map(|choke| Choke {
-            waiting: choke.queue_length,
-            over: choke.after_ms.get_ref() * MILLISECOND,
-            slower: *choke.slowdown.get_ref(),
-            rest: choke.recovery_ms.get_ref() * MILLISECOND,
-        }),
+        mean_service_time: plan.behaviour.strict.then(|| mean_service_time(scene)),
+        congestion: server
+            .degradation
+            .as_ref()
+            .map(|degradation| CongestionConfig {
+                queue_threshold: degradation.queue_length,
+                onset: degradation.after_ms.get_ref() * MILLISECOND,
+                slowdown: *degradation.slowdown.get_ref(),
+                recovery: degradation.recovery_ms.get_ref() * MILLISECOND,
+            }),
     }
 }
 
-/// The mean work of the requests of a scenario.
-fn mean_work(scene: &Scenario) -> Nanos {
+/// The mean service time of the requests of a scenario.
+fn mean_service_time(scene: &Scenario) -> Nanos {
     let (mut total, mut shares) = (0.0, 0.0);
     for class in &scene.classes {
         let (least, most) = *class.service_time_ms.get_ref();
