--- a/testkit/scenarios/src/commands/measure_postgres.rs
+++ b/testkit/scenarios/src/commands/measure_postgres.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::process::ExitCode;
 
-use badgerpost_scenarios::postgres::measure::{self, Line};
+use badgerpost_scenarios::postgres::measure::{self, Figure};
 
 use crate::arguments::MeasureArguments;
 use crate::failure::Failure;
@@ -13,8 +13,8 @@
 pub(super) fn measure(arguments: &MeasureArguments) -> Result<ExitCode, Failure> {
     let program = arguments.program.path()?;
     let mut printed: io::Result<()> = Ok(());
-    measure::measure(&program, arguments.silent, &mut |line: Line| {
-        let outcome = print_line(&format!("{}: {}", line.what, line.figure));
+    measure::measure(&program, arguments.silent, &mut |figure: Figure| {
+        let outcome = print_line(&format!("{}: {}", figure.name, figure.value));
         if printed.is_ok() {
             printed = outcome;
         }
--- a/testkit/scenarios/src/commands/run_postgres.rs
+++ b/testkit/scenarios/src/commands/run_postgres.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use badgerpost_scenarios::postgres::truth::{Seen, Told};
-use badgerpost_scenarios::postgres::{self, PgPlayed, PgScene};
+use badgerpost_scenarios::postgres::consistency::{ClientOutcome, TransactionRecord};
+use badgerpost_scenarios::postgres::{self, PgRunReport, PgScenario};
 
 use crate::arguments::RunArguments;
 use crate::failure::Failure;
@@ -22,19 +22,19 @@
 /// from what took effect, or if less was done than the scene expects.
 pub(super) fn run(
     name: &str,
-    scene: &PgScene,
+    scene: &PgScenario,
     arguments: &RunArguments,
 ) -> Result<ExitCode, Failure> {
     let program = arguments.program.path()?;
     let bar = percent_bar();
-    let played = postgres::play(scene, arguments.seed, &program, &mut |done| {
+    let report = postgres::run(scene, arguments.seed, &program, &mut |done| {
         show_progress(&bar, done);
     })?;
     bar.finish_and_clear();
     if let Some(path) = &arguments.out {
-        write_log(path, &played.seen)?;
+        write_log(path, &report.transactions)?;
     }
-    if let Some(crash) = &played.crashed {
+    if let Some(crash) = &report.crash {
         eprintln!("{crash}");
         return Ok(ExitCode::from(EXIT_CRASHED));
     }
@@ -43,48 +43,52 @@
         arguments.seed,
         program.display()
     ))?;
-    print_results(&played.seen)?;
-    print_durations(&played)?;
-    let verdict = Verdict::of(scene, &played);
-    verdict.print(&played)?;
+    print_results(&report.transactions)?;
+    print_durations(&report)?;
+    let verdict = Verdict::of(scene, &report);
+    verdict.print(&report)?;
     Ok(verdict.exit_code())
 }
 
 /// Writes one line of JSON for each transaction.
-fn write_log(path: &Path, transactions: &[Seen]) -> Result<(), Failure> {
+fn write_log(path: &Path, transactions: &[TransactionRecord]) -> Result<(), Failure> {
     let lines = transactions.iter().map(serde_json::to_string);
     let lines = lines.collect::<Result<Vec<_>, _>>()?;
     write_file(path, &(lines.join("\n") + "\n"))
 }
 
 /// Prints how many transactions ended in each way, by driver.
-fn print_results(transactions: &[Seen]) -> io::Result<()> {
-    let mut counts = BTreeMap::<(Told, &str), usize>::new();
+fn print_results(transactions: &[TransactionRecord]) -> io::Result<()> {
+    let mut counts = BTreeMap::<(ClientOutcome, &str), usize>::new();
     for transaction in transactions {
         *counts
-            .entry((transaction.told, transaction.driver))
+            .entry((transaction.outcome, transaction.driver))
             .or_default() += 1;
     }
     for ((result, driver), count) in &counts {
-        print_line(&format!("{count:8} {result:?} by {driver}"))?;
+        print_line(&format!("{count:8} {result} by {driver}"))?;
     }
     Ok(())
 }
 
-fn print_durations(played: &PgPlayed) -> io::Result<()> {
-    let mut durations: Vec<u64> = played.seen.iter().map(|seen| seen.took_us).collect();
+fn print_durations(report: &PgRunReport) -> io::Result<()> {
+    let mut durations: Vec<u64> = report
+        .transactions
+        .iter()
+        .map(|transaction| transaction.duration_us)
+        .collect();
     durations.sort_unstable();
     print_line(&format!(
         "{} transactions in {:.1} s; p50 {} us, p99 {} us, longest {} us",
         durations.len(),
-        played.wall.as_secs_f64(),
+        report.duration.as_secs_f64(),
         quantile(&durations, 0.5),
         quantile(&durations, 0.99),
         quantile(&durations, 1.0)
     ))?;
     print_line(&format!(
         "{} kills; {} drains, {} transactions begun after the grace",
-        played.kills, played.drains.0, played.drains.1
+        report.kills, report.drains.drains, report.drains.late_transactions
     ))
 }
 
@@ -109,26 +113,28 @@
 }
 
 impl Verdict {
-    fn of(scene: &PgScene, played: &PgPlayed) -> Self {
-        let committed = played
-            .seen
+    fn of(scene: &PgScenario, report: &PgRunReport) -> Self {
+        let committed = report
+            .transactions
             .iter()
-            .filter(|transaction| transaction.told == Told::Committed)
+            .filter(|transaction| transaction.outcome == ClientOutcome::Committed)
             .count();
-        let committed_fraction = committed as f64 / played.seen.len().max(1) as f64;
-        let (drains, begun_after_grace) = played.drains;
-        let enough_kills = scene.kills.is_none_or(|kills| played.kills >= kills.least);
-        let enough_drains = scene.drains.is_none_or(|expected| drains >= expected.least);
+        let committed_fraction = committed as f64 / report.transactions.len().max(1) as f64;
+        let drains = report.drains;
+        let enough_kills = scene.kills.is_none_or(|kills| report.kills >= kills.least);
+        let enough_drains = scene
+            .drains
+            .is_none_or(|expected| drains.drains >= expected.least);
         let enough_committed = committed_fraction >= scene.expect.committed;
         Self {
-            is_correct: played.findings.is_empty() && begun_after_grace == 0,
+            is_correct: report.violations.is_empty() && drains.late_transactions == 0,
             meets_expectations: enough_kills && enough_drains && enough_committed,
             committed_fraction,
         }
     }
 
-    fn print(&self, played: &PgPlayed) -> io::Result<()> {
-        for finding in played.findings.iter().take(MAX_PRINTED_FINDINGS) {
+    fn print(&self, report: &PgRunReport) -> io::Result<()> {
+        for finding in report.violations.iter().take(MAX_PRINTED_FINDINGS) {
             print_line(&format!("transaction {}: {}", finding.id, finding.problem))?;
         }
         let verdict = match (self.is_correct, self.meets_expectations) {
@@ -138,7 +144,7 @@
         };
         print_line(&format!(
             "{verdict}: {} findings, {:.1}% committed",
-            played.findings.len(),
+            report.violations.len(),
             self.committed_fraction * 100.0
         ))
     }
--- a/testkit/scenarios/src/commands/up_postgres.rs
+++ b/testkit/scenarios/src/commands/up_postgres.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use badgerpost_scenarios::postgres::{PgScene, PgStage};
+use badgerpost_scenarios::postgres::{PgEnvironment, PgScenario};
 use serde_json::json;
 
 use crate::failure::Failure;
@@ -16,23 +16,23 @@
 
 /// Starts the databases and the node before them, prints a line of JSON once all is ready, and stays until it is
 /// stopped.
-pub(super) fn up(scene: &PgScene, port: u16, program: &Path) -> Result<ExitCode, Failure> {
+pub(super) fn up(scene: &PgScenario, port: u16, program: &Path) -> Result<ExitCode, Failure> {
     let stop = StopRequest::on_signals()?;
-    let stage = PgStage::set(*scene.databases.get_ref(), program, port)?;
-    let target = stage.target();
-    let databases: Vec<String> = stage
+    let environment = PgEnvironment::start(*scene.databases.get_ref(), program, port)?;
+    let client = environment.node_parameters();
+    let databases: Vec<String> = environment
         .databases()
         .iter()
         .map(|database| database.at.to_string())
         .collect();
     let description = json!({
         "scene": "postgres",
-        "nodes": [{"name": "n0", "listen": stage.http, "pid": stage.node_id()}],
+        "nodes": [{"name": "n0", "listen": environment.http, "pid": environment.node_id()}],
         "postgres": {
-            "listen": stage.listen,
-            "user": target.user,
-            "password": target.password,
-            "database": target.database,
+            "listen": environment.listen,
+            "user": client.user,
+            "password": client.password,
+            "database": client.database,
             "databases": databases,
             "databases_user": "node",
             "databases_password": "node-password",
--- a/testkit/scenarios/src/postgres.rs
+++ b/testkit/scenarios/src/postgres.rs
@@ -1,12 +1,16 @@
-//! Scenes of PostgreSQL: stand-in databases, a node before them, and clients by real drivers, in real time. What is
-//! random follows from the seed: who does what, and when a database dies, falls silent or drains. What clients were
-//! told is held against what took effect, as the databases themselves know it.
+//! Scenarios of PostgreSQL, in real time: fake databases, a node in front of them, and clients with real drivers. Random
+//! choices follow from the seed: the kinds of transactions, and when a database dies, stops to respond or drains.
 
-pub mod load;
+pub mod consistency;
+mod environment;
+mod faults;
+mod load;
 pub mod measure;
-mod scene;
-mod stage;
-pub mod truth;
+mod run;
+mod scenario;
 
-pub use scene::{PgScene, SHIPPED, find};
-pub use stage::{PgPlayed, PgStage, play};
+pub use environment::PgEnvironment;
+pub use faults::DrainCounts;
+pub use load::ConnectionParameters;
+pub use run::{PgRunReport, run};
+pub use scenario::{PgScenario, SHIPPED, find};
--- a/testkit/scenarios/src/postgres/load.rs
+++ b/testkit/scenarios/src/postgres/load.rs
@@ -1,25 +1,30 @@
-//! Clients by real drivers: what they do, and what they are told.
+//! Load generator: clients with real PostgreSQL drivers that run transactions and record the outcome of each.
+
+mod sqlx_driver;
+mod tokio_postgres_driver;
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use badgerpost_fakes::random::Random;
-use bytes::Bytes;
-use futures_util::SinkExt;
-use sqlx::{ConnectOptions, Connection};
 use tokio_postgres::NoTls;
 
-use super::truth::{Seen, Told};
+use super::consistency::{ClientOutcome, TransactionKind, TransactionRecord};
+
+pub(super) use sqlx_driver::SqlxDriver;
+pub(super) use tokio_postgres_driver::TokioPostgresDriver;
 
-/// Wait before another connection is tried, and behind a refusal.
-const AGAIN: Duration = Duration::from_millis(5);
-/// A client that has no connection after so many tries gives up.
-const TRIES: usize = 2000;
+/// Pause before the next attempt to connect, and after a rejected transaction.
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
+/// Failed attempts to connect after which a client gives up.
+const MAX_FAILED_CONNECTS: usize = 2000;
+/// How many times the wanted number of transactions are run at most while faults are still outstanding.
+const MAX_EXTENSION: i64 = 50;
 
-/// Where clients connect, and as whom.
+/// Where clients connect, and their credentials.
 #[derive(Clone, Debug)]
-pub struct Target {
+pub struct ConnectionParameters {
     /// The port, on 127.0.0.1.
     pub port: u16,
     /// The user.
@@ -30,356 +35,204 @@
     pub database: String,
 }
 
-/// The work that clients share.
-#[derive(Clone)]
-pub struct Work {
-    /// The next transaction's number.
-    next: Rc<Cell<i64>>,
-    least: i64,
-    /// More of it is wanted though all numbers have been given out.
-    more: Rc<Cell<bool>>,
-    most: i64,
+impl ConnectionParameters {
+    /// The same for tokio-postgres.
+    pub(super) fn tokio_postgres_config(&self, application_name: &str) -> tokio_postgres::Config {
+        let mut config = tokio_postgres::Config::new();
+        config
+            .host("127.0.0.1")
+            .port(self.port)
+            .user(&self.user)
+            .password(&self.password)
+            .dbname(&self.database)
+            .application_name(application_name);
+        config
+    }
 }
 
-impl Work {
-    /// So many transactions at least, and on to fifty times as many while more are wanted.
-    pub fn new(least: u64) -> Self {
-        let least = i64::try_from(least).unwrap_or(i64::MAX / 64);
+/// Connects by tokio-postgres and drives the connection in a task of its own.
+pub(super) async fn connect(
+    config: &tokio_postgres::Config,
+) -> Result<tokio_postgres::Client, tokio_postgres::Error> {
+    let (client, connection) = config.connect(NoTls).await?;
+    tokio::task::spawn_local(async move {
+        let _ = connection.await;
+    });
+    Ok(client)
+}
+
+/// Numbers of the transactions to run, shared by all clients.
+#[derive(Clone)]
+pub(super) struct WorkQueue {
+    next_id: Rc<Cell<i64>>,
+    wanted: i64,
+    /// Transactions go on beyond the wanted number.
+    is_extended: Rc<Cell<bool>>,
+    max: i64,
+}
+
+impl WorkQueue {
+    /// As many transactions as wanted; up to `MAX_EXTENSION` times as many while the queue is extended.
+    pub(super) fn new(wanted: u64) -> Self {
+        let wanted = i64::try_from(wanted).unwrap_or(i64::MAX / 64);
         Self {
-            next: Rc::new(Cell::new(1)),
-            least,
-            more: Rc::new(Cell::new(false)),
-            most: least.saturating_mul(50),
+            next_id: Rc::new(Cell::new(1)),
+            wanted,
+            is_extended: Rc::new(Cell::new(false)),
+            max: wanted.saturating_mul(MAX_EXTENSION),
         }
     }
 
     fn take(&self) -> Option<i64> {
-        let id = self.next.get();
-        let goes_on = id <= self.least || (self.more.get() && id <= self.most);
-        goes_on.then(|| {
-            self.next.set(id + 1);
+        let id = self.next_id.get();
+        let is_open = id <= self.wanted || (self.is_extended.get() && id <= self.max);
+        is_open.then(|| {
+            self.next_id.set(id + 1);
             id
         })
     }
 
-    /// Whether more is wanted.
-    pub fn set_more(&self, more: bool) {
-        self.more.set(more);
-    }
-
-    /// How much of it has been begun, as a share.
-    pub fn done(&self) -> f64 {
-        self.next.get() as f64 / self.least as f64
-    }
-}
-
-/// What an error tells of a transaction whose COMMIT was not sent, or of one that is a single message.
-fn told(code: Option<&str>, alone: bool) -> Told {
-    match code {
-        None => Told::Nothing,
-        Some("53300" | "57P03") => Told::Refused,
-        Some("08007") => Told::Unknown,
-        Some("08006" | "57P01") if alone => Told::Unknown,
-        Some(_) => Told::RolledBack,
+    /// Sets whether transactions go on beyond the wanted number.
+    pub(super) fn set_extended(&self, is_extended: bool) {
+        self.is_extended.set(is_extended);
     }
-}
-
-fn text(error: &tokio_postgres::Error) -> Option<String> {
-    error.code().map(|code| code.code().to_owned())
-}
 
-/// A client by tokio-postgres.
-#[expect(clippy::too_many_lines, reason = "to be split with the module")]
-pub async fn tokio_postgres_client(target: Target, work: Work, seed: u64) -> Vec<Seen> {
-    let (mut random, mut seen) = (Random::new(seed, "client"), Vec::new());
-    let mut config = tokio_postgres::Config::new();
-    config
-        .host("127.0.0.1")
-        .port(target.port)
-        .user(&target.user)
-        .password(&target.password);
-    config
-        .dbname(&target.database)
-        .application_name("rehearsal");
-    let mut client = None;
-    let mut tries = 0;
-    while tries < TRIES {
-        if client
-            .as_ref()
-            .is_none_or(tokio_postgres::Client::is_closed)
-        {
-            let Ok((new, connection)) = config.connect(NoTls).await else {
-                tries += 1;
-                tokio::time::sleep(AGAIN).await;
-                continue;
-            };
-            tokio::task::spawn_local(async move {
-                let _ = connection.await;
-            });
-            client = Some(new);
-        }
-        let Some(connected) = client.as_mut() else {
-            continue;
-        };
-        let Some(id) = work.take() else { break };
-        let began = Instant::now();
-        let (kind, rows, result) = match random.between(0, 7) {
-            0 | 1 => ("insert", 1, insert(connected, id).await),
-            2 => ("statements", 2, statements(connected, id).await),
-            3 | 4 => ("transaction", 2, transaction(connected, id).await),
-            5 => ("one text", 2, one_text(connected, id).await),
-            6 => ("copy", 3, copy(connected, id).await),
-            _ => ("savepoint", 1, savepoint(connected, id).await),
-        };
-        let (told, code) = match result {
-            Ok(()) => (Told::Committed, String::new()),
-            Err((told, code)) => (told, code),
-        };
-        let took_us = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
-        seen.push(Seen {
-            id,
-            kind,
-            driver: "tokio-postgres",
-            rows,
-            told,
-            code,
-            took_us,
-        });
-        if kind == "copy" && told != Told::Committed {
-            // This driver sends CopyFail and a second Sync behind a COPY that failed before it began, and breaks at the
-            // second ReadyForQuery that any server answers to that.
-            client = None;
-        }
-        if told == Told::Refused {
-            tokio::time::sleep(AGAIN).await;
-        }
+    /// The transactions begun, as a fraction of the wanted number.
+    pub(super) fn progress(&self) -> f64 {
+        self.next_id.get() as f64 / self.wanted as f64
     }
-    seen
 }
 
-type Result<T> = std::result::Result<T, (Told, String)>;
-
-fn failed(error: &tokio_postgres::Error, alone: bool) -> (Told, String) {
-    let code = text(error);
-    // Without a code the driver's own words tell what broke.
-    (
-        told(code.as_deref(), alone),
-        code.unwrap_or_else(|| format!("{error:?}")),
-    )
+/// How much of a transaction one message to the server holds.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum MessageScope {
+    /// The whole transaction: it may have been committed though the response was lost.
+    WholeTransaction,
+    /// A part: nothing is committed before the COMMIT, which is a message of its own.
+    PartOfTransaction,
 }
 
-async fn insert(client: &tokio_postgres::Client, id: i64) -> Result<()> {
-    let done = client
-        .execute("INSERT INTO w VALUES ($1, $2)", &[&id, &0_i32])
-        .await;
-    done.map(drop).map_err(|error| failed(&error, true))
+/// Why a transaction was not committed, as far as its client knows.
+pub(super) struct TransactionFailure {
+    outcome: ClientOutcome,
+    /// The SQLSTATE code; without one, what the driver reports.
+    code: String,
 }
 
-async fn statements(client: &tokio_postgres::Client, id: i64) -> Result<()> {
-    let inside = [
-        "BEGIN".to_owned(),
-        format!("INSERT INTO w VALUES ({id}, 0)"),
-        format!("INSERT INTO w VALUES ({id}, 1)"),
-    ];
-    for sql in &inside {
-        if let Err(error) = client.batch_execute(sql).await {
-            let told = failed(&error, false);
-            return rolled_back(client, told).await;
-        }
-    }
-    client
-        .batch_execute("COMMIT")
-        .await
-        .map_err(|error| failed(&error, false))
-}
-
-/// Ends a transaction that has failed. Where even that is not possible, nothing was promised.
-async fn rolled_back(client: &tokio_postgres::Client, told: (Told, String)) -> Result<()> {
-    match client.batch_execute("ROLLBACK").await {
-        Err(error) if error.code().is_none() => Err((Told::Nothing, String::new())),
-        _ => Err(told),
-    }
-}
-
-async fn transaction(client: &mut tokio_postgres::Client, id: i64) -> Result<()> {
-    let transaction = match client.transaction().await {
-        Ok(transaction) => transaction,
-        Err(error) => return Err(failed(&error, false)),
-    };
-    for n in 0..2_i32 {
-        if let Err(error) = transaction
-            .execute("INSERT INTO w VALUES ($1, $2)", &[&id, &n])
-            .await
-        {
-            let told = failed(&error, false);
-            return match transaction.rollback().await {
-                Err(error) if error.code().is_none() => Err((Told::Nothing, String::new())),
-                _ => Err(told),
-            };
+impl TransactionFailure {
+    fn connection_lost() -> Self {
+        Self {
+            outcome: ClientOutcome::ConnectionLost,
+            code: String::new(),
         }
     }
-    transaction
-        .commit()
-        .await
-        .map_err(|error| failed(&error, false))
 }
 
-async fn one_text(client: &tokio_postgres::Client, id: i64) -> Result<()> {
-    let sql =
-        format!("BEGIN; INSERT INTO w VALUES ({id}, 0); INSERT INTO w VALUES ({id}, 1); COMMIT");
-    match client.batch_execute(&sql).await {
-        Ok(()) => Ok(()),
-        Err(error) => {
-            let told = failed(&error, true);
-            // An error within leaves the transaction open.
-            let _ = client.batch_execute("ROLLBACK").await;
-            Err(told)
-        }
-    }
-}
+pub(super) type TransactionResult = Result<(), TransactionFailure>;
 
-async fn copy(client: &tokio_postgres::Client, id: i64) -> Result<()> {
-    let sink = client
-        .copy_in("COPY w FROM STDIN")
-        .await
-        .map_err(|error| failed(&error, true))?;
-    let mut sink = std::pin::pin!(sink);
-    for n in 0..3 {
-        if let Err(error) = sink.send(Bytes::from(format!("{id}\t{n}\n"))).await {
-            return Err(failed(&error, true));
+/// The outcome of a transaction that failed with this SQLSTATE code; none if the connection broke.
+fn outcome_of_error(code: Option<&str>, scope: MessageScope) -> ClientOutcome {
+    match code {
+        None => ClientOutcome::ConnectionLost,
+        Some("53300" | "57P03") => ClientOutcome::Rejected,
+        Some("08007") => ClientOutcome::Unknown,
+        Some("08006" | "57P01") if scope == MessageScope::WholeTransaction => {
+            ClientOutcome::Unknown
         }
+        Some(_) => ClientOutcome::RolledBack,
     }
-    sink.finish()
-        .await
-        .map(drop)
-        .map_err(|error| failed(&error, true))
 }
 
-async fn savepoint(client: &mut tokio_postgres::Client, id: i64) -> Result<()> {
-    let outer = client
-        .transaction()
-        .await
-        .map_err(|error| failed(&error, false))?;
-    let mut outer = outer;
-    let work = async {
-        outer
-            .execute("INSERT INTO w VALUES ($1, 0)", &[&id])
-            .await?;
-        let inner = outer.transaction().await?;
-        inner
-            .execute("INSERT INTO w VALUES ($1, 1)", &[&id])
-            .await?;
-        inner.rollback().await
-    };
-    if let Err(error) = work.await {
-        let told = failed(&error, false);
-        return match outer.rollback().await {
-            Err(error) if error.code().is_none() => Err((Told::Nothing, String::new())),
-            _ => Err(told),
+/// A transaction that was run, and its result.
+pub(super) struct FinishedTransaction {
+    kind: TransactionKind,
+    result: TransactionResult,
+}
+
+/// A PostgreSQL driver, as the load generator uses it.
+pub(super) trait ClientDriver {
+    /// The driver's name in the outcome log.
+    const NAME: &'static str;
+    /// A connection by this driver.
+    type Connection;
+
+    /// A driver that connects with these parameters.
+    fn new(parameters: &ConnectionParameters) -> Self;
+
+    /// Opens a connection; none if that fails.
+    async fn connect(&self) -> Option<Self::Connection>;
+
+    /// Whether the driver knows that the connection is closed.
+    fn is_closed(connection: &Self::Connection) -> bool;
+
+    /// Runs one transaction of a random kind.
+    async fn run_transaction(
+        connection: &mut Self::Connection,
+        id: i64,
+        random: &mut Random,
+    ) -> FinishedTransaction;
+
+    /// Whether the connection can run another transaction after this outcome.
+    async fn is_reusable(
+        connection: &mut Self::Connection,
+        kind: TransactionKind,
+        outcome: ClientOutcome,
+    ) -> bool;
+}
+
+/// Runs transactions one after the other until the queue is empty; records each.
+pub(super) async fn run_client<D: ClientDriver>(
+    parameters: ConnectionParameters,
+    queue: WorkQueue,
+    seed: u64,
+) -> Vec<TransactionRecord> {
+    let mut random = Random::new(seed, "client");
+    let mut records = Vec::new();
+    let driver = D::new(&parameters);
+    let mut idle: Option<D::Connection> = None;
+    let mut failed_connects = 0;
+    while failed_connects < MAX_FAILED_CONNECTS {
+        let open = match idle.take() {
+            Some(connection) if !D::is_closed(&connection) => Some(connection),
+            _ => driver.connect().await,
         };
-    }
-    outer.commit().await.map_err(|error| failed(&error, false))
-}
-
-/// A client by sqlx.
-pub async fn sqlx_client(target: Target, work: Work, seed: u64) -> Vec<Seen> {
-    let (mut random, mut seen) = (Random::new(seed, "client"), Vec::new());
-    let options = sqlx::postgres::PgConnectOptions::new()
-        .host("127.0.0.1")
-        .port(target.port)
-        .username(&target.user)
-        .password(&target.password)
-        .database(&target.database)
-        .application_name("rehearsal");
-    let mut connection = None;
-    let mut tries = 0;
-    while tries < TRIES {
-        if connection.is_none() {
-            match options.connect().await {
-                Ok(new) => connection = Some(new),
-                Err(_) => {
-                    tries += 1;
-                    tokio::time::sleep(AGAIN).await;
-                    continue;
-                }
-            }
-        }
-        let Some(client) = connection.as_mut() else {
+        let Some(mut connection) = open else {
+            failed_connects += 1;
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
-        let Some(id) = work.take() else { break };
-        let began = Instant::now();
-        let (kind, rows, result) = match random.between(0, 2) {
-            0 => (
-                "insert",
-                1,
-                sqlx_insert(client, id)
-                    .await
-                    .map_err(|error| sqlx_failed(&error, true)),
-            ),
-            _ => ("transaction", 2, sqlx_transaction(client, id).await),
-        };
-        let (told, code) = match result {
-            Ok(()) => (Told::Committed, String::new()),
-            Err((told, code)) => (told, code),
-        };
-        let took_us = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
-        seen.push(Seen {
-            id,
-            kind,
-            driver: "sqlx",
-            rows,
-            told,
-            code,
-            took_us,
-        });
-        if told == Told::Nothing || client.ping().await.is_err() {
-            connection = None;
-        }
-        if told == Told::Refused {
-            tokio::time::sleep(AGAIN).await;
+        let Some(id) = queue.take() else { break };
+        let started = Instant::now();
+        let finished = D::run_transaction(&mut connection, id, &mut random).await;
+        let record = record(D::NAME, id, finished, started.elapsed());
+        let (kind, outcome) = (record.kind, record.outcome);
+        records.push(record);
+        let is_reusable = D::is_reusable(&mut connection, kind, outcome).await;
+        idle = is_reusable.then_some(connection);
+        if outcome == ClientOutcome::Rejected {
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
-    seen
+    records
 }
 
-fn sqlx_failed(error: &sqlx::Error, alone: bool) -> (Told, String) {
-    let code = error
-        .as_database_error()
-        .and_then(sqlx::error::DatabaseError::code)
-        .map(std::borrow::Cow::into_owned);
-    (told(code.as_deref(), alone), code.unwrap_or_default())
-}
-
-async fn sqlx_insert(
-    client: &mut sqlx::PgConnection,
+fn record(
+    driver: &'static str,
     id: i64,
-) -> std::result::Result<(), sqlx::Error> {
-    sqlx::query("INSERT INTO w VALUES ($1, $2)")
-        .bind(id)
-        .bind(0_i32)
-        .execute(client)
-        .await
-        .map(drop)
-}
-
-async fn sqlx_transaction(client: &mut sqlx::PgConnection, id: i64) -> Result<()> {
-    let mut transaction = client
-        .begin()
-        .await
-        .map_err(|error| sqlx_failed(&error, false))?;
-    for n in 0..2_i32 {
-        let insert = sqlx::query("INSERT INTO w VALUES ($1, $2)")
-            .bind(id)
-            .bind(n);
-        if let Err(error) = insert.execute(&mut *transaction).await {
-            let told = sqlx_failed(&error, false);
-            let _ = transaction.rollback().await;
-            return Err(told);
-        }
+    finished: FinishedTransaction,
+    duration: Duration,
+) -> TransactionRecord {
+    let (outcome, code) = match finished.result {
+        Ok(()) => (ClientOutcome::Committed, String::new()),
+        Err(failure) => (failure.outcome, failure.code),
+    };
+    TransactionRecord {
+        id,
+        kind: finished.kind,
+        driver,
+        expected_rows: finished.kind.row_count(),
+        outcome,
+        code,
+        duration_us: u64::try_from(duration.as_micros()).unwrap_or(u64::MAX),
     }
-    transaction
-        .commit()
-        .await
-        .map_err(|error| sqlx_failed(&error, false))
 }
--- /dev/null
+++ b/testkit/scenarios/src/postgres/load/tokio_postgres_driver.rs
@@ -0,0 +1,194 @@
+//! Clients that use tokio-postgres: six kinds of transactions, by the simple and the extended query protocol and COPY.
+
+use badgerpost_fakes::random::Random;
+use bytes::Bytes;
+use futures_util::SinkExt;
+use tokio_postgres::{Client, Error};
+
+use super::MessageScope::{PartOfTransaction, WholeTransaction};
+use super::{
+    ClientDriver, ConnectionParameters, FinishedTransaction, MessageScope, TransactionFailure,
+    TransactionResult, connect, outcome_of_error,
+};
+use crate::postgres::consistency::{ClientOutcome, TransactionKind};
+
+/// Connects by tokio-postgres.
+pub(in crate::postgres) struct TokioPostgresDriver {
+    config: tokio_postgres::Config,
+}
+
+impl ClientDriver for TokioPostgresDriver {
+    const NAME: &'static str = "tokio-postgres";
+    type Connection = Client;
+
+    fn new(parameters: &ConnectionParameters) -> Self {
+        Self {
+            config: parameters.tokio_postgres_config("rehearsal"),
+        }
+    }
+
+    async fn connect(&self) -> Option<Client> {
+        connect(&self.config).await.ok()
+    }
+
+    fn is_closed(client: &Client) -> bool {
+        client.is_closed()
+    }
+
+    async fn run_transaction(
+        client: &mut Client,
+        id: i64,
+        random: &mut Random,
+    ) -> FinishedTransaction {
+        let kind = match random.between(0, 7) {
+            0 | 1 => TransactionKind::Insert,
+            2 => TransactionKind::Statements,
+            3 | 4 => TransactionKind::Transaction,
+            5 => TransactionKind::SingleQuery,
+            6 => TransactionKind::Copy,
+            _ => TransactionKind::Savepoint,
+        };
+        let result = match kind {
+            TransactionKind::Insert => insert(client, id).await,
+            TransactionKind::Statements => statements(client, id).await,
+            TransactionKind::Transaction => transaction(client, id).await,
+            TransactionKind::SingleQuery => single_query(client, id).await,
+            TransactionKind::Copy => copy(client, id).await,
+            TransactionKind::Savepoint => savepoint(client, id).await,
+        };
+        FinishedTransaction { kind, result }
+    }
+
+    async fn is_reusable(_: &mut Client, kind: TransactionKind, outcome: ClientOutcome) -> bool {
+        // This driver sends CopyFail and a second Sync after a COPY that failed before it began, and breaks at the
+        // second ReadyForQuery that any server sends in response.
+        kind != TransactionKind::Copy || outcome == ClientOutcome::Committed
+    }
+}
+
+fn failure(error: &Error, scope: MessageScope) -> TransactionFailure {
+    let code = error.code().map(|code| code.code().to_owned());
+    TransactionFailure {
+        outcome: outcome_of_error(code.as_deref(), scope),
+        // Without a code, the driver's own error shows what broke.
+        code: code.unwrap_or_else(|| format!("{error:?}")),
+    }
+}
+
+/// Makes the failure of a transaction from an error of the driver.
+fn failed(scope: MessageScope) -> impl FnOnce(Error) -> TransactionFailure {
+    move |error| failure(&error, scope)
+}
+
+/// The failure of a transaction after its ROLLBACK. If that failed too, the connection is lost.
+fn after_rollback(rollback: Result<(), Error>, failure: TransactionFailure) -> TransactionFailure {
+    match rollback {
+        Err(error) if error.code().is_none() => TransactionFailure::connection_lost(),
+        _ => failure,
+    }
+}
+
+async fn insert(client: &Client, id: i64) -> TransactionResult {
+    client
+        .execute("INSERT INTO w VALUES ($1, $2)", &[&id, &0_i32])
+        .await
+        .map(drop)
+        .map_err(failed(WholeTransaction))
+}
+
+/// BEGIN, each INSERT and COMMIT as a query of its own.
+async fn statements(client: &Client, id: i64) -> TransactionResult {
+    let before_commit = [
+        "BEGIN".to_owned(),
+        format!("INSERT INTO w VALUES ({id}, 0)"),
+        format!("INSERT INTO w VALUES ({id}, 1)"),
+    ];
+    for sql in &before_commit {
+        if let Err(error) = client.batch_execute(sql).await {
+            let failure = failure(&error, PartOfTransaction);
+            let rollback = client.batch_execute("ROLLBACK").await;
+            return Err(after_rollback(rollback, failure));
+        }
+    }
+    client
+        .batch_execute("COMMIT")
+        .await
+        .map_err(failed(PartOfTransaction))
+}
+
+/// A transaction by the driver's own interface.
+async fn transaction(client: &mut Client, id: i64) -> TransactionResult {
+    let transaction = client
+        .transaction()
+        .await
+        .map_err(failed(PartOfTransaction))?;
+    for row in 0..2_i32 {
+        let insert = transaction
+            .execute("INSERT INTO w VALUES ($1, $2)", &[&id, &row])
+            .await;
+        if let Err(error) = insert {
+            let failure = failure(&error, PartOfTransaction);
+            return Err(after_rollback(transaction.rollback().await, failure));
+        }
+    }
+    transaction
+        .commit()
+        .await
+        .map_err(failed(PartOfTransaction))
+}
+
+/// The whole transaction as one simple query of several statements.
+async fn single_query(client: &Client, id: i64) -> TransactionResult {
+    let sql =
+        format!("BEGIN; INSERT INTO w VALUES ({id}, 0); INSERT INTO w VALUES ({id}, 1); COMMIT");
+    let result = client
+        .batch_execute(&sql)
+        .await
+        .map_err(failed(WholeTransaction));
+    if result.is_err() {
+        // An error in the midst leaves the transaction open.
+        let _ = client.batch_execute("ROLLBACK").await;
+    }
+    result
+}
+
+/// Three rows by COPY.
+async fn copy(client: &Client, id: i64) -> TransactionResult {
+    let sink = client
+        .copy_in("COPY w FROM STDIN")
+        .await
+        .map_err(failed(WholeTransaction))?;
+    let mut sink = std::pin::pin!(sink);
+    for row in 0..3 {
+        sink.send(Bytes::from(format!("{id}\t{row}\n")))
+            .await
+            .map_err(failed(WholeTransaction))?;
+    }
+    sink.finish()
+        .await
+        .map(drop)
+        .map_err(failed(WholeTransaction))
+}
+
+/// Two rows, of which the second is rolled back to a savepoint.
+async fn savepoint(client: &mut Client, id: i64) -> TransactionResult {
+    let mut outer = client
+        .transaction()
+        .await
+        .map_err(failed(PartOfTransaction))?;
+    let inserts = async {
+        outer
+            .execute("INSERT INTO w VALUES ($1, 0)", &[&id])
+            .await?;
+        let inner = outer.transaction().await?;
+        inner
+            .execute("INSERT INTO w VALUES ($1, 1)", &[&id])
+            .await?;
+        inner.rollback().await
+    };
+    if let Err(error) = inserts.await {
+        let failure = failure(&error, PartOfTransaction);
+        return Err(after_rollback(outer.rollback().await, failure));
+    }
+    outer.commit().await.map_err(failed(PartOfTransaction))
+}
--- a/testkit/scenarios/tests/postgres.rs
+++ b/testkit/scenarios/tests/postgres.rs
@@ -2,8 +2,8 @@
 
 use std::error::Error;
 
-use badgerpost_scenarios::postgres::truth::Told;
-use badgerpost_scenarios::postgres::{self, PgScene};
+use badgerpost_scenarios::postgres::consistency::ClientOutcome;
+use badgerpost_scenarios::postgres::{self, PgScenario};
 
 /// Fewest kills of a run; the scenario says so too.
 const MIN_KILLS: u64 = 8;
@@ -20,7 +20,7 @@
 "#;
 
 /// Reads the scenario from a file, as a run of the program does.
-fn short_scenario() -> Result<PgScene, Box<dyn Error>> {
+fn short_scenario() -> Result<PgScenario, Box<dyn Error>> {
     let file = std::env::temp_dir().join(format!("badgerpost-short-{}.toml", std::process::id()));
     std::fs::write(&file, SHORT_SCENARIO)?;
     let found = postgres::find(&file.to_string_lossy());
@@ -33,18 +33,26 @@
     let program = badgerpost_fakes::program("badgerpost").expect("built with its tests");
     let scenario = short_scenario().expect("a valid scenario");
     for seed in [1, 2] {
-        let run = postgres::play(&scenario, seed, &program, &mut |_| {})
+        let run = postgres::run(&scenario, seed, &program, &mut |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
-        assert!(run.crashed.is_none(), "seed {seed}: {:?}", run.crashed);
-        assert!(run.findings.is_empty(), "seed {seed}: {:?}", run.findings);
+        assert!(run.crash.is_none(), "seed {seed}: {:?}", run.crash);
+        assert!(
+            run.violations.is_empty(),
+            "seed {seed}: {:?}",
+            run.violations
+        );
         assert!(run.kills >= MIN_KILLS, "seed {seed}: {} kills", run.kills);
-        let committed = |told: Told| told == Told::Committed;
+        let committed = |outcome: ClientOutcome| outcome == ClientOutcome::Committed;
         assert!(
-            run.seen.iter().any(|client| committed(client.told)),
+            run.transactions
+                .iter()
+                .any(|transaction| committed(transaction.outcome)),
             "seed {seed}: nothing was committed"
         );
         assert!(
-            run.seen.iter().any(|client| !committed(client.told)),
+            run.transactions
+                .iter()
+                .any(|transaction| !committed(transaction.outcome)),
             "seed {seed}: no kill hit anything"
         );
     }
