--- a/testkit/scenarios/src/fleet.rs
+++ b/testkit/scenarios/src/fleet.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use crate::outcome::{Request, Told};
+use crate::outcome::{ClientResult, Request};
 use crate::plan::Plan;
-use crate::run::Played;
-use crate::scene::{FaultTarget, PlannedFault};
+use crate::run::RunReport;
+use crate::scenario::{FaultTarget, PlannedFault};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 /// A node counts as one of a zone's if it sent there at least this share of its requests before the trouble.
@@ -90,7 +90,7 @@
         nodes
             .entry(&request.node)
             .or_default()
-            .push((request.arrival, request.began_in(zone)));
+            .push((request.arrival, request.first_attempt_is_in(zone)));
     }
     let (mut left_after, mut back_after, mut stayed) = (Vec::new(), Vec::new(), 0);
     for sent in nodes.values() {
@@ -208,11 +208,9 @@
 /// seconds after it.
 fn worst_second(log: &[Request], from: Nanos, until: Nanos) -> (f64, Nanos) {
     let mut seconds: BTreeMap<Nanos, (u64, u64)> = BTreeMap::new();
-    for request in log.iter().filter(|request| request.again.is_none()) {
+    for request in log.iter().filter(|request| request.retry_of.is_none()) {
         if (from..until + 2 * SECOND).contains(&request.arrival) {
-            let served = request
-                .answer
-                .is_some_and(|answer| answer.told == Told::Served);
+            let served = request.result() == Some(ClientResult::Served);
             let second = seconds
                 .entry((request.arrival - from) / SECOND)
                 .or_default();
@@ -256,8 +254,8 @@
 
 /// The troubles of whole zones in a plan.
 pub fn troubles(plan: &Plan) -> Vec<Trouble> {
-    let zones = plan.scene.scene.zones();
-    let end = plan.scene.scene.length_ms.get_ref() * MILLISECOND;
+    let zones = plan.scenario.spec.zones();
+    let end = plan.scenario.spec.length_ms.get_ref() * MILLISECOND;
     plan.faults
         .iter()
         .filter_map(|fault| Trouble::of(fault, &zones, end))
@@ -281,8 +279,8 @@
     let mut strayed = Vec::new();
     for (node, requests) in nodes {
         let own = plan
-            .scene
-            .scene
+            .scenario
+            .spec
             .node
             .iter()
             .find(|known| known.name.get_ref() == node);
@@ -303,8 +301,8 @@
 
 /// What a scene expects and the run did not show.
 #[expect(clippy::too_many_lines, reason = "to be split with the module")]
-pub fn lost(plan: &Plan, played: &Played) -> Vec<String> {
-    let expect = &plan.scene.scene.expect;
+pub fn lost(plan: &Plan, played: &RunReport) -> Vec<String> {
+    let expect = &plan.scenario.spec.expect;
     let mut lost = Vec::new();
     let mut need = |good: bool, what: String| {
         if !good {
@@ -313,7 +311,7 @@
     };
     let counts = played.counts();
     if counts.requests > 0 {
-        let share = counts.served_share();
+        let share = counts.served_fraction();
         need(
             share >= expect.served,
             format!("served {share:.3}, wanted {:.3}", expect.served),
--- a/testkit/scenarios/src/postgres/environment.rs
+++ b/testkit/scenarios/src/postgres/environment.rs
@@ -11,7 +11,7 @@
 use super::load::ConnectionParameters;
 use crate::process::{self, Process, Start};
 use crate::run::RunError;
-use crate::scene;
+use crate::scenario;
 
 const CLIENT_USER: &str = "rehearsal";
 const CLIENT_PASSWORD: &str = "rehearsal-password";
@@ -146,7 +146,7 @@
     discovery: SocketAddr,
 ) -> Result<(Process, SocketAddr), RunError> {
     let no_servers = Discovery::new(serde_json::json!([]));
-    let calm = scene::find("calm")?;
+    let calm = scenario::find("calm")?;
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let edge = process::edge(&calm, 0, any_port, no_servers.at, 7, None);
     let verifier = Verifier::from_password(CLIENT_PASSWORD, b"a salt of the rehearsal").to_text();
@@ -197,7 +197,7 @@
 }
 
 async fn create_table(database: &Database) -> Result<(), tokio_postgres::Error> {
-    let config = database_parameters(database).tokio_postgres_config("rehearsal");
+    let config = database_parameters(database).tokio_postgres_config();
     let (client, connection) = config.connect(tokio_postgres::NoTls).await?;
     let connection = tokio::task::spawn_local(connection);
     client
--- a/testkit/scenarios/src/postgres/load.rs
+++ b/testkit/scenarios/src/postgres/load.rs
@@ -37,15 +37,14 @@
 
 impl ConnectionParameters {
     /// The same for tokio-postgres.
-    pub(super) fn tokio_postgres_config(&self, application_name: &str) -> tokio_postgres::Config {
+    pub(super) fn tokio_postgres_config(&self) -> tokio_postgres::Config {
         let mut config = tokio_postgres::Config::new();
         config
             .host("127.0.0.1")
             .port(self.port)
             .user(&self.user)
             .password(&self.password)
-            .dbname(&self.database)
-            .application_name(application_name);
+            .dbname(&self.database);
         config
     }
 }
--- a/testkit/scenarios/src/postgres/load/tokio_postgres_driver.rs
+++ b/testkit/scenarios/src/postgres/load/tokio_postgres_driver.rs
@@ -22,9 +22,9 @@
     type Connection = Client;
 
     fn new(parameters: &ConnectionParameters) -> Self {
-        Self {
-            config: parameters.tokio_postgres_config("rehearsal"),
-        }
+        let mut config = parameters.tokio_postgres_config();
+        config.application_name("rehearsal");
+        Self { config }
     }
 
     async fn connect(&self) -> Option<Client> {
--- a/testkit/scenarios/src/postgres/measure.rs
+++ b/testkit/scenarios/src/postgres/measure.rs
@@ -44,7 +44,9 @@
 }
 
 async fn connect(parameters: &ConnectionParameters) -> Result<Client, tokio_postgres::Error> {
-    load::connect(&parameters.tokio_postgres_config("measure")).await
+    let mut config = parameters.tokio_postgres_config();
+    config.application_name("measure");
+    load::connect(&config).await
 }
 
 fn client_error(error: impl std::fmt::Display) -> RunError {
