--- a/adapters/http/src/upstream/attempt.rs
+++ b/adapters/http/src/upstream/attempt.rs
@@ -31,24 +31,24 @@
 const BUDGET_HEADER: &str = "x-budget-ms";
 
 /// Makes an attempt, and reports its end to the engine once.
-pub(super) async fn run(pool: Rc<ConnectionPool>, node: HttpEngine, mut command: AttemptCommand) {
+pub(super) async fn run(pool: Rc<ConnectionPool>, engine: HttpEngine, mut command: AttemptCommand) {
     let cancelled = std::mem::replace(&mut command.cancelled, oneshot::channel().1);
     let attempt = Attempt {
         pool: &pool,
-        node: &node,
+        engine: &engine,
         command: &command,
         progress: Cell::new(Progress::NotWritten),
     };
     let mut sending = std::pin::pin!(attempt.send());
     let end = tokio::select! {
         biased;
-        _ = cancelled => attempt.broken_off(Outcome::Cancelled),
+        _ = cancelled => attempt.end_early(Outcome::Cancelled),
         end = &mut sending => end,
-        () = attempt.timed_out() => attempt.broken_off(Outcome::TimedOut),
+        () = attempt.timed_out() => attempt.end_early(Outcome::TimedOut),
     };
     command.payload.body.abandon();
     let may_finish_late = attempt.may_finish_late(end.outcome);
-    node.attempt_ended(command.attempt, end);
+    engine.attempt_ended(command.attempt, end);
     if may_finish_late && pool.has_spare_connections() {
         let _ = pool.clock.timeout(LATE_RESPONSE_TIMEOUT, sending).await;
     }
@@ -66,7 +66,7 @@
 /// An attempt while it is made.
 struct Attempt<'a> {
     pool: &'a Rc<ConnectionPool>,
-    node: &'a HttpEngine,
+    engine: &'a HttpEngine,
     command: &'a AttemptCommand,
     progress: Cell<Progress>,
 }
@@ -95,12 +95,16 @@
         }
     }
 
-    /// The end of an attempt that is not waited for any longer. A request of which the backend never had all has not
-    /// run: the balancer may still reject it.
-    fn broken_off(&self, outcome: Outcome) -> AttemptEnd {
-        let has_run =
+    /// The end of an attempt that is no longer waited for. A request that was never written whole has not run: the
+    /// balancer may still reject it.
+    fn end_early(&self, outcome: Outcome) -> AttemptEnd {
+        let may_have_run =
             self.progress.get() == Progress::Written && self.command.payload.body.is_complete();
-        AttemptEnd::bare(if has_run { outcome } else { Outcome::NotSent })
+        AttemptEnd::bare(if may_have_run {
+            outcome
+        } else {
+            Outcome::NotSent
+        })
     }
 
     /// Whether the attempt may go on after its end was reported. It may if its client's time is over, as no other
@@ -130,14 +134,14 @@
 
     /// Leases a connection to which a request can be written.
     async fn lease(&self) -> Result<LeasedConnection, ConnectError> {
-        while let Some(mut leased) = self.pool.lease_idle(self.node, self.destination()) {
+        while let Some(mut leased) = self.pool.lease_idle(self.engine, self.destination()) {
             // A close or stray bytes that the system has already received are seen first.
             yield_now().await;
             if leased.is_ready().await {
                 return Ok(leased);
             }
         }
-        let mut leased = self.pool.lease_new(self.node, self.destination()).await?;
+        let mut leased = self.pool.lease_new(self.engine, self.destination()).await?;
         if leased.is_ready().await {
             Ok(leased)
         } else {
@@ -148,7 +152,7 @@
     /// Makes the exchange over one connection. None if nothing of the request was written.
     async fn send_over(&self, leased: LeasedConnection) -> Option<AttemptEnd> {
         // The connect may have outlasted the request, or the backend's place on the list.
-        if !self.node.may_write(self.command.attempt) {
+        if !self.engine.may_write(self.command.attempt) {
             leased.release();
             return Some(AttemptEnd::bare(Outcome::NotSent));
         }
@@ -171,23 +175,30 @@
             self.progress.set(Progress::NotWritten);
             return None;
         };
-        let body = &self.command.payload.body;
-        // A client that breaks off its request is no fault of the backend's.
-        if body.is_broken() {
-            return Some(AttemptEnd::bare(Outcome::NotSent));
-        }
-        let was_reset = end.outcome == Outcome::Reset;
-        // A request that the backend never had all of has not run.
-        if was_reset && !body.is_complete() {
-            return Some(AttemptEnd::bare(Outcome::ConnectFailed));
+        if let Some(outcome) = self.upload_failure(&end) {
+            return Some(AttemptEnd::bare(outcome));
         }
         if let Some(idle_time) = idle_time {
-            self.pool
-                .record_reuse(idle_time, was_reset && !activity.has_received());
+            let was_reset = end.outcome == Outcome::Reset && !activity.has_received();
+            self.pool.record_reuse(idle_time, was_reset);
         }
         Some(end)
     }
 
+    /// The outcome of an exchange that ended because its request was not uploaded whole; none for any other.
+    fn upload_failure(&self, end: &AttemptEnd) -> Option<Outcome> {
+        let body = &self.command.payload.body;
+        if body.is_broken() {
+            // A client that breaks off its request is no fault of the backend's.
+            Some(Outcome::NotSent)
+        } else if end.outcome == Outcome::Reset && !body.is_complete() {
+            // A request that the backend never had all of has not run, and unlike above the backend is to blame.
+            Some(Outcome::ConnectFailed)
+        } else {
+            None
+        }
+    }
+
     /// The request as it is written to the backend; none if the backend's address makes no valid header.
     fn message(&self) -> Option<Request<OutgoingBody>> {
         let request = &self.command.payload;
@@ -195,7 +206,7 @@
         let time_left_ms = ends_at.saturating_sub(self.pool.clock.now()) / MILLISECOND;
         // While its body is being uploaded, its client's time has not begun.
         let budget_ms = time_left_ms.min(request.budget_ms);
-        let mut message = Request::new(request.body.message(self.node, self.command.attempt));
+        let mut message = Request::new(request.body.message(self.engine, self.command.attempt));
         *message.method_mut() = request.method.clone();
         *message.uri_mut() = request.target.clone();
         *message.headers_mut() = request.headers.clone();
