--- a/testkit/scenarios/src/fleet.rs
+++ b/testkit/scenarios/src/fleet.rs
@@ -40,7 +40,7 @@
         let FaultTarget::Group(group) = fault.target else {
             return None;
         };
-        let zone = (*zones.get(group.zone?)?).to_owned();
+        let zone = (*zones.get(group.zone?.get())?).to_owned();
         let until = fault
             .duration
             .map_or(end, |duration| fault.at.saturating_add(duration));
--- a/testkit/scenarios/src/lib.rs
+++ b/testkit/scenarios/src/lib.rs
@@ -2,6 +2,7 @@
 //! runs with one seed give the same outcomes byte for byte, or in real time. See `docs/operators/rehearsal.md`.
 
 pub mod fleet;
+pub mod index;
 mod one_core;
 pub mod outcome;
 pub mod plan;
--- a/testkit/scenarios/src/plan.rs
+++ b/testkit/scenarios/src/plan.rs
@@ -8,6 +8,7 @@
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 use serde::{Deserialize, Serialize};
 
+use crate::index::{ClassIndex, NodeIndex, TargetIndex, ZoneIndex};
 use crate::scenario::{FaultKind, FaultTarget, LinkEnd, LoadedScenario, PlannedFault, Scenario};
 
 pub use repro::ReproError;
@@ -26,10 +27,10 @@
     pub number: u64,
     /// When it arrives, from the start of the scenario.
     pub at: Nanos,
-    /// The class's position in the scenario.
-    pub class: usize,
-    /// The node's position in the scenario.
-    pub node: usize,
+    /// Its class.
+    pub class: ClassIndex,
+    /// The node that it is sent to.
+    pub node: NodeIndex,
     /// The service time on a standard server.
     #[serde(rename = "work")]
     pub service_time: Nanos,
@@ -114,8 +115,8 @@
             return arrivals;
         }
         let class = draw_class(scenario, random.unit() * total_weight);
-        let (min_ms, max_ms) = *scenario.classes[class].service_time_ms.get_ref();
-        let node = draw_index(&mut random, scenario.nodes.len());
+        let (min_ms, max_ms) = *scenario.classes[class.get()].service_time_ms.get_ref();
+        let node = NodeIndex(draw_index(&mut random, scenario.nodes.len()));
         let service_time = random.between(min_ms * MILLISECOND, max_ms * MILLISECOND);
         arrivals.push(Arrival {
             number: arrivals.len() as u64,
@@ -128,12 +129,12 @@
 }
 
 /// The class in whose part of the summed weights `point` lies.
-fn draw_class(scenario: &Scenario, mut point: f64) -> usize {
+fn draw_class(scenario: &Scenario, mut point: f64) -> ClassIndex {
     let class = scenario.classes.iter().position(|class| {
         point -= class.weight.get_ref();
         point < 0.0
     });
-    class.unwrap_or(0)
+    ClassIndex(class.unwrap_or(0))
 }
 
 fn draw_index(random: &mut Random, count: usize) -> usize {
@@ -153,19 +154,19 @@
     if let FaultKind::Link(link) = &mut fault.kind
         && let LinkEnd::Zone(zone) = &mut link.remote
     {
-        *zone = draw_index(random, scenario.zones().len());
+        *zone = ZoneIndex(draw_index(random, scenario.zones().len()));
     }
     match &mut fault.target {
         FaultTarget::Group(group) => {
             if let Some(zone) = &mut group.zone {
-                *zone = draw_index(random, scenario.zones().len());
+                *zone = ZoneIndex(draw_index(random, scenario.zones().len()));
             }
         }
         FaultTarget::Single(index) if fault.kind.affects_server() => {
-            *index = draw_index(random, scenario.servers.len());
+            *index = TargetIndex(draw_index(random, scenario.servers.len()));
         }
         FaultTarget::Single(index) if fault.kind.affects_node() => {
-            *index = draw_index(random, scenario.nodes.len());
+            *index = TargetIndex(draw_index(random, scenario.nodes.len()));
         }
         FaultTarget::Single(_) => {}
     }
--- a/testkit/scenarios/src/plan/repro.rs
+++ b/testkit/scenarios/src/plan/repro.rs
@@ -96,14 +96,16 @@
         _ => 1,
     };
     match fault.target {
-        FaultTarget::Single(index) => index < target_count,
-        FaultTarget::Group(group) => group.zone.is_none_or(|zone| zone < scenario.zones().len()),
+        FaultTarget::Single(index) => index.get() < target_count,
+        FaultTarget::Group(group) => group
+            .zone
+            .is_none_or(|zone| zone.get() < scenario.zones().len()),
     }
 }
 
 /// Whether an arrival's class and node are in the scenario.
 fn is_valid_arrival(arrival: &Arrival, scenario: &Scenario) -> bool {
-    arrival.class < scenario.classes.len() && arrival.node < scenario.nodes.len()
+    arrival.class.get() < scenario.classes.len() && arrival.node.get() < scenario.nodes.len()
 }
 
 /// Why a repro file can't be played.
--- a/testkit/scenarios/src/scenario/fault.rs
+++ b/testkit/scenarios/src/scenario/fault.rs
@@ -6,6 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Scenario;
+use crate::index::{TargetIndex, ZoneIndex};
 
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -112,8 +113,8 @@
 pub enum LinkEnd {
     /// Servers, discovery and other nodes.
     All,
-    /// Servers and other nodes of the zone at this position.
-    Zone(usize),
+    /// Servers and other nodes of a zone.
+    Zone(ZoneIndex),
     /// Servers.
     Servers,
     /// Discovery.
@@ -129,8 +130,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum FaultTarget {
-    /// The server or node at this position in the scenario; 0 for a fault of discovery.
-    Single(usize),
+    /// The server or node at this position.
+    Single(TargetIndex),
     /// Several servers or nodes at once.
     Group(TargetGroup),
 }
@@ -154,9 +155,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetGroup {
-    /// The zone at this position in the scenario; all zones without it.
+    /// The zone whose servers or nodes are meant; those of all zones without it.
     #[serde(default)]
-    pub zone: Option<usize>,
+    pub zone: Option<ZoneIndex>,
     /// In the order that the seed draws: the thousandth at which the part begins ...
     pub from: u16,
     /// ... and at which it ends.
@@ -183,15 +184,15 @@
 }
 
 impl PlannedFault {
-    /// The positions of the servers or nodes that are affected. A seed always draws the same order of a group, so that
+    /// The servers or nodes that are affected. A seed always draws the same order of a group, so that
     /// the next tenth of the group is a different tenth.
-    pub fn targets(&self, scenario: &Scenario, seed: u64) -> Vec<usize> {
+    pub fn targets(&self, scenario: &Scenario, seed: u64) -> Vec<TargetIndex> {
         let group = match self.target {
             FaultTarget::Single(index) => return vec![index],
             FaultTarget::Group(group) => group,
         };
         let zones = scenario.zones();
-        let zone = group.zone.and_then(|zone| zones.get(zone).copied());
+        let zone = group.zone.and_then(|zone| zones.get(zone.get()).copied());
         let zone_of_each: Vec<&str> = if self.kind.affects_node() {
             scenario
                 .nodes
@@ -216,7 +217,10 @@
             count.min(drawn.len())
         };
         let affected = &drawn[count_up_to(group.from)..count_up_to(group.to)];
-        let mut targets: Vec<usize> = affected.iter().map(|(_, index)| *index).collect();
+        let mut targets: Vec<TargetIndex> = affected
+            .iter()
+            .map(|(_, index)| TargetIndex(*index))
+            .collect();
         targets.sort_unstable();
         targets
     }
--- a/testkit/scenarios/src/scenario/fault_parser.rs
+++ b/testkit/scenarios/src/scenario/fault_parser.rs
@@ -12,6 +12,7 @@
 use super::fault_kinds::{FaultScope, KINDS, KindDefinition};
 use super::schema::{Fault, Scenario};
 use super::validation::{MAX_DURATION_MS, check_range};
+use crate::index::{TargetIndex, ZoneIndex};
 
 /// The most repetitions of a fault, and the most waves of a group.
 const MAX_OCCURRENCES: u64 = 1000;
@@ -206,7 +207,7 @@
             ("list", _) => Ok(LinkEnd::Discovery),
             ("nodes", _) => Ok(LinkEnd::Nodes),
             ("clients", _) => Ok(LinkEnd::Clients),
-            (_, Some(zone)) => Ok(LinkEnd::Zone(zone)),
+            (_, Some(zone)) => Ok(LinkEnd::Zone(ZoneIndex(zone))),
             _ => {
                 let problem = "neither a zone nor all, servers, list, nodes or clients";
                 Err(self.source.error_at(to.span(), problem))
@@ -228,14 +229,16 @@
             (FaultScope::Server | FaultScope::Node, ..) => None,
         };
         match single {
-            Some(index) => Ok(FaultTarget::Single(index)),
+            Some(index) => Ok(FaultTarget::Single(TargetIndex(index))),
             None => self.group().map(FaultTarget::Group),
         }
     }
 
     fn group(&self) -> Result<TargetGroup, FileError> {
         let zone = match &self.fault.zone {
-            Some(zone) => Some(self.position(zone, self.scenario.zones().into_iter())?),
+            Some(zone) => Some(ZoneIndex(
+                self.position(zone, self.scenario.zones().into_iter())?,
+            )),
             None => None,
         };
         let fraction = value_or(&self.fault.fraction, 1.0);
--- a/testkit/scenarios/src/world/clients.rs
+++ b/testkit/scenarios/src/world/clients.rs
@@ -19,7 +19,7 @@
     /// A try comes to a node: the first one of an arrival, or one more after another.
     pub(super) fn arrive(&mut self, arrival: usize, of: Option<usize>) -> Option<(usize, u64)> {
         let plan = self.plan.arrivals[arrival];
-        let class = &self.plan.scenario.spec.classes[plan.class];
+        let class = &self.plan.scenario.spec.classes[plan.class.get()];
         let tries = of.map_or(0, |of| self.requests[of].tries + 1);
         let id = match tries {
             0 => format!("{:016x}", plan.number),
@@ -30,9 +30,9 @@
         // The system before the nodes has noticed by now which of them are down.
         let count = self.nodes.len();
         let up = (0..count)
-            .map(|step| (plan.node + step) % count)
+            .map(|step| (plan.node.get() + step) % count)
             .find(|node| self.takes_requests(*node));
-        let node = up.unwrap_or(plan.node);
+        let node = up.unwrap_or(plan.node.get());
         let log = Request {
             id: id.clone(),
             retry_of: of.map(|of| self.requests[of].log.id.clone()),
--- a/testkit/scenarios/src/world/faults.rs
+++ b/testkit/scenarios/src/world/faults.rs
@@ -17,10 +17,13 @@
             self.link_fault(number, trouble, begins);
             return Ok(fired);
         }
-        for whom in planned.targets(&self.plan.scenario.spec, self.plan.seed) {
-            fired
-                .orders
-                .extend(self.strike(planned.kind, planned.permille, whom, begins)?);
+        for target in planned.targets(&self.plan.scenario.spec, self.plan.seed) {
+            fired.orders.extend(self.strike(
+                planned.kind,
+                planned.permille,
+                target.get(),
+                begins,
+            )?);
         }
         Ok(fired)
     }
@@ -29,8 +32,9 @@
     fn link_fault(&mut self, fault: usize, trouble: LinkFault, begins: bool) {
         if begins {
             let mut nodes = vec![false; self.nodes.len()];
-            for node in self.plan.faults[fault].targets(&self.plan.scenario.spec, self.plan.seed) {
-                nodes[node] = true;
+            for target in self.plan.faults[fault].targets(&self.plan.scenario.spec, self.plan.seed)
+            {
+                nodes[target.node().get()] = true;
             }
             let bad = BadLink {
                 fault,
--- a/testkit/scenarios/src/world/links.rs
+++ b/testkit/scenarios/src/world/links.rs
@@ -71,8 +71,10 @@
             (LinkEnd::All, _) => true,
             (LinkEnd::Servers, end) => matches!(end, End::Server(_)),
             (LinkEnd::Discovery, end) => end == End::List,
-            (LinkEnd::Zone(zone), End::Server(server)) => self.sites[server].zone_number == zone,
-            (LinkEnd::Zone(zone), End::Node(other)) => self.nodes[other].zone_number == zone,
+            (LinkEnd::Zone(zone), End::Server(server)) => {
+                self.sites[server].zone_number == zone.get()
+            }
+            (LinkEnd::Zone(zone), End::Node(other)) => self.nodes[other].zone_number == zone.get(),
             (LinkEnd::Nodes, end) => matches!(end, End::Node(_)),
             (LinkEnd::Zone(_), End::List) => false,
         };
