--- a/daemon/tests/health_checks.rs
+++ b/daemon/tests/health_checks.rs
@@ -94,7 +94,7 @@
         let mut messages = Vec::new();
         let is_health_check = |message: &Message| message.start_line.starts_with("GET /stats ");
         // It is sent beside the requests, and may arrive after the last of them.
-        until("a health check arrives", || {
+        wait_until("a health check arrives", || {
             messages.extend(backend.requests.try_iter());
             messages.iter().any(is_health_check)
         });
