--- a/testkit/scenarios/src/simulation/clients.rs
+++ b/testkit/scenarios/src/simulation/clients.rs
@@ -22,7 +22,7 @@
     /// A try comes to a node: the first one of an arrival, or one more after another.
     pub(super) fn start_request(&mut self, arrival: usize, of: Option<usize>) -> Option<NodeInput> {
         let plan = self.plan.arrivals[arrival];
-        let class = &self.plan.scenario.spec.classes[plan.class];
+        let class = &self.plan.scenario.spec.classes[plan.class.get()];
         let tries = of.map_or(0, |of| self.requests[of].tries + 1);
         let id = match tries {
             0 => format!("{:016x}", plan.number),
@@ -33,9 +33,9 @@
         // The system before the nodes has noticed by now which of them are down.
         let count = self.nodes.len();
         let up = (0..count)
-            .map(|step| (plan.node + step) % count)
+            .map(|step| (plan.node.get() + step) % count)
             .find(|node| self.takes_requests(*node));
-        let node = up.unwrap_or(plan.node);
+        let node = up.unwrap_or(plan.node.get());
         let log = Request {
             id: id.clone(),
             retry_of: of.map(|of| self.requests[of].log.id.clone()),
--- a/testkit/scenarios/src/simulation/faults.rs
+++ b/testkit/scenarios/src/simulation/faults.rs
@@ -20,6 +20,7 @@
             return Ok(outcome);
         }
         for target in planned.targets(&self.plan.scenario.spec, self.plan.seed) {
+            let target = target.get();
             match planned.kind {
                 FaultKind::KillNode | FaultKind::StopNode | FaultKind::PauseNode => {
                     let command = self.change_node_fault(planned.kind, target, begins);
@@ -40,8 +41,9 @@
     fn change_link_fault(&mut self, fault: usize, trouble: LinkFault, begins: bool) {
         if begins {
             let mut nodes = vec![false; self.nodes.len()];
-            for node in self.plan.faults[fault].targets(&self.plan.scenario.spec, self.plan.seed) {
-                nodes[node] = true;
+            for target in self.plan.faults[fault].targets(&self.plan.scenario.spec, self.plan.seed)
+            {
+                nodes[target.node().get()] = true;
             }
             let impairment = LinkImpairment {
                 fault,
--- a/testkit/scenarios/src/simulation/network.rs
+++ b/testkit/scenarios/src/simulation/network.rs
@@ -77,9 +77,11 @@
             (LinkEnd::Servers, remote) => matches!(remote, Remote::Server(_)),
             (LinkEnd::Discovery, remote) => remote == Remote::Discovery,
             (LinkEnd::Zone(zone), Remote::Server(server)) => {
-                self.servers[server].zone_number == zone
+                self.servers[server].zone_number == zone.get()
+            }
+            (LinkEnd::Zone(zone), Remote::Node(other)) => {
+                self.nodes[other].zone_number == zone.get()
             }
-            (LinkEnd::Zone(zone), Remote::Node(other)) => self.nodes[other].zone_number == zone,
             (LinkEnd::Nodes, remote) => matches!(remote, Remote::Node(_)),
             (LinkEnd::Zone(_), Remote::Discovery) => false,
         };
