--- a/testkit/scenarios/src/one_core/tests.rs
+++ b/testkit/scenarios/src/cpu_pinning/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn a_thread_is_on_one_processor_for_a_while() {
+fn a_thread_is_pinned_to_one_processor_until_the_guard_is_dropped() {
     let before = sched_getaffinity(None).unwrap();
-    let one = OneCore::take();
+    let pinning = CpuPinning::acquire();
     assert_eq!(sched_getaffinity(None).unwrap().count(), 1);
-    drop(one);
+    drop(pinning);
     assert_eq!(sched_getaffinity(None).unwrap(), before);
 }
--- a/testkit/scenarios/src/lib.rs
+++ b/testkit/scenarios/src/lib.rs
@@ -1,9 +1,9 @@
-//! Plays scenes of trouble against a node's released program over loopback sockets: in stepped time, where two
-//! runs with one seed give the same outcomes byte for byte, or in real time. See `docs/operators/rehearsal.md`.
+//! Plays scenarios of faults against the node's released program over loopback sockets: on virtual time, where two runs
+//! with one seed give the same outcomes byte for byte, or in real time. See `docs/operators/rehearsal.md`.
 
+mod cpu_pinning;
 pub mod fleet;
 pub mod index;
-mod one_core;
 pub mod outcome;
 pub mod plan;
 pub mod plot;
@@ -19,5 +19,6 @@
 
 use badgerpost_time::{MILLISECOND, Nanos};
 
-/// By the letter of the pages an answer this long after its client's time earns nothing; a later one is lost.
-const LATE_ANSWER: Nanos = 500 * MILLISECOND;
+/// By the letter of the platform's pages a response this long after its client's deadline has no value; a later one counts
+/// as missing.
+const LATE_RESPONSE_LIMIT: Nanos = 500 * MILLISECOND;
--- a/testkit/scenarios/src/plan/tests.rs
+++ b/testkit/scenarios/src/plan/tests.rs
@@ -2,7 +2,7 @@
 use crate::scenario;
 
 #[test]
-fn a_plan_follows_from_its_seed() {
+fn one_seed_always_draws_the_same_plan() {
     let plan = |seed| Plan::draw(scenario::find("night").expect("shipped"), seed).vary();
     let (one, same, other) = (plan(7), plan(7), plan(8));
     assert_eq!((&one.arrivals, &one.faults), (&same.arrivals, &same.faults));
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_repro_file_plays_exactly_its_plan() {
+fn a_repro_file_holds_its_plan_exactly() {
     let mut plan = Plan::draw(scenario::find("night").expect("shipped"), 3).vary();
     plan.arrivals.retain(|arrival| arrival.number % 7 == 0);
     plan.faults.truncate(3);
--- a/testkit/scenarios/src/rules.rs
+++ b/testkit/scenarios/src/rules.rs
@@ -1,198 +1,210 @@
-//! The four rules, checked over an outcome log. No I/O, and no knowledge of who was rehearsed.
+//! Checks the four rules over an outcome log, and nothing else: no I/O, no knowledge of the node that was rehearsed.
 
 use std::fmt;
 
+use badgerpost_time::{MILLISECOND, Nanos};
+
 use crate::outcome::{Attempt, ClientResult, DedupScope, Idempotency, Request};
-use badgerpost_time::Nanos;
 
-/// One of the four rules.
+/// One of the four rules, in the order of their weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final answer to every request taken, in time; nothing after it.
-    OneAnswer,
-    /// No effect twice; a refusal promises that trying again is harmless.
-    NoEffectTwice,
-    /// Nothing new to a server that drains or is gone, past the grace.
-    DrainsKept,
-    /// A cold server is not pushed over.
-    ColdSpared,
+    /// Every request that was accepted gets one final response, in time, and nothing after it.
+    SingleResponse,
+    /// No request takes effect twice, and a rejected one has taken none: a retry is harmless.
+    NoDuplicateEffect,
+    /// A server that drains or is gone gets nothing new after the grace period.
+    DrainRespected,
+    /// A server in slow start is not overloaded.
+    SlowStartRespected,
 }
 
-/// All of them.
+/// All rules.
 pub const RULES: [Rule; 4] = [
-    Rule::OneAnswer,
-    Rule::NoEffectTwice,
-    Rule::DrainsKept,
-    Rule::ColdSpared,
+    Rule::SingleResponse,
+    Rule::NoDuplicateEffect,
+    Rule::DrainRespected,
+    Rule::SlowStartRespected,
 ];
 
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::OneAnswer => "1 one final answer",
-            Self::NoEffectTwice => "2 no effect twice",
-            Self::DrainsKept => "3 drains kept",
-            Self::ColdSpared => "4 cold servers spared",
+            Self::SingleResponse => "1 one final answer",
+            Self::NoDuplicateEffect => "2 no effect twice",
+            Self::DrainRespected => "3 drains kept",
+            Self::SlowStartRespected => "4 cold servers spared",
         })
     }
 }
 
-/// The figures that the rules go by.
+/// How far a run may be off a rule's letter, for the network and the machine.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
-    /// How long after a client's time is up an answer still counts as in time: the way back and the sockets.
-    pub answer_slack: Nanos,
-    /// How long after a node was told of a drain a new request may still come to the server.
+pub struct Tolerances {
+    /// How long after its client's deadline a response still counts as in time.
+    pub response_slack: Nanos,
+    /// How long after a node was notified of a drain a new request may still reach the server.
     pub drain_grace: Nanos,
-    /// How long after its client has left an attempt of a request may still begin.
-    pub leave_slack: Nanos,
-    /// By how much the deadline that a server is told may be beyond what the client has left.
+    /// How long after its client has disconnected an attempt of a request may still begin.
+    pub disconnect_slack: Nanos,
+    /// By how much the deadline that a server is sent may exceed the time that the client has left.
     pub deadline_slack: Nanos,
 }
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// The line of the log, from 1.
+    /// The line of the log, from 1; 0 for a breach that is no request's.
     pub line: usize,
-    /// The request.
+    /// The id of the request.
     pub id: String,
     /// What happened.
-    pub what: String,
+    pub description: String,
 }
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}, request {}: {}", self.line, self.id, self.what)
+        write!(
+            f,
+            "line {}, request {}: {}",
+            self.line, self.id, self.description
+        )
     }
 }
 
 /// All breaches in a log, in its order.
-pub fn check(log: &[Request], figures: &Figures) -> Vec<Breach> {
+pub fn check(log: &[Request], tolerances: &Tolerances) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for (index, request) in log.iter().enumerate() {
-        let mut found = |rule, what: Option<String>| {
-            breaches.extend(what.map(|what| Breach {
+        let findings = [
+            (
+                Rule::SingleResponse,
+                single_response_breach(request, tolerances),
+            ),
+            (Rule::NoDuplicateEffect, duplicate_effect_breach(request)),
+            (Rule::DrainRespected, drain_breach(request, tolerances)),
+            (Rule::SlowStartRespected, slow_start_breach(request)),
+        ];
+        for (rule, description) in findings {
+            breaches.extend(description.map(|description| Breach {
                 rule,
                 line: index + 1,
                 id: request.id.clone(),
-                what,
+                description,
             }));
-        };
-        found(Rule::OneAnswer, one_answer(request, figures));
-        found(Rule::NoEffectTwice, no_effect_twice(request));
-        found(Rule::DrainsKept, drains_kept(request, figures));
-        found(Rule::ColdSpared, cold_spared(request));
+        }
     }
     breaches
 }
 
-/// What a request did not keep of the first rule.
-fn one_answer(request: &Request, figures: &Figures) -> Option<String> {
+fn single_response_breach(request: &Request, tolerances: &Tolerances) -> Option<String> {
     if request.surplus_bytes > 0 {
         return Some(format!(
             "{} bytes came behind its final answer",
             request.surplus_bytes
         ));
     }
-    // A node that was paused can't know how long.
+    // A node that was paused can't know how much time has passed.
     if !request.is_excused {
-        let sent = told_too_long(request, figures).or_else(|| sent_for_nobody(request, figures));
-        if sent.is_some() {
-            return sent;
+        let attempt_breach = overstated_deadline_breach(request, tolerances)
+            .or_else(|| attempt_after_disconnect_breach(request, tolerances));
+        if attempt_breach.is_some() {
+            return attempt_breach;
         }
     }
-    let due = request.arrival + request.timeout + figures.answer_slack;
+    let due = request.arrival + request.timeout + tolerances.response_slack;
     match &request.response {
         None if request.is_excused || request.client_left_at.is_some() => None,
         None => Some("it had no final answer".to_owned()),
-        Some(answer) if answer.result == ClientResult::Served && !answer.is_from_own_attempt => {
+        Some(response)
+            if response.result == ClientResult::Served && !response.is_from_own_attempt =>
+        {
             Some("it was served with what no server made for it".to_owned())
         }
-        Some(answer) if answer.at > due && !request.is_excused => Some(format!(
+        Some(response) if response.at > due && !request.is_excused => Some(format!(
             "its answer came {} ms after its client had gone",
-            ms(answer.at - due)
+            milliseconds(response.at - due)
         )),
-        Some(answer) => {
-            let later = request
-                .attempts
-                .iter()
-                .find(|attempt| attempt.start > answer.at);
-            later.map(|attempt| format!("it came to {} after its final answer", attempt.server))
-        }
+        Some(response) => attempt_after_response_breach(request, response.at),
     }
 }
 
-/// A server was told of more time than the client had left.
-fn told_too_long(request: &Request, figures: &Figures) -> Option<String> {
+fn attempt_after_response_breach(request: &Request, response_at: Nanos) -> Option<String> {
+    let later = request
+        .attempts
+        .iter()
+        .find(|attempt| attempt.start > response_at)?;
+    Some(format!(
+        "it came to {} after its final answer",
+        later.server
+    ))
+}
+
+/// A server was sent a deadline beyond the time that the client had left.
+fn overstated_deadline_breach(request: &Request, tolerances: &Tolerances) -> Option<String> {
     request.attempts.iter().find_map(|attempt| {
-        let over = attempt
+        let excess = attempt
             .deadline_excess
-            .filter(|over| *over > figures.deadline_slack)?;
+            .filter(|excess| *excess > tolerances.deadline_slack)?;
         Some(format!(
             "{} was told of {} ms more than its client had left",
             attempt.server,
-            ms(over)
+            milliseconds(excess)
         ))
     })
 }
 
-/// An attempt began when its client had left.
-fn sent_for_nobody(request: &Request, figures: &Figures) -> Option<String> {
-    let left = request.client_left_at?;
+/// An attempt began after its client had disconnected.
+fn attempt_after_disconnect_breach(request: &Request, tolerances: &Tolerances) -> Option<String> {
+    let left_at = request.client_left_at?;
     let late = request
         .attempts
         .iter()
-        .find(|attempt| attempt.start > left + figures.leave_slack)?;
+        .find(|attempt| attempt.start > left_at + tolerances.disconnect_slack)?;
     Some(format!(
         "it came to {} {} ms after its client had left",
         late.server,
-        ms(late.start - left)
+        milliseconds(late.start - left_at)
     ))
 }
 
-/// What a request did not keep of the second rule.
-fn no_effect_twice(request: &Request) -> Option<String> {
-    let ran = |attempt: &&Attempt| attempt.may_have_executed();
+fn duplicate_effect_breach(request: &Request) -> Option<String> {
+    unsafe_attempt_breach(request).or_else(|| unsafe_rejection_breach(request))
+}
+
+/// An attempt followed one that may have been executed, where that is not allowed.
+fn unsafe_attempt_breach(request: &Request) -> Option<String> {
     for (number, attempt) in request.attempts.iter().enumerate() {
-        let Some(first) = request.attempts[..number].iter().find(ran) else {
+        let earlier = &request.attempts[..number];
+        let Some(executed) = earlier.iter().find(|earlier| earlier.may_have_executed()) else {
             continue;
         };
-        let allowed = match (request.idempotency, request.dedup) {
-            (Idempotency::Idempotent, _) => true,
-            (Idempotency::Keyed, Some((scope, window))) => {
-                in_group(scope, first, attempt)
-                    && attempt.start.saturating_sub(first.start) < window
-            }
-            (Idempotency::Keyed, None) | (Idempotency::NonIdempotent, _) => false,
-        };
-        if !allowed {
+        if !may_follow(request, executed, attempt) {
             return Some(format!(
                 "it came to {} and may have run at {} before",
-                attempt.server, first.server
+                attempt.server, executed.server
             ));
         }
     }
-    let refused = request.result() == Some(ClientResult::Rejected);
-    // Wherever the client's next try goes, its repeat is dropped there.
-    let harmless = match (request.idempotency, request.dedup) {
-        (Idempotency::Idempotent, _) | (Idempotency::Keyed, Some((DedupScope::All, _))) => true,
-        (Idempotency::Keyed | Idempotency::NonIdempotent, _) => false,
-    };
-    let first = request
-        .attempts
-        .iter()
-        .find(ran)
-        .filter(|_| refused && !harmless)?;
-    Some(format!(
-        "it was refused and may have run at {}",
-        first.server
-    ))
+    None
+}
+
+/// Whether a request may be attempted again after an attempt that may have been executed.
+fn may_follow(request: &Request, executed: &Attempt, next: &Attempt) -> bool {
+    match (request.idempotency, request.dedup) {
+        (Idempotency::Idempotent, _) => true,
+        (Idempotency::Keyed, Some((scope, window))) => {
+            shares_dedup(scope, executed, next)
+                && next.start.saturating_sub(executed.start) < window
+        }
+        (Idempotency::Keyed, None) | (Idempotency::NonIdempotent, _) => false,
+    }
 }
 
-fn in_group(scope: DedupScope, first: &Attempt, next: &Attempt) -> bool {
+/// Whether the servers of both attempts drop repeats of one another's requests.
+fn shares_dedup(scope: DedupScope, first: &Attempt, next: &Attempt) -> bool {
     match scope {
         DedupScope::All => true,
         DedupScope::Zone => first.zone == next.zone,
@@ -200,49 +212,73 @@
     }
 }
 
-fn drains_kept(request: &Request, figures: &Figures) -> Option<String> {
+/// A request was rejected, which promises that a retry is harmless, though it may have been executed.
+fn unsafe_rejection_breach(request: &Request) -> Option<String> {
+    // Wherever the client's retry goes, it is harmless or dropped there.
+    let is_retry_harmless = matches!(
+        (request.idempotency, request.dedup),
+        (Idempotency::Idempotent, _) | (Idempotency::Keyed, Some((DedupScope::All, _)))
+    );
+    if request.result() != Some(ClientResult::Rejected) || is_retry_harmless {
+        return None;
+    }
+    let executed = request
+        .attempts
+        .iter()
+        .find(|attempt| attempt.may_have_executed())?;
+    Some(format!(
+        "it was refused and may have run at {}",
+        executed.server
+    ))
+}
+
+fn drain_breach(request: &Request, tolerances: &Tolerances) -> Option<String> {
     request.attempts.iter().find_map(|attempt| {
-        let late = attempt
+        let known_for = attempt
             .drain_known_for
-            .filter(|told| *told > figures.drain_grace)?;
+            .filter(|known_for| *known_for > tolerances.drain_grace)?;
         Some(format!(
             "it came to {} {} ms after its node was told that this drains",
             attempt.server,
-            ms(late)
+            milliseconds(known_for)
         ))
     })
 }
 
-fn cold_spared(request: &Request) -> Option<String> {
-    let felled = request
+fn slow_start_breach(request: &Request) -> Option<String> {
+    let attempt = request
         .attempts
         .iter()
         .find(|attempt| attempt.caused_overload)?;
-    Some(format!("it pushed {} over, which was cold", felled.server))
+    Some(format!("it pushed {} over, which was cold", attempt.server))
 }
 
-/// A client that stopped half way, or said nothing, was left without an error or a close. It is no request of the log.
-pub fn client_left_alone(node: &str, took: Nanos) -> Breach {
+/// The breach of a client that sent nothing, or half a request, and was left without an error or a close. It is no
+/// request of the log.
+pub fn silent_client_breach(node: &str, duration: Nanos) -> Breach {
     Breach {
-        rule: Rule::OneAnswer,
+        rule: Rule::SingleResponse,
         line: 0,
         id: format!("a silent client of {node}"),
-        what: format!("it had neither an error nor its end after {} ms", ms(took)),
+        description: format!(
+            "it had neither an error nor its end after {} ms",
+            milliseconds(duration)
+        ),
     }
 }
 
-/// Of the complete answers with no length, under half were forwarded.
-pub fn answers_without_length_dropped(forwarded: usize, complete: usize) -> Breach {
+/// The breach of under half of the complete responses without a length having been forwarded.
+pub fn responses_without_length_breach(forwarded: usize, complete: usize) -> Breach {
     Breach {
-        rule: Rule::OneAnswer,
+        rule: Rule::SingleResponse,
         line: 0,
         id: "answers without a length".to_owned(),
-        what: format!("{forwarded} of {complete} complete ones were forwarded"),
+        description: format!("{forwarded} of {complete} complete ones were forwarded"),
     }
 }
 
-fn ms(span: Nanos) -> Nanos {
-    span / badgerpost_time::MILLISECOND
+fn milliseconds(duration: Nanos) -> u64 {
+    duration / MILLISECOND
 }
 
 #[cfg(test)]
--- a/testkit/scenarios/src/rules/tests.rs
+++ b/testkit/scenarios/src/rules/tests.rs
@@ -2,10 +2,10 @@
 use crate::outcome::{AttemptOutcome, FinalResponse};
 use badgerpost_time::{MILLISECOND, SECOND};
 
-const FIGURES: Figures = Figures {
-    answer_slack: 70 * MILLISECOND,
+const TOLERANCES: Tolerances = Tolerances {
+    response_slack: 70 * MILLISECOND,
     drain_grace: 550 * MILLISECOND,
-    leave_slack: 150 * MILLISECOND,
+    disconnect_slack: 150 * MILLISECOND,
     deadline_slack: 200 * MILLISECOND,
 };
 
@@ -52,26 +52,26 @@
     }
 }
 
-fn broken(request: &Request) -> Vec<Rule> {
-    check(std::slice::from_ref(request), &FIGURES)
+fn broken_rules(request: &Request) -> Vec<Rule> {
+    check(std::slice::from_ref(request), &TOLERANCES)
         .iter()
         .map(|breach| breach.rule)
         .collect()
 }
 
 #[test]
-fn one_answer_in_time_and_nothing_behind_it() {
+fn a_request_gets_one_response_in_time_and_nothing_after_it() {
     let good = request(
         Idempotency::Idempotent,
         vec![attempt("a1", MILLISECOND, AttemptOutcome::Served)],
         Some(ClientResult::Served),
     );
-    assert_eq!(broken(&good), []);
-    let one = [Rule::OneAnswer];
+    assert_eq!(broken_rules(&good), []);
+    let one = [Rule::SingleResponse];
     let with = |change: &dyn Fn(&mut Request)| {
         let mut request = good.clone();
         change(&mut request);
-        broken(&request)
+        broken_rules(&request)
     };
     assert_eq!(with(&|r| r.response = None), one);
     assert_eq!(with(&|r| r.surplus_bytes = 3), one);
@@ -103,9 +103,9 @@
 
 /// Two attempts, the first one of which ended so: where may the second go?
 #[test]
-fn no_effect_twice_by_effect_group_and_window() {
+fn an_executed_request_is_attempted_again_only_within_its_idempotency_scope_and_window() {
     use crate::outcome::Idempotency::{Idempotent, Keyed, NonIdempotent};
-    let two = [Rule::NoEffectTwice];
+    let two = [Rule::NoDuplicateEffect];
     let again = |idempotency, first, second: &str, after| {
         let attempts = vec![
             attempt("a1", 0, first),
@@ -117,7 +117,7 @@
             .iter_mut()
             .for_each(|answer| answer.at = 4 * SECOND);
         request.timeout = 5 * SECOND;
-        broken(&request)
+        broken_rules(&request)
     };
     for first in [
         AttemptOutcome::Served,
@@ -145,30 +145,30 @@
 }
 
 #[test]
-fn a_refusal_promises_that_nothing_ran() {
-    let refused = |effect, ended| {
+fn a_rejected_request_must_not_have_been_executed_unless_retries_are_harmless() {
+    let rejected = |idempotency, outcome| {
         let mut request = request(
-            effect,
-            vec![attempt("a1", 0, ended)],
+            idempotency,
+            vec![attempt("a1", 0, outcome)],
             Some(ClientResult::Rejected),
         );
         request.attempts[0].executed = false;
-        broken(&request)
+        broken_rules(&request)
     };
     assert_eq!(
-        refused(Idempotency::NonIdempotent, AttemptOutcome::ConnectionReset),
-        [Rule::NoEffectTwice]
+        rejected(Idempotency::NonIdempotent, AttemptOutcome::ConnectionReset),
+        [Rule::NoDuplicateEffect]
     );
     assert_eq!(
-        refused(Idempotency::Keyed, AttemptOutcome::Unfinished),
-        [Rule::NoEffectTwice]
+        rejected(Idempotency::Keyed, AttemptOutcome::Unfinished),
+        [Rule::NoDuplicateEffect]
     );
     assert_eq!(
-        refused(Idempotency::NonIdempotent, AttemptOutcome::Rejected),
+        rejected(Idempotency::NonIdempotent, AttemptOutcome::Rejected),
         []
     );
     assert_eq!(
-        refused(Idempotency::Idempotent, AttemptOutcome::ConnectionReset),
+        rejected(Idempotency::Idempotent, AttemptOutcome::ConnectionReset),
         []
     );
     let mut anywhere = request(
@@ -177,11 +177,11 @@
         Some(ClientResult::Rejected),
     );
     anywhere.dedup = Some((DedupScope::All, SECOND));
-    assert_eq!(broken(&anywhere), []);
+    assert_eq!(broken_rules(&anywhere), []);
 }
 
 #[test]
-fn drains_and_cold_servers() {
+fn a_late_attempt_at_a_draining_server_and_an_overload_in_slow_start_are_breaches() {
     let mut late = attempt("a1", MILLISECOND, AttemptOutcome::Served);
     late.drain_known_for = Some(550 * MILLISECOND);
     let in_time = request(
@@ -189,37 +189,37 @@
         vec![late.clone()],
         Some(ClientResult::Served),
     );
-    assert_eq!(broken(&in_time), []);
+    assert_eq!(broken_rules(&in_time), []);
     late.drain_known_for = Some(551 * MILLISECOND);
     assert_eq!(
-        broken(&request(
+        broken_rules(&request(
             Idempotency::Idempotent,
             vec![late],
             Some(ClientResult::Served)
         )),
-        [Rule::DrainsKept]
+        [Rule::DrainRespected]
     );
     let mut last = attempt("a1", MILLISECOND, AttemptOutcome::ConnectionReset);
     last.caused_overload = true;
     assert_eq!(
-        broken(&request(
+        broken_rules(&request(
             Idempotency::Idempotent,
             vec![last],
             Some(ClientResult::Served)
         )),
-        [Rule::ColdSpared]
+        [Rule::SlowStartRespected]
     );
 }
 
 #[test]
-fn a_breach_names_its_line() {
+fn a_breach_names_the_line_of_its_request() {
     let good = request(
         Idempotency::Idempotent,
         vec![],
         Some(ClientResult::Rejected),
     );
     let bad = request(Idempotency::Idempotent, vec![], None);
-    let breaches = check(&[good.clone(), bad, good], &FIGURES);
+    let breaches = check(&[good.clone(), bad, good], &TOLERANCES);
     assert_eq!(breaches.len(), 1);
     assert_eq!(
         breaches[0].to_string(),
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn no_attempt_begins_for_a_client_that_has_left() {
+fn an_attempt_after_the_client_disconnected_is_a_breach() {
     let with = |left: Nanos, start: Nanos| {
         let mut request = request(
             Idempotency::Idempotent,
@@ -236,7 +236,7 @@
             None,
         );
         request.client_left_at = Some(left);
-        broken(&request)
+        broken_rules(&request)
     };
     assert_eq!(
         with(100 * MILLISECOND, 50 * MILLISECOND),
@@ -246,16 +246,16 @@
     assert_eq!(with(100 * MILLISECOND, 250 * MILLISECOND), []);
     assert_eq!(
         with(100 * MILLISECOND, 251 * MILLISECOND),
-        [Rule::OneAnswer]
+        [Rule::SingleResponse]
     );
 }
 
 #[test]
-fn a_server_is_told_of_what_the_client_has_left_at_most() {
+fn a_server_deadline_beyond_the_client_timeout_is_a_breach() {
     let with = |over: Option<Nanos>| {
         let mut attempt = attempt("a1", MILLISECOND, AttemptOutcome::Served);
         attempt.deadline_excess = over;
-        broken(&request(
+        broken_rules(&request(
             Idempotency::Idempotent,
             vec![attempt],
             Some(ClientResult::Served),
@@ -263,5 +263,5 @@
     };
     assert_eq!(with(None), []);
     assert_eq!(with(Some(200 * MILLISECOND)), []);
-    assert_eq!(with(Some(201 * MILLISECOND)), [Rule::OneAnswer]);
+    assert_eq!(with(Some(201 * MILLISECOND)), [Rule::SingleResponse]);
 }
--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -12,8 +12,8 @@
 use badgerpost_fakes::random::Random;
 use badgerpost_fakes::system_faults::{SystemFaults, WallClock};
 
-use crate::LATE_ANSWER;
-use crate::one_core::OneCore;
+use crate::LATE_RESPONSE_LIMIT;
+use crate::cpu_pinning::CpuPinning;
 use crate::outcome::{Counts, Request};
 use crate::plan::Plan;
 use crate::process::{self, Process, ProcessError, Start};
@@ -177,7 +177,7 @@
     let Stage {
         world,
         processes,
-        _core,
+        _pinning,
         ..
     } = stage;
     let names = plan
@@ -195,16 +195,16 @@
     let owed = world.owed();
     let log = world.into_log();
     let rules = &plan.scenario.spec.rules;
-    let figures = rules::Figures {
-        answer_slack: match plan.behaviour.strict {
-            true => LATE_ANSWER,
+    let tolerances = rules::Tolerances {
+        response_slack: match plan.behaviour.strict {
+            true => LATE_RESPONSE_LIMIT,
             false => rules.response_slack_ms * MILLISECOND + SOCKETS,
         },
         drain_grace: rules.drain_grace_ms * MILLISECOND + SOCKETS,
-        leave_slack: LEAVE_SLACK + SOCKETS,
+        disconnect_slack: LEAVE_SLACK + SOCKETS,
         deadline_slack: DEADLINE_SLACK + SOCKETS + held(options),
     };
-    let mut breaches = rules::check(&log, &figures);
+    let mut breaches = rules::check(&log, &tolerances);
     breaches.extend(owed);
     Ok(RunReport {
         log,
@@ -253,7 +253,7 @@
     looked: Nanos,
     steps: u64,
     late: u64,
-    _core: Option<OneCore>,
+    _pinning: Option<CpuPinning>,
 }
 
 impl Stage {
@@ -267,7 +267,7 @@
         } else {
             STEPPED_BASE
         };
-        let core = (!options.real_time).then(OneCore::take);
+        let pinning = (!options.real_time).then(CpuPinning::acquire);
         let count = plan.scenario.spec.nodes.len();
         let world = World::new(plan.clone(), base, options.peers)?;
         let port = |node| {
@@ -298,7 +298,7 @@
             looked: 0,
             steps: 0,
             late: 0,
-            _core: core,
+            _pinning: pinning,
         };
         (0..count).try_for_each(|node| stage.start(node))?;
         stage.began = Instant::now();
--- a/testkit/scenarios/src/scenario/tests.rs
+++ b/testkit/scenarios/src/scenario/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_shipped_scene_can_be_used() {
+fn every_shipped_scenario_loads() {
     for (name, _) in SHIPPED {
         let checked = find(name).unwrap_or_else(|error| panic!("{error}"));
         assert_eq!(checked.name, name);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_bad_scene_is_refused_with_file_line_and_key() {
+fn an_invalid_scenario_is_rejected_with_file_line_and_key() {
     for (from, to, wanted) in [
         (
             "rate = 1.0",
--- a/testkit/scenarios/src/world/clients.rs
+++ b/testkit/scenarios/src/world/clients.rs
@@ -8,7 +8,7 @@
 
 use super::links::Carried;
 use super::stage::{Open, Peer, SOCKETS, Todo, World, body};
-use crate::LATE_ANSWER;
+use crate::LATE_RESPONSE_LIMIT;
 use crate::outcome::{AttemptOutcome, ClientResult, FinalResponse, Idempotency, Request};
 use badgerpost_time::{MILLISECOND, Nanos};
 
@@ -53,7 +53,7 @@
         self.ids.insert(id, number);
         let rules = &self.plan.scenario.spec.rules;
         let slack = match self.plan.behaviour.strict {
-            true => LATE_ANSWER,
+            true => LATE_RESPONSE_LIMIT,
             false => rules.response_slack_ms * MILLISECOND + SOCKETS,
         };
         let due = self.now + log.timeout + slack + LISTENS_ON;
--- a/testkit/scenarios/src/world/stage.rs
+++ b/testkit/scenarios/src/world/stage.rs
@@ -457,7 +457,7 @@
     pub fn owed(&self) -> Vec<Breach> {
         let unended = self.misbehaviour.unended.iter();
         let mut breaches: Vec<Breach> = unended
-            .map(|(node, took)| rules::client_left_alone(node, *took))
+            .map(|(node, took)| rules::silent_client_breach(node, *took))
             .collect();
         let logs = self.requests.iter().map(|open| &open.log);
         let is_bare = |log: &&Request| log.attempts.iter().any(|attempt| attempt.without_length);
@@ -465,7 +465,10 @@
         let is_served = |log: &&&Request| log.result() == Some(ClientResult::Served);
         let forwarded = bare.iter().filter(is_served).count();
         if bare.len() >= LEAST_WITHOUT_LENGTH && 2 * forwarded < bare.len() {
-            breaches.push(rules::answers_without_length_dropped(forwarded, bare.len()));
+            breaches.push(rules::responses_without_length_breach(
+                forwarded,
+                bare.len(),
+            ));
         }
         breaches
     }
