--- a/testkit/scenarios/src/arguments.rs
+++ b/testkit/scenarios/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line. Its words are part of the interface: help texts and names of arguments stay as operators know them.
 
 use std::ops::Range;
 use std::path::PathBuf;
@@ -149,17 +149,17 @@
     #[arg(long, value_name = "PATH")]
     node: Option<PathBuf>,
     /// The operators' own file for every node of a scene of HTTP, in TOML, after what the scene says itself
-    #[arg(long, value_name = "FILE.toml")]
-    own: Option<PathBuf>,
+    #[arg(long = "own", value_name = "FILE.toml")]
+    operator_settings: Option<PathBuf>,
     /// Let the nodes of the scene talk to each other; their own file has to switch the watch over the zones on
-    #[arg(long)]
-    peers: bool,
+    #[arg(long = "peers")]
+    gossip: bool,
 }
 
 impl NodeProgram {
     /// The options of a run with this program. `port` is the first node's; 0 for any free one.
     pub(crate) fn options(&self, real_time: bool, port: u16) -> Result<Options, Failure> {
-        let own = match &self.own {
+        let operator_settings = match &self.operator_settings {
             Some(path) => std::fs::read_to_string(path).map_err(|source| Failure::File {
                 path: path.clone(),
                 source,
@@ -170,8 +170,8 @@
             program: self.path()?,
             real_time,
             port,
-            own,
-            peers: self.peers,
+            own: operator_settings,
+            peers: self.gossip,
             system_faults: Vec::new(),
         })
     }
--- a/testkit/scenarios/src/commands.rs
+++ b/testkit/scenarios/src/commands.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Starts a scene of PostgreSQL, if there is one of this name, or one of HTTP.
+/// Starts a scenario of PostgreSQL, if there is one of this name, or one of HTTP.
 fn up(arguments: &UpArguments) -> Result<ExitCode, Failure> {
     match postgres::find(&arguments.scene) {
         Some(scene) => up_postgres::up(&scene?, arguments.port, &arguments.program.path()?),
@@ -39,7 +39,7 @@
     }
 }
 
-/// Plays a scene of PostgreSQL, if there is one of this name, or one of HTTP.
+/// Plays a scenario of PostgreSQL, if there is one of this name, or one of HTTP.
 fn run(arguments: &RunArguments) -> Result<ExitCode, Failure> {
     if arguments.repro.is_none()
         && let Some(name) = &arguments.scene
--- a/testkit/scenarios/src/commands/list.rs
+++ b/testkit/scenarios/src/commands/list.rs
@@ -1,4 +1,4 @@
-//! `list`: the scenes that are shipped.
+//! `list`: prints the shipped scenarios.
 
 use std::process::ExitCode;
 
@@ -7,7 +7,7 @@
 use crate::failure::Failure;
 use crate::output::print_line;
 
-/// Prints the name and description of each shipped scene.
+/// Prints the name and description of each shipped scenario.
 pub(super) fn list() -> Result<ExitCode, Failure> {
     for (name, _) in scenario::SHIPPED {
         print_line(&format!("{name:16} {}", scenario::find(name)?.spec.about))?;
--- a/testkit/scenarios/src/commands/run.rs
+++ b/testkit/scenarios/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: plays a scene to its end and checks the rules.
+//! `run`: plays a scenario to its end and checks the rules.
 
 use std::process::ExitCode;
 
@@ -11,8 +11,8 @@
 use crate::failure::Failure;
 use crate::output::{percent_bar, show_progress, write_file};
 
-/// Plays the scene or repro file, writes the files that are asked for, and prints the summary. Fails if a rule was
-/// broken or an expectation lost.
+/// Plays the scenario or repro file, writes the files that are asked for, and prints the summary. Fails if a rule was
+/// broken or an expectation not met.
 pub(super) fn run(arguments: &RunArguments) -> Result<ExitCode, Failure> {
     let plan = match &arguments.repro {
         Some(file) => Plan::from_repro(file)?,
@@ -23,12 +23,12 @@
     };
     let options = arguments.program.options(arguments.real_time, 0)?;
     let bar = percent_bar();
-    let played = run::play(&plan, &options, &mut |done| show_progress(&bar, done))?;
+    let report = run::play(&plan, &options, &mut |done| show_progress(&bar, done))?;
     bar.finish_and_clear();
-    write_files(&plan, &played, arguments)?;
-    let lost = fleet::lost(&plan, &played);
-    print_summary(&plan, &options, &played, &lost)?;
-    Ok(if played.is_good() && lost.is_empty() {
+    write_files(&plan, &report, arguments)?;
+    let unmet = fleet::lost(&plan, &report);
+    print_summary(&plan, &options, &report, &unmet)?;
+    Ok(if report.is_good() && unmet.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -36,15 +36,15 @@
 }
 
 /// Writes the outcome log, the plot and the nodes' logs where they are asked for.
-fn write_files(plan: &Plan, played: &RunReport, arguments: &RunArguments) -> Result<(), Failure> {
+fn write_files(plan: &Plan, report: &RunReport, arguments: &RunArguments) -> Result<(), Failure> {
     if let Some(path) = &arguments.out {
-        write_file(path, &outcome::write(&played.log)?)?;
+        write_file(path, &outcome::write(&report.log)?)?;
     }
     if let Some(path) = &arguments.plot {
-        plot::draw(plan, &played.log, path).map_err(Failure::Plot)?;
+        plot::draw(plan, &report.log, path).map_err(Failure::Plot)?;
     }
     if let Some(path) = &arguments.logs {
-        let logs = played
+        let logs = report
             .logs
             .iter()
             .map(|(name, log)| format!("{name}:\n{log}"));
--- a/testkit/scenarios/src/commands/soak.rs
+++ b/testkit/scenarios/src/commands/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: drawn runs in real time, checked to the letter of the platform's pages.
+//! `soak`: plays runs drawn from seeds in real time, and checks the rules to the letter of the platform's pages.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -19,10 +19,10 @@
         Some(path) => path.clone(),
         None => badgerpost_fakes::program("badgerpost")?,
     };
-    let next = AtomicU64::new(arguments.seeds.start);
+    let next_seed = AtomicU64::new(arguments.seeds.start);
     let failed = thread::scope(|scope| {
         let jobs: Vec<_> = (0..arguments.jobs.max(1))
-            .map(|_| scope.spawn(|| play_seeds(&next, arguments.seeds.end, &program)))
+            .map(|_| scope.spawn(|| play_seeds(&next_seed, arguments.seeds.end, &program)))
             .collect();
         let results = jobs.into_iter().map(|job| job.join().unwrap_or(Ok(1)));
         results.sum::<Result<u64, RunError>>()
@@ -37,32 +37,36 @@
 }
 
 /// Plays seeds until there are no more; returns how many of them broke a rule.
-fn play_seeds(next: &AtomicU64, end: u64, program: &Path) -> Result<u64, RunError> {
+fn play_seeds(next_seed: &AtomicU64, end: u64, program: &Path) -> Result<u64, RunError> {
     let mut failed = 0;
     loop {
-        let seed = next.fetch_add(1, Ordering::Relaxed);
+        let seed = next_seed.fetch_add(1, Ordering::Relaxed);
         if seed >= end {
             return Ok(failed);
         }
         let soak = Soak::draw(seed)?;
-        let played = soak.play(program.to_owned());
-        failed += u64::from(!report(seed, &soak, played)?);
+        let result = soak.play(program.to_owned());
+        failed += u64::from(!print_result(seed, &soak, result)?);
     }
 }
 
-/// Prints what came of a seed, in one go; returns whether all rules held.
-fn report(seed: u64, soak: &Soak, played: Result<RunReport, RunError>) -> Result<bool, RunError> {
+/// Prints the result of a seed in one piece; returns whether all rules held.
+fn print_result(
+    seed: u64,
+    soak: &Soak,
+    result: Result<RunReport, RunError>,
+) -> Result<bool, RunError> {
     let drawn = soak.summary();
-    let played = match played {
-        Ok(played) => played,
+    let report = match result {
+        Ok(report) => report,
         Err(error @ RunError::Crashed { .. }) => {
             print_line(&format!("seed {seed}: CRASHED: {error}\n  {drawn}"))?;
             return Ok(false);
         }
         Err(error) => return Err(error),
     };
-    let counts = played.counts();
-    let verdict = if played.is_good() { "kept" } else { "BROKEN" };
+    let counts = report.counts();
+    let verdict = if report.is_good() { "kept" } else { "BROKEN" };
     let mut lines = vec![
         format!(
             "seed {seed}: {verdict}; {} requests: {} served, {} refused, {} failed, {} without an answer; \
@@ -72,15 +76,15 @@
             counts.rejected,
             counts.failed,
             counts.unanswered,
-            played.cold_peak(None)
+            report.cold_peak(None)
         ),
         format!("  {drawn}"),
     ];
     lines.extend(
-        Soak::ways(&played)
+        Soak::ways(&report)
             .into_iter()
             .map(|way| format!("  {way}")),
     );
     print_line(&lines.join("\n"))?;
-    Ok(played.is_good())
+    Ok(report.is_good())
 }
--- a/testkit/scenarios/src/commands/up.rs
+++ b/testkit/scenarios/src/commands/up.rs
@@ -1,4 +1,4 @@
-//! `up`: starts a scene's nodes and fakes, and stays.
+//! `up`: starts a scenario's nodes and fakes, and stays.
 
 use std::process::ExitCode;
 
@@ -12,10 +12,10 @@
 use crate::output::print_line;
 use crate::stay::StopRequest;
 
-/// The seed of a scene that is only started; nothing in it is random.
+/// The seed of a scenario that is only started; nothing in it is random.
 const SEED: u64 = 1;
 
-/// Starts the scene without its faults and requests, prints a line of JSON once all is ready, and stays until it is
+/// Starts the scenario without its faults and requests, prints a line of JSON once all is ready, and stays until it is
 /// stopped.
 pub(super) fn up(arguments: &UpArguments) -> Result<ExitCode, Failure> {
     let stop = StopRequest::on_signals()?;
@@ -28,18 +28,18 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The scene with so many of its nodes, without faults and requests.
+/// The scenario with so many of its nodes, without faults and requests.
 fn plan(name: &str, node_count: Option<usize>) -> Result<Plan, Failure> {
-    let mut checked = scenario::find(name)?;
+    let mut scenario = scenario::find(name)?;
     if let Some(count) = node_count {
-        let available = checked.spec.nodes.len();
+        let available = scenario.spec.nodes.len();
         if !(1..=available).contains(&count) {
-            return Err(Failure::Nodes(available));
+            return Err(Failure::NodeCount { available });
         }
-        checked.spec.nodes.truncate(count);
+        scenario.spec.nodes.truncate(count);
     }
-    checked.faults.clear();
-    let mut plan = Plan::draw(checked, SEED);
+    scenario.faults.clear();
+    let mut plan = Plan::draw(scenario, SEED);
     plan.arrivals.clear();
     Ok(plan)
 }
--- a/testkit/scenarios/src/failure.rs
+++ b/testkit/scenarios/src/failure.rs
@@ -8,13 +8,13 @@
 /// Why there is no verdict.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Failure {
-    /// The scene can't be read.
+    /// The scenario is invalid.
     #[error(transparent)]
-    Scene(#[from] badgerpost_settings::file::FileError),
-    /// The repro file can't be read.
+    Scenario(#[from] badgerpost_settings::file::FileError),
+    /// The repro file is invalid.
     #[error(transparent)]
     Repro(#[from] ReproError),
-    /// The scene could not be played.
+    /// The run has no verdict.
     #[error(transparent)]
     Run(#[from] RunError),
     /// The node's program is not built.
@@ -35,7 +35,7 @@
     /// The plot can't be drawn.
     #[error("can't draw: {0}")]
     Plot(Box<dyn std::error::Error>),
-    /// More nodes, or fewer than one, are asked for than the scene has.
-    #[error("the scene has {0} nodes")]
-    Nodes(usize),
+    /// The requested number of nodes is 0, or above the scenario's.
+    #[error("the scene has {available} nodes")]
+    NodeCount { available: usize },
 }
--- a/testkit/scenarios/src/sweep.rs
+++ b/testkit/scenarios/src/sweep.rs
@@ -1,111 +1,91 @@
-//! Plays a scene under many seeds, some at once, and says what the fleet did in each and in the middle of them.
+//! Plays a scenario under many seeds, several at once, and computes the spread of each figure over them.
 
-use std::sync::Mutex;
+use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+use badgerpost_time::{MILLISECOND, Nanos};
 
 use crate::fleet::{self, Conduct};
 use crate::plan::Plan;
 use crate::run::{self, Options, RunError};
 use crate::scenario;
-use badgerpost_time::MILLISECOND;
 
-/// What one seed showed.
+/// The result of one seed.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct SeedResult {
     /// The seed.
     pub seed: u64,
-    /// Share of the requests served.
-    pub served: f64,
-    /// Broken rules.
-    pub broken: usize,
-    /// What the fleet did about the first trouble of a whole zone, if there is one.
+    /// The fraction of the requests that was served.
+    pub served_fraction: f64,
+    /// The number of breaches of rules.
+    pub breaches: usize,
+    /// What the fleet did in the first outage of a zone, if there is one.
     pub conduct: Option<Conduct>,
-    /// The most that a cold server got, against what it could do.
-    pub cold: f64,
-    /// Times that a node left a zone in no trouble.
-    pub strayed: usize,
+    /// The most load that a server in slow start got, as a multiple of its capacity.
+    pub slow_start_peak: f64,
+    /// How often a node left a healthy zone.
+    pub false_ejections: usize,
 }
 
-/// Plays the seeds, `jobs` at once; the rows come sorted by seed.
-pub fn sweep(
-    name: &str,
-    seeds: std::ops::Range<u64>,
-    jobs: usize,
-    options: &Options,
-) -> Result<Vec<Row>, RunError> {
-    let next = AtomicU64::new(seeds.start);
-    let rows: Mutex<Result<Vec<Row>, RunError>> = Mutex::new(Ok(Vec::new()));
+/// Results so far, or the first error.
+type Results = Result<Vec<SeedResult>, RunError>;
+
+/// Plays the seeds, `jobs` at once. The results are sorted by seed.
+pub fn sweep(name: &str, seeds: Range<u64>, jobs: usize, options: &Options) -> Results {
+    let next_seed = AtomicU64::new(seeds.start);
+    let results: Mutex<Results> = Mutex::new(Ok(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
-            scope.spawn(|| {
-                loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed >= seeds.end {
-                        return;
-                    }
-                    let row = row(name, seed, options);
-                    let mut rows = rows
-                        .lock()
-                        .unwrap_or_else(std::sync::PoisonError::into_inner);
-                    match (&mut *rows, row) {
-                        (Ok(rows), Ok(row)) => rows.push(row),
-                        (Ok(_), Err(error)) => *rows = Err(error),
-                        (Err(_), _) => return,
-                    }
-                }
-            });
+            scope.spawn(|| play_seeds(name, &next_seed, seeds.end, options, &results));
         }
     });
-    let mut rows = rows
+    let mut results = results
         .into_inner()
-        .unwrap_or_else(std::sync::PoisonError::into_inner)?;
-    rows.sort_by_key(|row| row.seed);
-    Ok(rows)
+        .unwrap_or_else(PoisonError::into_inner)?;
+    results.sort_by_key(|result| result.seed);
+    Ok(results)
 }
 
-fn row(name: &str, seed: u64, options: &Options) -> Result<Row, RunError> {
+/// Plays seeds until there are no more, or one has failed.
+fn play_seeds(
+    name: &str,
+    next_seed: &AtomicU64,
+    end: u64,
+    options: &Options,
+    results: &Mutex<Results>,
+) {
+    loop {
+        let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+        if seed >= end {
+            return;
+        }
+        let result = play_seed(name, seed, options);
+        let mut results: MutexGuard<'_, Results> =
+            results.lock().unwrap_or_else(PoisonError::into_inner);
+        match (&mut *results, result) {
+            (Ok(results), Ok(result)) => results.push(result),
+            (Ok(_), Err(error)) => *results = Err(error),
+            (Err(_), _) => return,
+        }
+    }
+}
+
+fn play_seed(name: &str, seed: u64, options: &Options) -> Result<SeedResult, RunError> {
     let plan = Plan::draw(scenario::find(name)?, seed);
-    let played = run::play(&plan, options, &mut |_| {})?;
-    let trouble = fleet::troubles(&plan).into_iter().next();
-    Ok(Row {
+    let report = run::play(&plan, options, &mut |_| {})?;
+    let first_outage = fleet::troubles(&plan).into_iter().next();
+    Ok(SeedResult {
         seed,
-        served: played.counts().served_fraction(),
-        broken: played.breaches.len() + usize::from(played.strangers > 0),
-        conduct: trouble.map(|trouble| fleet::conduct(&played.log, &trouble)),
-        cold: played.cold_peak(None),
-        strayed: fleet::strayed(&plan, &played.log).len(),
+        served_fraction: report.counts().served_fraction(),
+        breaches: report.breaches.len() + usize::from(report.strangers > 0),
+        conduct: first_outage.map(|outage| fleet::conduct(&report.log, &outage)),
+        slow_start_peak: report.cold_peak(None),
+        false_ejections: fleet::strayed(&plan, &report.log).len(),
     })
 }
 
-/// The figures of a row that a sweep compares, in the order of [`COLUMNS`]; none where there is no such thing.
-pub fn figures(row: &Row) -> [Option<f64>; COLUMNS.len()] {
-    let conduct = row.conduct.as_ref();
-    let left = |share| {
-        let spans = conduct
-            .filter(|seen| seen.stayed == 0)
-            .map(|seen| &seen.left_after);
-        spans
-            .and_then(|spans| fleet::at_share(spans, share))
-            .map(|span| (span / MILLISECOND) as f64)
-    };
-    let ms = |span: Option<u64>| span.map(|span| (span / MILLISECOND) as f64);
-    [
-        Some(row.served),
-        left(0.5),
-        left(0.9),
-        left(1.0),
-        conduct.map(|seen| seen.spent as f64),
-        conduct.map(|seen| seen.worst.0),
-        ms(conduct.and_then(|seen| seen.half_back)),
-        ms(conduct.and_then(|seen| seen.full_back)),
-        conduct.map(|seen| seen.peak_elsewhere),
-        Some(row.cold),
-        Some(row.strayed as f64),
-        Some(row.broken as f64),
-    ]
-}
-
-/// What the figures are.
+/// The names of the figures, as they are printed.
 pub const COLUMNS: [&str; 12] = [
     "served",
     "left50_ms",
@@ -121,14 +101,66 @@
     "broken",
 ];
 
-/// Least, middle and most of one column; `None` where a row lacks it, since that is no number.
-pub fn spread(rows: &[Row], column: usize) -> Option<[f64; 3]> {
-    let values: Option<Vec<f64>> = rows.iter().map(|row| figures(row)[column]).collect();
+/// The figures of a result in the order of [`COLUMNS`]; none where the run has no such figure.
+pub fn figures(result: &SeedResult) -> [Option<f64>; COLUMNS.len()] {
+    let conduct = result.conduct.as_ref();
+    let failover_ms = |fraction| conduct.and_then(|conduct| failover_ms(conduct, fraction));
+    [
+        Some(result.served_fraction),
+        failover_ms(0.5),
+        failover_ms(0.9),
+        failover_ms(1.0),
+        conduct.map(|conduct| conduct.spent as f64),
+        conduct.map(|conduct| conduct.worst.0),
+        conduct
+            .and_then(|conduct| conduct.half_back)
+            .map(milliseconds),
+        conduct
+            .and_then(|conduct| conduct.full_back)
+            .map(milliseconds),
+        conduct.map(|conduct| conduct.peak_elsewhere),
+        Some(result.slow_start_peak),
+        Some(result.false_ejections as f64),
+        Some(result.breaches as f64),
+    ]
+}
+
+/// The time within which this fraction of the zone's nodes left it, if all did in the end.
+fn failover_ms(conduct: &Conduct, fraction: f64) -> Option<f64> {
+    if conduct.stayed > 0 {
+        return None;
+    }
+    fleet::at_share(&conduct.left_after, fraction).map(milliseconds)
+}
+
+/// A duration in whole milliseconds.
+fn milliseconds(duration: Nanos) -> f64 {
+    (duration / MILLISECOND) as f64
+}
+
+/// The spread of a figure over all results.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Spread {
+    /// The least value.
+    pub min: f64,
+    /// The middle value; the lower of two.
+    pub median: f64,
+    /// The greatest value.
+    pub max: f64,
+}
+
+/// The spread of one column; none if a result lacks the figure, as a spread over the others would mislead.
+pub fn spread(results: &[SeedResult], column: usize) -> Option<Spread> {
+    let values: Option<Vec<f64>> = results
+        .iter()
+        .map(|result| figures(result)[column])
+        .collect();
     let mut values = values.filter(|values| !values.is_empty())?;
     values.sort_by(f64::total_cmp);
-    Some([
-        values[0],
-        values[(values.len() - 1) / 2],
-        values[values.len() - 1],
-    ])
+    let last = values.len() - 1;
+    Some(Spread {
+        min: values[0],
+        median: values[last / 2],
+        max: values[last],
+    })
 }
