--- a/testkit/scenarios/src/arguments.rs
+++ b/testkit/scenarios/src/arguments.rs
@@ -51,7 +51,8 @@
 #[derive(Args)]
 pub(crate) struct UpArguments {
     /// A shipped scene's name, or a file
-    pub(crate) scene: String,
+    #[arg(id = "scene", value_name = "SCENE")]
+    pub(crate) scenario: String,
     /// Start so many of the scene's nodes only
     #[arg(long, value_name = "N")]
     pub(crate) nodes: Option<usize>,
@@ -65,8 +66,8 @@
 #[derive(Args)]
 pub(crate) struct RunArguments {
     /// A shipped scene's name, or a file
-    #[arg(required_unless_present = "repro")]
-    pub(crate) scene: Option<String>,
+    #[arg(id = "scene", value_name = "SCENE", required_unless_present = "repro")]
+    pub(crate) scenario: Option<String>,
     /// What is random in the scene follows from this number
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
@@ -92,7 +93,8 @@
 #[derive(Args)]
 pub(crate) struct HuntArguments {
     /// A shipped scene's name, or a file
-    pub(crate) scene: String,
+    #[arg(id = "scene", value_name = "SCENE")]
+    pub(crate) scenario: String,
     /// From the first up to, not including, the second
     #[arg(long, value_name = "A..B", value_parser = parse_seed_range)]
     pub(crate) seeds: Range<u64>,
@@ -109,7 +111,8 @@
 #[derive(Args)]
 pub(crate) struct SweepArguments {
     /// A shipped scene's name, or a file
-    pub(crate) scene: String,
+    #[arg(id = "scene", value_name = "SCENE")]
+    pub(crate) scenario: String,
     /// From the first up to, not including, the second
     #[arg(long, value_name = "A..B", value_parser = parse_seed_range)]
     pub(crate) seeds: Range<u64>,
--- a/testkit/scenarios/src/commands.rs
+++ b/testkit/scenarios/src/commands.rs
@@ -33,7 +33,7 @@
 
 /// Starts a scenario of PostgreSQL, if there is one of this name, or one of HTTP.
 fn up(arguments: &UpArguments) -> Result<ExitCode, Failure> {
-    match postgres::find(&arguments.scene) {
+    match postgres::find(&arguments.scenario) {
         Some(scene) => up_postgres::up(&scene?, arguments.port, &arguments.program.path()?),
         None => up::up(arguments),
     }
@@ -42,7 +42,7 @@
 /// Plays a scenario of PostgreSQL, if there is one of this name, or one of HTTP.
 fn run(arguments: &RunArguments) -> Result<ExitCode, Failure> {
     if arguments.repro.is_none()
-        && let Some(name) = &arguments.scene
+        && let Some(name) = &arguments.scenario
         && let Some(scene) = postgres::find(name)
     {
         return run_postgres::run(name, &scene?, arguments);
--- a/testkit/scenarios/src/commands/hunt.rs
+++ b/testkit/scenarios/src/commands/hunt.rs
@@ -18,7 +18,7 @@
     let bar = progress_bar(seeds.end - seeds.start);
     for seed in seeds.clone() {
         bar.set_message(format!("seed {seed}"));
-        let drawn = Plan::draw(scenario::find(&arguments.scene)?, seed);
+        let drawn = Plan::draw(scenario::find(&arguments.scenario)?, seed);
         let plan = if arguments.as_written {
             drawn
         } else {
--- a/testkit/scenarios/src/commands/run.rs
+++ b/testkit/scenarios/src/commands/run.rs
@@ -17,7 +17,7 @@
     let plan = match &arguments.repro {
         Some(file) => Plan::from_repro(file)?,
         None => {
-            let name = arguments.scene.as_deref().unwrap_or_default();
+            let name = arguments.scenario.as_deref().unwrap_or_default();
             Plan::draw(scenario::find(name)?, arguments.seed)
         }
     };
--- a/testkit/scenarios/src/commands/sweep.rs
+++ b/testkit/scenarios/src/commands/sweep.rs
@@ -11,10 +11,15 @@
 /// Plays the scenario and prints the spread of each figure.
 pub(super) fn sweep(arguments: SweepArguments) -> Result<ExitCode, Failure> {
     let options = arguments.program.options(false, 0)?;
-    let results = sweep::sweep(&arguments.scene, arguments.seeds, arguments.jobs, &options)?;
+    let results = sweep::sweep(
+        &arguments.scenario,
+        arguments.seeds,
+        arguments.jobs,
+        &options,
+    )?;
     print_line(&format!(
         "scene {}, {} seeds; least, middle, most",
-        arguments.scene,
+        arguments.scenario,
         results.len()
     ))?;
     for (column, name) in COLUMNS.iter().enumerate() {
--- a/testkit/scenarios/src/commands/up.rs
+++ b/testkit/scenarios/src/commands/up.rs
@@ -20,7 +20,7 @@
 pub(super) fn up(arguments: &UpArguments) -> Result<ExitCode, Failure> {
     let stop = StopRequest::on_signals()?;
     let options = arguments.program.options(true, arguments.port)?;
-    let plan = plan(&arguments.scene, arguments.nodes)?;
+    let plan = plan(&arguments.scenario, arguments.nodes)?;
     let mut stage = Stage::set(&plan, &options)?;
     print_line(&describe(&plan, &mut stage).to_string())?;
     stop.on_end_of_input();
--- a/testkit/scenarios/src/outcome.rs
+++ b/testkit/scenarios/src/outcome.rs
@@ -31,6 +31,28 @@
     Cell,
 }
 
+/// Where and for how long repeats of a keyed request are dropped. A log has it as a pair.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(DedupScope, Nanos)", into = "(DedupScope, Nanos)")]
+pub struct Dedup {
+    /// The servers that drop its repeats.
+    pub scope: DedupScope,
+    /// For how long they do.
+    pub window: Nanos,
+}
+
+impl From<(DedupScope, Nanos)> for Dedup {
+    fn from((scope, window): (DedupScope, Nanos)) -> Self {
+        Self { scope, window }
+    }
+}
+
+impl From<Dedup> for (DedupScope, Nanos) {
+    fn from(dedup: Dedup) -> Self {
+        (dedup.scope, dedup.window)
+    }
+}
+
 /// How an attempt ended, as its server saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -141,8 +163,8 @@
     /// Whether it may take effect more than once.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// Which servers drop its repeats, and for how long.
-    pub dedup: Option<(DedupScope, Nanos)>,
+    /// Where its repeats are dropped, if it is keyed.
+    pub dedup: Option<Dedup>,
     /// The node that it was sent to.
     pub node: String,
     /// When its last byte was written to the node.
--- a/testkit/scenarios/src/rules.rs
+++ b/testkit/scenarios/src/rules.rs
@@ -4,7 +4,7 @@
 
 use badgerpost_time::{MILLISECOND, Nanos};
 
-use crate::outcome::{Attempt, ClientResult, DedupScope, Idempotency, Request};
+use crate::outcome::{Attempt, ClientResult, Dedup, DedupScope, Idempotency, Request};
 
 /// One of the four rules, in the order of their weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -195,7 +195,7 @@
 fn may_follow(request: &Request, executed: &Attempt, next: &Attempt) -> bool {
     match (request.idempotency, request.dedup) {
         (Idempotency::Idempotent, _) => true,
-        (Idempotency::Keyed, Some((scope, window))) => {
+        (Idempotency::Keyed, Some(Dedup { scope, window })) => {
             shares_dedup(scope, executed, next)
                 && next.start.saturating_sub(executed.start) < window
         }
@@ -217,7 +217,14 @@
     // Wherever the client's retry goes, it is harmless or dropped there.
     let is_retry_harmless = matches!(
         (request.idempotency, request.dedup),
-        (Idempotency::Idempotent, _) | (Idempotency::Keyed, Some((DedupScope::All, _)))
+        (Idempotency::Idempotent, _)
+            | (
+                Idempotency::Keyed,
+                Some(Dedup {
+                    scope: DedupScope::All,
+                    ..
+                })
+            )
     );
     if request.result() != Some(ClientResult::Rejected) || is_retry_harmless {
         return None;
--- a/testkit/scenarios/src/rules/tests.rs
+++ b/testkit/scenarios/src/rules/tests.rs
@@ -35,7 +35,10 @@
         retry_of: None,
         class: "c".to_owned(),
         idempotency,
-        dedup: (idempotency == Idempotency::Keyed).then_some((DedupScope::Zone, 2 * SECOND)),
+        dedup: (idempotency == Idempotency::Keyed).then_some(Dedup {
+            scope: DedupScope::Zone,
+            window: 2 * SECOND,
+        }),
         node: "n".to_owned(),
         arrival: 0,
         timeout: 500 * MILLISECOND,
@@ -176,7 +179,10 @@
         vec![attempt("a1", 0, AttemptOutcome::ConnectionReset)],
         Some(ClientResult::Rejected),
     );
-    anywhere.dedup = Some((DedupScope::All, SECOND));
+    anywhere.dedup = Some(Dedup {
+        scope: DedupScope::All,
+        window: SECOND,
+    });
     assert_eq!(broken_rules(&anywhere), []);
 }
 
--- a/testkit/scenarios/src/world/clients.rs
+++ b/testkit/scenarios/src/world/clients.rs
@@ -9,7 +9,7 @@
 use super::links::Carried;
 use super::stage::{Open, Peer, SOCKETS, Todo, World, body};
 use crate::LATE_RESPONSE_LIMIT;
-use crate::outcome::{AttemptOutcome, ClientResult, FinalResponse, Idempotency, Request};
+use crate::outcome::{AttemptOutcome, ClientResult, Dedup, FinalResponse, Idempotency, Request};
 use badgerpost_time::{MILLISECOND, Nanos};
 
 /// Clients listen for this long past the time that an answer still counts: what comes too late is to be seen.
@@ -25,8 +25,10 @@
             0 => format!("{:016x}", plan.number),
             tries => format!("{:016x}-{tries}", plan.number),
         };
-        let dedup = (class.idempotency == Idempotency::Keyed)
-            .then_some((class.dedup_scope, class.dedup_window_ms * MILLISECOND));
+        let dedup = (class.idempotency == Idempotency::Keyed).then_some(Dedup {
+            scope: class.dedup_scope,
+            window: class.dedup_window_ms * MILLISECOND,
+        });
         // The system before the nodes has noticed by now which of them are down.
         let count = self.nodes.len();
         let up = (0..count)
--- a/testkit/scenarios/src/world/servers.rs
+++ b/testkit/scenarios/src/world/servers.rs
@@ -10,7 +10,7 @@
 
 use super::links::Carried;
 use super::stage::{ConnectionFate, Job, Open, Peer, Sending, Todo, World, body};
-use crate::outcome::{Attempt, AttemptOutcome, DedupScope};
+use crate::outcome::{Attempt, AttemptOutcome, Dedup, DedupScope};
 use crate::scenario::{FaultKind, LoadReports};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
@@ -209,7 +209,7 @@
     /// Whether a keyed request was seen by the server's group within the window; it is from now on.
     pub(super) fn is_repeat(&mut self, request: usize, server: usize) -> bool {
         let Open { log, key, .. } = &self.requests[request];
-        let Some((scope, window)) = log.dedup else {
+        let Some(Dedup { scope, window }) = log.dedup else {
             return false;
         };
         let site = &self.sites[server];
