--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -12,8 +12,8 @@
 use badgerpost_fakes::random::Random;
 use badgerpost_fakes::system_faults::{SystemFaults, WallClock};
 
-use crate::LATE_ANSWER;
-use crate::one_core::OneCore;
+use crate::LATE_RESPONSE_LIMIT;
+use crate::cpu_pinning::CpuPinning;
 use crate::outcome::{Counts, Request};
 use crate::plan::Plan;
 use crate::process::{self, Process, ProcessError, Start};
@@ -32,8 +32,10 @@
 /// In real time: the longest wait for sockets, and how often the nodes' processes are looked at.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(20);
 const NODE_CHECK_PERIOD: Nanos = 100 * MILLISECOND;
-/// An attempt may begin this long after its client has left.
-const LEAVE_SLACK: Nanos = 100 * MILLISECOND;
+/// How often `progress` is called over the length of a scenario.
+const PROGRESS_CALLS: u64 = 200;
+/// An attempt may begin this long after its client has disconnected.
+const DISCONNECT_SLACK: Nanos = 100 * MILLISECOND;
 /// A system call that is held begins this late.
 const HELD_CALL_DELAY: Nanos = 150 * MILLISECOND;
 /// The deadline that a server is told may be this much beyond what the client has left.
@@ -143,8 +145,7 @@
     Endless(&'static str),
 }
 
-/// Plays a plan to its end. `progress` hears how far the scene is, from 0 to 1.
-#[expect(clippy::too_many_lines, reason = "to be split with the module")]
+/// Plays a plan to its end. `progress` is called with the part that is done, from 0 to 1.
 pub fn play(
     plan: &Plan,
     options: &Options,
@@ -153,75 +154,27 @@
     let sha256 = process::sha256(&options.program)?;
     let started_at = Instant::now();
     let mut runner = Runner::set(plan, options)?;
-    let length = plan.scenario.spec.length_ms.get_ref() * MILLISECOND;
-    let mut next_progress = 0;
-    while !runner.simulation.is_done() {
-        if options.real_time {
-            runner.real_time_turn()?;
-        } else {
-            runner.stepped_turn()?;
-        }
-        let now = runner.simulation.now();
-        if now >= next_progress {
-            progress(now as f64 / length as f64);
-            next_progress = now + length / 200;
-        }
-    }
-    runner.check_exits()?;
-    let (steps, late, strangers, simulated) = (
-        runner.steps,
-        runner.late,
-        runner.simulation.unknown_requests(),
-        runner.simulation.now(),
-    );
-    let Runner {
-        simulation,
-        processes,
-        _core,
-        ..
-    } = runner;
-    let names = plan
-        .scenario
-        .spec
-        .nodes
-        .iter()
-        .map(|node| node.name.get_ref().clone());
-    let logs = names
-        .zip(&processes)
-        .filter_map(|(name, process)| Some((name, process.as_ref()?.log())))
-        .collect();
-    drop(processes);
-    let (cold_peaks, talk) = (simulation.cold_peaks(), simulation.gossip_traffic());
-    let owed = simulation.missed_responses();
-    let log = simulation.into_log();
-    let scene = &plan.scenario.spec.rules;
-    let figures = rules::Figures {
-        answer_slack: match plan.behaviour.strict {
-            true => LATE_ANSWER,
-            false => scene.response_slack_ms * MILLISECOND + SOCKET_SLACK,
+    runner.run_to_end(progress)?;
+    let mut report = runner.into_report(sha256);
+    report.wall = started_at.elapsed();
+    Ok(report)
+}
+
+/// The tolerances of the rules for a run: those of the scenario, or by the letter of the platform's pages.
+fn tolerances(plan: &Plan, options: &Options) -> rules::Tolerances {
+    let rules = &plan.scenario.spec.rules;
+    rules::Tolerances {
+        response_slack: match plan.behaviour.strict {
+            true => LATE_RESPONSE_LIMIT,
+            false => rules.response_slack_ms * MILLISECOND + SOCKET_SLACK,
         },
-        drain_grace: scene.drain_grace_ms * MILLISECOND + SOCKET_SLACK,
-        leave_slack: LEAVE_SLACK + SOCKET_SLACK,
+        drain_grace: rules.drain_grace_ms * MILLISECOND + SOCKET_SLACK,
+        disconnect_slack: DISCONNECT_SLACK + SOCKET_SLACK,
         deadline_slack: DEADLINE_SLACK + SOCKET_SLACK + system_call_delay(options),
-    };
-    let mut breaches = rules::check(&log, &figures);
-    breaches.extend(owed);
-    Ok(RunReport {
-        log,
-        cold_peaks,
-        logs,
-        breaches,
-        strangers,
-        talk,
-        sha256,
-        simulated,
-        wall: started_at.elapsed(),
-        steps,
-        late,
-    })
+    }
 }
 
-/// How much more a node may be held up before it has read a request, where its system calls are.
+/// How much later a node may read a request where its system calls are held.
 fn system_call_delay(options: &Options) -> Nanos {
     if options.system_faults.iter().any(SystemFaults::has_holds) {
         HELD_CALL_DELAY
@@ -230,7 +183,7 @@
     }
 }
 
-/// Nodes and stand-ins, all ready.
+/// The processes of the nodes and the simulation around them.
 pub struct Runner {
     plan: Plan,
     options: Options,
@@ -253,7 +206,7 @@
     checked_at: Nanos,
     steps: u64,
     late: u64,
-    _core: Option<OneCore>,
+    _pinning: Option<CpuPinning>,
 }
 
 impl Runner {
@@ -267,7 +220,7 @@
         } else {
             STEPPED_BASE
         };
-        let core = (!options.real_time).then(OneCore::take);
+        let pinning = (!options.real_time).then(CpuPinning::acquire);
         let count = plan.scenario.spec.nodes.len();
         let simulation = Simulation::new(plan.clone(), base, options.peers)?;
         let port = |node| {
@@ -298,13 +251,63 @@
             checked_at: 0,
             steps: 0,
             late: 0,
-            _core: core,
+            _pinning: pinning,
         };
         (0..count).try_for_each(|node| runner.start(node))?;
         runner.started_at = Instant::now();
         Ok(runner)
     }
 
+    fn run_to_end(&mut self, progress: &mut dyn FnMut(f64)) -> Result<(), RunError> {
+        let length = self.plan.scenario.spec.length_ms.get_ref() * MILLISECOND;
+        let mut next_progress = 0;
+        while !self.simulation.is_done() {
+            if self.options.real_time {
+                self.real_time_turn()?;
+            } else {
+                self.stepped_turn()?;
+            }
+            let now = self.simulation.now();
+            if now >= next_progress {
+                progress(now as f64 / length as f64);
+                next_progress = now + length / PROGRESS_CALLS;
+            }
+        }
+        self.check_exits()
+    }
+
+    /// Ends the processes, and checks the log against the rules. The caller adds how long the run took.
+    fn into_report(self, sha256: String) -> RunReport {
+        let nodes = &self.plan.scenario.spec.nodes;
+        let logs = nodes
+            .iter()
+            .map(|node| node.name.get_ref().clone())
+            .zip(&self.processes)
+            .filter_map(|(name, process)| Some((name, process.as_ref()?.log())))
+            .collect();
+        drop(self.processes);
+        let simulation = self.simulation;
+        let (strangers, simulated) = (simulation.unknown_requests(), simulation.now());
+        let (cold_peaks, talk) = (simulation.cold_peaks(), simulation.gossip_traffic());
+        let missed_responses = simulation.missed_responses();
+        let log = simulation.into_log();
+        let mut breaches = rules::check(&log, &tolerances(&self.plan, &self.options));
+        breaches.extend(missed_responses);
+        RunReport {
+            log,
+            cold_peaks,
+            logs,
+            breaches,
+            strangers,
+            talk,
+            sha256,
+            simulated,
+            wall: Duration::ZERO,
+            steps: self.steps,
+            late: self.late,
+        }
+    }
+
     /// Where a node listens, and its process's id.
     pub fn node(&self, node: usize) -> Option<(SocketAddr, u32)> {
         Some((
--- a/testkit/scenarios/src/simulation/clients.rs
+++ b/testkit/scenarios/src/simulation/clients.rs
@@ -11,8 +11,8 @@
 use super::in_flight::InFlightMessage;
 use super::server_state::response_body;
 use super::state::{OpenRequest, SOCKET_SLACK, Simulation};
-use crate::LATE_ANSWER;
-use crate::outcome::{AttemptOutcome, ClientResult, FinalResponse, Idempotency, Request};
+use crate::LATE_RESPONSE_LIMIT;
+use crate::outcome::{AttemptOutcome, ClientResult, Dedup, FinalResponse, Idempotency, Request};
 use badgerpost_time::{MILLISECOND, Nanos};
 
 /// Clients listen for this long past the time that an answer still counts: what comes too late is to be seen.
@@ -28,8 +28,10 @@
             0 => format!("{:016x}", plan.number),
             tries => format!("{:016x}-{tries}", plan.number),
         };
-        let dedup = (class.idempotency == Idempotency::Keyed)
-            .then_some((class.dedup_scope, class.dedup_window_ms * MILLISECOND));
+        let dedup = (class.idempotency == Idempotency::Keyed).then_some(Dedup {
+            scope: class.dedup_scope,
+            window: class.dedup_window_ms * MILLISECOND,
+        });
         // The system before the nodes has noticed by now which of them are down.
         let count = self.nodes.len();
         let up = (0..count)
@@ -56,7 +58,7 @@
         self.request_by_id.insert(id, number);
         let rules = &self.plan.scenario.spec.rules;
         let slack = match self.plan.behaviour.strict {
-            true => LATE_ANSWER,
+            true => LATE_RESPONSE_LIMIT,
             false => rules.response_slack_ms * MILLISECOND + SOCKET_SLACK,
         };
         let due = self.now + log.timeout + slack + LISTENS_ON;
--- a/testkit/scenarios/src/simulation/servers.rs
+++ b/testkit/scenarios/src/simulation/servers.rs
@@ -10,7 +10,7 @@
 use super::in_flight::{AttemptId, ConnectionFate, InFlightMessage, ServerJob, ServerResponse};
 use super::server_state::response_body;
 use super::state::{OpenRequest, Simulation};
-use crate::outcome::{Attempt, AttemptOutcome, DedupScope};
+use crate::outcome::{Attempt, AttemptOutcome, Dedup, DedupScope};
 use crate::scenario::FaultKind;
 
 /// A node counts as notified of a change this long after discovery had it and was reachable.
@@ -211,7 +211,7 @@
     /// Whether the deduplication scope of a server saw the request's key within the window; notes the key.
     fn is_duplicate(&mut self, request: usize, server: usize) -> bool {
         let OpenRequest { log, key, .. } = &self.requests[request];
-        let Some((scope, window)) = log.dedup else {
+        let Some(Dedup { scope, window }) = log.dedup else {
             return false;
         };
         let server_state = &self.servers[server];
