--- a/testkit/scenarios/src/bin/faulty_node.rs
+++ b/testkit/scenarios/src/bin/faulty_node.rs
@@ -1,7 +1,7 @@
-//! A node that breaks one of the rules on purpose, so that the kit's checkers can be seen to catch it. It takes
-//! the same configuration as the real one, and its clock can be stepped alike. `BADGERPOST_FAULT` says what it
-//! does wrong: `resend`, `drop`, `drain` or `flood`, `crash` in the midst of its work, or `stray` from its zone; without
-//! it the node is plain and keeps the rules on a calm day. It is no part of the product.
+//! Mutants of a node: each breaks one rule on purpose, which proves that the rule checkers find it. The program takes the
+//! same configuration as the real one, and its clock can be controlled alike. `BADGERPOST_FAULT` names the mutation:
+//! `resend`, `drop`, `drain`, `flood`, `crash` or `stray`; without it the node keeps the rules while nothing fails. It is
+//! no part of the product.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,25 +17,56 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
+/// The environment variable that names the mutation.
+const MUTATION_VARIABLE: &str = "BADGERPOST_FAULT";
+/// Pause before the next attempt to watch the endpoint list.
+const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// The time budget of a request that states none, in milliseconds.
+const DEFAULT_BUDGET_MS: u64 = 1000;
+/// Of so many requests, one gets no response from `Mutation::DropResponses`.
+const DROP_INTERVAL: usize = 20;
+/// Attempts after which `Mutation::Crash` ends the process.
+const CRASH_AFTER_ATTEMPTS: usize = 100;
+const CRASH_EXIT_CODE: i32 = 3;
+/// One second of so many is spent outside the local zone by `Mutation::LeaveZone`.
+const LEAVE_ZONE_INTERVAL_S: u64 = 3;
+const SECOND_NS: u64 = 1_000_000_000;
+
+/// The rule that the node breaks.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Fault {
+enum Mutation {
     None,
-    /// Sends what may not be sent twice to two servers.
+    /// Sends requests that are not idempotent to two servers.
     Resend,
-    /// Forgets the answer to one request of twenty.
-    Drop,
-    /// Goes on sending to servers that drain.
-    Drain,
-    /// Sends everything to the server that has started last.
-    Flood,
-    /// Ends at its hundredth request.
+    /// Sends no response to one request of twenty.
+    DropResponses,
+    /// Goes on sending to draining servers.
+    IgnoreDraining,
+    /// Sends everything to the server that started last.
+    FloodNewest,
+    /// Ends the process at its hundredth attempt.
     Crash,
-    /// Keeps to its zone, but for every third second.
-    Stray,
+    /// Leaves its healthy zone in every third second.
+    LeaveZone,
+}
+
+impl Mutation {
+    fn from_environment() -> Self {
+        match std::env::var(MUTATION_VARIABLE).as_deref() {
+            Ok("resend") => Self::Resend,
+            Ok("drop") => Self::DropResponses,
+            Ok("drain") => Self::IgnoreDraining,
+            Ok("flood") => Self::FloodNewest,
+            Ok("crash") => Self::Crash,
+            Ok("stray") => Self::LeaveZone,
+            _ => Self::None,
+        }
+    }
 }
 
+/// The platform's configuration of the node.
 #[derive(Deserialize)]
-struct Edge {
+struct EdgeConfig {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -44,42 +75,63 @@
 
 #[derive(Deserialize)]
 struct Settings {
-    az: String,
+    #[serde(rename = "az")]
+    zone: String,
 }
 
+/// The operators' file, with the address of the clock's controller.
 #[derive(Deserialize)]
-struct Own {
-    rehearsal: Rehearsal,
+struct OperatorConfig {
+    #[serde(rename = "rehearsal")]
+    virtual_clock: VirtualClockConfig,
 }
 
 #[derive(Deserialize)]
-struct Rehearsal {
-    control: SocketAddr,
+struct VirtualClockConfig {
+    #[serde(rename = "control")]
+    controller: SocketAddr,
     start_ns: u64,
 }
 
+/// A snapshot of the endpoint list, or the changes since a revision.
 #[derive(Deserialize)]
-struct List {
-    rev: u64,
-    all: bool,
-    targets: Vec<Target>,
+struct EndpointUpdate {
+    #[serde(rename = "rev")]
+    revision: u64,
+    #[serde(rename = "all")]
+    is_snapshot: bool,
+    #[serde(rename = "targets")]
+    endpoints: Vec<Endpoint>,
 }
 
 #[derive(Clone, Deserialize)]
-struct Target {
+struct Endpoint {
     uid: String,
-    az: String,
-    endpoint: SocketAddr,
+    #[serde(rename = "az")]
+    zone: String,
+    #[serde(rename = "endpoint")]
+    address: SocketAddr,
     state: String,
     boot_ms: u64,
 }
 
+impl Endpoint {
+    fn is_ready(&self) -> bool {
+        self.state == "Ready"
+    }
+
+    fn is_gone(&self) -> bool {
+        self.state == "Gone"
+    }
+}
+
 struct Node {
-    fault: Fault,
+    mutation: Mutation,
     zone: String,
     clock: Clock,
-    targets: RefCell<Vec<Target>>,
-    turn: Cell<usize>,
+    endpoints: RefCell<Vec<Endpoint>>,
+    /// Attempts so far.
+    attempts: Cell<usize>,
 }
 
 type Failure = Box<dyn std::error::Error>;
@@ -95,66 +147,70 @@
 }
 
 fn start() -> Result<(), Failure> {
-    let edge: Edge = serde_json::from_slice(&std::fs::read(std::env::var("EDGE_CONFIG")?)?)?;
+    let edge: EdgeConfig = serde_json::from_slice(&std::fs::read(std::env::var("EDGE_CONFIG")?)?)?;
     let mut arguments = std::env::args()
         .skip_while(|argument| argument != "--config")
         .skip(1);
-    let own: Option<Own> = arguments
+    let operator_config: Option<OperatorConfig> = arguments
         .next()
         .map(|path| badgerpost_settings::file::read(path.as_ref()))
         .transpose()?;
-    let fault = match std::env::var("BADGERPOST_FAULT").as_deref() {
-        Ok("resend") => Fault::Resend,
-        Ok("drop") => Fault::Drop,
-        Ok("drain") => Fault::Drain,
-        Ok("flood") => Fault::Flood,
-        Ok("crash") => Fault::Crash,
-        Ok("stray") => Fault::Stray,
-        _ => Fault::None,
-    };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&runtime, serve(edge, own, fault))
+    LocalSet::new().block_on(&runtime, run(edge, operator_config))
 }
 
-async fn serve(edge: Edge, own: Option<Own>, fault: Fault) -> Result<(), Failure> {
-    let hands = match own {
-        Some(Own { rehearsal }) => Some((
-            VirtualClock::at(rehearsal.start_ns),
-            ControlConnection::connect(rehearsal.control)?,
-        )),
-        None => None,
-    };
-    let clock = hands
+/// Serves clients until the process is killed, or the clock's controller is gone.
+async fn run(edge: EdgeConfig, operator_config: Option<OperatorConfig>) -> Result<(), Failure> {
+    let controlled = operator_config
+        .map(|config| ControlledClock::connect(&config.virtual_clock))
+        .transpose()?;
+    let clock = controlled
         .as_ref()
-        .map_or_else(Clock::system, |(steps, _)| Clock::controlled(steps.clone()));
+        .map_or_else(Clock::system, |controlled| {
+            Clock::controlled(controlled.clock.clone())
+        });
     let node = Rc::new(Node {
-        fault,
-        zone: edge.settings.az.clone(),
+        mutation: Mutation::from_environment(),
+        zone: edge.settings.zone.clone(),
         clock,
-        targets: RefCell::default(),
-        turn: Cell::new(0),
+        endpoints: RefCell::default(),
+        attempts: Cell::new(0),
     });
     let listener = TcpListener::bind(edge.listen).await?;
     let listen = listener.local_addr()?;
-    spawn(node.clone().follow_list(edge.discovery));
+    spawn(node.clone().watch_endpoints(edge.discovery));
     spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            spawn(node.clone().converse(stream));
+            spawn(node.clone().serve_connection(stream));
         }
     });
     eprintln!("serving node={} listen={listen}", edge.name);
-    match hands {
-        Some((steps, control)) => {
-            let over =
-                spawn_local(async move { control.follow(&edge.name, listen, steps).await }).await?;
-            Err(over.into())
+    match controlled {
+        Some(ControlledClock { clock, control }) => {
+            let end = spawn_local(async move { control.follow(&edge.name, listen, clock).await });
+            Err(end.await?.into())
         }
         None => std::future::pending().await,
     }
 }
 
+/// A virtual clock and the connection to its controller.
+struct ControlledClock {
+    clock: Rc<VirtualClock>,
+    control: ControlConnection,
+}
+
+impl ControlledClock {
+    fn connect(config: &VirtualClockConfig) -> Result<Self, Failure> {
+        Ok(Self {
+            clock: VirtualClock::at(config.start_ns),
+            control: ControlConnection::connect(config.controller)?,
+        })
+    }
+}
+
 async fn read(stream: &mut TcpStream, inbox: &mut Inbox) -> Option<Message> {
     let mut buffer = vec![0; 16 * 1024];
     loop {
@@ -178,119 +234,133 @@
 }
 
 impl Node {
-    async fn follow_list(self: Rc<Self>, at: SocketAddr) {
+    async fn watch_endpoints(self: Rc<Self>, discovery: SocketAddr) {
         loop {
-            let _ = self.watch(at).await;
-            self.clock.sleep(Duration::from_millis(50)).await;
+            let _ = self.watch_until_disconnected(discovery).await;
+            self.clock.sleep(WATCH_RETRY_PAUSE).await;
         }
     }
 
-    async fn watch(&self, at: SocketAddr) -> Option<()> {
-        let mut stream = activity::connecting(TcpStream::connect(at)).await.ok()?;
+    /// Long-polls the discovery service and applies each update.
+    async fn watch_until_disconnected(&self, discovery: SocketAddr) -> Option<()> {
+        let mut stream = activity::connecting(TcpStream::connect(discovery))
+            .await
+            .ok()?;
         let _connection = activity::Connection::default();
         let mut inbox = Inbox::new(Side::Answers);
-        let mut target = "/registry/instances".to_owned();
+        let mut path = "/registry/instances".to_owned();
         loop {
-            write(
-                &mut stream,
-                &message::request("GET", &target, "Host: list\r\n", b""),
-            )
-            .await?;
-            let answer = read(&mut stream, &mut inbox).await?;
-            let list: List = serde_json::from_slice(&answer.body).ok()?;
-            let mut targets = self.targets.borrow_mut();
-            if list.all {
-                targets.clear();
-            }
-            for target in list.targets {
-                targets.retain(|known| known.uid != target.uid);
-                if target.state != "Gone" {
-                    targets.push(target);
-                }
+            let request = message::request("GET", &path, "Host: list\r\n", b"");
+            write(&mut stream, &request).await?;
+            let response = read(&mut stream, &mut inbox).await?;
+            let update: EndpointUpdate = serde_json::from_slice(&response.body).ok()?;
+            path = format!("/registry/instances?from={}&hold_ms=5000", update.revision);
+            self.apply(update);
+        }
+    }
+
+    fn apply(&self, update: EndpointUpdate) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        if update.is_snapshot {
+            endpoints.clear();
+        }
+        for endpoint in update.endpoints {
+            endpoints.retain(|known| known.uid != endpoint.uid);
+            if !endpoint.is_gone() {
+                endpoints.push(endpoint);
             }
-            targets.sort_by(|a, b| a.uid.cmp(&b.uid));
-            target = format!("/registry/instances?from={}&hold_ms=5000", list.rev);
         }
+        endpoints.sort_by(|a, b| a.uid.cmp(&b.uid));
     }
 
-    fn pick(&self) -> Option<Target> {
-        let turn = self.turn.get();
-        self.turn.set(turn + 1);
-        let targets = self.targets.borrow();
-        let drains = |target: &&Target| self.fault == Fault::Drain || target.state == "Ready";
-        let home = !(self.clock.now() / 1_000_000_000).is_multiple_of(3);
-        let strays =
-            |target: &&Target| self.fault != Fault::Stray || (target.az == self.zone) == home;
-        let usable: Vec<&Target> = targets.iter().filter(drains).filter(strays).collect();
-        let chosen = match self.fault {
-            Fault::Flood => usable.iter().max_by_key(|target| target.boot_ms).copied(),
-            // The draining ones above all.
-            Fault::Drain if turn.is_multiple_of(2) => usable
+    /// Selects an endpoint round-robin, unless the mutation prefers one.
+    fn select_endpoint(&self) -> Option<Endpoint> {
+        let attempt = self.attempts.get();
+        self.attempts.set(attempt + 1);
+        let endpoints = self.endpoints.borrow();
+        let eligible: Vec<&Endpoint> = endpoints
+            .iter()
+            .filter(|endpoint| self.is_eligible(endpoint))
+            .collect();
+        let preferred = match self.mutation {
+            Mutation::FloodNewest => eligible
                 .iter()
-                .find(|target| target.state != "Ready")
+                .max_by_key(|endpoint| endpoint.boot_ms)
+                .copied(),
+            // Draining ones get every second attempt.
+            Mutation::IgnoreDraining if attempt.is_multiple_of(2) => eligible
+                .iter()
+                .find(|endpoint| !endpoint.is_ready())
                 .copied(),
             _ => None,
         };
-        let chosen = chosen.or_else(|| usable.get(turn % usable.len().max(1)).copied());
-        chosen.cloned()
+        let selected = preferred.or_else(|| eligible.get(attempt % eligible.len().max(1)).copied());
+        selected.cloned()
+    }
+
+    fn is_eligible(&self, endpoint: &Endpoint) -> bool {
+        let accepts_requests = self.mutation == Mutation::IgnoreDraining || endpoint.is_ready();
+        let second = self.clock.now() / SECOND_NS;
+        let wants_local_zone = !second.is_multiple_of(LEAVE_ZONE_INTERVAL_S);
+        let is_local = endpoint.zone == self.zone;
+        accepts_requests && (self.mutation != Mutation::LeaveZone || is_local == wants_local_zone)
     }
 
-    async fn converse(self: Rc<Self>, mut stream: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, mut stream: TcpStream) {
         let mut inbox = Inbox::new(Side::Requests);
         let _connection = activity::Connection::default();
         while let Some(request) = read(&mut stream, &mut inbox).await {
-            let answer = self.serve(&request).await;
-            if self.fault == Fault::Crash && self.turn.get() >= 100 {
+            let response = self.respond(&request).await;
+            let attempts = self.attempts.get();
+            if self.mutation == Mutation::Crash && attempts >= CRASH_AFTER_ATTEMPTS {
                 eprintln!("this is the hundredth request");
-                std::process::exit(3);
+                std::process::exit(CRASH_EXIT_CODE);
             }
-            if self.fault == Fault::Drop && self.turn.get().is_multiple_of(20) {
+            if self.mutation == Mutation::DropResponses && attempts.is_multiple_of(DROP_INTERVAL) {
                 return;
             }
-            if write(&mut stream, &answer).await.is_none() {
+            if write(&mut stream, &response).await.is_none() {
                 return;
             }
         }
     }
 
-    async fn serve(&self, request: &Message) -> Vec<u8> {
-        let budget = request
+    async fn respond(&self, request: &Message) -> Vec<u8> {
+        let budget_ms = request
             .value("x-budget-ms")
             .and_then(|text| text.parse().ok())
-            .unwrap_or(1000);
-        let limit = Duration::from_millis(budget);
-        let attempt = self.clock.timeout(limit, self.attempt(request)).await;
+            .unwrap_or(DEFAULT_BUDGET_MS);
+        let budget = Duration::from_millis(budget_ms);
+        let attempt = self.clock.timeout(budget, self.attempt(request)).await;
         let first = attempt.ok().flatten();
-        let again = self.fault == Fault::Resend && request.method == "POST";
-        let last = if again {
+        let resends = self.mutation == Mutation::Resend && request.method == "POST";
+        let response = if resends {
             self.attempt(request).await.or(first)
         } else {
             first
         };
-        match last {
-            Some(answer) if answer.status == 200 => message::answer(200, "", &answer.body),
+        match response {
+            Some(response) if response.status == 200 => message::answer(200, "", &response.body),
             _ => message::answer(502, "", b"failed"),
         }
     }
 
     async fn attempt(&self, request: &Message) -> Option<Message> {
-        let target = self.pick()?;
-        let mut stream = activity::connecting(TcpStream::connect(target.endpoint))
+        let endpoint = self.select_endpoint()?;
+        let mut stream = activity::connecting(TcpStream::connect(endpoint.address))
             .await
             .ok()?;
         let _connection = activity::Connection::default();
-        let passed = |(name, _): &&(String, String)| !name.eq_ignore_ascii_case("content-length");
+        let is_forwarded =
+            |(name, _): &&(String, String)| !name.eq_ignore_ascii_case("content-length");
         let headers: String = request
             .headers
             .iter()
-            .filter(passed)
+            .filter(is_forwarded)
             .map(|(name, value)| format!("{name}: {value}\r\n"))
             .collect();
-        write(
-            &mut stream,
-            &message::request(&request.method, &request.target, &headers, &request.body),
-        )
-        .await?;
+        let forwarded = message::request(&request.method, &request.target, &headers, &request.body);
+        write(&mut stream, &forwarded).await?;
         read(&mut stream, &mut Inbox::new(Side::Answers)).await
     }
 }
