--- a/testkit/fakes/src/client.rs
+++ b/testkit/fakes/src/client.rs
@@ -1,96 +1,100 @@
-//! What a client says to a node and how it reads the answer. It does no I/O.
+//! A client's requests to a node, and how it reads the responses. It does no I/O.
+
+use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 use crate::message::{self, Message};
-use badgerpost_time::Nanos;
+
+/// The longest `Retry-After` that a client follows, in seconds.
+const MAX_RETRY_AFTER_SECONDS: f64 = 3600.0;
 
 /// Whether a request may take effect twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// It may.
-    Safe,
-    /// It carries a key by which repeats are dropped.
+    Idempotent,
+    /// It carries a key by which servers drop duplicates.
     Keyed,
     /// It must not.
-    Unsafe,
+    NonIdempotent,
 }
 
-/// A request.
+/// One attempt of a client's request.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
-    /// Its id, new with every try.
+pub struct ClientRequest<'a> {
+    /// The attempt's id.
     pub id: &'a str,
-    /// Its class.
+    /// The request's class.
     pub class: &'a str,
-    /// Whether it may take effect twice.
-    pub effect: Effect,
-    /// Its key, where it has one; the same with every try.
+    /// Whether the request may take effect twice.
+    pub idempotency: Idempotency,
+    /// The idempotency key of a keyed request, the same for all attempts.
     pub key: &'a str,
-    /// How long the client waits for this try.
-    pub budget: Nanos,
+    /// How long the client waits for this attempt.
+    pub timeout: Nanos,
     /// Whether it is a retry.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
-impl Ask<'_> {
+impl ClientRequest<'_> {
     /// The request's bytes.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         let Self {
-            id,
-            class,
-            effect,
-            key,
-            budget,
-            again,
+            id, class, timeout, ..
         } = *self;
         let mut headers = format!(
             "Host: match.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Budget-Ms: {}\r\n",
-            budget / 1_000_000
+            timeout / MILLISECOND
         );
-        if effect == Effect::Keyed {
-            headers.push_str(&format!("Idempotency-Key: {key}\r\n"));
+        if self.idempotency == Idempotency::Keyed {
+            headers.push_str(&format!("Idempotency-Key: {}\r\n", self.key));
         }
-        if again {
+        if self.is_retry {
             headers.push_str("X-Again: 1\r\n");
         }
-        match effect {
-            Effect::Safe => message::request("GET", "/api", &headers, b""),
-            Effect::Keyed | Effect::Unsafe => {
+        match self.idempotency {
+            Idempotency::Idempotent => message::request("GET", "/api", &headers, b""),
+            Idempotency::Keyed | Idempotency::NonIdempotent => {
                 message::request("POST", "/api", &headers, id.as_bytes())
             }
         }
     }
 }
 
-/// How a node has answered.
+/// What a node's response means to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// With a server's answer.
+pub enum ResponseOutcome {
+    /// A server has served the request.
     Served,
-    /// Refused: trying again is harmless, but not sooner than this.
-    Refused {
-        /// From now on.
-        pause: Nanos,
+    /// The request was rejected before it took effect, and may be retried.
+    Rejected {
+        /// The pause before a retry.
+        retry_after: Nanos,
     },
-    /// Failed.
+    /// The request has failed.
     Failed,
 }
 
-/// Reads an answer.
-pub fn verdict(answer: &Message) -> Verdict {
-    let pause = || {
-        answer
-            .value("retry-after")
-            .and_then(|text| text.parse::<f64>().ok())
-            .unwrap_or(0.0)
-    };
-    match answer.status {
-        200 => Verdict::Served,
-        429 | 503 => Verdict::Refused {
-            pause: (pause().clamp(0.0, 3600.0) * 1e9) as Nanos,
-        },
-        _ => Verdict::Failed,
+impl ResponseOutcome {
+    /// Classifies a response.
+    pub fn of(response: &Message) -> Self {
+        match response.status {
+            200 => Self::Served,
+            429 | 503 => Self::Rejected {
+                retry_after: retry_after(response),
+            },
+            _ => Self::Failed,
+        }
     }
 }
 
+/// The `Retry-After` of a response; 0 where it has none that can be read.
+fn retry_after(response: &Message) -> Nanos {
+    let seconds = response
+        .value("retry-after")
+        .and_then(|text| text.parse::<f64>().ok())
+        .unwrap_or(0.0);
+    (seconds.clamp(0.0, MAX_RETRY_AFTER_SECONDS) * SECOND as f64) as Nanos
+}
+
 #[cfg(test)]
 mod tests;
--- a/testkit/fakes/src/client/tests.rs
+++ b/testkit/fakes/src/client/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
-use crate::message::{Inbox, Side, answer};
+use crate::message::{MessageDecoder, MessageKind, response};
 
 #[test]
-fn a_request_says_what_the_protocol_wants() {
-    let read = |effect| {
-        let ask = Ask {
+fn requests_carry_the_headers_of_the_protocol() {
+    let read = |idempotency| {
+        let request = ClientRequest {
             id: "7",
             class: "join",
-            effect,
+            idempotency,
             key: "k",
-            budget: 480_000_000,
-            again: effect == Effect::Safe,
+            timeout: 480_000_000,
+            is_retry: idempotency == Idempotency::Idempotent,
         };
-        let mut inbox = Inbox::new(Side::Requests);
-        inbox.push(&ask.bytes());
-        let message = inbox.take().expect("good").expect("whole");
+        let mut decoder = MessageDecoder::new(MessageKind::Request);
+        decoder.push(&request.to_bytes());
+        let message = decoder.next_message().expect("good").expect("whole");
         let values = [
             "x-call-id",
             "x-call-class",
@@ -28,21 +28,21 @@
         )
     };
     assert_eq!(
-        read(Effect::Safe),
+        read(Idempotency::Idempotent),
         (
             "GET".into(),
             ["7", "join", "480", "-", "1"].map(str::to_owned)
         )
     );
     assert_eq!(
-        read(Effect::Keyed),
+        read(Idempotency::Keyed),
         (
             "POST".into(),
             ["7", "join", "480", "k", "-"].map(str::to_owned)
         )
     );
     assert_eq!(
-        read(Effect::Unsafe),
+        read(Idempotency::NonIdempotent),
         (
             "POST".into(),
             ["7", "join", "480", "-", "-"].map(str::to_owned)
@@ -51,20 +51,22 @@
 }
 
 #[test]
-fn answers_are_told_apart() {
+fn responses_are_classified_by_status() {
     let read = |status, headers| {
-        let mut inbox = Inbox::new(Side::Answers);
-        inbox.push(&answer(status, headers, b""));
-        verdict(&inbox.take().expect("good").expect("whole"))
+        let mut decoder = MessageDecoder::new(MessageKind::Response);
+        decoder.push(&response(status, headers, b""));
+        ResponseOutcome::of(&decoder.next_message().expect("good").expect("whole"))
     };
-    assert_eq!(read(200, ""), Verdict::Served);
+    assert_eq!(read(200, ""), ResponseOutcome::Served);
     assert_eq!(
         read(503, "Retry-After: 0.25\r\n"),
-        Verdict::Refused { pause: 250_000_000 }
+        ResponseOutcome::Rejected {
+            retry_after: 250_000_000
+        }
     );
     assert_eq!(
         read(429, "Retry-After: soon\r\n"),
-        Verdict::Refused { pause: 0 }
+        ResponseOutcome::Rejected { retry_after: 0 }
     );
-    assert_eq!(read(502, ""), Verdict::Failed);
+    assert_eq!(read(502, ""), ResponseOutcome::Failed);
 }
--- a/testkit/fakes/src/discovery.rs
+++ b/testkit/fakes/src/discovery.rs
@@ -1,30 +1,33 @@
-//! The platform's list of servers, with its versions and its bad days. It does no I/O; what a call gets is told
-//! as a [`Reply`].
+//! Model of the platform's discovery service: an endpoint list with revisions, watches on it, and ways to fail. It does no
+//! I/O; the response to a watch is a [`WatchResponse`].
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+use badgerpost_time::{MILLISECOND, Nanos};
 use serde::{Deserialize, Serialize};
 
-use badgerpost_time::Nanos;
+/// The revision of the lists that an empty registry returns; no list ever has it otherwise.
+const EMPTY_REVISION: u64 = u64::MAX >> 1;
+const MAX_WATCH_TIMEOUT_MS: u64 = 60_000;
 
-/// What the list says of a server.
+/// An endpoint's state, in the wire's words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum State {
     /// Takes requests.
     Ready,
-    /// Finishes what it has.
+    /// Draining: finishes the requests that it has.
     Terminating,
-    /// Has left; stands among changes only.
+    /// Has left the list; stands in updates only.
     Gone,
 }
 
-/// One line of the list, as discovery words it.
+/// An entry of the endpoint list, with the wire's field names.
 #[derive(Clone, Debug, Serialize)]
 pub struct Entry {
     /// The server's name.
     pub uid: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub endpoint: SocketAddr,
     /// Its zone.
     pub az: String,
@@ -32,87 +35,94 @@
     pub model: String,
     /// Its cell.
     pub pod_group: u64,
-    /// What it may take.
+    /// Its state.
     pub state: State,
-    /// Its size.
+    /// Its capacity relative to other servers.
     pub capacity_hint: f64,
     /// When it last started, Unix time in milliseconds; 0 for long ago.
     pub boot_ms: u64,
 }
 
-/// How discovery does.
+/// How the service behaves; the names are those of scenario files.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// Well.
+    /// It works.
     #[default]
     Good,
-    /// It takes calls and says nothing.
+    /// It accepts calls and does not respond.
     Silent,
-    /// It tells of no change any more.
+    /// It reports no further changes.
     Stale,
     /// Its lists are empty.
     Empty,
-    /// What it says is no list.
+    /// Its responses are not valid lists.
     Malformed,
-    /// It answers 503.
+    /// It responds with status 503.
     Failing,
 }
 
-/// What a call gets.
+/// The response to a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reply {
-    /// An answer with this body.
-    Answer(String),
-    /// An answer later, once something has changed or the hold is over.
-    Hold,
-    /// No answer.
-    Silence,
-    /// An answer 503.
-    Fail,
+pub enum WatchResponse {
+    /// A response with this body.
+    Body(String),
+    /// A response later: after a change, or when the watch times out.
+    Pending,
+    /// No response at all.
+    Unanswered,
+    /// A response with status 503.
+    Unavailable,
 }
 
 #[derive(Serialize)]
-struct List<'a> {
+struct ListBody<'a> {
     rev: u64,
     all: bool,
     targets: Vec<&'a Entry>,
 }
 
+#[derive(Clone, Debug)]
+struct RevisedEntry {
+    /// The revision in which the entry last changed.
+    revision: u64,
+    entry: Entry,
+}
+
 #[derive(Clone, Debug, Default)]
-struct Lines {
-    rev: u64,
-    /// Each line, and the version in which it last changed.
-    lines: BTreeMap<String, (u64, Entry)>,
+struct EndpointList {
+    revision: u64,
+    entries: BTreeMap<String, RevisedEntry>,
 }
 
-/// The list.
+/// The discovery service.
 #[derive(Debug, Default)]
 pub struct Discovery {
-    now: Lines,
-    /// As it was when it became stale.
-    then: Option<Lines>,
+    current: EndpointList,
+    /// The list as it was when the service became stale.
+    stale: Option<EndpointList>,
     mode: Mode,
 }
 
 impl Discovery {
-    /// Changes how it does.
+    /// Changes how the service behaves.
     pub fn set_mode(&mut self, mode: Mode) {
         self.mode = mode;
-        self.then = (mode == Mode::Stale).then(|| self.now.clone());
+        self.stale = (mode == Mode::Stale).then(|| self.current.clone());
     }
 
-    /// Puts a line on the list, or changes it.
+    /// Adds an entry, or replaces the one of the same server.
     pub fn set(&mut self, entry: Entry) {
-        self.now.rev += 1;
-        self.now
-            .lines
-            .insert(entry.uid.clone(), (self.now.rev, entry));
+        self.current.revision += 1;
+        let revision = self.current.revision;
+        let uid = entry.uid.clone();
+        let entries = &mut self.current.entries;
+        entries.insert(uid, RevisedEntry { revision, entry });
     }
 
     /// Changes one server's state.
     pub fn set_state(&mut self, uid: &str, state: State) {
-        if let Some((_, entry)) = self.now.lines.get(uid) {
+        if let Some(RevisedEntry { entry, .. }) = self.current.entries.get(uid) {
             self.set(Entry {
                 state,
                 ..entry.clone()
@@ -120,63 +130,78 @@
         }
     }
 
-    fn shown(&self) -> &Lines {
-        self.then.as_ref().unwrap_or(&self.now)
+    /// The list that clients see.
+    fn visible(&self) -> &EndpointList {
+        self.stale.as_ref().unwrap_or(&self.current)
     }
 
-    /// The lines of servers that have not left.
+    /// The entries of servers that have not left.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
-        self.shown()
-            .lines
+        self.visible()
+            .entries
             .values()
-            .map(|(_, entry)| entry)
+            .map(|revised| &revised.entry)
             .filter(|entry| entry.state != State::Gone)
     }
 
-    /// A call: for the whole list, or for what has changed since a version. `hold` is what is left of the time
-    /// for which it may wait.
-    pub fn ask(&self, from: Option<u64>, hold: Nanos) -> Reply {
+    /// Responds to a watch: with the whole list, or with what has changed since a revision. `timeout` is the time for
+    /// which the watch may still wait.
+    pub fn watch(&self, from: Option<u64>, timeout: Nanos) -> WatchResponse {
         match self.mode {
-            Mode::Silent => return Reply::Silence,
-            Mode::Failing => return Reply::Fail,
-            Mode::Malformed => return Reply::Answer("{\"rev\":1,\"all\":tr".to_owned()),
-            // A version that nobody has, so that the next call does not wait either; but not at once.
-            Mode::Empty if from == Some(u64::MAX >> 1) && hold > 0 => return Reply::Hold,
-            Mode::Empty => return answer(u64::MAX >> 1, true, Vec::new()),
+            Mode::Silent => return WatchResponse::Unanswered,
+            Mode::Failing => return WatchResponse::Unavailable,
+            Mode::Malformed => return WatchResponse::Body("{\"rev\":1,\"all\":tr".to_owned()),
+            // A client that watches from the empty list waits as usual, and gets the whole list once the mode ends.
+            Mode::Empty if from == Some(EMPTY_REVISION) && timeout > 0 => {
+                return WatchResponse::Pending;
+            }
+            Mode::Empty => return list_response(EMPTY_REVISION, true, Vec::new()),
             Mode::Good | Mode::Stale => {}
         }
-        let shown = self.shown();
-        match from.filter(|from| *from <= shown.rev) {
-            Some(from) if from == shown.rev && hold > 0 => Reply::Hold,
+        let list = self.visible();
+        match from.filter(|from| *from <= list.revision) {
+            Some(from) if from == list.revision && timeout > 0 => WatchResponse::Pending,
             Some(from) => {
-                let changed = shown.lines.values().filter(|(rev, _)| *rev > from);
-                answer(shown.rev, false, changed.map(|(_, entry)| entry).collect())
+                let changed = list.entries.values().filter(|entry| entry.revision > from);
+                let changed = changed.map(|revised| &revised.entry).collect();
+                list_response(list.revision, false, changed)
             }
-            None => answer(shown.rev, true, self.entries().collect()),
+            None => list_response(list.revision, true, self.entries().collect()),
         }
     }
 }
 
-fn answer(rev: u64, all: bool, targets: Vec<&Entry>) -> Reply {
-    // Plain figures and strings can always be written.
-    Reply::Answer(serde_json::to_string(&List { rev, all, targets }).unwrap_or_default())
+fn list_response(rev: u64, all: bool, targets: Vec<&Entry>) -> WatchResponse {
+    // Serialization of numbers and strings does not fail.
+    let body = serde_json::to_string(&ListBody { rev, all, targets }).unwrap_or_default();
+    WatchResponse::Body(body)
 }
 
-/// Reads the target of a call: the version it comes from, and how long it may wait.
-pub fn read_target(target: &str) -> Option<(Option<u64>, Nanos)> {
-    let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    let value = |name: &str| {
-        let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-        pairs
-            .filter(|(key, _)| *key == name)
-            .find_map(|(_, value)| value.parse::<u64>().ok())
-    };
-    (path == "/registry/instances").then(|| {
-        (
-            value("from"),
-            value("hold_ms").unwrap_or(0).min(60_000) * 1_000_000,
-        )
-    })
+/// A request for the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct WatchRequest {
+    /// The revision that the client has; none for the whole list.
+    pub from: Option<u64>,
+    /// How long the response may wait for a change.
+    pub timeout: Nanos,
+}
+
+impl WatchRequest {
+    /// Parses the target of an HTTP request; none where it is not for the endpoint list.
+    pub fn parse(target: &str) -> Option<Self> {
+        let (path, query) = target.split_once('?').unwrap_or((target, ""));
+        let parameter = |name: &str| {
+            let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+            pairs
+                .filter(|(key, _)| *key == name)
+                .find_map(|(_, value)| value.parse::<u64>().ok())
+        };
+        let timeout_ms = parameter("hold_ms").unwrap_or(0);
+        (path == "/registry/instances").then(|| Self {
+            from: parameter("from"),
+            timeout: timeout_ms.min(MAX_WATCH_TIMEOUT_MS) * MILLISECOND,
+        })
+    }
 }
 
 #[cfg(test)]
--- a/testkit/fakes/src/discovery/tests.rs
+++ b/testkit/fakes/src/discovery/tests.rs
@@ -13,8 +13,8 @@
     }
 }
 
-fn names(reply: Reply) -> (u64, bool, Vec<String>) {
-    let Reply::Answer(text) = reply else {
+fn names(reply: WatchResponse) -> (u64, bool, Vec<String>) {
+    let WatchResponse::Body(text) = reply else {
         panic!("{reply:?}")
     };
     let list: serde_json::Value = serde_json::from_str(&text).expect("a list");
@@ -34,68 +34,72 @@
 }
 
 #[test]
-fn calls_get_the_whole_list_or_what_has_changed() {
+fn watches_get_the_whole_list_or_what_has_changed() {
     let mut list = Discovery::default();
     ["x", "y"].into_iter().for_each(|uid| list.set(entry(uid)));
     let both = vec!["x Ready".to_owned(), "y Ready".to_owned()];
-    assert_eq!(names(list.ask(None, 5)), (2, true, both.clone()));
-    assert_eq!(list.ask(Some(2), 5), Reply::Hold);
-    assert_eq!(names(list.ask(Some(2), 0)), (2, false, vec![]));
+    assert_eq!(names(list.watch(None, 5)), (2, true, both.clone()));
+    assert_eq!(list.watch(Some(2), 5), WatchResponse::Pending);
+    assert_eq!(names(list.watch(Some(2), 0)), (2, false, vec![]));
     list.set_state("x", State::Gone);
     assert_eq!(
-        names(list.ask(Some(2), 5)),
+        names(list.watch(Some(2), 5)),
         (3, false, vec!["x Gone".to_owned()])
     );
     assert_eq!(
-        names(list.ask(Some(99), 5)),
+        names(list.watch(Some(99), 5)),
         (3, true, vec!["y Ready".to_owned()])
     );
-    // Stale: nothing new is told, and a new call gets the old list.
+    // Stale: no change is reported, and a new watch gets the old list.
     list.set_mode(Mode::Stale);
     list.set_state("y", State::Terminating);
-    assert_eq!(list.ask(Some(3), 5), Reply::Hold);
+    assert_eq!(list.watch(Some(3), 5), WatchResponse::Pending);
     assert_eq!(
-        names(list.ask(None, 5)),
+        names(list.watch(None, 5)),
         (3, true, vec!["y Ready".to_owned()])
     );
     list.set_mode(Mode::Good);
     assert_eq!(
-        names(list.ask(Some(3), 5)),
+        names(list.watch(Some(3), 5)),
         (4, false, vec!["y Terminating".to_owned()])
     );
 }
 
 #[test]
-fn bad_days_look_as_they_should() {
+fn each_failure_mode_answers_as_documented() {
     let mut list = Discovery::default();
     list.set(entry("x"));
-    for (mode, wanted) in [(Mode::Silent, Reply::Silence), (Mode::Failing, Reply::Fail)] {
+    for (mode, wanted) in [
+        (Mode::Silent, WatchResponse::Unanswered),
+        (Mode::Failing, WatchResponse::Unavailable),
+    ] {
         list.set_mode(mode);
-        assert_eq!(list.ask(None, 5), wanted);
+        assert_eq!(list.watch(None, 5), wanted);
     }
     list.set_mode(Mode::Empty);
-    let (rev, all, targets) = names(list.ask(None, 5));
+    let (rev, all, targets) = names(list.watch(None, 5));
     assert!(all && targets.is_empty());
-    assert_eq!(list.ask(Some(rev), 5), Reply::Hold);
+    assert_eq!(list.watch(Some(rev), 5), WatchResponse::Pending);
     list.set_mode(Mode::Malformed);
-    let Reply::Answer(text) = list.ask(None, 5) else {
+    let WatchResponse::Body(text) = list.watch(None, 5) else {
         panic!("an answer")
     };
     assert!(serde_json::from_str::<serde_json::Value>(&text).is_err());
-    // Whoever took the empty list is told the whole one afterwards.
+    // A client that took the empty list gets the whole one afterwards.
     list.set_mode(Mode::Good);
     assert_eq!(
-        names(list.ask(Some(rev), 5)),
+        names(list.watch(Some(rev), 5)),
         (1, true, vec!["x Ready".to_owned()])
     );
 }
 
 #[test]
-fn targets_are_read() {
-    assert_eq!(read_target("/registry/instances"), Some((None, 0)));
+fn watch_requests_are_parsed_from_targets() {
+    let watch = |from, timeout| Some(WatchRequest { from, timeout });
+    assert_eq!(WatchRequest::parse("/registry/instances"), watch(None, 0));
     assert_eq!(
-        read_target("/registry/instances?from=4&hold_ms=20"),
-        Some((Some(4), 20_000_000))
+        WatchRequest::parse("/registry/instances?from=4&hold_ms=20"),
+        watch(Some(4), 20_000_000)
     );
-    assert_eq!(read_target("/other?from=4"), None);
+    assert_eq!(WatchRequest::parse("/other?from=4"), None);
 }
--- a/testkit/fakes/src/message.rs
+++ b/testkit/fakes/src/message.rs
@@ -1,28 +1,28 @@
-//! HTTP/1.1 messages as stand-ins need them (RFC 9112): cut out of a connection's bytes, and put together.
+//! HTTP/1.1 messages of the fakes (RFC 9112): decoded from a connection's bytes, and encoded.
 
-/// No head is longer, nor has more lines; a peer that sends more is broken.
-const MAX_HEAD: usize = 64 * 1024;
-const MAX_LINES: usize = 96;
-/// No body is longer: a list of thousands of servers fits.
-const MAX_BODY: usize = 8 * 1024 * 1024;
+/// A peer that sends a longer head is faulty.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+const MAX_HEADERS: usize = 96;
+/// An endpoint list of thousands of servers fits.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The method of a request; empty for an answer.
+    /// The method of a request; empty for a response.
     pub method: String,
-    /// The target of a request; empty for an answer.
+    /// The target of a request; empty for a response.
     pub target: String,
-    /// The status of an answer; 0 for a request.
+    /// The status of a response; 0 for a request.
     pub status: u16,
-    /// The header lines.
+    /// The headers.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The first header of this name.
+    /// The value of the first header of this name.
     pub fn value(&self, name: &str) -> Option<&str> {
         let named = self
             .headers
@@ -31,126 +31,167 @@
         named.map(|(_, value)| value.as_str())
     }
 
-    /// Whether the sender ends the connection with it.
-    pub fn closes(&self) -> bool {
+    /// Whether the sender closes the connection after it.
+    pub fn closes_connection(&self) -> bool {
         self.value("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
-/// Bytes that are no message.
+/// Why bytes are not a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
-    /// The head can't be read.
+pub enum MessageError {
+    /// The head can't be parsed.
     #[error("not HTTP/1.1: {0}")]
-    Head(httparse::Error),
-    /// The head or the body is longer than any should be.
+    InvalidHead(httparse::Error),
+    /// The head or the body exceeds its limit.
     #[error("too long")]
     TooLong,
-    /// The length can't be read, or there is none where there must be.
+    /// The length can't be parsed, or a response has none.
     #[error("no usable length")]
-    Length,
+    InvalidLength,
 }
 
-/// Whether requests or answers come.
+/// The kind of messages on one direction of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum MessageKind {
     /// Requests.
-    Requests,
-    /// Answers.
-    Answers,
+    Request,
+    /// Responses.
+    Response,
 }
 
-/// What has come on a connection and is not a whole message yet.
+/// Decodes messages from the bytes of a connection.
 #[derive(Clone, Debug)]
-pub struct Inbox {
-    side: Side,
-    bytes: Vec<u8>,
+pub struct MessageDecoder {
+    kind: MessageKind,
+    /// Bytes that no returned message held.
+    buffer: Vec<u8>,
 }
 
-impl Inbox {
-    /// An empty one.
-    pub fn new(side: Side) -> Self {
+/// A parsed head, and the offset at which the body starts.
+struct ParsedHead {
+    message: Message,
+    body_start: usize,
+}
+
+impl MessageDecoder {
+    /// A decoder with an empty buffer.
+    pub fn new(kind: MessageKind) -> Self {
         Self {
-            side,
-            bytes: Vec::new(),
+            kind,
+            buffer: Vec::new(),
         }
     }
 
-    /// Adds what has come.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.bytes.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether a message has begun.
-    pub fn begun(&self) -> bool {
-        !self.bytes.is_empty()
+    /// Whether bytes of an incomplete message are buffered.
+    pub fn has_buffered_bytes(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
-    /// The next whole message.
-    pub fn take(&mut self) -> Result<Option<Message>, Broken> {
-        let mut lines = [httparse::EMPTY_HEADER; MAX_LINES];
-        let (parsed, mut message) = match self.side {
-            Side::Requests => {
-                let mut request = httparse::Request::new(&mut lines);
-                let parsed = request.parse(&self.bytes).map_err(Broken::Head)?;
-                let (method, target) = (
-                    request.method.unwrap_or_default(),
-                    request.path.unwrap_or_default(),
-                );
-                (parsed, head(method, target, 0, request.headers))
-            }
-            Side::Answers => {
-                let mut answer = httparse::Response::new(&mut lines);
-                let parsed = answer.parse(&self.bytes).map_err(Broken::Head)?;
-                (
-                    parsed,
-                    head("", "", answer.code.unwrap_or_default(), answer.headers),
-                )
-            }
-        };
-        let httparse::Status::Complete(start) = parsed else {
-            return if self.bytes.len() > MAX_HEAD {
-                Err(Broken::TooLong)
+    /// Takes the next complete message.
+    pub fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
+        let Some(ParsedHead {
+            mut message,
+            body_start,
+        }) = self.parse_head()?
+        else {
+            return if self.buffer.len() > MAX_HEAD_BYTES {
+                Err(MessageError::TooLong)
             } else {
                 Ok(None)
             };
         };
-        let length = match message.value("content-length") {
-            Some(text) => text.trim().parse::<usize>().map_err(|_| Broken::Length)?,
-            None if self.side == Side::Requests => 0,
-            None => return Err(Broken::Length),
-        };
-        if length > MAX_BODY {
-            return Err(Broken::TooLong);
+        let length = self.body_length(&message)?;
+        if length > MAX_BODY_BYTES {
+            return Err(MessageError::TooLong);
         }
-        let Some(body) = self.bytes.get(start..start + length) else {
+        let body_end = body_start + length;
+        let Some(body) = self.buffer.get(body_start..body_end) else {
             return Ok(None);
         };
         message.body = body.to_vec();
-        self.bytes.drain(..start + length);
+        self.buffer.drain(..body_end);
         Ok(Some(message))
     }
+
+    /// Parses the head at the start of the buffer; none while it is incomplete.
+    fn parse_head(&self) -> Result<Option<ParsedHead>, MessageError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let (parsed, message) = match self.kind {
+            MessageKind::Request => {
+                let mut request = httparse::Request::new(&mut headers);
+                let parsed = request
+                    .parse(&self.buffer)
+                    .map_err(MessageError::InvalidHead)?;
+                let method = request.method.unwrap_or_default();
+                let target = request.path.unwrap_or_default();
+                (
+                    parsed,
+                    message_without_body(method, target, 0, request.headers),
+                )
+            }
+            MessageKind::Response => {
+                let mut response = httparse::Response::new(&mut headers);
+                let parsed = response
+                    .parse(&self.buffer)
+                    .map_err(MessageError::InvalidHead)?;
+                let status = response.code.unwrap_or_default();
+                (
+                    parsed,
+                    message_without_body("", "", status, response.headers),
+                )
+            }
+        };
+        Ok(match parsed {
+            httparse::Status::Complete(body_start) => Some(ParsedHead {
+                message,
+                body_start,
+            }),
+            httparse::Status::Partial => None,
+        })
+    }
+
+    fn body_length(&self, message: &Message) -> Result<usize, MessageError> {
+        match message.value("content-length") {
+            Some(text) => text
+                .trim()
+                .parse::<usize>()
+                .map_err(|_| MessageError::InvalidLength),
+            None if self.kind == MessageKind::Request => Ok(0),
+            None => Err(MessageError::InvalidLength),
+        }
+    }
 }
 
-fn head(method: &str, target: &str, status: u16, lines: &[httparse::Header<'_>]) -> Message {
-    let line = |line: &httparse::Header<'_>| {
+fn message_without_body(
+    method: &str,
+    target: &str,
+    status: u16,
+    headers: &[httparse::Header<'_>],
+) -> Message {
+    let header = |header: &httparse::Header<'_>| {
         (
-            line.name.to_owned(),
-            String::from_utf8_lossy(line.value).trim().to_owned(),
+            header.name.to_owned(),
+            String::from_utf8_lossy(header.value).trim().to_owned(),
         )
     };
     Message {
         method: method.to_owned(),
         target: target.to_owned(),
         status,
-        headers: lines.iter().map(line).collect(),
+        headers: headers.iter().map(header).collect(),
         body: Vec::new(),
     }
 }
 
-/// An answer's bytes. `headers` are whole lines, each with its end.
-pub fn answer(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
+/// Encodes a response. `headers` are complete lines, each with its line end.
+pub fn response(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         429 => "Too Many Requests",
@@ -169,15 +210,15 @@
     bytes
 }
 
-/// The same without a length: it ends with its connection.
-pub fn answer_without_length(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
-    let bytes = answer(status, headers, body);
+/// Encodes a response without a length, which ends with its connection.
+pub fn response_without_length(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
+    let bytes = response(status, headers, body);
     let length = format!("Content-Length: {}\r\n", body.len());
     let text = String::from_utf8_lossy(&bytes);
     text.replacen(&length, "", 1).into_bytes()
 }
 
-/// A request's bytes. `headers` are whole lines, each with its end.
+/// Encodes a request. `headers` are complete lines, each with its line end.
 pub fn request(method: &str, target: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let length = if method == "GET" {
         String::new()
--- a/testkit/fakes/src/message/tests.rs
+++ b/testkit/fakes/src/message/tests.rs
@@ -1,56 +1,62 @@
 use super::*;
 
 #[test]
-fn messages_are_read_as_they_are_written_however_they_are_cut() {
+fn messages_are_decoded_as_encoded_wherever_the_bytes_are_split() {
     let (post, get) = (
         request("POST", "/api", "A: b\r\n", b"body"),
         request("GET", "/", "", b""),
     );
     let all = [post, get].concat();
-    for cut in 0..all.len() {
-        let mut inbox = Inbox::new(Side::Requests);
-        let mut got = Vec::new();
-        for part in [&all[..cut], &all[cut..]] {
-            inbox.push(part);
-            while let Some(message) = inbox.take().expect("good messages") {
-                got.push((message.method.clone(), message.body.clone()));
+    for split in 0..all.len() {
+        let mut decoder = MessageDecoder::new(MessageKind::Request);
+        let mut decoded = Vec::new();
+        for part in [&all[..split], &all[split..]] {
+            decoder.push(part);
+            while let Some(message) = decoder.next_message().expect("good messages") {
+                decoded.push((message.method.clone(), message.body.clone()));
             }
         }
         assert_eq!(
-            got,
+            decoded,
             [
                 ("POST".to_owned(), b"body".to_vec()),
                 ("GET".to_owned(), Vec::new())
             ],
-            "{cut}"
+            "{split}"
         );
-        assert!(!inbox.begun());
+        assert!(!decoder.has_buffered_bytes());
     }
 }
 
 #[test]
-fn answers_need_a_length_and_what_is_no_message_is_an_error() {
+fn responses_without_a_length_and_invalid_messages_are_errors() {
     let read = |bytes: &[u8]| {
-        let mut inbox = Inbox::new(Side::Answers);
-        inbox.push(bytes);
-        inbox.take()
+        let mut decoder = MessageDecoder::new(MessageKind::Response);
+        decoder.push(bytes);
+        decoder.next_message()
     };
-    let good = read(&answer(503, "Connection: close\r\n", b"no"))
+    let good = read(&response(503, "Connection: close\r\n", b"no"))
         .expect("good")
         .expect("whole");
     assert_eq!(
-        (good.status, good.closes(), good.body.as_slice()),
+        (good.status, good.closes_connection(), good.body.as_slice()),
         (503, true, b"no".as_slice())
     );
-    assert_eq!(read(b"HTTP/1.1 200 OK\r\n\r\n"), Err(Broken::Length));
+    assert_eq!(
+        read(b"HTTP/1.1 200 OK\r\n\r\n"),
+        Err(MessageError::InvalidLength)
+    );
     assert_eq!(
         read(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"),
-        Err(Broken::Length)
+        Err(MessageError::InvalidLength)
     );
     assert_eq!(
         read(b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"),
-        Err(Broken::TooLong)
+        Err(MessageError::TooLong)
     );
-    assert!(matches!(read(b"\x01\x02\r\n\r\n"), Err(Broken::Head(_))));
+    assert!(matches!(
+        read(b"\x01\x02\r\n\r\n"),
+        Err(MessageError::InvalidHead(_))
+    ));
     assert_eq!(read(b"HTTP/1.1 200"), Ok(None));
 }
--- a/testkit/scenarios/src/bin/faulty_node.rs
+++ b/testkit/scenarios/src/bin/faulty_node.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use badgerpost_engine::{Clock, VirtualClock, activity, spawn};
-use badgerpost_fakes::message::{self, Inbox, Message, Side};
+use badgerpost_fakes::message::{self, Message, MessageDecoder, MessageKind};
 use badgerpost_virtual_clock::ControlConnection;
 use serde::Deserialize;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -155,10 +155,10 @@
     }
 }
 
-async fn read(stream: &mut TcpStream, inbox: &mut Inbox) -> Option<Message> {
+async fn read(stream: &mut TcpStream, decoder: &mut MessageDecoder) -> Option<Message> {
     let mut buffer = vec![0; 16 * 1024];
     loop {
-        if let Some(message) = inbox.take().ok()? {
+        if let Some(message) = decoder.next_message().ok()? {
             return Some(message);
         }
         let read = stream
@@ -167,7 +167,7 @@
             .ok()
             .filter(|read| *read > 0)?;
         activity::read(read);
-        inbox.push(&buffer[..read]);
+        decoder.push(&buffer[..read]);
     }
 }
 
@@ -188,7 +188,7 @@
     async fn watch(&self, at: SocketAddr) -> Option<()> {
         let mut stream = activity::connecting(TcpStream::connect(at)).await.ok()?;
         let _connection = activity::Connection::default();
-        let mut inbox = Inbox::new(Side::Answers);
+        let mut decoder = MessageDecoder::new(MessageKind::Response);
         let mut target = "/registry/instances".to_owned();
         loop {
             write(
@@ -196,7 +196,7 @@
                 &message::request("GET", &target, "Host: list\r\n", b""),
             )
             .await?;
-            let answer = read(&mut stream, &mut inbox).await?;
+            let answer = read(&mut stream, &mut decoder).await?;
             let list: List = serde_json::from_slice(&answer.body).ok()?;
             let mut targets = self.targets.borrow_mut();
             if list.all {
@@ -236,9 +236,9 @@
     }
 
     async fn converse(self: Rc<Self>, mut stream: TcpStream) {
-        let mut inbox = Inbox::new(Side::Requests);
+        let mut decoder = MessageDecoder::new(MessageKind::Request);
         let _connection = activity::Connection::default();
-        while let Some(request) = read(&mut stream, &mut inbox).await {
+        while let Some(request) = read(&mut stream, &mut decoder).await {
             let answer = self.serve(&request).await;
             if self.fault == Fault::Crash && self.turn.get() >= 100 {
                 eprintln!("this is the hundredth request");
@@ -268,8 +268,8 @@
             first
         };
         match last {
-            Some(answer) if answer.status == 200 => message::answer(200, "", &answer.body),
-            _ => message::answer(502, "", b"failed"),
+            Some(answer) if answer.status == 200 => message::response(200, "", &answer.body),
+            _ => message::response(502, "", b"failed"),
         }
     }
 
@@ -291,6 +291,6 @@
             &message::request(&request.method, &request.target, &headers, &request.body),
         )
         .await?;
-        read(&mut stream, &mut Inbox::new(Side::Answers)).await
+        read(&mut stream, &mut MessageDecoder::new(MessageKind::Response)).await
     }
 }
--- a/testkit/scenarios/src/world.rs
+++ b/testkit/scenarios/src/world.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 
 use badgerpost_fakes::discovery::{Discovery, State};
-use badgerpost_fakes::message::{Inbox, Side};
+use badgerpost_fakes::message::{MessageDecoder, MessageKind};
 use badgerpost_fakes::net::{BoundSocket, ConnId, LoopbackNetwork, NetworkEvent};
 use badgerpost_fakes::random::Random;
 use badgerpost_fakes::server::{CongestionConfig, Server, ServerConfig};
@@ -253,17 +253,17 @@
             NetworkEvent::Accepted { listener, conn } => {
                 let peer = match self.places.get(&listener) {
                     Some(&Place::Server(server)) => {
-                        let inbox = Inbox::new(Side::Requests);
+                        let decoder = MessageDecoder::new(MessageKind::Request);
                         Peer::Server {
                             server,
                             node: self.running,
-                            inbox,
+                            decoder,
                             attempt: None,
                         }
                     }
                     Some(&Place::List(node)) => Peer::List {
                         node,
-                        inbox: Inbox::new(Side::Requests),
+                        decoder: MessageDecoder::new(MessageKind::Request),
                         watch: None,
                     },
                     None => return,
@@ -271,16 +271,16 @@
                 self.adopt(conn, peer);
             }
             NetworkEvent::Received { conn, bytes } => match self.peers.get_mut(&conn) {
-                Some(Peer::Server { inbox, .. }) => {
-                    inbox.push(&bytes);
+                Some(Peer::Server { decoder, .. }) => {
+                    decoder.push(&bytes);
                     self.server_reads(conn);
                 }
-                Some(Peer::List { inbox, .. }) => {
-                    inbox.push(&bytes);
+                Some(Peer::List { decoder, .. }) => {
+                    decoder.push(&bytes);
                     self.list_reads(conn);
                 }
-                Some(Peer::Client { inbox, .. }) => {
-                    inbox.push(&bytes);
+                Some(Peer::Client { decoder, .. }) => {
+                    decoder.push(&bytes);
                     self.client_reads(conn);
                 }
                 // An error, which is what it is owed.
--- a/testkit/scenarios/src/world/clients.rs
+++ b/testkit/scenarios/src/world/clients.rs
@@ -2,8 +2,8 @@
 
 use std::collections::VecDeque;
 
-use badgerpost_fakes::client::{self, Ask, Verdict};
-use badgerpost_fakes::message::{Inbox, Message, Side};
+use badgerpost_fakes::client::{self, ClientRequest, ResponseOutcome};
+use badgerpost_fakes::message::{Message, MessageDecoder, MessageKind};
 use badgerpost_fakes::net::ConnId;
 
 use super::links::Carried;
@@ -101,12 +101,12 @@
                     self.finish(number, true);
                     return None;
                 };
-                let inbox = Inbox::new(Side::Answers);
+                let decoder = MessageDecoder::new(MessageKind::Response);
                 self.adopt(
                     conn,
                     Peer::Client {
                         node,
-                        inbox,
+                        decoder,
                         open: VecDeque::new(),
                         read: 0,
                         last: None,
@@ -119,20 +119,20 @@
         let Open {
             log, key, tries, ..
         } = &self.requests[number];
-        let effect = match log.idempotency {
-            Idempotency::Idempotent => client::Effect::Safe,
-            Idempotency::Keyed => client::Effect::Keyed,
-            Idempotency::NonIdempotent => client::Effect::Unsafe,
+        let idempotency = match log.idempotency {
+            Idempotency::Idempotent => client::Idempotency::Idempotent,
+            Idempotency::Keyed => client::Idempotency::Keyed,
+            Idempotency::NonIdempotent => client::Idempotency::NonIdempotent,
         };
-        let ask = Ask {
+        let request = ClientRequest {
             id: &log.id,
             class: &log.class,
-            effect,
+            idempotency,
             key,
-            budget: log.timeout,
-            again: *tries > 0,
+            timeout: log.timeout,
+            is_retry: *tries > 0,
         };
-        let mut bytes = ask.bytes();
+        let mut bytes = request.to_bytes();
         let half = self.half_head();
         bytes.extend_from_slice(half);
         if let Some(Peer::Client { open, is_half, .. }) = self.peers.get_mut(&conn) {
@@ -168,7 +168,7 @@
     fn client_reads_answer(&mut self, conn: ConnId) -> bool {
         let Some(Peer::Client {
             node,
-            inbox,
+            decoder,
             open,
             read,
             last,
@@ -180,7 +180,7 @@
         let node = *node;
         let Some(&request) = open.get(*read) else {
             // Bytes that nobody asked for, unless they come behind an answer that is still on its way.
-            let surplus = u64::from(inbox.begun() && open.is_empty());
+            let surplus = u64::from(decoder.has_buffered_bytes() && open.is_empty());
             if surplus > 0 {
                 last.iter()
                     .for_each(|last| self.requests[*last].log.surplus_bytes += surplus);
@@ -188,7 +188,7 @@
             }
             return false;
         };
-        match inbox.take() {
+        match decoder.next_message() {
             Ok(None) => false,
             Ok(Some(answer)) => {
                 *read += 1;
@@ -210,7 +210,7 @@
     pub(super) fn client_gets(&mut self, conn: ConnId, request: usize, answer: &Message) {
         let Some(Peer::Client {
             node,
-            inbox,
+            decoder,
             open,
             read,
             last,
@@ -228,10 +228,10 @@
         *last = Some(request);
         let is_half = *is_half;
         let behind: Vec<usize> = open.iter().copied().collect();
-        let surplus = u64::from(inbox.begun() && behind.is_empty());
+        let surplus = u64::from(decoder.has_buffered_bytes() && behind.is_empty());
         let told = self.answered(request, answer, self.now);
         self.requests[request].log.surplus_bytes += surplus;
-        if answer.closes() || surplus > 0 {
+        if answer.closes_connection() || surplus > 0 {
             self.drop_client(conn, node);
             // It says that nothing more follows: whoever waits behind it has not been read, or is lost.
             behind
@@ -260,10 +260,10 @@
         now: Nanos,
     ) -> ClientResult {
         let log = &mut self.requests[request].log;
-        let result = match client::verdict(answer) {
-            Verdict::Served => ClientResult::Served,
-            Verdict::Refused { .. } => ClientResult::Rejected,
-            Verdict::Failed => ClientResult::Failed,
+        let result = match ResponseOutcome::of(answer) {
+            ResponseOutcome::Served => ClientResult::Served,
+            ResponseOutcome::Rejected { .. } => ClientResult::Rejected,
+            ResponseOutcome::Failed => ClientResult::Failed,
         };
         let is_from_own_attempt = log.attempts.iter().any(|attempt| {
             attempt.outcome == AttemptOutcome::Served
@@ -275,7 +275,7 @@
             status: answer.status,
             is_from_own_attempt,
         });
-        if let Verdict::Refused { pause } = client::verdict(answer) {
+        if let ResponseOutcome::Rejected { retry_after: pause } = ResponseOutcome::of(answer) {
             self.retry(request, pause);
         } else if result == ClientResult::Failed {
             self.retry(request, 0);
--- a/testkit/scenarios/src/world/links.rs
+++ b/testkit/scenarios/src/world/links.rs
@@ -1,7 +1,7 @@
 //! The network between the machines: each message between a node and a server, its list, its clients or another
 //! node passes here, and is late, stuck, lost or reset as the scene says.
 
-use badgerpost_fakes::discovery::Reply;
+use badgerpost_fakes::discovery::WatchResponse;
 use badgerpost_fakes::message::Message;
 use badgerpost_fakes::net::ConnId;
 
@@ -35,7 +35,7 @@
     /// A call to the list.
     ToList(ConnId, Message),
     /// What the list answers.
-    FromList(ConnId, Reply),
+    FromList(ConnId, WatchResponse),
     /// A client's request, by its number, as it is written.
     ToNode(ConnId, usize, Vec<u8>),
     /// A node's answer to the request of this number.
--- a/testkit/scenarios/src/world/list.rs
+++ b/testkit/scenarios/src/world/list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use badgerpost_fakes::discovery::{self, Reply, State};
+use badgerpost_fakes::discovery::{State, WatchRequest, WatchResponse};
 use badgerpost_fakes::message::{self, Message};
 use badgerpost_fakes::net::ConnId;
 
@@ -46,10 +46,10 @@
     }
 
     pub(super) fn list_reads(&mut self, conn: ConnId) {
-        let Some(Peer::List { inbox, .. }) = self.peers.get_mut(&conn) else {
+        let Some(Peer::List { decoder, .. }) = self.peers.get_mut(&conn) else {
             return;
         };
-        let message = match inbox.take() {
+        let message = match decoder.next_message() {
             Ok(Some(message)) => message,
             Ok(None) => return,
             Err(_) => {
@@ -66,7 +66,11 @@
         let Some(Peer::List { watch, .. }) = self.peers.get_mut(&conn) else {
             return;
         };
-        let Some((from, hold)) = discovery::read_target(&message.target) else {
+        let Some(WatchRequest {
+            from,
+            timeout: hold,
+        }) = WatchRequest::parse(&message.target)
+        else {
             self.strangers += 1;
             self.at(self.now, Todo::Hang(conn));
             return;
@@ -74,7 +78,7 @@
         self.watches += 1;
         *watch = Some((self.watches, from));
         let until = self.now
-            + if self.list.ask(from, hold) == Reply::Hold {
+            + if self.list.watch(from, hold) == WatchResponse::Pending {
                 hold
             } else {
                 0
@@ -91,7 +95,7 @@
         else {
             return None;
         };
-        let reply = (*waits == number).then(|| self.list.ask(*from, 0))?;
+        let reply = (*waits == number).then(|| self.list.watch(*from, 0))?;
         self.reply(conn, reply)
     }
 
@@ -103,12 +107,12 @@
         else {
             return None;
         };
-        let reply = self.list.ask(*from, 1);
+        let reply = self.list.watch(*from, 1);
         self.reply(conn, reply)
     }
 
-    pub(super) fn reply(&mut self, conn: ConnId, reply: Reply) -> Option<(usize, u64)> {
-        if matches!(reply, Reply::Hold | Reply::Silence) {
+    pub(super) fn reply(&mut self, conn: ConnId, reply: WatchResponse) -> Option<(usize, u64)> {
+        if matches!(reply, WatchResponse::Pending | WatchResponse::Unanswered) {
             return None;
         }
         if let Some(Peer::List { watch, .. }) = self.peers.get_mut(&conn) {
@@ -118,17 +122,21 @@
     }
 
     /// What the list has to say has come to its node.
-    pub(super) fn list_told(&mut self, conn: ConnId, reply: &Reply) -> Option<(usize, u64)> {
+    pub(super) fn list_told(
+        &mut self,
+        conn: ConnId,
+        reply: &WatchResponse,
+    ) -> Option<(usize, u64)> {
         let bytes = match reply {
-            Reply::Answer(text) => message::answer(200, "", text.as_bytes()),
-            Reply::Fail => message::answer(503, "", b""),
-            Reply::Hold | Reply::Silence => return None,
+            WatchResponse::Body(text) => message::response(200, "", text.as_bytes()),
+            WatchResponse::Unavailable => message::response(503, "", b""),
+            WatchResponse::Pending | WatchResponse::Unanswered => return None,
         };
         let Some(Peer::List { node, .. }) = self.peers.get(&conn) else {
             return None;
         };
         let node = *node;
-        if let Reply::Answer(text) = reply {
+        if let WatchResponse::Body(text) = reply {
             self.node_told(node, text);
         }
         Some((node, self.net.write(conn, &bytes) as u64))
--- a/testkit/scenarios/src/world/servers.rs
+++ b/testkit/scenarios/src/world/servers.rs
@@ -24,11 +24,14 @@
 impl World {
     pub(super) fn server_reads(&mut self, conn: ConnId) {
         loop {
-            let Some(Peer::Server { server, inbox, .. }) = self.peers.get_mut(&conn) else {
+            let Some(Peer::Server {
+                server, decoder, ..
+            }) = self.peers.get_mut(&conn)
+            else {
                 return;
             };
             let server = *server;
-            match inbox.take() {
+            match decoder.next_message() {
                 Ok(None) => return,
                 Ok(Some(message)) => self.serve(conn, server, &message),
                 // A node that says what can't be read gets nothing.
@@ -129,7 +132,7 @@
         let away = Sending {
             conn,
             attempt,
-            bytes: message::answer(503, &self.report(server, "X-Rejected: 1\r\n"), b""),
+            bytes: message::response(503, &self.report(server, "X-Rejected: 1\r\n"), b""),
             ended: AttemptOutcome::Rejected,
             then: ConnectionFate::Stays,
         };
@@ -138,7 +141,7 @@
             return;
         }
         if request.is_some_and(|request| self.is_repeat(request, server)) {
-            let bytes = message::answer(
+            let bytes = message::response(
                 200,
                 &self.report(server, ""),
                 &body(id, &self.sites[server].name),
@@ -233,9 +236,9 @@
         let told = self.plan.scenario.spec.reports == Reports::Probes;
         let bytes = if told {
             let util = self.sites[server].model.utilization(self.now);
-            message::answer(200, "", format!("{{\"util\":{util:.4}}}").as_bytes())
+            message::response(200, "", format!("{{\"util\":{util:.4}}}").as_bytes())
         } else {
-            message::answer(404, "", b"")
+            message::response(404, "", b"")
         };
         let (attempt, ended, then) = (None, AttemptOutcome::Served, ConnectionFate::Stays);
         self.at(
@@ -298,17 +301,17 @@
         let (headers, lot) = (self.report(server, ""), self.lot(sending.attempt));
         let site = &self.sites[server];
         let body = body(id, &site.name);
-        sending.bytes = message::answer(200, &headers, &body);
+        sending.bytes = message::response(200, &headers, &body);
         let mut at = self.now;
         for trouble in site.troubles_in_order(lot) {
             match trouble {
                 FaultKind::CloseDelimited => {
-                    sending.bytes = message::answer_without_length(200, &headers, &body);
+                    sending.bytes = message::response_without_length(200, &headers, &body);
                     sending.then = ConnectionFate::Closes;
                 }
                 FaultKind::ServerError => {
                     (sending.bytes, sending.ended) = (
-                        message::answer(500, &headers, b""),
+                        message::response(500, &headers, b""),
                         AttemptOutcome::ServerError,
                     );
                 }
--- a/testkit/scenarios/src/world/stage.rs
+++ b/testkit/scenarios/src/world/stage.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use badgerpost_fakes::discovery::{Discovery, Entry, State};
-use badgerpost_fakes::message::Inbox;
+use badgerpost_fakes::message::MessageDecoder;
 use badgerpost_fakes::net::{ConnId, ListenerId, LoopbackNetwork, NetworkEvent};
 use badgerpost_fakes::random::Random;
 use badgerpost_fakes::server::Server;
@@ -136,17 +136,17 @@
     Server {
         server: usize,
         node: Option<usize>,
-        inbox: Inbox,
+        decoder: MessageDecoder,
         attempt: Option<(usize, usize)>,
     },
     List {
         node: usize,
-        inbox: Inbox,
+        decoder: MessageDecoder,
         watch: Option<(u64, Option<u64>)>,
     },
     Client {
         node: usize,
-        inbox: Inbox,
+        decoder: MessageDecoder,
         /// Requests on it, in the order in which they were written.
         open: VecDeque<usize>,
         /// Of these, how many answers have been read that are still on their way to the client.
