--- a/testkit/scenarios/src/bin/faulty_node.rs
+++ b/testkit/scenarios/src/bin/faulty_node.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use badgerpost_engine::{Clock, VirtualClock, activity, spawn};
-use badgerpost_fakes::message::{self, Inbox, Message, Side};
+use badgerpost_fakes::message::{self, Message, MessageDecoder, MessageKind};
 use badgerpost_virtual_clock::ControlConnection;
 use serde::Deserialize;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -211,10 +211,10 @@
     }
 }
 
-async fn read(stream: &mut TcpStream, inbox: &mut Inbox) -> Option<Message> {
+async fn read(stream: &mut TcpStream, decoder: &mut MessageDecoder) -> Option<Message> {
     let mut buffer = vec![0; 16 * 1024];
     loop {
-        if let Some(message) = inbox.take().ok()? {
+        if let Some(message) = decoder.next_message().ok()? {
             return Some(message);
         }
         let read = stream
@@ -223,7 +223,7 @@
             .ok()
             .filter(|read| *read > 0)?;
         activity::read(read);
-        inbox.push(&buffer[..read]);
+        decoder.push(&buffer[..read]);
     }
 }
 
@@ -247,12 +247,12 @@
             .await
             .ok()?;
         let _connection = activity::Connection::default();
-        let mut inbox = Inbox::new(Side::Answers);
+        let mut decoder = MessageDecoder::new(MessageKind::Response);
         let mut path = "/registry/instances".to_owned();
         loop {
             let request = message::request("GET", &path, "Host: list\r\n", b"");
             write(&mut stream, &request).await?;
-            let response = read(&mut stream, &mut inbox).await?;
+            let response = read(&mut stream, &mut decoder).await?;
             let update: EndpointUpdate = serde_json::from_slice(&response.body).ok()?;
             path = format!("/registry/instances?from={}&hold_ms=5000", update.revision);
             self.apply(update);
@@ -307,9 +307,9 @@
     }
 
     async fn serve_connection(self: Rc<Self>, mut stream: TcpStream) {
-        let mut inbox = Inbox::new(Side::Requests);
+        let mut decoder = MessageDecoder::new(MessageKind::Request);
         let _connection = activity::Connection::default();
-        while let Some(request) = read(&mut stream, &mut inbox).await {
+        while let Some(request) = read(&mut stream, &mut decoder).await {
             let response = self.respond(&request).await;
             let attempts = self.attempts.get();
             if self.mutation == Mutation::Crash && attempts >= CRASH_AFTER_ATTEMPTS {
@@ -340,8 +340,8 @@
             first
         };
         match response {
-            Some(response) if response.status == 200 => message::answer(200, "", &response.body),
-            _ => message::answer(502, "", b"failed"),
+            Some(response) if response.status == 200 => message::response(200, "", &response.body),
+            _ => message::response(502, "", b"failed"),
         }
     }
 
@@ -361,6 +361,6 @@
             .collect();
         let forwarded = message::request(&request.method, &request.target, &headers, &request.body);
         write(&mut stream, &forwarded).await?;
-        read(&mut stream, &mut Inbox::new(Side::Answers)).await
+        read(&mut stream, &mut MessageDecoder::new(MessageKind::Response)).await
     }
 }
