--- a/testkit/fakes/src/database/storage.rs
+++ b/testkit/fakes/src/database/storage.rs
@@ -4,14 +4,19 @@
 //! deleted them; a transaction that would change a row which another open transaction has changed has to wait for it,
 //! as at a server. Its changes are recorded so that a rollback undoes them.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+mod table;
+mod transaction;
 
-use super::error::{SqlError, SqlState};
-use super::value::{Type, Value};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of a transaction.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct TransactionId(pub(super) u64);
+use super::error::SqlError;
+use super::value::Value;
+
+pub(super) use table::{Column, RowView, StoredRow, Table, UniqueConstraint};
+pub(super) use transaction::{Transaction, TransactionId};
+
+use table::RowVersion;
+use transaction::{Change, Savepoint};
 
 /// Why a statement could not be executed now.
 #[derive(Debug, thiserror::Error)]
@@ -33,108 +38,6 @@
     Skip,
 }
 
-/// A column of a table.
-#[derive(Clone, Debug)]
-pub(super) struct Column {
-    pub(super) name: String,
-    pub(super) data_type: Type,
-    pub(super) not_null: bool,
-    /// The default, as SQL text.
-    pub(super) default: Option<String>,
-    /// Whether the default is a number of its own for each row.
-    pub(super) is_serial: bool,
-}
-
-/// A constraint that the values of one column are unique.
-#[derive(Clone, Debug)]
-pub(super) struct UniqueConstraint {
-    /// The position of the column.
-    pub(super) column: usize,
-    /// The constraint's name, for errors.
-    pub(super) name: String,
-}
-
-/// A copy of a row.
-#[derive(Clone, Debug)]
-pub(super) struct StoredRow {
-    /// The row's number in its table.
-    pub(super) id: u64,
-    pub(super) values: Vec<Value>,
-}
-
-/// A row as a transaction sees it.
-pub(super) struct RowView<'a> {
-    /// The row's number in its table.
-    pub(super) id: u64,
-    pub(super) values: &'a [Value],
-}
-
-impl RowView<'_> {
-    pub(super) fn to_stored(&self) -> StoredRow {
-        StoredRow {
-            id: self.id,
-            values: self.values.to_vec(),
-        }
-    }
-}
-
-/// One version of a row.
-struct RowVersion {
-    values: Vec<Value>,
-    created_by: TransactionId,
-    deleted_by: Option<TransactionId>,
-}
-
-/// A table: its columns, its rows, and an index on the unique column if there is one.
-#[derive(Default)]
-pub(super) struct Table {
-    pub(super) columns: Vec<Column>,
-    pub(super) unique: Option<UniqueConstraint>,
-    rows: BTreeMap<u64, RowVersion>,
-    /// The ids of rows by the text of their unique column.
-    index: HashMap<String, BTreeSet<u64>>,
-    next_row_id: u64,
-    last_serial: i64,
-}
-
-/// A change, with what undoes it.
-enum Change {
-    Inserted { table: String, row_id: u64 },
-    Deleted { table: String, row_id: u64 },
-    TableCreated { name: String },
-    TableDropped { name: String, table: Box<Table> },
-}
-
-/// A named point of a transaction to which it can be rolled back.
-struct Savepoint {
-    name: String,
-    /// How many changes the transaction had made.
-    change_count: usize,
-}
-
-/// A transaction that has not ended. It is ended by [`Store::commit`] or [`Store::rollback`].
-pub(super) struct Transaction {
-    pub(super) id: TransactionId,
-    changes: Vec<Change>,
-    savepoints: Vec<Savepoint>,
-}
-
-impl Transaction {
-    /// The position of the last savepoint of this name.
-    fn savepoint_position(&self, name: &str) -> Result<usize, SqlError> {
-        let position = self
-            .savepoints
-            .iter()
-            .rposition(|savepoint| savepoint.name == name);
-        position.ok_or_else(|| {
-            SqlError::new(
-                SqlState::INVALID_SAVEPOINT_SPECIFICATION,
-                format!("savepoint \"{name}\" does not exist"),
-            )
-        })
-    }
-}
-
 /// All tables of a database, and its open transactions.
 #[derive(Default)]
 pub(super) struct Store {
@@ -145,104 +48,6 @@
     pub(super) committed_writes: u64,
 }
 
-/// The key of a value in an index.
-fn index_key(value: &Value) -> String {
-    value.text(Type::TEXT)
-}
-
-impl Table {
-    /// Removes a row and its entry in the index.
-    fn remove_row(&mut self, row_id: u64) {
-        self.remove_from_index(row_id);
-        self.rows.remove(&row_id);
-    }
-
-    fn remove_from_index(&mut self, row_id: u64) {
-        let (Some(row), Some(unique)) = (self.rows.get(&row_id), &self.unique) else {
-            return;
-        };
-        let key = index_key(&row.values[unique.column]);
-        if let Some(row_ids) = self.index.get_mut(&key) {
-            row_ids.remove(&row_id);
-            if row_ids.is_empty() {
-                self.index.remove(&key);
-            }
-        }
-    }
-
-    /// The next number of its serial columns.
-    pub(super) fn next_serial(&mut self) -> i64 {
-        self.last_serial += 1;
-        self.last_serial
-    }
-
-    fn check_not_null(&self, table_name: &str, values: &[Value]) -> Result<(), SqlError> {
-        for (column, value) in self.columns.iter().zip(values) {
-            if column.not_null && *value == Value::Null {
-                let message = format!(
-                    "null value in column \"{}\" of relation \"{table_name}\" violates not-null constraint",
-                    column.name
-                );
-                return Err(SqlError::new(SqlState::NOT_NULL_VIOLATION, message));
-            }
-        }
-        Ok(())
-    }
-
-    /// Whether another row has the unique key of these values. Blocked while an open transaction decides about one.
-    fn has_duplicate(
-        &self,
-        values: &[Value],
-        transaction: TransactionId,
-        active: &BTreeSet<TransactionId>,
-    ) -> Result<bool, ExecutionError> {
-        let Some(unique) = &self.unique else {
-            return Ok(false);
-        };
-        let row_ids = self.index.get(&index_key(&values[unique.column]));
-        let rows = row_ids.into_iter().flatten();
-        for row in rows.filter_map(|row_id| self.rows.get(row_id)) {
-            if row.deleted_by == Some(transaction) {
-                continue;
-            }
-            if row.created_by != transaction && active.contains(&row.created_by) {
-                return Err(ExecutionError::BlockedBy(row.created_by));
-            }
-            if let Some(deleting) = row.deleted_by {
-                return Err(ExecutionError::BlockedBy(deleting));
-            }
-            return Ok(true);
-        }
-        Ok(false)
-    }
-
-    /// The error for a row whose unique key is there already.
-    fn unique_violation(&self) -> SqlError {
-        let constraint = self.unique.as_ref().map_or("", |unique| &unique.name);
-        SqlError::new(
-            SqlState::UNIQUE_VIOLATION,
-            format!("duplicate key value violates unique constraint \"{constraint}\""),
-        )
-    }
-
-    /// Adds a row. Returns its id.
-    fn add_row(&mut self, values: Vec<Value>, created_by: TransactionId) -> u64 {
-        let row_id = self.next_row_id;
-        self.next_row_id += 1;
-        if let Some(unique) = &self.unique {
-            let key = index_key(&values[unique.column]);
-            self.index.entry(key).or_default().insert(row_id);
-        }
-        let row = RowVersion {
-            values,
-            created_by,
-            deleted_by: None,
-        };
-        self.rows.insert(row_id, row);
-        row_id
-    }
-}
-
 impl Store {
     /// Begins a transaction.
     pub(super) fn begin(&mut self) -> Transaction {
@@ -407,19 +212,21 @@
         key: Option<&Value>,
     ) -> Result<Vec<RowView<'_>>, SqlError> {
         let table = self.table(table)?;
-        let Some(key) = key else {
-            let rows = table.rows.iter();
-            return Ok(rows
-                .filter(|(_, row)| self.is_visible(row, reader))
-                .map(row_view)
-                .collect());
+        let is_visible = |row: &RowVersion| self.is_visible(row, reader);
+        let views = match key {
+            None => {
+                let rows = table.rows.iter().filter(|(_, row)| is_visible(row));
+                rows.map(|(id, row)| row.view(*id)).collect()
+            }
+            Some(key) => {
+                let rows = table
+                    .row_ids_by_key(key)
+                    .filter_map(|row_id| table.rows.get_key_value(row_id))
+                    .filter(|(_, row)| is_visible(row));
+                rows.map(|(id, row)| row.view(*id)).collect()
+            }
         };
-        let row_ids = table.index.get(&index_key(key)).into_iter().flatten();
-        let rows = row_ids.filter_map(|row_id| table.rows.get_key_value(row_id));
-        Ok(rows
-            .filter(|(_, row)| self.is_visible(row, reader))
-            .map(row_view)
-            .collect())
+        Ok(views)
     }
 
     fn is_visible(&self, row: &RowVersion, reader: Option<TransactionId>) -> bool {
@@ -478,10 +285,3 @@
         Ok(())
     }
 }
-
-fn row_view<'a>((id, row): (&u64, &'a RowVersion)) -> RowView<'a> {
-    RowView {
-        id: *id,
-        values: &row.values,
-    }
-}
