--- a/testkit/scenarios/src/simulation.rs
+++ b/testkit/scenarios/src/simulation.rs
@@ -21,7 +21,7 @@
 
 use std::io;
 
-use badgerpost_fakes::message::{Inbox, Side};
+use badgerpost_fakes::message::{MessageDecoder, MessageKind};
 use badgerpost_fakes::net::{ConnId, ListenerId, NetworkEvent};
 
 use crate::outcome::AttemptOutcome;
@@ -94,16 +94,16 @@
         match happening {
             NetworkEvent::Accepted { listener, conn } => self.accept(listener, conn),
             NetworkEvent::Received { conn, bytes } => match self.connections.get_mut(&conn) {
-                Some(Connection::Server { inbox, .. }) => {
-                    inbox.push(&bytes);
+                Some(Connection::Server { decoder, .. }) => {
+                    decoder.push(&bytes);
                     self.read_server(conn);
                 }
-                Some(Connection::Discovery { inbox, .. }) => {
-                    inbox.push(&bytes);
+                Some(Connection::Discovery { decoder, .. }) => {
+                    decoder.push(&bytes);
                     self.read_discovery(conn);
                 }
-                Some(Connection::Client { inbox, .. }) => {
-                    inbox.push(&bytes);
+                Some(Connection::Client { decoder, .. }) => {
+                    decoder.push(&bytes);
                     self.read_client(conn);
                 }
                 // Any response ends its wait: the node has noticed it.
@@ -120,17 +120,17 @@
     }
 
     fn accept(&mut self, listener: ListenerId, conn: ConnId) {
-        let inbox = Inbox::new(Side::Requests);
+        let decoder = MessageDecoder::new(MessageKind::Request);
         let connection = match self.listeners.get(&listener) {
             Some(&ListenerOwner::Server(server)) => Connection::Server {
                 server,
                 node: self.running,
-                inbox,
+                decoder,
                 attempt: None,
             },
             Some(&ListenerOwner::Discovery(node)) => Connection::Discovery {
                 node,
-                inbox,
+                decoder,
                 watch: None,
             },
             None => return,
--- a/testkit/scenarios/src/simulation/clients.rs
+++ b/testkit/scenarios/src/simulation/clients.rs
@@ -2,8 +2,8 @@
 
 use std::collections::VecDeque;
 
-use badgerpost_fakes::client::{self, Ask, Verdict};
-use badgerpost_fakes::message::{Inbox, Message, Side};
+use badgerpost_fakes::client::{self, ClientRequest, ResponseOutcome};
+use badgerpost_fakes::message::{Message, MessageDecoder, MessageKind};
 use badgerpost_fakes::net::ConnId;
 
 use super::connection::Connection;
@@ -126,7 +126,7 @@
         let conn = self.net.connect(address).ok()?;
         let connection = Connection::Client {
             node,
-            inbox: Inbox::new(Side::Answers),
+            decoder: MessageDecoder::new(MessageKind::Response),
             open: VecDeque::new(),
             read: 0,
             last: None,
@@ -140,20 +140,20 @@
         let OpenRequest {
             log, key, tries, ..
         } = &self.requests[number];
-        let effect = match log.idempotency {
-            Idempotency::Idempotent => client::Effect::Safe,
-            Idempotency::Keyed => client::Effect::Keyed,
-            Idempotency::NonIdempotent => client::Effect::Unsafe,
+        let idempotency = match log.idempotency {
+            Idempotency::Idempotent => client::Idempotency::Idempotent,
+            Idempotency::Keyed => client::Idempotency::Keyed,
+            Idempotency::NonIdempotent => client::Idempotency::NonIdempotent,
         };
-        let ask = Ask {
+        let request = ClientRequest {
             id: &log.id,
             class: &log.class,
-            effect,
+            idempotency,
             key,
-            budget: log.timeout,
-            again: *tries > 0,
+            timeout: log.timeout,
+            is_retry: *tries > 0,
         };
-        ask.bytes()
+        request.to_bytes()
     }
 
     /// A client's request comes to its node, if the client still waits.
@@ -185,7 +185,7 @@
     fn read_one_response(&mut self, conn: ConnId) -> bool {
         let Some(Connection::Client {
             node,
-            inbox,
+            decoder,
             open,
             read,
             last,
@@ -197,7 +197,7 @@
         let node = *node;
         let Some(&request) = open.get(*read) else {
             // Bytes that nobody asked for, unless they come behind an answer that is still on its way.
-            let surplus = u64::from(inbox.begun() && open.is_empty());
+            let surplus = u64::from(decoder.has_buffered_bytes() && open.is_empty());
             if surplus > 0 {
                 last.iter()
                     .for_each(|last| self.requests[*last].log.surplus_bytes += surplus);
@@ -205,7 +205,7 @@
             }
             return false;
         };
-        match inbox.take() {
+        match decoder.next_message() {
             Ok(None) => false,
             Ok(Some(answer)) => {
                 *read += 1;
@@ -227,7 +227,7 @@
     pub(super) fn deliver_to_client(&mut self, conn: ConnId, request: usize, answer: &Message) {
         let Some(Connection::Client {
             node,
-            inbox,
+            decoder,
             open,
             read,
             last,
@@ -245,10 +245,10 @@
         *last = Some(request);
         let has_partial_head = *has_partial_head;
         let behind: Vec<usize> = open.iter().copied().collect();
-        let surplus = u64::from(inbox.begun() && behind.is_empty());
+        let surplus = u64::from(decoder.has_buffered_bytes() && behind.is_empty());
         let told = self.answered(request, answer, self.now);
         self.requests[request].log.surplus_bytes += surplus;
-        if answer.closes() || surplus > 0 {
+        if answer.closes_connection() || surplus > 0 {
             self.drop_client(conn, node);
             // It says that nothing more follows: whoever waits behind it has not been read, or is lost.
             behind
@@ -277,10 +277,10 @@
         now: Nanos,
     ) -> ClientResult {
         let log = &mut self.requests[request].log;
-        let result = match client::verdict(answer) {
-            Verdict::Served => ClientResult::Served,
-            Verdict::Refused { .. } => ClientResult::Rejected,
-            Verdict::Failed => ClientResult::Failed,
+        let result = match ResponseOutcome::of(answer) {
+            ResponseOutcome::Served => ClientResult::Served,
+            ResponseOutcome::Rejected { .. } => ClientResult::Rejected,
+            ResponseOutcome::Failed => ClientResult::Failed,
         };
         let is_from_own_attempt = log.attempts.iter().any(|attempt| {
             attempt.outcome == AttemptOutcome::Served
@@ -292,7 +292,7 @@
             status: answer.status,
             is_from_own_attempt,
         });
-        if let Verdict::Refused { pause } = client::verdict(answer) {
+        if let ResponseOutcome::Rejected { retry_after: pause } = ResponseOutcome::of(answer) {
             self.retry(request, pause);
         } else if result == ClientResult::Failed {
             self.retry(request, 0);
--- a/testkit/scenarios/src/simulation/connection.rs
+++ b/testkit/scenarios/src/simulation/connection.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use badgerpost_fakes::message::Inbox;
+use badgerpost_fakes::message::MessageDecoder;
 use badgerpost_time::Nanos;
 
 use super::in_flight::AttemptId;
@@ -27,17 +27,17 @@
     Server {
         server: usize,
         node: Option<usize>,
-        inbox: Inbox,
+        decoder: MessageDecoder,
         attempt: Option<AttemptId>,
     },
     Discovery {
         node: usize,
-        inbox: Inbox,
+        decoder: MessageDecoder,
         watch: Option<Watch>,
     },
     Client {
         node: usize,
-        inbox: Inbox,
+        decoder: MessageDecoder,
         /// Requests on it, in the order in which they were written.
         open: VecDeque<usize>,
         /// Of these, how many answers have been read that are still on their way to the client.
--- a/testkit/scenarios/src/simulation/discovery.rs
+++ b/testkit/scenarios/src/simulation/discovery.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use badgerpost_fakes::discovery::{self, Reply, State};
+use badgerpost_fakes::discovery::{State, WatchRequest, WatchResponse};
 use badgerpost_fakes::message::{self, Message};
 use badgerpost_fakes::net::ConnId;
 
@@ -51,10 +51,10 @@
     }
 
     pub(super) fn read_discovery(&mut self, conn: ConnId) {
-        let Some(Connection::Discovery { inbox, .. }) = self.connections.get_mut(&conn) else {
+        let Some(Connection::Discovery { decoder, .. }) = self.connections.get_mut(&conn) else {
             return;
         };
-        let message = match inbox.take() {
+        let message = match decoder.next_message() {
             Ok(Some(message)) => message,
             Ok(None) => return,
             Err(_) => {
@@ -71,7 +71,11 @@
         let Some(Connection::Discovery { watch, .. }) = self.connections.get_mut(&conn) else {
             return;
         };
-        let Some((from, hold)) = discovery::read_target(&message.target) else {
+        let Some(WatchRequest {
+            from,
+            timeout: hold,
+        }) = WatchRequest::parse(&message.target)
+        else {
             self.unknown_requests += 1;
             self.schedule(self.now, ScheduledEvent::CloseConnection(conn));
             return;
@@ -82,7 +86,7 @@
             revision: from,
         });
         let until = self.now
-            + if self.discovery.ask(from, hold) == Reply::Hold {
+            + if self.discovery.watch(from, hold) == WatchResponse::Pending {
                 hold
             } else {
                 0
@@ -101,7 +105,7 @@
         else {
             return None;
         };
-        let reply = (watch.number == number).then(|| self.discovery.ask(watch.revision, 0))?;
+        let reply = (watch.number == number).then(|| self.discovery.watch(watch.revision, 0))?;
         self.reply(conn, reply)
     }
 
@@ -112,12 +116,12 @@
         else {
             return None;
         };
-        let reply = self.discovery.ask(watch.revision, 1);
+        let reply = self.discovery.watch(watch.revision, 1);
         self.reply(conn, reply)
     }
 
-    pub(super) fn reply(&mut self, conn: ConnId, reply: Reply) -> Option<NodeInput> {
-        if matches!(reply, Reply::Hold | Reply::Silence) {
+    pub(super) fn reply(&mut self, conn: ConnId, reply: WatchResponse) -> Option<NodeInput> {
+        if matches!(reply, WatchResponse::Pending | WatchResponse::Unanswered) {
             return None;
         }
         if let Some(Connection::Discovery { watch, .. }) = self.connections.get_mut(&conn) {
@@ -127,17 +131,21 @@
     }
 
     /// What the list has to say has come to its node.
-    pub(super) fn write_endpoint_list(&mut self, conn: ConnId, reply: &Reply) -> Option<NodeInput> {
+    pub(super) fn write_endpoint_list(
+        &mut self,
+        conn: ConnId,
+        reply: &WatchResponse,
+    ) -> Option<NodeInput> {
         let bytes = match reply {
-            Reply::Answer(text) => message::answer(200, "", text.as_bytes()),
-            Reply::Fail => message::answer(503, "", b""),
-            Reply::Hold | Reply::Silence => return None,
+            WatchResponse::Body(text) => message::response(200, "", text.as_bytes()),
+            WatchResponse::Unavailable => message::response(503, "", b""),
+            WatchResponse::Pending | WatchResponse::Unanswered => return None,
         };
         let Some(Connection::Discovery { node, .. }) = self.connections.get(&conn) else {
             return None;
         };
         let node = *node;
-        if let Reply::Answer(text) = reply {
+        if let WatchResponse::Body(text) = reply {
             self.record_notified_endpoints(node, text);
         }
         Some(NodeInput {
--- a/testkit/scenarios/src/simulation/in_flight.rs
+++ b/testkit/scenarios/src/simulation/in_flight.rs
@@ -1,6 +1,6 @@
 //! Requests and responses in flight, and the impairments of links that they meet.
 
-use badgerpost_fakes::discovery::Reply;
+use badgerpost_fakes::discovery::WatchResponse;
 use badgerpost_fakes::message::Message;
 use badgerpost_fakes::net::ConnId;
 
@@ -52,7 +52,7 @@
     /// A poll of the endpoint list.
     ToDiscovery(ConnId, Message),
     /// Discovery's response.
-    FromDiscovery(ConnId, Reply),
+    FromDiscovery(ConnId, WatchResponse),
     /// A client's request, by its number, as it is written.
     ToNode(ConnId, usize, Vec<u8>),
     /// A node's answer to the request of this number.
--- a/testkit/scenarios/src/simulation/server_responses.rs
+++ b/testkit/scenarios/src/simulation/server_responses.rs
@@ -25,17 +25,17 @@
         );
         let server_state = &self.servers[server];
         let body = response_body(id, &server_state.name);
-        response.bytes = message::answer(200, &headers, &body);
+        response.bytes = message::response(200, &headers, &body);
         let mut at = self.now;
         for trouble in server_state.faults_in_order(draw) {
             match trouble {
                 FaultKind::CloseDelimited => {
-                    response.bytes = message::answer_without_length(200, &headers, &body);
+                    response.bytes = message::response_without_length(200, &headers, &body);
                     response.then = ConnectionFate::Closes;
                 }
                 FaultKind::ServerError => {
                     (response.bytes, response.ended) = (
-                        message::answer(500, &headers, b""),
+                        message::response(500, &headers, b""),
                         AttemptOutcome::ServerError,
                     );
                 }
@@ -154,9 +154,9 @@
         let has_endpoint = self.plan.scenario.spec.load_reports == LoadReports::HealthChecks;
         let bytes = if has_endpoint {
             let util = self.servers[server].model.utilization(self.now);
-            message::answer(200, "", format!("{{\"util\":{util:.4}}}").as_bytes())
+            message::response(200, "", format!("{{\"util\":{util:.4}}}").as_bytes())
         } else {
-            message::answer(404, "", b"")
+            message::response(404, "", b"")
         };
         let (attempt, ended, then) = (None, AttemptOutcome::Served, ConnectionFate::Stays);
         self.schedule(
--- a/testkit/scenarios/src/simulation/servers.rs
+++ b/testkit/scenarios/src/simulation/servers.rs
@@ -22,12 +22,14 @@
     /// Handles all requests that a connection of a server has received whole.
     pub(super) fn read_server(&mut self, conn: ConnId) {
         loop {
-            let Some(Connection::Server { server, inbox, .. }) = self.connections.get_mut(&conn)
+            let Some(Connection::Server {
+                server, decoder, ..
+            }) = self.connections.get_mut(&conn)
             else {
                 return;
             };
             let server = *server;
-            match inbox.take() {
+            match decoder.next_message() {
                 Ok(None) => return,
                 Ok(Some(message)) => self.handle_server_request(conn, server, &message),
                 // A malformed request gets no response.
@@ -134,7 +136,7 @@
         }
         if request.is_some_and(|request| self.is_duplicate(request, server)) {
             let response = ServerResponse {
-                bytes: message::answer(
+                bytes: message::response(
                     200,
                     &self.load_report_headers(server, ""),
                     &response_body(&job.id, &self.servers[server].name),
@@ -167,7 +169,7 @@
         ServerResponse {
             conn: job.conn,
             attempt: job.attempt,
-            bytes: message::answer(503, &headers, b""),
+            bytes: message::response(503, &headers, b""),
             ended: AttemptOutcome::Rejected,
             then: ConnectionFate::Stays,
         }
