--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -1,8 +1,11 @@
-//! Plays a plan: starts the nodes, moves the time on, and takes the outcome log at the end. In stepped time the
+//! Runs a plan: starts the nodes, moves the time on, and takes the outcome log at the end. In stepped time the
 //! kit owns the time of all: whatever happens next, at a node or among its peers, happens alone, and the node
 //! that has news runs until it is idle before anything else does.
 
+mod error;
 mod processes;
+mod real_time;
+mod report;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,13 +17,15 @@
 
 use crate::LATE_RESPONSE_LIMIT;
 use crate::cpu_pinning::CpuPinning;
-use crate::outcome::{Counts, Request};
 use crate::plan::Plan;
-use crate::process::{self, Process, ProcessError, Start};
-use crate::rules::{self, Breach};
+use crate::process::{self, Process, Start};
+use crate::rules;
 use crate::simulation::{GOSSIP_KEY, NodeInput, SOCKET_SLACK, Simulation, StepOutcome};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
+pub use error::RunError;
+pub use report::RunReport;
+
 /// Unix time at which stepped scenes begin: any would do, as long as it is always the same.
 const STEPPED_BASE: Nanos = 1_700_000_000 * SECOND;
 /// What a node has written, or connections that it has ended, and that is not here when it says that it is idle is
@@ -29,9 +34,6 @@
 const MAX_POLLS: u32 = 5000;
 /// A run with more steps than this is not going anywhere.
 const MAX_STEPS: u64 = 200_000_000;
-/// In real time: the longest wait for sockets, and how often the nodes' processes are looked at.
-const MAX_POLL_WAIT: Duration = Duration::from_millis(20);
-const NODE_CHECK_PERIOD: Nanos = 100 * MILLISECOND;
 /// How often `progress` is called over the length of a scenario.
 const PROGRESS_CALLS: u64 = 200;
 /// An attempt may begin this long after its client has disconnected.
@@ -58,93 +60,6 @@
     pub system_faults: Vec<SystemFaults>,
 }
 
-/// What came of it.
-pub struct RunReport {
-    /// The outcome log.
-    pub log: Vec<Request>,
-    /// The most that each server was sent while cold, as a multiple of what it could do; with its zone.
-    pub cold_peaks: Vec<(String, f64)>,
-    /// The last lines that each node logged, by name.
-    pub logs: Vec<(String, String)>,
-    /// Broken rules.
-    pub breaches: Vec<Breach>,
-    /// Requests at servers that no client had sent in this form.
-    pub strangers: u64,
-    /// What the nodes have said to each other: datagrams and bytes, by node.
-    pub talk: Vec<(u64, u64)>,
-    /// The program's SHA-256.
-    pub sha256: String,
-    /// How long the scene lasted.
-    pub simulated: Nanos,
-    /// How long it took.
-    pub wall: Duration,
-    /// Steps of nodes.
-    pub steps: u64,
-    /// Bytes that had to be waited for; above 0 on a machine whose loopback device is late.
-    pub late: u64,
-}
-
-impl RunReport {
-    /// Counts over the log.
-    pub fn counts(&self) -> Counts {
-        Counts::of(&self.log)
-    }
-
-    /// The most that a cold server was sent, of one zone or of all.
-    pub fn cold_peak(&self, zone: Option<&str>) -> f64 {
-        let of = self
-            .cold_peaks
-            .iter()
-            .filter(|(at, _)| zone.is_none_or(|zone| zone == at));
-        of.map(|(_, peak)| *peak).fold(0.0, f64::max)
-    }
-
-    /// Whether every rule held.
-    pub fn is_good(&self) -> bool {
-        self.breaches.is_empty() && self.strangers == 0
-    }
-}
-
-/// Why a run has no verdict.
-#[derive(Debug, thiserror::Error)]
-pub enum RunError {
-    /// A node's process.
-    #[error(transparent)]
-    Process(#[from] ProcessError),
-    /// It crashed.
-    #[error("node {name} crashed ({status}) {} ms into the scene; its log:\n{log}", at / MILLISECOND)]
-    Crashed {
-        /// The node.
-        name: String,
-        /// How it ended.
-        status: String,
-        /// When.
-        at: Nanos,
-        /// What it logged.
-        log: String,
-    },
-    /// A node's port is not to be had.
-    #[error("can't listen at {at}: {source}")]
-    Port {
-        /// The address.
-        at: SocketAddr,
-        /// What happened.
-        source: std::io::Error,
-    },
-    /// A shipped scene can't be read.
-    #[error(transparent)]
-    Scene(#[from] badgerpost_settings::file::FileError),
-    /// The stage can't be set, or a client of the kit's own broke.
-    #[error("{0}")]
-    Stage(String),
-    /// Sockets or files.
-    #[error("{0}")]
-    System(#[from] std::io::Error),
-    /// Nothing moves any more, or it moves on for ever.
-    #[error("the scene does not come to its end: {0}")]
-    Endless(&'static str),
-}
-
 /// Plays a plan to its end. `progress` is called with the part that is done, from 0 to 1.
 pub fn play(
     plan: &Plan,
@@ -385,8 +300,6 @@
         Some(faults.reseeded(seed).on(self.wall_clocks.get(node)?))
     }
 
-    // In steps.
-
     fn stepped_turn(&mut self) -> Result<(), RunError> {
         let base = self.simulation.base();
         let waits = |(node, process): (usize, &Option<Process>)| {
@@ -484,57 +397,4 @@
         self.events = events;
         Ok(())
     }
-
-    // In real time.
-
-    fn real_time_turn(&mut self) -> Result<(), RunError> {
-        let now = |started_at: Instant| {
-            u64::try_from(started_at.elapsed().as_nanos()).unwrap_or(Nanos::MAX)
-        };
-        while self
-            .simulation
-            .next_event_at()
-            .is_some_and(|next| next <= now(self.started_at))
-        {
-            let outcome = self.simulation.step()?;
-            self.apply(outcome)?;
-        }
-        let left = self
-            .simulation
-            .next_event_at()
-            .map_or(Nanos::MAX, |next| next.saturating_sub(now(self.started_at)));
-        // The system's wait has milliseconds: less than one is waited for awake.
-        let wait = if left < 2 * MILLISECOND {
-            Duration::ZERO
-        } else {
-            MAX_POLL_WAIT.min(Duration::from_nanos(left - MILLISECOND))
-        };
-        let mut events = std::mem::take(&mut self.events);
-        self.simulation.poll(wait, &mut events)?;
-        self.simulation.advance(now(self.started_at));
-        events
-            .drain(..)
-            .for_each(|happening| self.simulation.handle_socket_event(happening));
-        self.events = events;
-        if self.simulation.now() >= self.checked_at {
-            self.checked_at = self.simulation.now() + NODE_CHECK_PERIOD;
-            for node in 0..self.processes.len() {
-                if self.processes[node]
-                    .as_mut()
-                    .is_some_and(|process| process.exited().is_some())
-                {
-                    self.handle_exit(node)?;
-                }
-            }
-        }
-        Ok(())
-    }
-
-    /// Keeps the peers going in real time until `over`.
-    pub fn stay(&mut self, over: &dyn Fn() -> bool) -> Result<(), RunError> {
-        while !over() {
-            self.real_time_turn()?;
-        }
-        Ok(())
-    }
 }
--- /dev/null
+++ b/testkit/scenarios/src/run/report.rs
@@ -0,0 +1,55 @@
+//! The result of a run: the outcome log, breaches of the rules, and figures of the run itself.
+
+use std::time::Duration;
+
+use badgerpost_time::Nanos;
+
+use crate::outcome::{Counts, Request};
+use crate::rules::Breach;
+
+/// The result of a run.
+pub struct RunReport {
+    /// The outcome log.
+    pub log: Vec<Request>,
+    /// The most that each server was sent while cold, as a multiple of what it could do; with its zone.
+    pub cold_peaks: Vec<(String, f64)>,
+    /// The last lines that each node logged, by name.
+    pub logs: Vec<(String, String)>,
+    /// Broken rules.
+    pub breaches: Vec<Breach>,
+    /// Requests at servers that no client had sent in this form.
+    pub strangers: u64,
+    /// What the nodes have said to each other: datagrams and bytes, by node.
+    pub talk: Vec<(u64, u64)>,
+    /// The program's SHA-256.
+    pub sha256: String,
+    /// How long the scene lasted.
+    pub simulated: Nanos,
+    /// How long it took.
+    pub wall: Duration,
+    /// Steps of nodes.
+    pub steps: u64,
+    /// Bytes that had to be waited for; above 0 on a machine whose loopback device is late.
+    pub late: u64,
+}
+
+impl RunReport {
+    /// Counts over the log.
+    pub fn counts(&self) -> Counts {
+        Counts::of(&self.log)
+    }
+
+    /// The most that a cold server was sent, of one zone or of all.
+    pub fn cold_peak(&self, zone: Option<&str>) -> f64 {
+        let of = self
+            .cold_peaks
+            .iter()
+            .filter(|(at, _)| zone.is_none_or(|zone| zone == at));
+        of.map(|(_, peak)| *peak).fold(0.0, f64::max)
+    }
+
+    /// Whether every rule held.
+    pub fn is_good(&self) -> bool {
+        self.breaches.is_empty() && self.strangers == 0
+    }
+}
--- a/testkit/scenarios/src/simulation/clients.rs
+++ b/testkit/scenarios/src/simulation/clients.rs
@@ -15,11 +15,11 @@
 use crate::outcome::{AttemptOutcome, ClientResult, Dedup, FinalResponse, Idempotency, Request};
 use badgerpost_time::{MILLISECOND, Nanos};
 
-/// Clients listen for this long past the time that an answer still counts: what comes too late is to be seen.
+/// Clients wait this long beyond the time limit of the rules, so that late responses are logged.
 const LISTENS_ON: Nanos = 30 * MILLISECOND;
 
 impl Simulation {
-    /// A try comes to a node: the first one of an arrival, or one more after another.
+    /// Starts a request of an arrival: the first one, or a retry `of` another.
     pub(super) fn start_request(&mut self, arrival: usize, of: Option<usize>) -> Option<NodeInput> {
         let plan = self.plan.arrivals[arrival];
         let class = &self.plan.scenario.spec.classes[plan.class.get()];
@@ -156,7 +156,7 @@
         request.to_bytes()
     }
 
-    /// A client's request comes to its node, if the client still waits.
+    /// Writes a request that has arrived at its node, if the client still waits.
     pub(super) fn deliver_to_node(
         &mut self,
         conn: ConnId,
@@ -181,7 +181,7 @@
         while self.read_one_response(conn) {}
     }
 
-    /// Reads one answer; whether another may follow.
+    /// Reads one response; returns whether another may follow.
     fn read_one_response(&mut self, conn: ConnId) -> bool {
         let Some(Connection::Client {
             node,
@@ -223,7 +223,7 @@
         }
     }
 
-    /// A node's answer comes to its client, if that still waits.
+    /// Hands a response that has arrived to its client, if that still waits.
     pub(super) fn deliver_to_client(&mut self, conn: ConnId, request: usize, answer: &Message) {
         let Some(Connection::Client {
             node,
@@ -300,7 +300,7 @@
         result
     }
 
-    /// A try has come to its end; what the client does then has been seen to where it got an answer.
+    /// Ends a request. A `lost` one without a response is retried.
     pub(super) fn finish(&mut self, request: usize, lost: bool) {
         let open = &mut self.requests[request];
         if std::mem::replace(&mut open.done, true) {
@@ -324,7 +324,7 @@
         }
     }
 
-    /// The node has ended the connection of an open request.
+    /// The node has closed the connection of an open request.
     pub(super) fn client_connection_lost(&mut self, request: usize, reused: bool) {
         let open = &mut self.requests[request];
         let unread = reused && open.log.attempts.is_empty() && !open.resent;
--- a/testkit/scenarios/src/simulation/discovery.rs
+++ b/testkit/scenarios/src/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! The server list: states, watches that are held, and what each node was told.
+//! Discovery: the state of the endpoint list, held polls, and what each node has been notified of.
 
 use std::collections::HashMap;
 
@@ -27,7 +27,7 @@
         self.notify_watchers();
     }
 
-    /// Discovery tells of changes again: only now could it be reached.
+    /// Discovery is reachable again: the time in which nodes must learn of its changes starts now.
     pub(super) fn mark_discovery_reachable(&mut self) {
         let now = self.now;
         for server_state in &mut self.servers {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Whoever waits for news of the list gets it, one after the other.
+    /// Schedules a response to every held poll.
     pub(super) fn notify_watchers(&mut self) {
         let waits =
             |peer: &Connection| matches!(peer, Connection::Discovery { watch: Some(_), .. });
@@ -66,7 +66,7 @@
         let _ = self.transmit(InFlightMessage::ToDiscovery(conn, message));
     }
 
-    /// A call has come to the list.
+    /// Handles a poll that has arrived: it is held until the list changes or its time limit is over.
     pub(super) fn receive_poll(&mut self, conn: ConnId, message: &Message) {
         let Some(Connection::Discovery { watch, .. }) = self.connections.get_mut(&conn) else {
             return;
@@ -130,7 +130,7 @@
         self.transmit(InFlightMessage::FromDiscovery(conn, reply))
     }
 
-    /// What the list has to say has come to its node.
+    /// Writes discovery's response, which has arrived at its node.
     pub(super) fn write_endpoint_list(
         &mut self,
         conn: ConnId,
@@ -154,8 +154,8 @@
         })
     }
 
-    /// Notes what a node has been told of drains. A list that is none tells nothing, and an empty one that the
-    /// registry answers after a hiccup says of no server that it has left.
+    /// Notes of which drains a node has been notified. An invalid list notifies of nothing, nor an empty one that the
+    /// registry sends after a hiccup.
     pub(super) fn record_notified_endpoints(&mut self, node: usize, text: &str) {
         let Ok(list) = serde_json::from_str::<serde_json::Value>(text) else {
             return;
@@ -189,7 +189,7 @@
                 Some(_) => {
                     told.entry(number).or_insert(now);
                 }
-                // Not on a whole list: gone, or not there yet, which comes to the same.
+                // Missing in a snapshot: it is gone, or has not been listed yet; both count alike.
                 None if all => {
                     told.entry(number).or_insert(now);
                 }
--- a/testkit/scenarios/src/simulation/gossip.rs
+++ b/testkit/scenarios/src/simulation/gossip.rs
@@ -1,5 +1,5 @@
-//! What the nodes say to each other: each is reached at a door of the kit, so that every datagram passes here and is
-//! late or lost as the scene says. What stands in one nobody here reads.
+//! Gossip between the nodes: each advertises a socket of the test kit, which forwards every datagram, late or not
+//! at all as the scenario says. Their content is opaque here.
 
 use std::net::SocketAddr;
 
@@ -8,18 +8,18 @@
 use super::state::Simulation;
 use badgerpost_fakes::net::ListenerId;
 
-/// The file with the key that all nodes of a rehearsal have, and its text: good for nothing else.
+/// The name and content of the key file of all nodes; used for nothing else.
 pub const GOSSIP_KEY: (&str, &str) = ("peers.key", "a rehearsal's key, known to everybody");
-/// Nodes that the others ask first.
+/// How many nodes are seeds of the others.
 const SEEDS: usize = 3;
 
 impl Simulation {
-    /// Whether the nodes talk to each other.
+    /// Whether the nodes exchange gossip.
     pub fn has_gossip(&self) -> bool {
         self.nodes.iter().any(|node| node.gossip.is_some())
     }
 
-    /// The section of a node's own file that has it talk to the others; empty where it does not.
+    /// The gossip section of a node's settings file; empty without gossip.
     pub fn gossip_settings(&self, node: usize) -> String {
         let Some(gossip) = &self.nodes[node].gossip else {
             return String::new();
@@ -38,7 +38,7 @@
         )
     }
 
-    /// A node takes datagrams at this address from now on.
+    /// A new process of a node receives datagrams at this address.
     pub fn set_gossip_address(&mut self, node: usize, at: SocketAddr) {
         self.nodes[node]
             .gossip
@@ -46,7 +46,7 @@
             .for_each(|gossip| gossip.real = Some(at));
     }
 
-    /// What each node has sent to the others: datagrams and bytes.
+    /// Datagrams and bytes that each node has sent.
     pub fn gossip_traffic(&self) -> Vec<(u64, u64)> {
         let of = |node: &SimulatedNode| {
             node.gossip
@@ -56,7 +56,7 @@
         self.nodes.iter().map(of).collect()
     }
 
-    /// A node has sent a datagram to another one's door.
+    /// Schedules the delivery of a datagram, unless the link loses it.
     pub(super) fn forward_datagram(&mut self, door: ListenerId, from: SocketAddr, bytes: Vec<u8>) {
         let node = |is: &dyn Fn(&GossipEndpoint) -> bool| {
             self.nodes
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A datagram comes to a node.
+    /// Writes a datagram that has arrived at its node.
     pub(super) fn deliver_datagram(&mut self, to: usize, bytes: &[u8]) -> Option<NodeInput> {
         let node = &self.nodes[to];
         let gossip = node.gossip.as_ref().filter(|_| node.up)?;
--- a/testkit/scenarios/src/simulation/misbehaviour.rs
+++ b/testkit/scenarios/src/simulation/misbehaviour.rs
@@ -1,5 +1,5 @@
-//! What a soak plays beyond a scene: clients that leave, pipeline or stop half way, nodes that are killed at the earliest
-//! time behind SIGTERM, and what is owed to whom then.
+//! Misbehaving clients and hard shutdowns of the soak: clients that disconnect, pipeline, send incomplete heads or stay
+//! silent, and nodes that are killed at the earliest time after SIGTERM.
 
 use badgerpost_fakes::net::ConnId;
 
@@ -8,25 +8,25 @@
 use super::state::Simulation;
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
-/// Half a head, of which no more comes.
+/// An incomplete request head, which is never completed.
 const PARTIAL_HEAD: &[u8] = b"GET /api HTTP/1.1\r\nX-Ca";
-/// Clients that stop half way, or say nothing, are owed an error or a close within this.
+/// A node must respond to, or close, the connection of a silent client within this.
 const OWED_WITHIN: Nanos = 3 * SECOND;
-/// How much later a busy machine may bring it.
+/// The tolerance for a busy machine.
 const OWED_SLACK: Nanos = 300 * MILLISECOND;
-/// How often the silent clients of a node are made up to their number.
+/// How often silent clients connect to a node, up to their number.
 const SILENT_PERIOD: Nanos = 100 * MILLISECOND;
-/// So many of them connect at a time.
+/// At most so many of them connect at a time.
 const SILENT_AT_ONCE: usize = 40;
-/// Requests on one connection, at most.
+/// The most requests pipelined on one connection.
 const MOST_PIPELINED: usize = 6;
-/// New connections go on coming to a node for so long after SIGTERM.
+/// New connections still reach a node for so long after SIGTERM.
 const NEW_CONNECTIONS: Nanos = 300 * MILLISECOND;
-/// A longest deadline counts as this at most behind SIGTERM ...
+/// The longest deadline counts as this at most in a shutdown ...
 const LONGEST_COUNTED: Nanos = 3 * SECOND;
-/// ... and SIGKILL comes so much later, at the earliest.
+/// ... and SIGKILL follows so much later.
 const KILLED_AFTER: Nanos = 700 * MILLISECOND;
-/// A request that was written this long ago, of which the node can hold no more than a few, has been read.
+/// A request that was written this long ago has surely been read.
 const SURELY_READ: Nanos = 400 * MILLISECOND;
 
 impl Simulation {
@@ -53,7 +53,7 @@
         share > 0.0 && self.misbehaviour.random.chance(share)
     }
 
-    /// Whether a node's clients hold as many of its descriptors for requests as the platform says at most: a third.
+    /// Whether requests of clients use as many of a node's descriptors as the platform allows: a third.
     pub(super) fn is_full(&self, node: usize) -> bool {
         if !self.plan.behaviour.strict {
             return false;
@@ -67,7 +67,7 @@
         open >= self.plan.scenario.spec.nodes[node].max_descriptors / 3
     }
 
-    /// Whether the system before the nodes, or a client with a connection of its own, brings a node requests.
+    /// Whether clients send a node requests, on new connections or on their idle ones.
     pub(super) fn takes_requests(&self, node: usize) -> bool {
         let side = &self.nodes[node];
         let takes_new = side
@@ -104,7 +104,7 @@
         peers.find(|(_, peer)| is_busy(peer)).map(|(conn, _)| *conn)
     }
 
-    /// What follows right behind a request.
+    /// The bytes that a client sends directly after a request.
     pub(super) fn partial_head(&mut self) -> &'static [u8] {
         if self.chance(self.plan.behaviour.half_heads) {
             PARTIAL_HEAD
@@ -113,7 +113,7 @@
         }
     }
 
-    /// A client decides whether, and when, it leaves before its answer.
+    /// Draws whether, and when, a client disconnects before its response.
     pub(super) fn plan_disconnect(&mut self, request: usize) {
         if !self.chance(self.plan.behaviour.disconnecting) {
             return;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// A client that closes its connection leaves all that is open on it.
+    /// A client that disconnects gives up the other requests on its connection.
     pub(super) fn abandon_pipelined(&mut self, conn: ConnId, but: usize) {
         let Some(Connection::Client { open, .. }) = self.connections.get(&conn) else {
             return;
@@ -157,7 +157,7 @@
         }
     }
 
-    /// A client has had its answer, and has written half a head behind its request.
+    /// A client that wrote an incomplete head after its request falls silent after the response.
     pub(super) fn fall_silent(&mut self, conn: ConnId, node: usize) {
         let since = self.now;
         self.connections
@@ -168,7 +168,7 @@
         );
     }
 
-    /// Clients connect and say nothing, up to their number.
+    /// Connects silent clients, up to their number.
     pub(super) fn open_silent_clients(&mut self, node: usize) -> Option<NodeInput> {
         let of =
             |peer: &Connection| matches!(peer, Connection::Silent { node: of, .. } if *of == node);
@@ -196,7 +196,7 @@
         None
     }
 
-    /// A client that says nothing was owed an error or its end by now.
+    /// The time limit for a silent client is over.
     pub(super) fn time_out_silent_client(&mut self, conn: ConnId) -> Option<NodeInput> {
         let Some(Connection::Silent { node, since }) = self.connections.get(&conn) else {
             return None;
@@ -206,7 +206,7 @@
         self.close(conn)
     }
 
-    /// A client that says nothing is told something, which is all that it is owed.
+    /// A silent client has received a response, so the node has kept its time limit or not.
     pub(super) fn silent_client_notified(&mut self, conn: ConnId) {
         if let Some(Connection::Silent { node, since }) = self.connections.get(&conn) {
             self.record_silent_client_end(*node, *since);
@@ -214,7 +214,7 @@
         }
     }
 
-    /// A silent client's connection has ended, from whichever side.
+    /// Records a node that exceeded the time limit for a silent client.
     pub(super) fn record_silent_client_end(&mut self, node: usize, since: Nanos) {
         let took = self.now - since;
         if took >= OWED_WITHIN + OWED_SLACK && self.nodes[node].up && !self.nodes[node].paused {
@@ -223,13 +223,13 @@
         }
     }
 
-    /// Whether a request that its node has not answered was read there: it had the time for it.
+    /// Whether its node has had the time to read a request.
     pub(super) fn has_surely_read(&self, request: usize) -> bool {
         let waited = self.now - self.requests[request].written;
         self.plan.behaviour.strict && waited >= SURELY_READ
     }
 
-    /// A node is asked to stop: other signals follow, and SIGKILL at the earliest time.
+    /// Schedules further signals to a node that shuts down, and SIGKILL at the earliest time.
     pub(super) fn plan_shutdown(&mut self, node: usize) {
         if !self.plan.behaviour.strict {
             return;
@@ -263,7 +263,7 @@
         self.schedule(since + longest + KILLED_AFTER, kill);
     }
 
-    /// A signal to a node that was asked to stop at that time, if it is still that process.
+    /// The command for a signal to a node whose shutdown began at `since`, if that process still runs.
     pub(super) fn signal_stopping(
         &mut self,
         node: usize,
@@ -274,7 +274,7 @@
             return StepOutcome::default();
         }
         if signal == StopSignal::Kill {
-            // What came by then was to be answered; what the kill finds of it is left to its clients.
+            // The rules ask nothing of requests that SIGKILL cuts off.
             let excused = since + KILLED_AFTER;
             let open = self
                 .requests
--- a/testkit/scenarios/src/simulation/state.rs
+++ b/testkit/scenarios/src/simulation/state.rs
@@ -19,9 +19,9 @@
 use crate::rules::{self, Breach};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
-/// On sockets each time limit is this much longer.
+/// Added to each time limit for the delay of real sockets.
 pub const SOCKET_SLACK: Nanos = 50 * MILLISECOND;
-/// With fewer answers without a length their share says nothing.
+/// With fewer responses without a length their fraction is not significant.
 const LEAST_WITHOUT_LENGTH: usize = 10;
 /// A run ends this long after its last arrival at the latest.
 const ENDS_AFTER: Nanos = 15 * SECOND;
@@ -46,7 +46,7 @@
 pub(super) struct OpenRequest {
     pub(super) log: Request,
     pub(super) arrival: usize,
-    /// The position of its node among the scene's.
+    /// The position of its node among those of the scenario.
     pub(super) node: usize,
     pub(super) tries: u32,
     pub(super) key: String,
@@ -56,12 +56,12 @@
     pub(super) written: Nanos,
 }
 
-/// The peers of all nodes.
+/// Every process around the nodes, their sockets and the outcome log.
 pub struct Simulation {
     pub(super) plan: Plan,
     pub(super) net: LoopbackNetwork,
     pub(super) now: Nanos,
-    /// Unix time at the scene's start.
+    /// Unix time at the start of the scenario.
     pub(super) base: Nanos,
     pub(super) queue: BTreeMap<(Nanos, u64), ScheduledEvent>,
     pub(super) next: u64,
@@ -73,21 +73,21 @@
     pub(super) watches: u64,
     pub(super) requests: Vec<OpenRequest>,
     pub(super) request_by_id: HashMap<String, usize>,
-    /// When a group of servers first saw a key.
+    /// When a deduplication scope first saw a key.
     pub(super) keys_seen: BTreeMap<(String, String), Nanos>,
-    /// Tries that are to come or under way.
+    /// Attempts of clients that are scheduled or open.
     pub(super) pending: usize,
-    /// Requests at servers that no client has sent in this form.
+    /// Requests at servers that no client has sent.
     pub(super) unknown_requests: u64,
-    /// The node that runs now, where only one at a time does.
+    /// The node that runs now, in stepped time.
     pub(super) running: Option<usize>,
-    /// Links that do badly now.
+    /// Active impairments of links.
     pub(super) impairments: Vec<LinkImpairment>,
-    /// What a cut link holds; bounded by the connections, each of which carries one message at a time.
+    /// Messages held by cut links; bounded by the connections, each of which carries one message at a time.
     pub(super) held_messages: Vec<InFlightMessage>,
-    /// What is lost on links.
+    /// Decides which messages links lose.
     pub(super) random: Random,
-    /// What clients do beyond asking and waiting.
+    /// State of misbehaving clients.
     pub(super) misbehaviour: Misbehaviour,
 }
 
@@ -97,27 +97,27 @@
         self.next += 1;
     }
 
-    /// The present, from the scene's start.
+    /// The time since the start of the scenario.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// Unix time at the scene's start.
+    /// Unix time at the start of the scenario.
     pub fn base(&self) -> Nanos {
         self.base
     }
 
-    /// Moves the time on, never back.
+    /// Advances the time; never back.
     pub fn advance(&mut self, now: Nanos) {
         self.now = self.now.max(now);
     }
 
-    /// When the next thing happens by itself.
+    /// When the next event is due.
     pub fn next_event_at(&self) -> Option<Nanos> {
         self.queue.keys().next().map(|(at, _)| *at)
     }
 
-    /// Whether all clients have had their answers, or given up.
+    /// Whether all clients have their responses or have given up.
     pub fn is_done(&self) -> bool {
         self.pending == 0
             || self.now > self.plan.scenario.spec.length_ms.get_ref() * MILLISECOND + ENDS_AFTER
@@ -128,17 +128,17 @@
         self.net.bytes_read()
     }
 
-    /// Connections of a node that have ended since its start, from whichever side.
+    /// Connections of a node that either side has ended since its start.
     pub fn ended_connections(&self, node: usize) -> u64 {
         self.nodes[node].ended
     }
 
-    /// Connections of a node that stand.
+    /// Open connections of a node.
     pub fn open_connections(&self, node: usize) -> usize {
         self.nodes[node].open
     }
 
-    /// A connection is new.
+    /// Adds a new connection.
     pub(super) fn add_connection(&mut self, conn: ConnId, peer: Connection) {
         if let Some(node) = peer.node() {
             self.nodes[node].open += 1;
@@ -146,7 +146,7 @@
         self.connections.insert(conn, peer);
     }
 
-    /// A connection is no more, from whichever side.
+    /// Removes a connection that either side has ended.
     pub(super) fn remove_connection(&mut self, conn: ConnId) -> Option<Connection> {
         let peer = self.connections.remove(&conn)?;
         if let Some(node) = peer.node() {
@@ -156,12 +156,12 @@
         Some(peer)
     }
 
-    /// Requests at servers that no client has sent in this form.
+    /// Requests at servers that no client has sent.
     pub fn unknown_requests(&self) -> u64 {
         self.unknown_requests
     }
 
-    /// Where a node finds its list.
+    /// The address at which a node polls discovery.
     pub fn discovery_address(&self, node: usize) -> SocketAddr {
         self.nodes[node].discovery_address
     }
@@ -175,20 +175,20 @@
             .collect()
     }
 
-    /// Where servers listen, by name.
+    /// Addresses of the servers, by name.
     pub fn servers(&self) -> impl Iterator<Item = (&str, SocketAddr)> {
         self.servers
             .iter()
             .map(|server_state| (server_state.name.as_str(), server_state.at))
     }
 
-    /// The list as it stands, in discovery's form.
+    /// The present endpoint list, in discovery's format.
     pub fn endpoint_snapshot(&self) -> serde_json::Value {
         let targets: Vec<&Entry> = self.discovery.entries().collect();
         serde_json::json!({"rev": 0, "all": true, "targets": targets})
     }
 
-    /// A node takes clients at this address from now on.
+    /// A new process of a node listens at this address.
     pub fn node_started(&mut self, node: usize, listen: SocketAddr) {
         let node = &mut self.nodes[node];
         (node.listen, node.up, node.paused) = (Some(listen), true, false);
@@ -198,12 +198,12 @@
         node.notified_starts.clear();
     }
 
-    /// Where a node listens, if it ever has.
+    /// The address of a node, if it has ever listened.
     pub fn node_address(&self, node: usize) -> Option<SocketAddr> {
         self.nodes[node].listen
     }
 
-    /// A node's process is no more. What it held is owed to nobody if it was killed.
+    /// A node's process has ended. If it was killed, the rules ask nothing of its open requests.
     pub fn node_stopped(&mut self, node: usize, killed: bool) {
         self.nodes[node].up = false;
         if killed {
@@ -219,7 +219,7 @@
         open.for_each(|open| open.log.is_excused = true);
     }
 
-    /// What clients that say nothing, and answers with no length, were owed and did not get.
+    /// Breaches in the treatment of silent clients and of responses without a length.
     pub fn missed_responses(&self) -> Vec<Breach> {
         let unended = self.misbehaviour.unended.iter();
         let mut breaches: Vec<Breach> = unended
@@ -246,17 +246,17 @@
         self.requests.into_iter().map(|open| open.log).collect()
     }
 
-    /// Looks at all sockets for at most `wait` and adds what has come.
+    /// Polls all sockets for at most `wait`, and appends their events.
     pub fn poll(&mut self, wait: Duration, told: &mut Vec<NetworkEvent>) -> io::Result<()> {
         self.net.poll(wait, told)
     }
 
-    /// Puts what several looks have brought into an order that is always the same.
+    /// Sorts the events of several polls into a deterministic order.
     pub fn sort_events(&mut self, told: &mut [NetworkEvent]) -> io::Result<()> {
         self.net.sort_events(told)
     }
 
-    /// Says which node alone runs now, if only one does.
+    /// Sets the node that alone runs now, in stepped time.
     pub fn set_running(&mut self, node: Option<usize>) {
         self.running = node;
     }
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Closes a connection from here; its node has news then.
+    /// Closes a connection at this end, which its node notices.
     pub(super) fn close(&mut self, conn: ConnId) -> Option<NodeInput> {
         self.net.close(conn);
         let node = match self.remove_connection(conn)? {
@@ -286,7 +286,7 @@
         node.map(|node| NodeInput { node, bytes: 0 })
     }
 
-    /// Resets a connection from here; its node has news then.
+    /// Resets a connection at this end, which its node notices.
     pub(super) fn reset(&mut self, conn: ConnId) -> Option<NodeInput> {
         self.net.reset(conn);
         match self.remove_connection(conn)? {
