--- a/testkit/scenarios/src/fleet.rs
+++ b/testkit/scenarios/src/fleet.rs
@@ -1,13 +1,15 @@
 //! How a fleet behaved while a zone was in trouble, from the outcome log alone: when its nodes left the zone and
 //! when they returned, what that cost, and how evenly. No I/O.
 
+mod expectations;
+
 use std::collections::BTreeMap;
 
 use crate::outcome::{ClientResult, Request};
 use crate::plan::Plan;
-use crate::run::RunReport;
 use crate::scenario::{FaultTarget, PlannedFault};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
+pub use expectations::lost;
 
 /// A node counts as one of a zone's if it sent there at least this share of its requests before the trouble.
 const OF_THE_ZONE: f64 = 0.2;
@@ -299,87 +301,6 @@
     strayed
 }
 
-/// What a scene expects and the run did not show.
-#[expect(clippy::too_many_lines, reason = "to be split with the module")]
-pub fn lost(plan: &Plan, played: &RunReport) -> Vec<String> {
-    let expect = &plan.scenario.spec.expectations;
-    let mut lost = Vec::new();
-    let mut need = |good: bool, what: String| {
-        if !good {
-            lost.push(what);
-        }
-    };
-    let counts = played.counts();
-    if counts.requests > 0 {
-        let share = counts.served_fraction();
-        need(
-            share >= expect.min_served_fraction,
-            format!(
-                "served {share:.3}, wanted {:.3}",
-                expect.min_served_fraction
-            ),
-        );
-    }
-    for trouble in troubles(plan) {
-        let seen = conduct(&played.log, &trouble);
-        let zone = &trouble.zone;
-        if let Some(most) = expect.max_failover_ms {
-            let last = seen.left_after.last().copied().unwrap_or(0);
-            let good = seen.stayed == 0 && last <= most * MILLISECOND;
-            need(
-                good,
-                format!(
-                    "zone {zone} left after {} ms, {} never; wanted {most}",
-                    last / MILLISECOND,
-                    seen.stayed
-                ),
-            );
-        }
-        if let Some(most) = expect.max_failed_over_attempts {
-            need(
-                seen.spent <= most,
-                format!(
-                    "{} attempts spent on zone {zone}, wanted {most}",
-                    seen.spent
-                ),
-            );
-        }
-        if let Some(least) = expect.min_served_fraction_in_a_second {
-            need(
-                seen.worst.0 >= least,
-                format!("a second served {:.3}, wanted {least:.3}", seen.worst.0),
-            );
-        }
-        if let Some(most) = expect.max_recovery_ms {
-            let back = seen.full_back.map_or("never".to_owned(), |span| {
-                format!("after {} ms", span / MILLISECOND)
-            });
-            let good = seen
-                .full_back
-                .is_some_and(|span| span <= most * MILLISECOND);
-            need(
-                good,
-                format!("zone {zone} had its load back {back}, wanted {most}"),
-            );
-        }
-    }
-    if let Some(most) = expect.max_slow_start_load {
-        let peak = played.cold_peak(None);
-        need(
-            peak <= most,
-            format!("a cold server got {peak:.2} of what it could do, wanted {most:.2}"),
-        );
-    }
-    if let Some(most) = expect.max_false_ejections {
-        let strayed = strayed(plan, &played.log).len();
-        need(
-            strayed <= most,
-            format!("{strayed} times a node left a zone in no trouble, wanted {most}"),
-        );
-    }
-    lost
-}
-
 /// A value below which lies such a share of sorted ones.
 pub fn at_share(sorted: &[Nanos], share: f64) -> Option<Nanos> {
     let last = sorted.len().checked_sub(1)?;
--- a/testkit/scenarios/src/process.rs
+++ b/testkit/scenarios/src/process.rs
@@ -1,6 +1,9 @@
 //! A node's process: its configuration, its start, its log, its end, and the control connection by which its
 //! clock is stepped.
 
+mod edge;
+mod error;
+
 use std::collections::VecDeque;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,12 +16,12 @@
 use badgerpost_fakes::system_faults::SystemFaults;
 use badgerpost_virtual_clock::{ControllerMessage, NodeMessage};
 use rustix::process::{Pid, Signal, kill_process};
-use serde_json::{Value, json};
+use serde_json::Value;
 use sha2::{Digest, Sha256};
 
-use crate::outcome;
-use crate::scenario::LoadedScenario;
-use badgerpost_time::{MILLISECOND, Nanos};
+use badgerpost_time::Nanos;
+pub use edge::edge;
+pub use error::ProcessError;
 
 /// Nothing that a node does at its start, or between two steps, takes longer, on a busy machine either.
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -28,53 +31,6 @@
 const LOG_LINES: usize = 400;
 const LOG_LINE: u64 = 4096;
 
-/// Why a node's process is of no use.
-#[derive(Debug, thiserror::Error)]
-pub enum ProcessError {
-    /// It can't be started.
-    #[error("can't start {}: {source}", program.display())]
-    Start {
-        /// The program.
-        program: PathBuf,
-        /// What happened.
-        source: io::Error,
-    },
-    /// Something else that the kit needs fails.
-    #[error("node {name}: {source}")]
-    System {
-        /// The node.
-        name: String,
-        /// What happened.
-        source: io::Error,
-    },
-    /// It does not say that it serves.
-    #[error("node {name} did not start to serve; its log:\n{log}")]
-    NotReady {
-        /// The node.
-        name: String,
-        /// What it logged.
-        log: String,
-    },
-    /// It does not come to rest.
-    #[error("node {name} did not come to rest within {} s; its log:\n{log}", PATIENCE.as_secs())]
-    Stalled {
-        /// The node.
-        name: String,
-        /// What it logged.
-        log: String,
-    },
-    /// It says what the kit does not understand.
-    #[error("node {name}: {source}; its log:\n{log}")]
-    Control {
-        /// The node.
-        name: String,
-        /// What it said.
-        source: badgerpost_virtual_clock::MalformedLine,
-        /// What it logged.
-        log: String,
-    },
-}
-
 /// The last lines of a node's log, and where it has said that it listens.
 #[derive(Default)]
 struct Log {
@@ -114,7 +70,6 @@
 
 impl Process {
     /// Starts a node and waits until it serves.
-    #[expect(clippy::too_many_lines, reason = "to be split with the module")]
     pub fn start(start: &Start<'_>) -> Result<(Self, SocketAddr), ProcessError> {
         let name = start.name.to_owned();
         let system = |source| ProcessError::System {
@@ -133,28 +88,15 @@
         if let Some(faults) = &start.system_faults {
             faults.apply(&mut command).map_err(system)?;
         }
-        let mut door = None;
-        let mut text = start.own.replace("{folder}", &folder.to_string_lossy());
-        for (name, contents) in &start.files {
-            use std::os::unix::fs::OpenOptionsExt;
-            let file = std::fs::OpenOptions::new()
-                .write(true)
-                .create(true)
-                .truncate(true)
-                .mode(0o600)
-                .open(folder.join(name));
-            file.and_then(|mut file| file.write_all(contents.as_bytes()))
-                .map_err(system)?;
-        }
-        if let Some(now) = start.stepped {
-            let listener = TcpListener::bind("127.0.0.1:0").map_err(system)?;
-            let at = listener.local_addr().map_err(system)?;
-            text += &format!("\n[rehearsal]\ncontrol = \"{at}\"\nstart_ns = {now}\n");
-            door = Some(listener);
-        }
-        if !text.is_empty() {
+        let mut settings = start.own.replace("{folder}", &folder.to_string_lossy());
+        write_private_files(&folder, &start.files).map_err(system)?;
+        let control = match start.stepped {
+            Some(now) => Some(listen_for_control(&mut settings, now).map_err(system)?),
+            None => None,
+        };
+        if !settings.is_empty() {
             let own = folder.join("badgerpost.toml");
-            std::fs::write(&own, text).map_err(system)?;
+            std::fs::write(&own, settings).map_err(system)?;
             command.arg("--config").arg(&own);
         }
         let started = command.spawn();
@@ -175,8 +117,8 @@
             next: None,
             folder,
         };
-        let listens = match door {
-            Some(door) => process.welcome(&door)?,
+        let listens = match control {
+            Some(listener) => process.welcome(&listener)?,
             None => process.wait_for_listen()?,
         };
         Ok((process, listens))
@@ -390,6 +332,29 @@
     }
 }
 
+/// Writes files that only their owner may read into a folder.
+fn write_private_files(folder: &Path, files: &[(&'static str, String)]) -> io::Result<()> {
+    use std::os::unix::fs::OpenOptionsExt;
+    for (name, contents) in files {
+        let mut file = std::fs::OpenOptions::new()
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .mode(0o600)
+            .open(folder.join(name))?;
+        file.write_all(contents.as_bytes())?;
+    }
+    Ok(())
+}
+
+/// Listens for the control connection of a node on a stepped clock, and adds its address to the settings.
+fn listen_for_control(settings: &mut String, now: Nanos) -> io::Result<TcpListener> {
+    let listener = TcpListener::bind("127.0.0.1:0")?;
+    let address = listener.local_addr()?;
+    *settings += &format!("\n[rehearsal]\ncontrol = \"{address}\"\nstart_ns = {now}\n");
+    Ok(listener)
+}
+
 /// A folder that nobody else uses.
 fn private_folder() -> io::Result<PathBuf> {
     use std::os::unix::fs::DirBuilderExt;
@@ -404,47 +369,6 @@
     Ok(folder)
 }
 
-/// What the platform would tell a node of a scene.
-#[expect(clippy::needless_pass_by_value, reason = "callers hand the value over")]
-pub fn edge(
-    scenario: &LoadedScenario,
-    node: usize,
-    listen: SocketAddr,
-    discovery: SocketAddr,
-    seed: u64,
-    known: Option<Value>,
-) -> Value {
-    let scene = &scenario.spec;
-    let rules = &scene.rules;
-    let own = &scene.nodes[node];
-    let zones = scene.zones();
-    let classes: Vec<Value> = scene
-        .classes
-        .iter()
-        .map(|class| {
-            let effect = match class.idempotency {
-                outcome::Idempotency::Idempotent => "repeatable",
-                outcome::Idempotency::Keyed => "by_key",
-                outcome::Idempotency::NonIdempotent => "once",
-            };
-            json!({"name": class.name.get_ref(), "effect": effect, "key-scope": class.dedup_scope,
-                "window-ns": class.dedup_window_ms * MILLISECOND, "on-time-ns": class.latency_objective_ms * MILLISECOND,
-                "deadline-ns": class.deadline_ms.get_ref() * MILLISECOND})
-        })
-        .collect();
-    let by_probe = scene.load_reports == crate::scenario::LoadReports::HealthChecks;
-    let settings = json!({"report": {"how": if by_probe { "pull" } else { "piggyback" }}, "az": own.zone, "zones": zones, "n-instances": scene.nodes.len(),
-        "discovery": "pushed", "classes": classes, "goal": {}, "callers": {"marks-retry": true},
-        "policy-limits": {"attempts-cap": rules.attempts, "may-cancel": true, "second-copies": true, "peers": true,
-            "probes": by_probe, "retry-after": true, "max-retry-after-ns": 1000 * MILLISECOND},
-        "rules": {"answer-slack-ns": rules.response_slack_ms * MILLISECOND, "drain-grace-ns": rules.drain_grace_ms * MILLISECOND,
-            "fall-ns": rules.overload_window_ms * MILLISECOND, "start-capacity": rules.slow_start_capacity,
-            "tip-multiple": rules.overload_multiple, "warm-after-ns": rules.slow_start_duration_ms * MILLISECOND}});
-    json!({"name": own.name.get_ref(), "listen": listen.to_string(), "discovery": discovery.to_string(),
-        "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": own.max_descriptors},
-        "known": known, "settings": settings})
-}
-
 /// The SHA-256 of a program, in hexadecimal.
 pub fn sha256(program: &Path) -> Result<String, ProcessError> {
     let mut hasher = Sha256::new();
