--- a/testkit/scenarios/src/commands/soak.rs
+++ b/testkit/scenarios/src/commands/soak.rs
@@ -22,7 +22,7 @@
     let next_seed = AtomicU64::new(arguments.seeds.start);
     let failed = thread::scope(|scope| {
         let jobs: Vec<_> = (0..arguments.jobs.max(1))
-            .map(|_| scope.spawn(|| play_seeds(&next_seed, arguments.seeds.end, &program)))
+            .map(|_| scope.spawn(|| run_seeds(&next_seed, arguments.seeds.end, &program)))
             .collect();
         let results = jobs.into_iter().map(|job| job.join().unwrap_or(Ok(1)));
         results.sum::<Result<u64, RunError>>()
@@ -37,7 +37,7 @@
 }
 
 /// Plays seeds until there are no more; returns how many of them broke a rule.
-fn play_seeds(next_seed: &AtomicU64, end: u64, program: &Path) -> Result<u64, RunError> {
+fn run_seeds(next_seed: &AtomicU64, end: u64, program: &Path) -> Result<u64, RunError> {
     let mut failed = 0;
     loop {
         let seed = next_seed.fetch_add(1, Ordering::Relaxed);
--- a/testkit/scenarios/src/rules.rs
+++ b/testkit/scenarios/src/rules.rs
@@ -114,7 +114,7 @@
             return attempt_breach;
         }
     }
-    let due = request.arrival + request.timeout + tolerances.response_slack;
+    let deadline = request.arrival + request.timeout + tolerances.response_slack;
     match &request.response {
         None if request.is_excused || request.client_left_at.is_some() => None,
         None => Some("it had no final answer".to_owned()),
@@ -123,9 +123,9 @@
         {
             Some("it was served with what no server made for it".to_owned())
         }
-        Some(response) if response.at > due && !request.is_excused => Some(format!(
+        Some(response) if response.at > deadline && !request.is_excused => Some(format!(
             "its answer came {} ms after its client had gone",
-            milliseconds(response.at - due)
+            milliseconds(response.at - deadline)
         )),
         Some(response) => attempt_after_response_breach(request, response.at),
     }
@@ -196,7 +196,7 @@
     match (request.idempotency, request.dedup) {
         (Idempotency::Idempotent, _) => true,
         (Idempotency::Keyed, Some(Dedup { scope, window })) => {
-            shares_dedup(scope, executed, next)
+            is_in_dedup_scope(scope, executed, next)
                 && next.start.saturating_sub(executed.start) < window
         }
         (Idempotency::Keyed, None) | (Idempotency::NonIdempotent, _) => false,
@@ -204,7 +204,7 @@
 }
 
 /// Whether the servers of both attempts drop repeats of one another's requests.
-fn shares_dedup(scope: DedupScope, first: &Attempt, next: &Attempt) -> bool {
+fn is_in_dedup_scope(scope: DedupScope, first: &Attempt, next: &Attempt) -> bool {
     match scope {
         DedupScope::All => true,
         DedupScope::Zone => first.zone == next.zone,
--- a/testkit/scenarios/src/search.rs
+++ b/testkit/scenarios/src/search.rs
@@ -100,7 +100,7 @@
 
     /// Runs a candidate and keeps it if it still shows the violation. Returns whether it does; no candidate is run, and
     /// none does, once the limit of runs is reached.
-    fn try_candidate(&mut self, candidate: Plan) -> Result<bool, RunError> {
+    fn evaluate_candidate(&mut self, candidate: Plan) -> Result<bool, RunError> {
         if self.runs >= MAX_REDUCTION_RUNS {
             return Ok(false);
         }
@@ -119,7 +119,7 @@
         for index in (0..self.best.faults.len()).rev() {
             let mut candidate = self.best.clone();
             candidate.faults.remove(index);
-            self.try_candidate(candidate)?;
+            self.evaluate_candidate(candidate)?;
         }
         Ok(())
     }
@@ -133,7 +133,7 @@
                 let end = (start + chunk).min(self.best.arrivals.len());
                 let mut candidate = self.best.clone();
                 candidate.arrivals.drain(start..end);
-                if candidate.arrivals.is_empty() || !self.try_candidate(candidate)? {
+                if candidate.arrivals.is_empty() || !self.evaluate_candidate(candidate)? {
                     start += chunk;
                 }
             }
--- a/testkit/scenarios/src/sweep.rs
+++ b/testkit/scenarios/src/sweep.rs
@@ -37,7 +37,7 @@
     let results: Mutex<Results> = Mutex::new(Ok(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
-            scope.spawn(|| play_seeds(name, &next_seed, seeds.end, options, &results));
+            scope.spawn(|| run_seeds(name, &next_seed, seeds.end, options, &results));
         }
     });
     let mut results = results
@@ -48,7 +48,7 @@
 }
 
 /// Plays seeds until there are no more, or one has failed.
-fn play_seeds(
+fn run_seeds(
     name: &str,
     next_seed: &AtomicU64,
     end: u64,
@@ -60,7 +60,7 @@
         if seed >= end {
             return;
         }
-        let result = play_seed(name, seed, options);
+        let result = run_seed(name, seed, options);
         let mut results: MutexGuard<'_, Results> =
             results.lock().unwrap_or_else(PoisonError::into_inner);
         match (&mut *results, result) {
@@ -71,7 +71,7 @@
     }
 }
 
-fn play_seed(name: &str, seed: u64, options: &Options) -> Result<SeedResult, RunError> {
+fn run_seed(name: &str, seed: u64, options: &Options) -> Result<SeedResult, RunError> {
     let plan = Plan::draw(scenario::find(name)?, seed);
     let report = run::play(&plan, options, &mut |_| {})?;
     let first_outage = fleet::troubles(&plan).into_iter().next();
