--- a/daemon/tests/limits.rs
+++ b/daemon/tests/limits.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 use badgerpost_fakes::scripted::*;
-use badgerpost_fakes::system_faults::{Call, Fault, SystemFaults};
+use badgerpost_fakes::system_faults::{CallFault, SystemCall, SystemFaults};
 use serde_json::json;
 
 /// What a bad client is owed its error or close within.
@@ -158,7 +158,7 @@
         target("s-1", serving.address, "Ready")
     ]);
     let discovery = Discovery::new(targets.clone());
-    let faults = SystemFaults::seeded(3).with(Call::Send, Fault::Hold, 1000);
+    let faults = SystemFaults::seeded(3).with(SystemCall::Send, CallFault::Delay, 1000);
     let node = Node::start_with_faults(&config(discovery.address, targets), &faults);
     // Its next call to discovery comes 2.7 s behind this one: a hold in that would keep a request from being read, which
     // is another matter.
--- a/daemon/tests/system_calls.rs
+++ b/daemon/tests/system_calls.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use badgerpost_fakes::scripted::*;
-use badgerpost_fakes::system_faults::{Call, Fault, SystemFaults};
+use badgerpost_fakes::system_faults::{CallFault, SystemCall, SystemFaults};
 use serde_json::json;
 
 /// How long a load lasts.
@@ -64,22 +64,22 @@
 #[test]
 fn short_reads_lose_no_request() {
     for permille in [10, 50, 500] {
-        all_served(&SystemFaults::seeded(7).with(Call::Recv, Fault::Short, permille));
+        all_served(&SystemFaults::seeded(7).with(SystemCall::Recv, CallFault::Short, permille));
     }
 }
 
 #[test]
 fn short_writes_lose_no_request() {
     for permille in [50, 500] {
-        all_served(&SystemFaults::seeded(7).with(Call::Send, Fault::Short, permille));
+        all_served(&SystemFaults::seeded(7).with(SystemCall::Send, CallFault::Short, permille));
     }
 }
 
 /// An interrupted call has done nothing: it is made again.
 #[test]
 fn interrupted_system_calls_lose_no_request() {
-    for call in [Call::Recv, Call::Send, Call::EpollWait] {
-        all_served(&SystemFaults::seeded(7).with(call, Fault::Error("EINTR"), 50));
+    for call in [SystemCall::Recv, SystemCall::Send, SystemCall::EpollWait] {
+        all_served(&SystemFaults::seeded(7).with(call, CallFault::Error("EINTR"), 50));
     }
 }
 
@@ -90,7 +90,8 @@
         let backend = serving();
         let targets = json!([target("s-0", backend.address, "Ready")]);
         let discovery = Discovery::new(targets.clone());
-        let faults = SystemFaults::seeded(seed).with(Call::Socket, Fault::Error(error), 900);
+        let faults =
+            SystemFaults::seeded(seed).with(SystemCall::Socket, CallFault::Error(error), 900);
         let node = Node::start_with_faults(&config(discovery.address, targets), &faults);
         assert_eq!(
             node.request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
--- a/daemon/tests/upgrade.rs
+++ b/daemon/tests/upgrade.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use badgerpost_fakes::scripted::*;
-use badgerpost_fakes::system_faults::{Call, Fault, SystemFaults};
+use badgerpost_fakes::system_faults::{CallFault, SystemCall, SystemFaults};
 use serde_json::{Value, json};
 
 /// A folder that the versions of a node share; gone with the test.
@@ -170,7 +170,8 @@
         let folder = Folder::new(error);
         let (backend, at) = (serving(), free());
         let config = operated(&backend, at);
-        let faults = SystemFaults::seeded(1).with(Call::BindUnix, Fault::Error(error), 1000);
+        let faults =
+            SystemFaults::seeded(1).with(SystemCall::BindUnix, CallFault::Error(error), 1000);
         let old = Node::start_with_faults_in(&config, &faults, Some(&folder.0));
         serves(&old);
         let mut new = Node::start_with_faults_in(&config, &faults, Some(&folder.0));
--- a/daemon/tests/wall_clock.rs
+++ b/daemon/tests/wall_clock.rs
@@ -71,7 +71,7 @@
         let discovery = Discovery::new(json!(entries));
         let node = Node::start_with_faults(
             &config(discovery.address, json!([])),
-            &SystemFaults::seeded(1).on(clock),
+            &SystemFaults::seeded(1).with_wall_clock(clock),
         );
         discovery.wait_for_watch_from(1);
         let load = Load::start(node.address, "r", 40, Duration::from_millis(100), |id| {
--- a/testkit/fakes/src/lib.rs
+++ b/testkit/fakes/src/lib.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for a node's peers. The models ([`server`], [`discovery`], [`client`]) do no I/O and take the time
-//! as it is told; [`net`] puts them on loopback sockets, on one thread, in stepped or in real time. [`scripted`]
-//! is for tests that write out each byte of a peer by hand.
+//! Fakes of a node's peers for tests. The models ([`server`], [`discovery`], [`client`]) do no I/O and are told the time;
+//! [`net`] connects them to loopback sockets on one thread, on the virtual or the real clock. [`scripted`] is for tests
+//! that write each byte of a peer by hand, [`database`] a PostgreSQL server in memory, [`system_faults`] what the
+//! operating system does wrong.
 
 pub mod client;
 pub mod database;
@@ -15,24 +16,24 @@
 
 use std::path::PathBuf;
 
-/// A program of this workspace is not there.
+/// A program of this workspace has not been built.
 #[derive(Debug, thiserror::Error)]
 #[error("{} is not built: `cargo build --workspace` builds it, with --release where this one was", .0.display())]
 pub struct NotBuilt(PathBuf);
 
-/// A program of this workspace, beside the one that runs, or beside the tests of it.
+/// The path of a program of this workspace: in the folder of the running program or, for tests, in the one above it.
 pub fn program(name: &str) -> Result<PathBuf, NotBuilt> {
-    let own = std::env::current_exe().unwrap_or_default();
-    let beside = own.parent().map(PathBuf::from).unwrap_or_default();
-    let places = [beside.join(name), beside.join("..").join(name)];
-    let found = places
+    let running = std::env::current_exe().unwrap_or_default();
+    let folder = running.parent().map(PathBuf::from).unwrap_or_default();
+    let candidates = [folder.join(name), folder.join("..").join(name)];
+    let found = candidates
         .iter()
         .find(|path| path.is_file())
         .and_then(|path| path.canonicalize().ok());
-    found.ok_or_else(|| NotBuilt(places[0].clone()))
+    found.ok_or_else(|| NotBuilt(candidates[0].clone()))
 }
 
-/// Where a node listens, from the line of its log that says so.
+/// The address at which a node listens, from the log line that reports it; none for other lines.
 pub fn listens_at(line: &str) -> Option<std::net::SocketAddr> {
     let (_, fields) = line.split_once("serving node=")?;
     fields
--- a/testkit/fakes/src/random.rs
+++ b/testkit/fakes/src/random.rs
@@ -1,51 +1,57 @@
-//! Seeded randomness: equal seeds give equal draws, on every machine.
+//! The test kit's seeded random number generator: equal seeds give equal draws on every machine.
 
-/// A SplitMix64 generator (Steele, Lea and Flood, 2014): small, fast, and good enough for stand-ins.
+// Constants of FNV-1a.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+/// The increment of SplitMix64's state.
+const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The number of values that a `f64` in [0, 1) is drawn from.
+const MANTISSA_VALUES: u64 = 1 << 53;
+
+/// A SplitMix64 generator (Steele, Lea and Flood, 2014). Recorded seeds depend on its numbers: they must not change.
 #[derive(Clone, Debug)]
 pub struct Random(u64);
 
 impl Random {
-    /// A generator of its own for each purpose, so that one more draw for one changes no other.
+    /// Creates the generator for one purpose. Each purpose has its own, so that a further draw for one of them does not
+    /// change the draws for the others.
     pub fn new(seed: u64, purpose: &str) -> Self {
-        // FNV-1a over the purpose's name.
-        let name = purpose
-            .bytes()
-            .fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
-                (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
-            });
-        let mut random = Self(seed ^ name);
-        random.bits();
+        let purpose_hash = purpose.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
+            (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
+        });
+        let mut random = Self(seed ^ purpose_hash);
+        random.next_u64();
         random
     }
 
-    /// 64 random bits.
-    pub fn bits(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    /// 64 uniformly distributed bits.
+    pub fn next_u64(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(GOLDEN_GAMMA);
         let mut z = self.0;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         z ^ (z >> 31)
     }
 
-    /// From 0 up to, not including, 1.
-    pub fn unit(&mut self) -> f64 {
-        (self.bits() >> 11) as f64 / (1_u64 << 53) as f64
+    /// Uniformly distributed from 0 up to, but not including, 1.
+    pub fn uniform(&mut self) -> f64 {
+        (self.next_u64() >> 11) as f64 / MANTISSA_VALUES as f64
     }
 
-    /// From `low` to `high`, both included.
+    /// Uniformly distributed from `low` to `high`, both included.
     pub fn between(&mut self, low: u64, high: u64) -> u64 {
         let span = high.saturating_sub(low).saturating_add(1).max(1);
-        low + ((u128::from(self.bits()) * u128::from(span)) >> 64) as u64
+        low + ((u128::from(self.next_u64()) * u128::from(span)) >> 64) as u64
     }
 
     /// True with this probability.
-    pub fn chance(&mut self, share: f64) -> bool {
-        self.unit() < share
+    pub fn chance(&mut self, probability: f64) -> bool {
+        self.uniform() < probability
     }
 
     /// Exponentially distributed, with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
-        -mean * (1.0 - self.unit()).ln()
+        -mean * (1.0 - self.uniform()).ln()
     }
 }
 
--- a/testkit/fakes/src/random/tests.rs
+++ b/testkit/fakes/src/random/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn equal_seeds_draw_alike_and_purposes_apart() {
+fn draws_depend_on_the_seed_and_the_purpose_only() {
     let draws = |seed, purpose| {
         let mut random = Random::new(seed, purpose);
-        (0..4).map(|_| random.bits()).collect::<Vec<_>>()
+        (0..4).map(|_| random.next_u64()).collect::<Vec<_>>()
     };
     assert_eq!(draws(7, "arrivals"), draws(7, "arrivals"));
     assert_ne!(draws(7, "arrivals"), draws(7, "servers"));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn draws_keep_their_bounds_and_means() {
+fn draws_have_the_requested_bounds_and_means() {
     let mut random = Random::new(1, "test");
     assert!((0..1000).all(|_| (3..=5).contains(&random.between(3, 5))));
     assert_eq!(random.between(9, 9), 9);
@@ -22,3 +22,18 @@
     let share = (0..20_000).filter(|_| random.chance(0.3)).count();
     assert!((5_700..6_300).contains(&share), "{share}");
 }
+
+/// Seeds that stand in repro files depend on these numbers.
+#[test]
+fn the_numbers_of_a_seed_do_not_change() {
+    let mut random = Random::new(7, "arrivals");
+    let numbers = [(); 3].map(|()| random.next_u64());
+    assert_eq!(
+        numbers,
+        [
+            0xdb45_e58a_999f_2550,
+            0x74a3_d948_0942_f70e,
+            0xd948_6bbe_f833_3e23
+        ]
+    );
+}
--- a/testkit/fakes/src/system_faults.rs
+++ b/testkit/fakes/src/system_faults.rs
@@ -1,29 +1,34 @@
-//! Faults of system calls, and a wall clock that steps, for a process under test: a small library that is preloaded
-//! into it fails a share of its calls as Linux documents. Seeded, so that a run's draws can be had again.
+//! Injection of system call faults into a process under test, by a preloaded library that fails a share of the calls in
+//! ways that Linux documents. It is seeded, so that a run can be repeated.
+
+mod temporary_file;
+mod wall_clock;
 
 use std::ffi::OsString;
 use std::fmt;
 use std::io;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::Command;
-use std::sync::atomic::{AtomicU32, Ordering};
+
+use temporary_file::replace_file;
+pub use wall_clock::WallClock;
 
 /// The library, built by `build.rs`.
 const LIBRARY: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/libsystem_faults.so"));
 
-/// A system call that can fail.
+/// A system call into which faults can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum SystemCall {
     /// `recv`.
     Recv,
     /// `send` and `writev`.
     Send,
     /// `accept4`.
     Accept,
-    /// `connect`, at once.
+    /// `connect`, which fails at once.
     Connect,
-    /// What became of a connect, told later by `getsockopt(SO_ERROR)`.
-    ConnectLater,
+    /// `getsockopt(SO_ERROR)`, which returns the result of a connect in progress.
+    ConnectResult,
     /// `socket`.
     Socket,
     /// `bind` of a Unix socket, which makes a file.
@@ -32,14 +37,14 @@
     EpollWait,
 }
 
-impl Call {
+impl SystemCall {
     fn name(self) -> &'static str {
         match self {
             Self::Recv => "recv",
             Self::Send => "send",
             Self::Accept => "accept",
             Self::Connect => "connect",
-            Self::ConnectLater => "so_error",
+            Self::ConnectResult => "so_error",
             Self::Socket => "socket",
             Self::BindUnix => "bind_unix",
             Self::EpollWait => "epoll",
@@ -47,37 +52,38 @@
     }
 }
 
-/// What a call meets.
+/// The fault that a call meets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// It moves 40 bytes at most.
+pub enum CallFault {
+    /// It transfers at most 40 bytes.
     Short,
-    /// It begins 150 ms late.
-    Hold,
+    /// It starts 150 ms late.
+    Delay,
     /// It fails with the error of this name, such as `EINTR`.
     Error(&'static str),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for CallFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Short => "short",
-            Self::Hold => "hold",
+            Self::Delay => "hold",
             Self::Error(name) => name,
         })
     }
 }
 
-/// Faults for one process.
+/// The faults of one process.
 #[derive(Clone, Debug, Default)]
 pub struct SystemFaults {
     seed: u64,
-    calls: Vec<String>,
+    /// Entries of the form `call:fault=permille`, as the library reads them.
+    entries: Vec<String>,
     wall_clock: Option<PathBuf>,
 }
 
 impl SystemFaults {
-    /// None so far; the seed drives which calls they strike.
+    /// No faults yet; the seed determines which calls meet them.
     #[must_use]
     pub fn seeded(seed: u64) -> Self {
         Self {
@@ -86,31 +92,31 @@
         }
     }
 
-    /// The same with another seed.
+    /// Replaces the seed.
     #[must_use]
-    pub fn reseeded(self, seed: u64) -> Self {
+    pub fn with_seed(self, seed: u64) -> Self {
         Self { seed, ..self }
     }
 
-    /// One more, in so many of a thousand calls.
+    /// Adds a fault that this many of a thousand calls meet.
     #[must_use]
-    pub fn with(mut self, call: Call, fault: Fault, permille: u32) -> Self {
-        self.calls
+    pub fn with(mut self, call: SystemCall, fault: CallFault, permille: u32) -> Self {
+        self.entries
             .push(format!("{}:{fault}={permille}", call.name()));
         self
     }
 
-    /// Whether some of its calls begin late.
+    /// Whether some calls are delayed.
     #[must_use]
-    pub fn has_holds(&self) -> bool {
-        let hold = format!(":{}=", Fault::Hold);
-        self.calls.iter().any(|call| call.contains(&hold))
+    pub fn has_delays(&self) -> bool {
+        let delay = format!(":{}=", CallFault::Delay);
+        self.entries.iter().any(|entry| entry.contains(&delay))
     }
 
-    /// The process reads its wall clock through this one.
+    /// Makes the process read this wall clock in place of the system's.
     #[must_use]
-    pub fn on(mut self, clock: &WallClock) -> Self {
-        self.wall_clock = Some(clock.file.clone());
+    pub fn with_wall_clock(mut self, clock: &WallClock) -> Self {
+        self.wall_clock = Some(clock.file().to_owned());
         self
     }
 
@@ -121,8 +127,8 @@
     /// The library can't be written.
     pub fn apply(&self, command: &mut Command) -> io::Result<()> {
         command
-            .env("LD_PRELOAD", library()?)
-            .env("BADGERPOST_FAULTS", self.calls.join(","))
+            .env("LD_PRELOAD", library_file()?)
+            .env("BADGERPOST_FAULTS", self.entries.join(","))
             .env("BADGERPOST_FAULT_SEED", self.seed.to_string());
         if let Some(file) = &self.wall_clock {
             command.env("BADGERPOST_WALL_CLOCK", file);
@@ -133,68 +139,18 @@
 
 impl fmt::Display for SystemFaults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} (seed {})", self.calls.join(","), self.seed)
-    }
-}
-
-/// A wall clock that is ahead of the system's, by as much as is set. Its file goes with it.
-#[derive(Debug)]
-pub struct WallClock {
-    file: PathBuf,
-}
-
-impl WallClock {
-    /// One that is ahead by so many milliseconds; behind, where that is negative.
-    ///
-    /// # Errors
-    ///
-    /// Its file can't be written.
-    pub fn ahead_by(milliseconds: i64) -> io::Result<Self> {
-        let clock = Self {
-            file: own_file("clock"),
-        };
-        clock.set(milliseconds)?;
-        Ok(clock)
-    }
-
-    /// Steps it.
-    ///
-    /// # Errors
-    ///
-    /// Its file can't be written.
-    pub fn set(&self, milliseconds: i64) -> io::Result<()> {
-        replace(&self.file, milliseconds.to_string().as_bytes())
+        write!(f, "{} (seed {})", self.entries.join(","), self.seed)
     }
 }
 
-impl Drop for WallClock {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.file);
-    }
-}
-
-/// Where the library stands: one file for each build of it.
-fn library() -> io::Result<OsString> {
+/// Writes the library to a file, one for each build of it, and returns the path.
+fn library_file() -> io::Result<OsString> {
     let hash = LIBRARY.iter().fold(0u64, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
     });
     let file = std::env::temp_dir().join(format!("badgerpost-system-faults-{hash:016x}.so"));
     if !file.exists() {
-        replace(&file, LIBRARY)?;
+        replace_file(&file, LIBRARY)?;
     }
     Ok(file.into_os_string())
 }
-
-/// Writes a file so that nobody finds half of it.
-fn replace(file: &Path, bytes: &[u8]) -> io::Result<()> {
-    let new = own_file("new");
-    std::fs::write(&new, bytes)?;
-    std::fs::rename(new, file)
-}
-
-/// A path that nobody else uses.
-fn own_file(kind: &str) -> PathBuf {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    std::env::temp_dir().join(format!("badgerpost-{}-{number}.{kind}", std::process::id()))
-}
--- a/testkit/scenarios/src/plan.rs
+++ b/testkit/scenarios/src/plan.rs
@@ -114,7 +114,7 @@
         if !(at < end && arrivals.len() < MAX_REQUESTS) {
             return arrivals;
         }
-        let class = draw_class(scenario, random.unit() * total_weight);
+        let class = draw_class(scenario, random.uniform() * total_weight);
         let (min_ms, max_ms) = *scenario.classes[class.get()].service_time_ms.get_ref();
         let node = NodeIndex(draw_index(&mut random, scenario.nodes.len()));
         let service_time = random.between(min_ms * MILLISECOND, max_ms * MILLISECOND);
--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -223,7 +223,7 @@
 
 /// How much more a node may be held up before it has read a request, where its system calls are.
 fn held(options: &Options) -> Nanos {
-    if options.system_faults.iter().any(SystemFaults::has_holds) {
+    if options.system_faults.iter().any(SystemFaults::has_delays) {
         HOLD
     } else {
         0
@@ -327,7 +327,7 @@
         // Under the same address each time.
         let listen = self.ports[node].address();
         self.lives += 1;
-        let seed = Random::new(self.plan.seed ^ self.lives, "node").bits();
+        let seed = Random::new(self.plan.seed ^ self.lives, "node").next_u64();
         let scenario = &self.plan.scenario;
         let known = scenario
             .spec
@@ -379,7 +379,11 @@
     /// The faults of a node's next process.
     fn system_faults(&self, node: usize, seed: u64) -> Option<SystemFaults> {
         let faults = self.options.system_faults.get(node)?.clone();
-        Some(faults.reseeded(seed).on(self.wall_clocks.get(node)?))
+        Some(
+            faults
+                .with_seed(seed)
+                .with_wall_clock(self.wall_clocks.get(node)?),
+        )
     }
 
     // In steps.
--- a/testkit/scenarios/src/scenario/fault.rs
+++ b/testkit/scenarios/src/scenario/fault.rs
@@ -208,7 +208,7 @@
         };
         let mut random = Random::new(seed, "groups");
         let mut drawn: Vec<(u64, usize)> = (0..zone_of_each.len())
-            .map(|index| (random.bits(), index))
+            .map(|index| (random.next_u64(), index))
             .filter(|(_, index)| zone.is_none_or(|zone| zone_of_each[*index] == zone))
             .collect();
         drawn.sort_unstable();
--- a/testkit/scenarios/src/soak.rs
+++ b/testkit/scenarios/src/soak.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use badgerpost_fakes::random::Random;
-use badgerpost_fakes::system_faults::{Call, Fault, SystemFaults};
+use badgerpost_fakes::system_faults::{CallFault, SystemCall, SystemFaults};
 use badgerpost_settings::file::{FileError, Source};
 
 use crate::plan::{Behaviour, Plan};
@@ -168,7 +168,7 @@
         let mean_work_ms = self.classes(&mut text);
         // So many that the servers are used to between three and nine tenths: one in slow start that gets as much as
         // the others falls over.
-        let used = 0.3 + 0.6 * self.random.unit();
+        let used = 0.3 + 0.6 * self.random.uniform();
         let busy = rate as f64 * mean_work_ms / 1000.0 / servers as f64;
         let slots = ((busy / used).round() as u64).clamp(1, 32);
         let sockets = match behaviour.silent_clients {
@@ -274,27 +274,27 @@
     fn system_faults(&mut self) -> SystemFaults {
         let mut faults = SystemFaults::seeded(0);
         let kinds = [
-            (Call::Recv, Fault::Short),
-            (Call::Send, Fault::Short),
-            (Call::Recv, Fault::Error("EINTR")),
-            (Call::Send, Fault::Error("EINTR")),
-            (Call::EpollWait, Fault::Error("EINTR")),
-            (Call::Accept, Fault::Error("ECONNABORTED")),
-            (Call::Accept, Fault::Error("ENFILE")),
-            (Call::Accept, Fault::Error("ENOBUFS")),
-            (Call::Socket, Fault::Error("ENFILE")),
-            (Call::Connect, Fault::Error("EADDRNOTAVAIL")),
-            (Call::Connect, Fault::Error("ENETUNREACH")),
-            (Call::Connect, Fault::Error("EINTR")),
-            (Call::ConnectLater, Fault::Error("ETIMEDOUT")),
-            (Call::ConnectLater, Fault::Error("EHOSTUNREACH")),
+            (SystemCall::Recv, CallFault::Short),
+            (SystemCall::Send, CallFault::Short),
+            (SystemCall::Recv, CallFault::Error("EINTR")),
+            (SystemCall::Send, CallFault::Error("EINTR")),
+            (SystemCall::EpollWait, CallFault::Error("EINTR")),
+            (SystemCall::Accept, CallFault::Error("ECONNABORTED")),
+            (SystemCall::Accept, CallFault::Error("ENFILE")),
+            (SystemCall::Accept, CallFault::Error("ENOBUFS")),
+            (SystemCall::Socket, CallFault::Error("ENFILE")),
+            (SystemCall::Connect, CallFault::Error("EADDRNOTAVAIL")),
+            (SystemCall::Connect, CallFault::Error("ENETUNREACH")),
+            (SystemCall::Connect, CallFault::Error("EINTR")),
+            (SystemCall::ConnectResult, CallFault::Error("ETIMEDOUT")),
+            (SystemCall::ConnectResult, CallFault::Error("EHOSTUNREACH")),
         ];
         for _ in 0..self.random.between(1, 4) {
             let (call, fault) = self.one_of(&kinds);
             faults = faults.with(call, fault, self.one_of(&[10, 30, 50]));
         }
         if self.random.chance(0.25) {
-            faults = faults.with(Call::Send, Fault::Hold, 1);
+            faults = faults.with(SystemCall::Send, CallFault::Delay, 1);
         }
         faults
     }
