--- a/testkit/fakes/src/database/describe.rs
+++ b/testkit/fakes/src/database/describe.rs
@@ -153,8 +153,9 @@
                 self.projection(delete.returning.as_deref().unwrap_or_default(), &columns)
             }
             Statement::ShowVariable { variable } => {
-                let words: Vec<String> = variable.iter().map(|word| word.value.clone()).collect();
-                let name = self.context.canonical_setting_name(&words.join("_"));
+                let identifiers: Vec<String> =
+                    variable.iter().map(|ident| ident.value.clone()).collect();
+                let name = self.context.canonical_setting_name(&identifiers.join("_"));
                 Ok(vec![ResultColumn::new(name, Type::TEXT)])
             }
             _ => Ok(Vec::new()),
--- a/testkit/fakes/src/database/executor/aggregate.rs
+++ b/testkit/fakes/src/database/executor/aggregate.rs
@@ -102,7 +102,7 @@
 /// The value that compares so with all others, the first of equals; NULL if there are no values.
 fn extreme(values: Vec<Value>, wanted: Ordering) -> Value {
     let best = values.into_iter().reduce(|best, candidate| {
-        if candidate.order(&best) == Some(wanted) {
+        if candidate.compare(&best) == Some(wanted) {
             candidate
         } else {
             best
--- a/testkit/fakes/src/database/executor/select.rs
+++ b/testkit/fakes/src/database/executor/select.rs
@@ -95,7 +95,7 @@
             result.rows.push(row);
             return Ok(result);
         }
-        let ordered = self.order(query, &source.columns, source.rows)?;
+        let ordered = self.sort_rows(query, &source.columns, source.rows)?;
         for row in self.limit(query, ordered)? {
             let projected = self.project(&select.projection, &source.columns, &row.values)?;
             result.rows.push(projected);
@@ -184,7 +184,7 @@
     }
 
     /// The rows in the order that ORDER BY asks for; rows that are equal in it stay in the order of their ids.
-    fn order(
+    fn sort_rows(
         &self,
         query: &Query,
         columns: &[Column],
@@ -233,11 +233,11 @@
             Some(offset) => self.row_count(&offset.value)?,
             None => 0,
         };
-        let taken = match limit {
+        let max_rows = match limit {
             Some(limit) => self.row_count(limit)?,
             None => usize::MAX,
         };
-        Ok(rows.into_iter().skip(skipped).take(taken).collect())
+        Ok(rows.into_iter().skip(skipped).take(max_rows).collect())
     }
 
     /// The count of a LIMIT or OFFSET; NULL means no bound.
@@ -264,13 +264,13 @@
     let keys = left.keys.iter().zip(&right.keys);
     for (term, (left_key, right_key)) in terms.iter().zip(keys) {
         let ascending = compare_keys(left_key, right_key);
-        let order = if term.options.asc == Some(false) {
+        let ordering = if term.options.asc == Some(false) {
             ascending.reverse()
         } else {
             ascending
         };
-        if order.is_ne() {
-            return order;
+        if ordering.is_ne() {
+            return ordering;
         }
     }
     left.row.id.cmp(&right.row.id)
@@ -278,6 +278,6 @@
 
 /// The order of two sort keys; NULL is larger than all other values.
 fn compare_keys(left: &Value, right: &Value) -> Ordering {
-    left.order(right)
+    left.compare(right)
         .unwrap_or_else(|| (*left == Value::Null).cmp(&(*right == Value::Null)))
 }
--- a/testkit/fakes/src/database/expression/comparison.rs
+++ b/testkit/fakes/src/database/expression/comparison.rs
@@ -14,7 +14,7 @@
 ) -> Result<Value, SqlError> {
     let typed_left = with_type_of(left, right)?;
     let typed_right = with_type_of(right, left)?;
-    let Some(order) = typed_left.order(&typed_right) else {
+    let Some(order) = typed_left.compare(&typed_right) else {
         return Ok(Value::Null);
     };
     Ok(Value::Bool(match operator {
@@ -57,10 +57,10 @@
     match pattern_characters.next() {
         None => text.is_empty(),
         Some('%') => {
-            let rest = pattern_characters.as_str();
+            let remaining_pattern = pattern_characters.as_str();
             text.char_indices()
-                .any(|(start, _)| matches_like(&text[start..], rest))
-                || matches_like("", rest)
+                .any(|(start, _)| matches_like(&text[start..], remaining_pattern))
+                || matches_like("", remaining_pattern)
         }
         Some(wanted) => {
             let mut characters = text.chars();
--- a/testkit/fakes/src/database/parse.rs
+++ b/testkit/fakes/src/database/parse.rs
@@ -34,9 +34,11 @@
         .iter()
         .any(|special| upper.contains(special))
     {
-        let parts = split_statements(sql);
-        if parts.len() > 1 {
-            let parsed = parts.iter().map(|part| parse_statements(part));
+        let statements = split_statements(sql);
+        if statements.len() > 1 {
+            let parsed = statements
+                .iter()
+                .map(|statement| parse_statements(statement));
             let parsed = parsed.collect::<Result<Vec<_>, _>>()?;
             return Ok(parsed.into_iter().flatten().collect());
         }
--- a/testkit/fakes/src/database/protocol/extended.rs
+++ b/testkit/fakes/src/database/protocol/extended.rs
@@ -30,7 +30,7 @@
     fn read(body: &mut MessageReader<'a>) -> Result<Self, MessageError> {
         let portal = body.string()?;
         let statement = body.string()?;
-        let parameter_formats = body.u16_list()?;
+        let parameter_formats = body.u16_array()?;
         let count = body.u16()?;
         let parameters = (0..count).map(|_| body.nullable_bytes());
         let parameters = parameters.collect::<Result<_, _>>()?;
@@ -39,7 +39,7 @@
             statement,
             parameter_formats,
             parameters,
-            result_formats: body.u16_list()?,
+            result_formats: body.u16_array()?,
         })
     }
 
--- a/testkit/fakes/src/database/protocol/reader.rs
+++ b/testkit/fakes/src/database/protocol/reader.rs
@@ -5,20 +5,20 @@
 /// The part of a body that was not read yet. Each read takes a field from its front; a body that is too short ends the
 /// connection.
 pub(super) struct MessageReader<'a> {
-    rest: &'a [u8],
+    remaining: &'a [u8],
 }
 
 impl<'a> MessageReader<'a> {
     pub(super) fn new(body: &'a [u8]) -> Self {
-        Self { rest: body }
+        Self { remaining: body }
     }
 
     /// A text that ends with a zero byte.
     pub(super) fn string(&mut self) -> Result<String, ConnectionClosed> {
-        let end = self.rest.iter().position(|byte| *byte == 0);
+        let end = self.remaining.iter().position(|byte| *byte == 0);
         let end = end.ok_or(ConnectionClosed)?;
-        let text = String::from_utf8_lossy(&self.rest[..end]).into_owned();
-        self.rest = &self.rest[end + 1..];
+        let text = String::from_utf8_lossy(&self.remaining[..end]).into_owned();
+        self.remaining = &self.remaining[end + 1..];
         Ok(text)
     }
 
@@ -35,7 +35,7 @@
     }
 
     /// A list of 16-bit numbers, preceded by their count.
-    pub(super) fn u16_list(&mut self) -> Result<Vec<u16>, ConnectionClosed> {
+    pub(super) fn u16_array(&mut self) -> Result<Vec<u16>, ConnectionClosed> {
         let count = self.u16()?;
         (0..count).map(|_| self.u16()).collect()
     }
@@ -46,14 +46,17 @@
         let Ok(length) = usize::try_from(length) else {
             return Ok(None);
         };
-        let (bytes, rest) = self.rest.split_at_checked(length).ok_or(ConnectionClosed)?;
-        self.rest = rest;
+        let (bytes, remaining) = self
+            .remaining
+            .split_at_checked(length)
+            .ok_or(ConnectionClosed)?;
+        self.remaining = remaining;
         Ok(Some(bytes))
     }
 
     fn array<const N: usize>(&mut self) -> Result<[u8; N], ConnectionClosed> {
-        let (bytes, rest) = self.rest.split_first_chunk().ok_or(ConnectionClosed)?;
-        self.rest = rest;
+        let (bytes, remaining) = self.remaining.split_first_chunk().ok_or(ConnectionClosed)?;
+        self.remaining = remaining;
         Ok(*bytes)
     }
 }
--- a/testkit/fakes/src/database/session/session_settings.rs
+++ b/testkit/fakes/src/database/session/session_settings.rs
@@ -76,13 +76,13 @@
 
     /// SHOW.
     pub(super) fn show(&self, variable: &[Ident]) -> Result<StatementResult, SqlError> {
-        let words: Vec<&str> = variable.iter().map(|word| word.value.as_str()).collect();
-        let name = match words[..] {
+        let identifiers: Vec<&str> = variable.iter().map(|ident| ident.value.as_str()).collect();
+        let name = match identifiers[..] {
             ["TRANSACTION" | "transaction", "ISOLATION" | "isolation", ..] => {
                 "transaction_isolation".to_owned()
             }
             ["TIME" | "time", "ZONE" | "zone"] => "TimeZone".to_owned(),
-            _ => words.join("."),
+            _ => identifiers.join("."),
         };
         let value = self.setting(&name)?;
         let canonical_name = self.settings.borrow().canonical_name(&name);
--- a/testkit/fakes/src/database/session/transaction.rs
+++ b/testkit/fakes/src/database/session/transaction.rs
@@ -50,7 +50,7 @@
 
     /// Commits the transaction, if one is open. Fails if the server has gone down.
     pub(super) fn commit(&mut self) -> Result<(), SqlError> {
-        let Some(transaction) = self.leave_transaction() else {
+        let Some(transaction) = self.take_transaction() else {
             return Ok(());
         };
         self.settings_before_transaction = None;
@@ -69,7 +69,7 @@
 
     /// Rolls the transaction back, if one is open; settings return to what they were before it.
     pub(super) fn rollback(&mut self) {
-        let Some(transaction) = self.leave_transaction() else {
+        let Some(transaction) = self.take_transaction() else {
             return;
         };
         self.replaced_by_local.borrow_mut().clear();
@@ -81,7 +81,7 @@
     }
 
     /// Leaves the transaction block and closes its portals. Returns the transaction that is to be ended.
-    fn leave_transaction(&mut self) -> Option<Transaction> {
+    fn take_transaction(&mut self) -> Option<Transaction> {
         self.in_transaction_block = false;
         self.transaction_failed = false;
         self.portals.clear();
--- a/testkit/fakes/src/database/settings.rs
+++ b/testkit/fakes/src/database/settings.rs
@@ -199,13 +199,18 @@
 
 /// A date style is a format, an order of day and month, or both.
 fn normalize_date_style(value: &str) -> Option<String> {
-    let words: Vec<String> = value
+    let parameters: Vec<String> = value
         .split(',')
-        .map(|word| word.trim().to_ascii_uppercase())
+        .map(|parameter| parameter.trim().to_ascii_uppercase())
         .collect();
-    let is_order = |word: &&String| matches!(word.as_str(), "MDY" | "DMY" | "YMD");
-    let order = words.iter().find(is_order).map_or("MDY", String::as_str);
-    let format = words.iter().find(|word| !is_order(word));
+    let is_field_order = |parameter: &&String| matches!(parameter.as_str(), "MDY" | "DMY" | "YMD");
+    let field_order = parameters
+        .iter()
+        .find(is_field_order)
+        .map_or("MDY", String::as_str);
+    let format = parameters
+        .iter()
+        .find(|parameter| !is_field_order(parameter));
     let format = match format.map(String::as_str) {
         Some("ISO") | None => "ISO",
         Some("SQL") => "SQL",
@@ -213,7 +218,7 @@
         Some("POSTGRES") => "Postgres",
         Some(_) => return None,
     };
-    Some(format!("{format}, {order}"))
+    Some(format!("{format}, {field_order}"))
 }
 
 /// A timeout in milliseconds, given in milliseconds (with or without `ms`) or seconds (`s`).
--- a/testkit/fakes/src/database/value.rs
+++ b/testkit/fakes/src/database/value.rs
@@ -46,9 +46,9 @@
 }
 
 impl Value {
-    /// The order of two values; `None` if either is NULL or not a number. Values of different types are ordered as
+    /// Compares two values; `None` if either is NULL or not a number. Values of different types are ordered as
     /// numbers if both are numbers, otherwise by their text forms.
-    pub fn order(&self, other: &Self) -> Option<Ordering> {
+    pub fn compare(&self, other: &Self) -> Option<Ordering> {
         match (self, other) {
             (Self::Null, _) | (_, Self::Null) => None,
             (Self::Int(left), Self::Int(right)) => Some(left.cmp(right)),
@@ -58,7 +58,7 @@
             (Self::Uuid(left), Self::Uuid(right)) => Some(left.cmp(right)),
             (Self::Date(left), Self::Date(right)) => Some(left.cmp(right)),
             (Self::Timestamp(left), Self::Timestamp(right)) => Some(left.cmp(right)),
-            (Self::Array(left), Self::Array(right)) => Some(order_arrays(left, right)),
+            (Self::Array(left), Self::Array(right)) => Some(compare_arrays(left, right)),
             (left, right) => match (left.as_number(), right.as_number()) {
                 (Some(left), Some(right)) => left.partial_cmp(&right),
                 _ => Some(left.text(Type::TEXT).cmp(&right.text(Type::TEXT))),
@@ -77,11 +77,11 @@
 }
 
 /// Arrays are ordered by their first elements that differ, then by their lengths.
-fn order_arrays(left: &[Value], right: &[Value]) -> Ordering {
+fn compare_arrays(left: &[Value], right: &[Value]) -> Ordering {
     let first_difference = left
         .iter()
         .zip(right)
-        .find_map(|(left, right)| left.order(right).filter(|order| order.is_ne()));
+        .find_map(|(left, right)| left.compare(right).filter(|order| order.is_ne()));
     first_difference.unwrap_or(left.len().cmp(&right.len()))
 }
 
--- a/testkit/fakes/src/scripted/discovery.rs
+++ b/testkit/fakes/src/scripted/discovery.rs
@@ -12,7 +12,7 @@
 use super::message::read_message;
 use super::wait::wait_until;
 
-/// A watch without news is answered after this time, with an empty update.
+/// A watch without a change is answered after this time, with an empty update.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A discovery service on a port of its own, with a thread for each connection.
