--- a/testkit/scenarios/src/arguments.rs
+++ b/testkit/scenarios/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line. Its words are part of the interface: help texts and names of arguments stay as operators know them.
 
 use std::ops::Range;
 use std::path::PathBuf;
@@ -51,7 +51,8 @@
 #[derive(Args)]
 pub(crate) struct UpArguments {
     /// A shipped scene's name, or a file
-    pub(crate) scene: String,
+    #[arg(id = "scene", value_name = "SCENE")]
+    pub(crate) scenario: String,
     /// Start so many of the scene's nodes only
     #[arg(long, value_name = "N")]
     pub(crate) nodes: Option<usize>,
@@ -65,8 +66,8 @@
 #[derive(Args)]
 pub(crate) struct RunArguments {
     /// A shipped scene's name, or a file
-    #[arg(required_unless_present = "repro")]
-    pub(crate) scene: Option<String>,
+    #[arg(id = "scene", value_name = "SCENE", required_unless_present = "repro")]
+    pub(crate) scenario: Option<String>,
     /// What is random in the scene follows from this number
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
@@ -92,7 +93,8 @@
 #[derive(Args)]
 pub(crate) struct HuntArguments {
     /// A shipped scene's name, or a file
-    pub(crate) scene: String,
+    #[arg(id = "scene", value_name = "SCENE")]
+    pub(crate) scenario: String,
     /// From the first up to, not including, the second
     #[arg(long, value_name = "A..B", value_parser = parse_seed_range)]
     pub(crate) seeds: Range<u64>,
@@ -109,7 +111,8 @@
 #[derive(Args)]
 pub(crate) struct SweepArguments {
     /// A shipped scene's name, or a file
-    pub(crate) scene: String,
+    #[arg(id = "scene", value_name = "SCENE")]
+    pub(crate) scenario: String,
     /// From the first up to, not including, the second
     #[arg(long, value_name = "A..B", value_parser = parse_seed_range)]
     pub(crate) seeds: Range<u64>,
@@ -149,17 +152,17 @@
     #[arg(long, value_name = "PATH")]
     node: Option<PathBuf>,
     /// The operators' own file for every node of a scene of HTTP, in TOML, after what the scene says itself
-    #[arg(long, value_name = "FILE.toml")]
-    own: Option<PathBuf>,
+    #[arg(long = "own", value_name = "FILE.toml")]
+    operator_settings: Option<PathBuf>,
     /// Let the nodes of the scene talk to each other; their own file has to switch the watch over the zones on
-    #[arg(long)]
-    peers: bool,
+    #[arg(long = "peers")]
+    gossip: bool,
 }
 
 impl NodeProgram {
     /// The options of a run with this program. `port` is the first node's; 0 for any free one.
     pub(crate) fn options(&self, real_time: bool, port: u16) -> Result<Options, Failure> {
-        let own = match &self.own {
+        let operator_settings = match &self.operator_settings {
             Some(path) => std::fs::read_to_string(path).map_err(|source| Failure::File {
                 path: path.clone(),
                 source,
@@ -170,8 +173,8 @@
             program: self.path()?,
             real_time,
             port,
-            own,
-            peers: self.peers,
+            own: operator_settings,
+            peers: self.gossip,
             system_faults: Vec::new(),
         })
     }
