--- a/testkit/scenarios/src/postgres/environment.rs
+++ b/testkit/scenarios/src/postgres/environment.rs
@@ -41,7 +41,7 @@
             database.set_user(NODE_USER, NODE_PASSWORD);
         }
         let discovery = Discovery::new(endpoint_list(&databases, None));
-        let (mut node, http) = start_node(program, port, discovery.at)?;
+        let (mut node, http) = start_node(program, port, discovery.address)?;
         let listen = node.listens_for("serving PostgreSQL clients")?;
         Ok(Self {
             databases: Rc::new(databases),
@@ -121,7 +121,7 @@
     databases: &[Database],
     draining: Option<usize>,
 ) {
-    discovery.set(endpoint_list(databases, draining));
+    discovery.set_endpoints(endpoint_list(databases, draining));
 }
 
 fn endpoint_list(databases: &[Database], draining: Option<usize>) -> serde_json::Value {
@@ -148,7 +148,7 @@
     let no_servers = Discovery::new(serde_json::json!([]));
     let calm = scenario::find("calm")?;
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
-    let edge = process::edge(&calm, 0, any_port, no_servers.at, 7, None);
+    let edge = process::edge(&calm, 0, any_port, no_servers.address, 7, None);
     let verifier = Verifier::from_password(CLIENT_PASSWORD, b"a salt of the rehearsal").to_text();
     let start = Start {
         program,
