--- a/testkit/scenarios/tests/command.rs
+++ b/testkit/scenarios/tests/command.rs
@@ -1,4 +1,4 @@
-//! The commands as people run them: what they find, what they print, how they end.
+//! The commands from their command line: their results, printed lines and exit codes.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -12,7 +12,7 @@
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
 
-const FAULTY: &str = env!("CARGO_BIN_EXE_badgerpost-faulty-node");
+const MUTANT: &str = env!("CARGO_BIN_EXE_badgerpost-faulty-node");
 
 fn rehearse(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgerpost-rehearse"));
@@ -20,22 +20,21 @@
     command
 }
 
-fn said(output: &Output) -> String {
+fn printed_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-/// A file of this test's own.
-fn file(name: &str) -> PathBuf {
+/// A path for a file that only this test uses.
+fn temporary_file(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!(
         "badgerpost-rehearse-test-{}-{name}",
         std::process::id()
     ))
 }
 
-/// Each checker catches the node that breaks its rule, and a plain node passes them all: a blunted checker fails
-/// here.
+/// Each rule checker finds the mutant that breaks its rule, and a node without a mutation passes them all.
 #[test]
-fn each_faulty_node_is_caught_by_its_rule() {
+fn each_mutant_breaks_the_rule_of_its_mutation_and_no_other() {
     let cases = [
         ("none", "calm", None),
         ("drop", "calm", Some("rule 1 one final answer: BROKEN")),
@@ -48,60 +47,61 @@
         ),
     ];
     for (fault, scene, broken) in cases {
-        let output = rehearse(&["run", scene, "--node", FAULTY])
+        let output = rehearse(&["run", scene, "--node", MUTANT])
             .env("BADGERPOST_FAULT", fault)
             .output()
             .unwrap();
-        let said = said(&output);
+        let text = printed_text(&output);
         assert_eq!(
             output.status.code(),
             Some(i32::from(broken.is_some())),
-            "{fault}: {said}"
+            "{fault}: {text}"
         );
         assert_eq!(
-            said.matches("BROKEN").count(),
+            text.matches("BROKEN").count(),
             usize::from(broken.is_some()),
-            "{fault}: {said}"
+            "{fault}: {text}"
         );
         broken
             .into_iter()
-            .for_each(|broken| assert!(said.contains(broken), "{fault}: {said}"));
+            .for_each(|broken| assert!(text.contains(broken), "{fault}: {text}"));
     }
 }
 
-/// The fault shows only where a server drains: the hunt has to find such a schedule, and cuts it down to that.
+/// The breach occurs only while a server drains: the search has to find such a schedule, and reduces it to that.
 #[test]
-fn a_hunt_finds_shrinks_and_plays_again() {
-    let (repro, log) = (file("repro.json"), file("repro.jsonl"));
+fn hunt_finds_and_minimizes_a_breach_and_its_repro_file_reproduces_it() {
+    let (repro, log) = (temporary_file("repro.json"), temporary_file("repro.jsonl"));
     let path = repro.to_str().expect("a path");
     let hunt = [
-        "hunt", "drain", "--seeds", "1..20", "--node", FAULTY, "--out", path,
+        "hunt", "drain", "--seeds", "1..20", "--node", MUTANT, "--out", path,
     ];
     let output = rehearse(&hunt)
         .env("BADGERPOST_FAULT", "drain")
         .output()
         .unwrap();
-    assert_eq!(output.status.code(), Some(1), "{}", said(&output));
-    let kept: serde_json::Value = serde_json::from_slice(&std::fs::read(&repro).unwrap()).unwrap();
+    assert_eq!(output.status.code(), Some(1), "{}", printed_text(&output));
+    let repro_file: serde_json::Value =
+        serde_json::from_slice(&std::fs::read(&repro).unwrap()).unwrap();
     assert_eq!(
-        kept["faults"].as_array().map(Vec::len),
+        repro_file["faults"].as_array().map(Vec::len),
         Some(1),
         "{}",
-        said(&output)
+        printed_text(&output)
     );
     assert!(
-        kept["arrivals"]
+        repro_file["arrivals"]
             .as_array()
             .is_some_and(|arrivals| arrivals.len() <= 4),
         "{}",
-        said(&output)
+        printed_text(&output)
     );
     let again = [
         "run",
         "--repro",
         path,
         "--node",
-        FAULTY,
+        MUTANT,
         "--out",
         log.to_str().expect("a path"),
     ];
@@ -112,9 +112,9 @@
                 .output()
                 .unwrap();
             assert!(
-                said(&output).contains("rule 3 drains kept: BROKEN"),
+                printed_text(&output).contains("rule 3 drains kept: BROKEN"),
                 "{}",
-                said(&output)
+                printed_text(&output)
             );
             std::fs::read(&log).unwrap()
         })
@@ -123,9 +123,9 @@
     // The real node keeps the rule in just that.
     let output = rehearse(&["run", "--repro", path]).output().unwrap();
     assert!(
-        said(&output).contains("rule 3 drains kept: kept"),
+        printed_text(&output).contains("rule 3 drains kept: kept"),
         "{}",
-        said(&output)
+        printed_text(&output)
     );
     [repro, log]
         .iter()
@@ -133,27 +133,27 @@
 }
 
 #[test]
-fn a_node_that_crashes_is_reported_with_its_log() {
+fn run_reports_a_crashed_node_with_its_log() {
     for mode in [
-        &["run", "calm", "--node", FAULTY][..],
-        &["run", "calm", "--node", FAULTY, "--real-time"],
+        &["run", "calm", "--node", MUTANT][..],
+        &["run", "calm", "--node", MUTANT, "--real-time"],
     ] {
         let output = rehearse(mode)
             .env("BADGERPOST_FAULT", "crash")
             .output()
             .unwrap();
-        let said = said(&output);
-        assert_eq!(output.status.code(), Some(2), "{said}");
+        let text = printed_text(&output);
+        assert_eq!(output.status.code(), Some(2), "{text}");
         assert!(
-            said.contains("crashed (exit status: 3)") && said.contains("the hundredth request"),
-            "{said}"
+            text.contains("crashed (exit status: 3)") && text.contains("the hundredth request"),
+            "{text}"
         );
     }
 }
 
 #[test]
-fn what_cannot_be_played_is_said_in_a_line() {
-    let bad = file("bad.toml");
+fn invalid_arguments_and_files_fail_with_a_message_that_names_them() {
+    let bad = temporary_file("bad.toml");
     std::fs::write(&bad, "about = 'x'\nlength_ns = 4\n").unwrap();
     let path = bad.to_str().expect("a path");
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -174,12 +174,12 @@
             output.status.code(),
             Some(2),
             "{arguments:?}: {}",
-            said(&output)
+            printed_text(&output)
         );
         assert!(
-            said(&output).contains(wanted),
+            printed_text(&output).contains(wanted),
             "{arguments:?}: {}",
-            said(&output)
+            printed_text(&output)
         );
     }
     std::fs::remove_file(&bad).unwrap();
@@ -187,8 +187,8 @@
 
 /// The scene of the shipped calm evening, but short and busier.
 #[test]
-fn real_time_gives_a_verdict_and_a_picture() {
-    let (scene, picture) = (file("short.toml"), file("short.svg"));
+fn run_in_real_time_prints_a_verdict_and_writes_a_plot() {
+    let (scene, picture) = (temporary_file("short.toml"), temporary_file("short.svg"));
     let calm = badgerpost_scenarios::scenario::SHIPPED
         .iter()
         .find(|shipped| shipped.0 == "calm")
@@ -206,12 +206,12 @@
         picture.to_str().unwrap(),
     ];
     let output = rehearse(&arguments).output().unwrap();
-    let said = said(&output);
+    let text = printed_text(&output);
     assert!(
-        said.contains("in real time") && said.contains("rule 2 no effect twice: kept"),
-        "{said}"
+        text.contains("in real time") && text.contains("rule 2 no effect twice: kept"),
+        "{text}"
     );
-    assert!(said.contains("0 steps"), "{said}");
+    assert!(text.contains("0 steps"), "{text}");
     let drawn = std::fs::read_to_string(&picture).unwrap();
     assert!(drawn.starts_with("<svg") && drawn.contains("attempts a second by server"));
     [scene, picture]
@@ -235,9 +235,9 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// What a newcomer runs first: it says where all are, they answer, and with its standard input all end.
+/// The first command of a newcomer: it prints all addresses, the nodes serve, and all end with its standard input.
 #[test]
-fn up_starts_everything_and_ends_it() {
+fn up_starts_backends_and_nodes_and_stops_them_at_the_end_of_its_input() {
     let mut command = rehearse(&["up", "calm"]);
     let mut child = command
         .stdin(Stdio::piped())
@@ -279,13 +279,15 @@
 }
 
 #[test]
-fn the_shipped_scenes_are_listed() {
+fn list_prints_the_shipped_scenarios() {
     let output = rehearse(&["list"]).output().unwrap();
     for (name, _) in badgerpost_scenarios::scenario::SHIPPED {
         assert!(
-            said(&output).lines().any(|line| line.starts_with(name)),
+            printed_text(&output)
+                .lines()
+                .any(|line| line.starts_with(name)),
             "{name}"
         );
     }
-    assert!(said(&rehearse(&["--help"]).output().unwrap()).contains("Examples:"));
+    assert!(printed_text(&rehearse(&["--help"]).output().unwrap()).contains("Examples:"));
 }
--- a/testkit/scenarios/tests/common/mod.rs
+++ b/testkit/scenarios/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of fleets have in common: scenes of three zones, plays, and what the nodes' logs tell.
+//! Helpers of the tests of fleets: scenarios of three zones, runs of a plan, and zone states in the nodes' logs.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -15,12 +15,18 @@
 use badgerpost_settings::file::Source;
 
 pub const MS: u64 = 1_000_000;
-/// The operators' own file of a node that watches the zones.
-pub const WATCHED: &str = "[zones]\nwatch = true\n";
+/// The operators' file of a node that monitors the health of zones.
+pub const ZONE_WATCH_SETTINGS: &str = "[zones]\nwatch = true\n";
 
-/// A scene of thirty servers in three zones, with so many nodes in each and so many requests a second. Faults are parted
-/// by semicolons.
-pub fn three_zones(nodes: usize, rate: f64, length_ms: u64, expect: &str, faults: &str) -> String {
+/// A scenario of thirty servers in three zones; `nodes` for each zone, `rate` in requests a second. Semicolons separate
+/// the faults.
+pub fn three_zone_scenario(
+    nodes: usize,
+    rate: f64,
+    length_ms: u64,
+    expect: &str,
+    faults: &str,
+) -> String {
     let mut text = format!(
         r#"
 about = "a zone fails"
@@ -62,7 +68,7 @@
     text
 }
 
-/// The plan of a scene under a seed.
+/// The plan of a scenario with a seed.
 pub fn plan(text: &str, seed: u64) -> Plan {
     let checked = scenario::load("scene", &Source::embedded("scene.toml", text));
     Plan::draw(checked.unwrap_or_else(|error| panic!("{error}")), seed)
@@ -73,8 +79,8 @@
     badgerpost_fakes::program(name).unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// Plays a plan in steps, with this as the operators' own file of every node.
-pub fn play(plan: &Plan, program: PathBuf, own: &str, peers: bool) -> RunReport {
+/// Runs a plan on the virtual clock, with `own` as the operators' file of every node.
+pub fn run_plan(plan: &Plan, program: PathBuf, own: &str, peers: bool) -> RunReport {
     let options = Options {
         program,
         real_time: false,
@@ -86,15 +92,15 @@
     run::play(plan, &options, &mut |_| {}).unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// Which nodes logged that a zone is in this state, and how often.
-pub fn told<'a>(played: &'a RunReport, why: &str) -> Vec<(&'a str, usize)> {
+/// The nodes that logged a change of a zone for this reason, and how often.
+pub fn zone_state_counts<'a>(report: &'a RunReport, why: &str) -> Vec<(&'a str, usize)> {
     let word = format!("why=\"{why}\"");
     let lines = |log: &str| {
         log.lines()
             .filter(|line| line.contains("zone changed") && line.contains(&word))
             .count()
     };
-    let logs = played
+    let logs = report
         .logs
         .iter()
         .map(|(name, log)| (name.as_str(), lines(log)));
--- a/testkit/scenarios/tests/identical.rs
+++ b/testkit/scenarios/tests/identical.rs
@@ -14,7 +14,7 @@
 use badgerpost_scenarios::run::{self, Options};
 use badgerpost_scenarios::scenario;
 
-fn log(name: &str, seed: u64) -> String {
+fn outcome_log(name: &str, seed: u64) -> String {
     let program = badgerpost_fakes::program("badgerpost").unwrap_or_else(|error| panic!("{error}"));
     let plan = Plan::draw(scenario::find(name).expect("a shipped scene"), seed);
     let options = Options {
@@ -25,18 +25,18 @@
         peers: false,
         system_faults: Vec::new(),
     };
-    let played = run::play(&plan, &options, &mut |_| {})
+    let report = run::play(&plan, &options, &mut |_| {})
         .unwrap_or_else(|error| panic!("seed {seed}: {error}"));
-    assert!(played.is_good(), "seed {seed}: {:?}", played.breaches);
+    assert!(report.is_good(), "seed {seed}: {:?}", report.breaches);
     assert!(
-        played.log.len() > 200,
+        report.log.len() > 200,
         "seed {seed}: {} requests",
-        played.log.len()
+        report.log.len()
     );
-    outcome::write(&played.log).expect("a log")
+    outcome::write(&report.log).expect("a log")
 }
 
-fn same(one: &str, other: &str, seed: u64) {
+fn assert_same_log(one: &str, other: &str, seed: u64) {
     let differs = one
         .lines()
         .zip(other.lines())
@@ -47,18 +47,18 @@
     );
 }
 
-/// One after the other: the busy machine of one test is not the other's matter.
-static ALONE: Mutex<()> = Mutex::new(());
+/// The tests run one after the other: one keeps the processors busy on purpose.
+static RUN_ALONE: Mutex<()> = Mutex::new(());
 
 #[test]
-fn a_night_is_the_same_night_again_from_its_seed() {
-    let _alone = ALONE.lock();
-    let logs: Vec<String> = (1..=3).map(|seed| log("night", seed)).collect();
+fn the_night_scenario_gives_the_same_log_for_the_same_seed_on_a_busy_machine_too() {
+    let _alone = RUN_ALONE.lock();
+    let logs: Vec<String> = (1..=3).map(|seed| outcome_log("night", seed)).collect();
     for (one, seed) in logs.iter().zip(1..) {
-        same(one, &log("night", seed), seed);
+        assert_same_log(one, &outcome_log("night", seed), seed);
     }
     assert_ne!(logs[0], logs[1], "seeds differ");
-    // Once more, with the machine busy.
+    // Again, on a busy machine.
     let over = Arc::new(AtomicBool::new(false));
     let loops: Vec<_> = (0..4)
         .map(|_| {
@@ -66,20 +66,20 @@
             std::thread::spawn(move || while !over.load(Ordering::Relaxed) {})
         })
         .collect();
-    let beside = log("night", 1);
+    let beside = outcome_log("night", 1);
     over.store(true, Ordering::Relaxed);
     loops
         .into_iter()
         .for_each(|busy| busy.join().expect("a busy loop"));
-    same(&logs[0], &beside, 1);
+    assert_same_log(&logs[0], &beside, 1);
 }
 
 #[test]
-fn every_other_scene_too() {
-    let _alone = ALONE.lock();
-    // The fleets' have a test of their own, smaller.
+fn shipped_scenarios_give_the_same_log_for_the_same_seed() {
+    let _alone = RUN_ALONE.lock();
+    // The scenarios of fleets have smaller tests of their own.
     let small = |name: &str| name != "night" && !name.starts_with("zone-");
     for (name, _) in scenario::SHIPPED.iter().filter(|shipped| small(shipped.0)) {
-        same(&log(name, 7), &log(name, 7), 7);
+        assert_same_log(&outcome_log(name, 7), &outcome_log(name, 7), 7);
     }
 }
--- a/testkit/scenarios/tests/links.rs
+++ b/testkit/scenarios/tests/links.rs
@@ -1,5 +1,5 @@
-//! Faults between the processes: each kind of bad link does to a real node's messages what it says, to those that it
-//! is about and to no others, and a zone or a share of the nodes is struck as a whole.
+//! Link faults: each kind affects the messages of a real node as described, those of its target and no others, and a
+//! fault of a zone or of a fraction of the nodes affects all of them.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use badgerpost_scenarios::run::RunReport;
 use common::MS;
 
-const SCENE: &str = r#"
+const SCENARIO: &str = r#"
 about = "links"
 length_ms = 3000
 [clients]
@@ -39,21 +39,21 @@
 deadline_ms = 500
 "#;
 
-/// Plays the scene with a fault from 1 s to 2 s.
-fn play(fault: &str) -> RunReport {
-    let text = format!("{SCENE}[[fault]]\nat_ms = 1000\nfor_ms = 1000\n{fault}\n");
+/// Runs the scenario with a fault from 1 s to 2 s.
+fn run_with_fault(fault: &str) -> RunReport {
+    let text = format!("{SCENARIO}[[fault]]\nat_ms = 1000\nfor_ms = 1000\n{fault}\n");
     let plan = common::plan(&text, 5);
-    let played = common::play(&plan, common::program("badgerpost"), "", false);
-    assert!(played.is_good(), "{fault}: {:?}", played.breaches);
-    played
+    let report = common::run_plan(&plan, common::program("badgerpost"), "", false);
+    assert!(report.is_good(), "{fault}: {:?}", report.breaches);
+    report
 }
 
-/// The requests that came to nodes of this name while the link was bad, and before.
-fn of<'a>(played: &'a RunReport, node: &'a str) -> [Vec<&'a Request>; 2] {
-    // What is stuck at the end comes through then, if its client still waits.
+/// The requests that arrived at nodes of this name during the fault, and before it.
+fn requests_of<'a>(report: &'a RunReport, node: &'a str) -> [Vec<&'a Request>; 2] {
+    // Without the last part of the fault: what is delayed there arrives after it, if the client still waits.
     [1000..1400, 100..950].map(|span| {
         let within = |request: &&Request| span.contains(&(request.arrival / MS));
-        played
+        report
             .log
             .iter()
             .filter(|request| request.node.starts_with(node))
@@ -70,10 +70,10 @@
 }
 
 #[test]
-fn a_cut_between_two_zones_leaves_what_is_within_them() {
-    let played = play("kind = 'cut'\nzone = 'dc-a'\nto = 'dc-b'");
+fn a_partition_between_two_zones_leaves_traffic_within_each_zone_alone() {
+    let report = run_with_fault("kind = 'cut'\nzone = 'dc-a'\nto = 'dc-b'");
     for node in ["a", "b"] {
-        let [during, before] = of(&played, node);
+        let [during, before] = requests_of(&report, node);
         assert!(before.len() > 15 && served(&before) == before.len());
         assert!(
             during.len() > 10 && served(&during) == during.len(),
@@ -83,9 +83,9 @@
 }
 
 #[test]
-fn a_node_that_is_cut_off_gets_nothing_and_the_others_all() {
-    let played = play("kind = 'cut'\nnode = 'a0'");
-    let [during, before] = of(&played, "a0");
+fn a_partitioned_node_serves_nothing_and_the_others_serve_everything() {
+    let report = run_with_fault("kind = 'cut'\nnode = 'a0'");
+    let [during, before] = requests_of(&report, "a0");
     assert!(!before.is_empty() && served(&before) == before.len());
     assert!(during.len() > 5 && served(&during) == 0);
     assert!(
@@ -95,18 +95,18 @@
             .all(|attempt| !attempt.executed)
     );
     for node in ["a1", "b"] {
-        let [during, _] = of(&played, node);
+        let [during, _] = requests_of(&report, node);
         assert_eq!(served(&during), during.len(), "{node}");
     }
 }
 
 #[test]
-fn one_way_cuts_differ_in_what_ran() {
+fn requests_execute_during_a_one_way_partition_only_if_it_blocks_the_responses() {
     for (way, runs) in [("there", false), ("back", true)] {
-        let played = play(&format!(
+        let report = run_with_fault(&format!(
             "kind = 'cut'\nnode = 'a0'\nto = 'servers'\nway = '{way}'"
         ));
-        let [during, _] = of(&played, "a0");
+        let [during, _] = requests_of(&report, "a0");
         let attempts: Vec<_> = during.iter().flat_map(|one| &one.attempts).collect();
         assert!(attempts.len() > 3 && served(&during) == 0, "{way}");
         assert!(
@@ -117,21 +117,24 @@
 }
 
 #[test]
-fn a_slow_link_adds_its_time_twice_and_a_lossy_one_now_and_then() {
-    let took = |request: &&Request| {
+fn a_slow_link_delays_both_directions_and_a_lossy_link_delays_some_requests() {
+    let latency_ms = |request: &&Request| {
         request
             .response
             .map_or(0, |answer| answer.at - request.arrival)
             / MS
     };
-    let slow = play("kind = 'slow-link'\nnode = 'a0'\nto = 'servers'\nby_ms = 40");
-    let [during, before] = of(&slow, "a0");
-    assert!(before.iter().all(|one| took(one) < 40) && during.iter().all(|one| took(one) >= 90));
-    let lossy = play("kind = 'lossy-link'\nnode = 'a0'\nto = 'servers'\nloss = 0.2");
-    let [during, _] = of(&lossy, "a0");
+    let slow = run_with_fault("kind = 'slow-link'\nnode = 'a0'\nto = 'servers'\nby_ms = 40");
+    let [during, before] = requests_of(&slow, "a0");
+    assert!(
+        before.iter().all(|one| latency_ms(one) < 40)
+            && during.iter().all(|one| latency_ms(one) >= 90)
+    );
+    let lossy = run_with_fault("kind = 'lossy-link'\nnode = 'a0'\nto = 'servers'\nloss = 0.2");
+    let [during, _] = requests_of(&lossy, "a0");
     let late = during
         .iter()
-        .filter(|one| took(one) >= 200 || one.response.is_none())
+        .filter(|one| latency_ms(one) >= 200 || one.response.is_none())
         .count();
     assert!(
         late > 0 && late < during.len(),
@@ -141,9 +144,9 @@
 }
 
 #[test]
-fn a_link_that_resets_breaks_connections_under_their_requests() {
-    let played = play("kind = 'reset-link'\nzone = 'dc-a'\nto = 'dc-a'");
-    let [during, _] = of(&played, "a");
+fn a_resetting_link_breaks_connections_during_requests() {
+    let report = run_with_fault("kind = 'reset-link'\nzone = 'dc-a'\nto = 'dc-a'");
+    let [during, _] = requests_of(&report, "a");
     let reset = |request: &&&Request| {
         request
             .attempts
@@ -151,16 +154,16 @@
             .any(|attempt| attempt.outcome == AttemptOutcome::ConnectionReset)
     };
     assert!(during.iter().filter(reset).count() > 3);
-    let [during, _] = of(&played, "b");
+    let [during, _] = requests_of(&report, "b");
     assert_eq!(during.iter().filter(reset).count(), 0);
 }
 
 #[test]
-fn clients_that_are_cut_off_are_owed_nothing() {
-    let played = play("kind = 'cut'\nshare = 1.0\nto = 'clients'");
+fn requests_of_partitioned_clients_are_excused() {
+    let report = run_with_fault("kind = 'cut'\nshare = 1.0\nto = 'clients'");
     let during: Vec<_> = ["a", "b"]
         .iter()
-        .flat_map(|node| of(&played, node)[0].clone())
+        .flat_map(|node| requests_of(&report, node)[0].clone())
         .collect();
     assert!(
         during.len() > 30
@@ -171,11 +174,11 @@
 }
 
 #[test]
-fn groups_are_struck_together_in_waves_and_again() {
-    let played = play("kind = 'kill-node'\nzone = 'dc-a'");
-    // The front sends to the next node then, which is of the other zone.
-    assert!(of(&played, "a")[0].is_empty() && of(&played, "b")[0].len() > 50);
-    let waves = play("kind = 'error'\nshare = 1.0\nwaves = 4\nevery_ms = 100");
+fn faults_apply_to_a_zone_in_waves_by_chance_and_by_slowdown() {
+    let report = run_with_fault("kind = 'kill-node'\nzone = 'dc-a'");
+    // The clients' load balancer then sends to the next node, which is in the other zone.
+    assert!(requests_of(&report, "a")[0].is_empty() && requests_of(&report, "b")[0].len() > 50);
+    let waves = run_with_fault("kind = 'error'\nshare = 1.0\nwaves = 4\nevery_ms = 100");
     let failed: std::collections::BTreeSet<_> = waves
         .log
         .iter()
@@ -184,7 +187,7 @@
         .map(|attempt| attempt.server.clone())
         .collect();
     assert_eq!(failed.len(), 4);
-    let chance = play("kind = 'error'\nshare = 1.0\nchance = 0.3");
+    let chance = run_with_fault("kind = 'error'\nshare = 1.0\nchance = 0.3");
     let attempts = chance.log.iter().flat_map(|one| &one.attempts);
     let during: Vec<_> = attempts
         .filter(|one| (1000..1900).contains(&(one.start / MS)))
@@ -198,19 +201,23 @@
         "{failed} of {}",
         during.len()
     );
-    let slow = play("kind = 'slow'\nzone = 'dc-b'\ntimes = 4");
-    let took = |request: &&Request| {
+    let slow = run_with_fault("kind = 'slow'\nzone = 'dc-b'\ntimes = 4");
+    let latency_ms = |request: &&Request| {
         request
             .response
             .map_or(0, |answer| answer.at - request.arrival)
             / MS
     };
     assert!(
-        of(&slow, "b")[0]
+        requests_of(&slow, "b")[0]
             .iter()
-            .filter(|one| took(one) >= 40)
+            .filter(|one| latency_ms(one) >= 40)
             .count()
             > 5
     );
-    assert!(of(&slow, "b")[1].iter().all(|one| took(one) < 40));
+    assert!(
+        requests_of(&slow, "b")[1]
+            .iter()
+            .all(|one| latency_ms(one) < 40)
+    );
 }
