--- a/testkit/scenarios/src/lib.rs
+++ b/testkit/scenarios/src/lib.rs
@@ -13,9 +13,9 @@
 pub mod run;
 pub mod scenario;
 pub mod search;
+mod simulation;
 pub mod soak;
 pub mod sweep;
-mod world;
 
 use badgerpost_time::{MILLISECOND, Nanos};
 
--- /dev/null
+++ b/testkit/scenarios/src/simulation/setup.rs
@@ -0,0 +1,221 @@
+//! Builds a simulation from a plan: all sockets listen, and everything that the plan knows in advance is scheduled.
+
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr};
+
+use badgerpost_fakes::discovery::{Discovery, State};
+use badgerpost_fakes::net::{BoundSocket, LoopbackNetwork};
+use badgerpost_fakes::random::Random;
+use badgerpost_fakes::server::{CongestionConfig, Server, ServerConfig};
+use badgerpost_time::{MILLISECOND, Nanos};
+
+use super::connection::ListenerOwner;
+use super::events::{ScheduledEvent, ServerEvent};
+use super::node_state::{GossipEndpoint, SimulatedNode};
+use super::server_state::{SimulatedServer, entry};
+use super::state::{Misbehaviour, Simulation};
+use crate::plan::Plan;
+use crate::scenario::{PlannedFault, Scenario};
+
+/// How often servers refresh their load report.
+const REPORT_PERIOD: Nanos = 100 * MILLISECOND;
+/// Any free port of the loopback interface.
+const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+
+impl Simulation {
+    /// Opens all sockets of a plan that starts at `base`, in Unix time; `gossip` has the nodes exchange gossip even
+    /// if the scenario does not ask for it.
+    pub fn new(plan: Plan, base: Nanos, gossip: bool) -> io::Result<Self> {
+        let mut simulation = Self::empty(plan, base)?;
+        for index in 0..simulation.plan.scenario.spec.servers.len() {
+            simulation.add_server(index)?;
+        }
+        let gossip = gossip || simulation.plan.scenario.spec.gossip;
+        for index in 0..simulation.plan.scenario.spec.nodes.len() {
+            simulation.add_node(index, gossip)?;
+        }
+        simulation.schedule_faults();
+        simulation.schedule_arrivals();
+        simulation.schedule_misbehaviour();
+        simulation.schedule_server_starts();
+        Ok(simulation)
+    }
+
+    fn empty(plan: Plan, base: Nanos) -> io::Result<Self> {
+        Ok(Self {
+            net: LoopbackNetwork::new()?,
+            now: 0,
+            base,
+            queue: BTreeMap::new(),
+            next: 0,
+            servers: Vec::new(),
+            nodes: Vec::new(),
+            listeners: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            discovery: Discovery::default(),
+            watches: 0,
+            requests: Vec::new(),
+            request_by_id: HashMap::new(),
+            keys_seen: BTreeMap::new(),
+            pending: plan.arrivals.len(),
+            unknown_requests: 0,
+            running: None,
+            impairments: Vec::new(),
+            held_messages: Vec::new(),
+            random: Random::new(plan.seed, "links"),
+            misbehaviour: Misbehaviour::new(plan.seed),
+            plan,
+        })
+    }
+
+    fn add_server(&mut self, index: usize) -> io::Result<()> {
+        let BoundSocket {
+            id: listener,
+            address: at,
+        } = self.net.listen(ANY_PORT)?;
+        self.listeners
+            .insert(listener, ListenerOwner::Server(index));
+        let scene = &self.plan.scenario.spec;
+        let server = &scene.servers[index];
+        let up = server.starts_ms.is_none();
+        if !up {
+            self.net.stop_listening(listener)?;
+        }
+        let server_state = SimulatedServer {
+            name: server.name.get_ref().clone(),
+            zone: server.zone.clone(),
+            zone_number: zone_number(scene, &server.zone),
+            cell: server.cell,
+            listener,
+            at,
+            model: Server::new(server_config(&self.plan, index), None, 0),
+            jobs: BTreeMap::new(),
+            next_job: 0,
+            held: Vec::new(),
+            wake: None,
+            faults: Vec::new(),
+            up,
+            booted: None,
+            slow_start_peak: 0.0,
+            slow_start_sends: VecDeque::new(),
+            unlisted_since: None,
+        };
+        if up {
+            self.discovery
+                .set(entry(&server_state, State::Ready, self.base));
+        }
+        self.servers.push(server_state);
+        Ok(())
+    }
+
+    fn add_node(&mut self, index: usize, gossip: bool) -> io::Result<()> {
+        let BoundSocket {
+            id: listener,
+            address: discovery_address,
+        } = self.net.listen(ANY_PORT)?;
+        self.listeners
+            .insert(listener, ListenerOwner::Discovery(index));
+        let gossip_socket = gossip
+            .then(|| self.net.bind_datagrams(ANY_PORT))
+            .transpose()?;
+        let scene = &self.plan.scenario.spec;
+        let node = &scene.nodes[index];
+        self.nodes.push(SimulatedNode {
+            name: node.name.get_ref().clone(),
+            zone_number: zone_number(scene, &node.zone),
+            listen: None,
+            discovery_address,
+            up: false,
+            paused: false,
+            idle: Vec::new(),
+            told: BTreeMap::new(),
+            notified_starts: BTreeMap::new(),
+            stopping: None,
+            open: 0,
+            ended: 0,
+            gossip: gossip_socket.map(
+                |BoundSocket {
+                     id: door,
+                     address: at,
+                 }| GossipEndpoint {
+                    door,
+                    at,
+                    real: None,
+                    datagrams: 0,
+                    bytes: 0,
+                },
+            ),
+        });
+        Ok(())
+    }
+
+    fn schedule_faults(&mut self) {
+        for fault in 0..self.plan.faults.len() {
+            let PlannedFault { at, duration, .. } = self.plan.faults[fault];
+            self.schedule(at, ScheduledEvent::FaultStart { fault });
+            if let Some(duration) = duration {
+                let end = at.saturating_add(duration);
+                self.schedule(end, ScheduledEvent::FaultEnd { fault });
+            }
+        }
+    }
+
+    fn schedule_arrivals(&mut self) {
+        for arrival in 0..self.plan.arrivals.len() {
+            let at = self.plan.arrivals[arrival].at;
+            self.schedule(at, ScheduledEvent::RequestArrival { arrival });
+        }
+    }
+
+    fn schedule_server_starts(&mut self) {
+        for server in 0..self.plan.scenario.spec.servers.len() {
+            if let Some(at) = self.plan.scenario.spec.servers[server].starts_ms {
+                let start = ServerEvent::Start { server };
+                self.schedule(at * MILLISECOND, ScheduledEvent::Server(start));
+            }
+        }
+    }
+}
+
+/// The position of a zone among those of the scenario.
+fn zone_number(scene: &Scenario, zone: &str) -> usize {
+    let zones = scene.zones();
+    zones.iter().position(|one| *one == zone).unwrap_or(0)
+}
+
+fn server_config(plan: &Plan, index: usize) -> ServerConfig {
+    let scene = &plan.scenario.spec;
+    let (server, rules) = (&scene.servers[index], &scene.rules);
+    ServerConfig {
+        slots: server.slots.max(1),
+        queue_limit: server.queue_capacity,
+        speed: *server.speed.get_ref(),
+        slow_start_capacity: rules.slow_start_capacity,
+        slow_start_duration: rules.slow_start_duration_ms * MILLISECOND,
+        overload_multiple: rules.overload_multiple,
+        overload_window: rules.overload_window_ms * MILLISECOND,
+        report_period: REPORT_PERIOD,
+        mean_service_time: plan.behaviour.strict.then(|| mean_service_time(scene)),
+        congestion: server
+            .degradation
+            .as_ref()
+            .map(|degradation| CongestionConfig {
+                queue_threshold: degradation.queue_length,
+                onset: degradation.after_ms.get_ref() * MILLISECOND,
+                slowdown: *degradation.slowdown.get_ref(),
+                recovery: degradation.recovery_ms.get_ref() * MILLISECOND,
+            }),
+    }
+}
+
+/// The mean service time of the requests of a scenario.
+fn mean_service_time(scene: &Scenario) -> Nanos {
+    let (mut total, mut shares) = (0.0, 0.0);
+    for class in &scene.classes {
+        let (least, most) = *class.service_time_ms.get_ref();
+        total += class.weight.get_ref() * (least + most) as f64 / 2.0;
+        shares += class.weight.get_ref();
+    }
+    (total / shares * MILLISECOND as f64) as Nanos
+}
