--- a/testkit/scenarios/src/postgres/consistency.rs
+++ b/testkit/scenarios/src/postgres/consistency.rs
@@ -16,7 +16,7 @@
     Rejected,
     /// Nothing of it remains: an error before its COMMIT, and a ROLLBACK.
     RolledBack,
-    /// It may have taken effect: 08007, or the loss of a statement that was a whole transaction (08006).
+    /// It may have taken effect: 08007, or the loss of a statement that was a complete transaction (08006).
     Unknown,
     /// The connection broke without a response.
     #[serde(rename = "nothing")]
--- a/testkit/scenarios/src/postgres/load.rs
+++ b/testkit/scenarios/src/postgres/load.rs
@@ -105,10 +105,10 @@
 /// How much of a transaction one message to the server holds.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MessageScope {
-    /// The whole transaction: it may have been committed though the response was lost.
-    WholeTransaction,
+    /// The complete transaction: it may have been committed though the response was lost.
+    CompleteTransaction,
     /// A part: nothing is committed before the COMMIT, which is a message of its own.
-    PartOfTransaction,
+    PartialTransaction,
 }
 
 /// Why a transaction was not committed, as far as its client knows.
@@ -135,7 +135,7 @@
         None => ClientOutcome::ConnectionLost,
         Some("53300" | "57P03") => ClientOutcome::Rejected,
         Some("08007") => ClientOutcome::Unknown,
-        Some("08006" | "57P01") if scope == MessageScope::WholeTransaction => {
+        Some("08006" | "57P01") if scope == MessageScope::CompleteTransaction => {
             ClientOutcome::Unknown
         }
         Some(_) => ClientOutcome::RolledBack,
--- a/testkit/scenarios/src/postgres/load/sqlx_driver.rs
+++ b/testkit/scenarios/src/postgres/load/sqlx_driver.rs
@@ -81,11 +81,11 @@
         .execute(connection)
         .await
         .map(drop)
-        .map_err(|error| failure(&error, MessageScope::WholeTransaction))
+        .map_err(|error| failure(&error, MessageScope::CompleteTransaction))
 }
 
 async fn transaction(connection: &mut sqlx::PgConnection, id: i64) -> TransactionResult {
-    let failed = |error: sqlx::Error| failure(&error, MessageScope::PartOfTransaction);
+    let failed = |error: sqlx::Error| failure(&error, MessageScope::PartialTransaction);
     let mut transaction = connection.begin().await.map_err(failed)?;
     for row in 0..2_i32 {
         let insert = sqlx::query("INSERT INTO w VALUES ($1, $2)")
--- a/testkit/scenarios/src/postgres/load/tokio_postgres_driver.rs
+++ b/testkit/scenarios/src/postgres/load/tokio_postgres_driver.rs
@@ -5,7 +5,7 @@
 use futures_util::SinkExt;
 use tokio_postgres::{Client, Error};
 
-use super::MessageScope::{PartOfTransaction, WholeTransaction};
+use super::MessageScope::{CompleteTransaction, PartialTransaction};
 use super::{
     ClientDriver, ConnectionParameters, FinishedTransaction, MessageScope, TransactionFailure,
     TransactionResult, connect, outcome_of_error,
@@ -93,7 +93,7 @@
         .execute("INSERT INTO w VALUES ($1, $2)", &[&id, &0_i32])
         .await
         .map(drop)
-        .map_err(failed(WholeTransaction))
+        .map_err(failed(CompleteTransaction))
 }
 
 /// BEGIN, each INSERT and COMMIT as a query of its own.
@@ -105,7 +105,7 @@
     ];
     for sql in &before_commit {
         if let Err(error) = client.batch_execute(sql).await {
-            let failure = failure(&error, PartOfTransaction);
+            let failure = failure(&error, PartialTransaction);
             let rollback = client.batch_execute("ROLLBACK").await;
             return Err(after_rollback(rollback, failure));
         }
@@ -113,7 +113,7 @@
     client
         .batch_execute("COMMIT")
         .await
-        .map_err(failed(PartOfTransaction))
+        .map_err(failed(PartialTransaction))
 }
 
 /// A transaction by the driver's own interface.
@@ -121,30 +121,30 @@
     let transaction = client
         .transaction()
         .await
-        .map_err(failed(PartOfTransaction))?;
+        .map_err(failed(PartialTransaction))?;
     for row in 0..2_i32 {
         let insert = transaction
             .execute("INSERT INTO w VALUES ($1, $2)", &[&id, &row])
             .await;
         if let Err(error) = insert {
-            let failure = failure(&error, PartOfTransaction);
+            let failure = failure(&error, PartialTransaction);
             return Err(after_rollback(transaction.rollback().await, failure));
         }
     }
     transaction
         .commit()
         .await
-        .map_err(failed(PartOfTransaction))
+        .map_err(failed(PartialTransaction))
 }
 
-/// The whole transaction as one simple query of several statements.
+/// The complete transaction as one simple query of several statements.
 async fn single_query(client: &Client, id: i64) -> TransactionResult {
     let sql =
         format!("BEGIN; INSERT INTO w VALUES ({id}, 0); INSERT INTO w VALUES ({id}, 1); COMMIT");
     let result = client
         .batch_execute(&sql)
         .await
-        .map_err(failed(WholeTransaction));
+        .map_err(failed(CompleteTransaction));
     if result.is_err() {
         // An error in the midst leaves the transaction open.
         let _ = client.batch_execute("ROLLBACK").await;
@@ -157,17 +157,17 @@
     let sink = client
         .copy_in("COPY w FROM STDIN")
         .await
-        .map_err(failed(WholeTransaction))?;
+        .map_err(failed(CompleteTransaction))?;
     let mut sink = std::pin::pin!(sink);
     for row in 0..3 {
         sink.send(Bytes::from(format!("{id}\t{row}\n")))
             .await
-            .map_err(failed(WholeTransaction))?;
+            .map_err(failed(CompleteTransaction))?;
     }
     sink.finish()
         .await
         .map(drop)
-        .map_err(failed(WholeTransaction))
+        .map_err(failed(CompleteTransaction))
 }
 
 /// Two rows, of which the second is rolled back to a savepoint.
@@ -175,7 +175,7 @@
     let mut outer = client
         .transaction()
         .await
-        .map_err(failed(PartOfTransaction))?;
+        .map_err(failed(PartialTransaction))?;
     let inserts = async {
         outer
             .execute("INSERT INTO w VALUES ($1, 0)", &[&id])
@@ -187,8 +187,8 @@
         inner.rollback().await
     };
     if let Err(error) = inserts.await {
-        let failure = failure(&error, PartOfTransaction);
+        let failure = failure(&error, PartialTransaction);
         return Err(after_rollback(outer.rollback().await, failure));
     }
-    outer.commit().await.map_err(failed(PartOfTransaction))
+    outer.commit().await.map_err(failed(PartialTransaction))
 }
--- a/testkit/scenarios/tests/links.rs
+++ b/testkit/scenarios/tests/links.rs
@@ -69,6 +69,14 @@
         .count()
 }
 
+/// From the arrival to the response, in milliseconds; 0 without a response.
+fn latency_ms(request: &Request) -> u64 {
+    request
+        .response
+        .map_or(0, |answer| answer.at - request.arrival)
+        / MS
+}
+
 #[test]
 fn a_partition_between_two_zones_leaves_traffic_within_each_zone_alone() {
     let report = run_with_fault("kind = 'cut'\nzone = 'dc-a'\nto = 'dc-b'");
@@ -118,12 +126,6 @@
 
 #[test]
 fn a_slow_link_delays_both_directions_and_a_lossy_link_delays_some_requests() {
-    let latency_ms = |request: &&Request| {
-        request
-            .response
-            .map_or(0, |answer| answer.at - request.arrival)
-            / MS
-    };
     let slow = run_with_fault("kind = 'slow-link'\nnode = 'a0'\nto = 'servers'\nby_ms = 40");
     let [during, before] = requests_of(&slow, "a0");
     assert!(
@@ -174,10 +176,14 @@
 }
 
 #[test]
-fn faults_apply_to_a_zone_in_waves_by_chance_and_by_slowdown() {
+fn a_fault_of_a_zone_affects_all_of_its_nodes() {
     let report = run_with_fault("kind = 'kill-node'\nzone = 'dc-a'");
     // The clients' load balancer then sends to the next node, which is in the other zone.
     assert!(requests_of(&report, "a")[0].is_empty() && requests_of(&report, "b")[0].len() > 50);
+}
+
+#[test]
+fn a_fault_in_waves_affects_every_server() {
     let waves = run_with_fault("kind = 'error'\nshare = 1.0\nwaves = 4\nevery_ms = 100");
     let failed: std::collections::BTreeSet<_> = waves
         .log
@@ -187,6 +193,10 @@
         .map(|attempt| attempt.server.clone())
         .collect();
     assert_eq!(failed.len(), 4);
+}
+
+#[test]
+fn a_fault_with_a_probability_affects_some_attempts() {
     let chance = run_with_fault("kind = 'error'\nshare = 1.0\nchance = 0.3");
     let attempts = chance.log.iter().flat_map(|one| &one.attempts);
     let during: Vec<_> = attempts
@@ -201,13 +211,11 @@
         "{failed} of {}",
         during.len()
     );
+}
+
+#[test]
+fn a_slow_zone_delays_its_own_requests() {
     let slow = run_with_fault("kind = 'slow'\nzone = 'dc-b'\ntimes = 4");
-    let latency_ms = |request: &&Request| {
-        request
-            .response
-            .map_or(0, |answer| answer.at - request.arrival)
-            / MS
-    };
     assert!(
         requests_of(&slow, "b")[0]
             .iter()
