--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -91,7 +91,7 @@
 
 /// How much later a node may read a request where its system calls are held.
 fn system_call_delay(options: &Options) -> Nanos {
-    if options.system_faults.iter().any(SystemFaults::has_holds) {
+    if options.system_faults.iter().any(SystemFaults::has_delays) {
         HELD_CALL_DELAY
     } else {
         0
@@ -245,7 +245,7 @@
         // Under the same address each time.
         let listen = self.ports[node].address();
         self.incarnations += 1;
-        let seed = Random::new(self.plan.seed ^ self.incarnations, "node").bits();
+        let seed = Random::new(self.plan.seed ^ self.incarnations, "node").next_u64();
         let scenario = &self.plan.scenario;
         let known = scenario
             .spec
@@ -297,7 +297,11 @@
     /// The faults of a node's next process.
     fn system_faults(&self, node: usize, seed: u64) -> Option<SystemFaults> {
         let faults = self.options.system_faults.get(node)?.clone();
-        Some(faults.reseeded(seed).on(self.wall_clocks.get(node)?))
+        Some(
+            faults
+                .with_seed(seed)
+                .with_wall_clock(self.wall_clocks.get(node)?),
+        )
     }
 
     fn stepped_turn(&mut self) -> Result<(), RunError> {
