--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -6,6 +6,7 @@
 mod processes;
 mod real_time;
 mod report;
+mod tolerances;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,16 +16,16 @@
 use badgerpost_fakes::random::Random;
 use badgerpost_fakes::system_faults::{SystemFaults, WallClock};
 
-use crate::LATE_RESPONSE_LIMIT;
 use crate::cpu_pinning::CpuPinning;
 use crate::plan::Plan;
 use crate::process::{self, Process, Start};
 use crate::rules;
-use crate::simulation::{GOSSIP_KEY, NodeInput, SOCKET_SLACK, Simulation, StepOutcome};
+use crate::simulation::{GOSSIP_KEY, NodeInput, Simulation, StepOutcome};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 pub use error::RunError;
 pub use report::RunReport;
+use tolerances::tolerances;
 
 /// Unix time at which stepped scenes begin: any would do, as long as it is always the same.
 const STEPPED_BASE: Nanos = 1_700_000_000 * SECOND;
@@ -36,12 +37,6 @@
 const MAX_STEPS: u64 = 200_000_000;
 /// How often `progress` is called over the length of a scenario.
 const PROGRESS_CALLS: u64 = 200;
-/// An attempt may begin this long after its client has disconnected.
-const DISCONNECT_SLACK: Nanos = 100 * MILLISECOND;
-/// A system call that is held begins this late.
-const HELD_CALL_DELAY: Nanos = 150 * MILLISECOND;
-/// The deadline that a server is told may be this much beyond what the client has left.
-const DEADLINE_SLACK: Nanos = 150 * MILLISECOND;
 
 /// How to play.
 #[derive(Clone)]
@@ -75,29 +70,6 @@
     Ok(report)
 }
 
-/// The tolerances of the rules for a run: those of the scenario, or by the letter of the platform's pages.
-fn tolerances(plan: &Plan, options: &Options) -> rules::Tolerances {
-    let rules = &plan.scenario.spec.rules;
-    rules::Tolerances {
-        response_slack: match plan.behaviour.strict {
-            true => LATE_RESPONSE_LIMIT,
-            false => rules.response_slack_ms * MILLISECOND + SOCKET_SLACK,
-        },
-        drain_grace: rules.drain_grace_ms * MILLISECOND + SOCKET_SLACK,
-        disconnect_slack: DISCONNECT_SLACK + SOCKET_SLACK,
-        deadline_slack: DEADLINE_SLACK + SOCKET_SLACK + system_call_delay(options),
-    }
-}
-
-/// How much later a node may read a request where its system calls are held.
-fn system_call_delay(options: &Options) -> Nanos {
-    if options.system_faults.iter().any(SystemFaults::has_delays) {
-        HELD_CALL_DELAY
-    } else {
-        0
-    }
-}
-
 /// The processes of the nodes and the simulation around them.
 pub struct Runner {
     plan: Plan,
