--- a/testkit/scenarios/src/scenario.rs
+++ b/testkit/scenarios/src/scenario.rs
@@ -15,10 +15,9 @@
 pub use fault::{
     FaultKind, FaultTarget, LinkEnd, LinkFault, LinkFaultKind, PlannedFault, TargetGroup,
 };
-pub use groups::{NodeGroup, ServerGroup};
 pub use schema::{
     Class, Clients, Degradation, Discovery, Expectations, Fault, LoadReports, Network, Node,
-    RuleParameters, Scenario, Server,
+    NodeGroup, RuleParameters, Scenario, Server, ServerGroup,
 };
 
 /// The shipped scenarios, by name.
--- a/testkit/scenarios/src/scenario/groups.rs
+++ b/testkit/scenarios/src/scenario/groups.rs
@@ -1,59 +1,10 @@
 //! Groups of nodes and servers, so that a scenario of hundreds of them stays a page long.
 
-use serde::Deserialize;
 use toml::Spanned;
 
-use super::schema::{
-    Degradation, Node, Scenario, Server, default_max_descriptors, default_queue_capacity,
-    default_slots, default_speed,
-};
+use super::schema::{Node, NodeGroup, Scenario, Server, ServerGroup};
 use super::validation::{MAX_NODES, MAX_SERVERS};
 
-/// Nodes that are alike, named `NAME0`, `NAME1` and so on.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct NodeGroup {
-    /// The number of nodes.
-    pub count: usize,
-    /// The prefix of their names.
-    pub name: Spanned<String>,
-    /// Their zone.
-    pub zone: String,
-    /// The number of descriptors that each may hold.
-    #[serde(rename = "sockets", default = "default_max_descriptors")]
-    pub max_descriptors: usize,
-}
-
-/// Servers that are alike but for their speed, named `NAME0`, `NAME1` and so on.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ServerGroup {
-    /// The number of servers.
-    pub count: usize,
-    /// The prefix of their names.
-    pub name: Spanned<String>,
-    /// Their zone.
-    pub zone: String,
-    /// The speed of the first and of the last server; the others' lie between, in even steps.
-    #[serde(default = "default_speeds")]
-    pub speed: Spanned<(f64, f64)>,
-    /// The number of requests that each executes at a time.
-    #[serde(default = "default_slots")]
-    pub slots: usize,
-    /// The number of requests that may wait in the queue of each.
-    #[serde(rename = "queue", default = "default_queue_capacity")]
-    pub queue_capacity: usize,
-    /// When they start, in slow start; without it, they started long ago.
-    pub starts_ms: Option<u64>,
-    /// How each degrades under load; without it, it doesn't.
-    #[serde(rename = "choke")]
-    pub degradation: Option<Degradation>,
-}
-
-fn default_speeds() -> Spanned<(f64, f64)> {
-    Spanned::new(default_speed().span(), (1.0, 1.0))
-}
-
 /// Adds the nodes and servers of a scenario's groups to the scenario: of each, one more than it may have at most, so that
 /// validation finds too many.
 pub(super) fn expand(scenario: &mut Scenario) {
--- a/testkit/scenarios/src/scenario/schema.rs
+++ b/testkit/scenarios/src/scenario/schema.rs
@@ -6,7 +6,6 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use super::groups::{NodeGroup, ServerGroup};
 use crate::outcome::{DedupScope, Idempotency};
 
 /// A scenario file.
@@ -83,7 +82,7 @@
     pub max_descriptors: usize,
 }
 
-pub(super) fn default_max_descriptors() -> usize {
+fn default_max_descriptors() -> usize {
     1024
 }
 
@@ -145,18 +144,63 @@
     HealthChecks,
 }
 
-pub(super) fn default_speed() -> Spanned<f64> {
+fn default_speed() -> Spanned<f64> {
     Spanned::new(0..0, 1.0)
 }
 
-pub(super) fn default_slots() -> usize {
+fn default_slots() -> usize {
     8
 }
 
-pub(super) fn default_queue_capacity() -> usize {
+fn default_queue_capacity() -> usize {
     32
 }
 
+/// Nodes that are alike, named `NAME0`, `NAME1` and so on.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct NodeGroup {
+    /// The number of nodes.
+    pub count: usize,
+    /// The prefix of their names.
+    pub name: Spanned<String>,
+    /// Their zone.
+    pub zone: String,
+    /// The number of descriptors that each may hold.
+    #[serde(rename = "sockets", default = "default_max_descriptors")]
+    pub max_descriptors: usize,
+}
+
+/// Servers that are alike but for their speed, named `NAME0`, `NAME1` and so on.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct ServerGroup {
+    /// The number of servers.
+    pub count: usize,
+    /// The prefix of their names.
+    pub name: Spanned<String>,
+    /// Their zone.
+    pub zone: String,
+    /// The speed of the first and of the last server; the others' lie between, in even steps.
+    #[serde(default = "default_speeds")]
+    pub speed: Spanned<(f64, f64)>,
+    /// The number of requests that each executes at a time.
+    #[serde(default = "default_slots")]
+    pub slots: usize,
+    /// The number of requests that may wait in the queue of each.
+    #[serde(rename = "queue", default = "default_queue_capacity")]
+    pub queue_capacity: usize,
+    /// When they start, in slow start; without it, they started long ago.
+    pub starts_ms: Option<u64>,
+    /// How each degrades under load; without it, it doesn't.
+    #[serde(rename = "choke")]
+    pub degradation: Option<Degradation>,
+}
+
+fn default_speeds() -> Spanned<(f64, f64)> {
+    Spanned::new(default_speed().span(), (1.0, 1.0))
+}
+
 /// A class of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/testkit/scenarios/src/simulation/clients.rs
+++ b/testkit/scenarios/src/simulation/clients.rs
@@ -56,12 +56,7 @@
         let key = format!("{:x}-{:08x}", self.plan.seed, plan.number);
         let number = self.requests.len();
         self.request_by_id.insert(id, number);
-        let rules = &self.plan.scenario.spec.rules;
-        let slack = match self.plan.behaviour.strict {
-            true => LATE_RESPONSE_LIMIT,
-            false => rules.response_slack_ms * MILLISECOND + SOCKET_SLACK,
-        };
-        let due = self.now + log.timeout + slack + LISTENS_ON;
+        let due = self.now + log.timeout + self.response_slack() + LISTENS_ON;
         self.requests.push(OpenRequest {
             log,
             arrival,
@@ -82,6 +77,15 @@
         self.send_request(number, node, false)
     }
 
+    /// How long after its client's time a response may arrive by the rules.
+    fn response_slack(&self) -> Nanos {
+        if self.plan.behaviour.strict {
+            return LATE_RESPONSE_LIMIT;
+        }
+        let rules = &self.plan.scenario.spec.rules;
+        rules.response_slack_ms * MILLISECOND + SOCKET_SLACK
+    }
+
     /// Sends a request to a node, on an open connection or, for `fresh`, on a new one.
     pub(super) fn send_request(
         &mut self,
