--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -14,7 +14,7 @@
 use std::path::PathBuf;
 
 use tokio::signal::unix::{SignalKind, signal};
-use tokio::task::LocalSet;
+use tokio::task::{LocalSet, spawn_local};
 
 use crate::background_tasks::BackgroundTasks;
 use crate::config::Config;
@@ -91,11 +91,12 @@
             shutdown.run().await;
         };
         let controller = virtual_clock.map(|control| control.follow(name.clone(), listen));
+        // Not awaited here: this future is polled at every turn of the serving thread, and would poll all tasks' handles.
+        spawn_local(async move { background_tasks.watch().await });
         tokio::select! {
             biased;
             () = lifetime => Ok(()),
             error = controller_gone(controller) => Err(error.into()),
-            never = background_tasks.watch() => match never {},
         }
     }
 }
