--- a/adapters/gossip/src/service.rs
+++ b/adapters/gossip/src/service.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use badgerpost_engine::{
-    Clock, DroppedDatagram, Engine, LogLimiter, PeerUpdate, Protocol, ZoneGossip, activity,
+    Clock, DatagramDropReason, Engine, LogLimiter, PeerUpdate, Protocol, ZoneGossip, activity,
 };
 use badgerpost_membership::{
     Action, DropReason, Event, Key, MAX_DATAGRAM_LENGTH, MemberId, Membership, Nanos, Settings,
@@ -69,7 +69,7 @@
         };
         let (gossip_sender, observations) = mpsc::channel(MAX_QUEUED_OBSERVATIONS);
         engine.set_gossip_sender(gossip_sender);
-        engine.metrics().set_peers(1);
+        engine.metrics().set_member_count(1);
         tracing::info!(listen = %socket.local_addr()?, advertise = %config.advertised(), "peers may call");
         Ok(Self {
             socket,
@@ -121,7 +121,7 @@
     }
 
     fn datagram_received(&mut self, datagram: &[u8]) {
-        activity::read(datagram.len());
+        activity::record_bytes_read(datagram.len());
         self.engine
             .metrics()
             .peer_bytes_received(datagram.len() as u64);
@@ -172,7 +172,7 @@
     fn member_changed(&self, member: MemberId, zone: u8, address: SocketAddr, is_up: bool) {
         let members = self.membership.member_count();
         tracing::info!(peer = %address, zone, up = is_up, members, "peer changed");
-        self.engine.metrics().set_peers(members as u64 + 1);
+        self.engine.metrics().set_member_count(members as u64 + 1);
         self.engine.peer_updated(&PeerUpdate::Member {
             member: member.0,
             zone,
@@ -182,8 +182,8 @@
 
     fn datagram_dropped(&mut self, reason: DropReason) {
         self.engine.metrics().datagram_dropped(match reason {
-            DropReason::Unauthenticated => DroppedDatagram::Unauthenticated,
-            _ => DroppedDatagram::Malformed,
+            DropReason::Unauthenticated => DatagramDropReason::Unauthenticated,
+            _ => DatagramDropReason::Malformed,
         });
         self.drop_log
             .log(|silenced| tracing::warn!(?reason, silenced, "datagram dropped"));
@@ -191,13 +191,13 @@
 
     fn send(&self, to: SocketAddr, datagram: &[u8]) {
         // With a virtual clock the node must reach nothing outside this machine.
-        if self.clock.is_controlled() && !to.ip().is_loopback() {
+        if self.clock.is_virtual() && !to.ip().is_loopback() {
             return;
         }
         // What can't be sent at once is lost like what the network loses, which the protocol tolerates.
         match self.socket.try_send_to(datagram, to) {
             Ok(length) => {
-                activity::written(length);
+                activity::record_bytes_written(length);
                 self.engine.metrics().peer_bytes_sent(length as u64);
             }
             Err(error) => tracing::debug!(%to, %error, "datagram not sent"),
@@ -209,7 +209,7 @@
 /// node that has stood still have come in time. Forever without a time.
 async fn wait_until(clock: Clock, at: Option<Nanos>) {
     match at {
-        Some(at) => clock.deadline(at).await,
+        Some(at) => clock.wait_for_deadline(at).await,
         None => std::future::pending().await,
     }
 }
--- a/adapters/http/src/api.rs
+++ b/adapters/http/src/api.rs
@@ -207,7 +207,7 @@
     fn drop(&mut self) {
         if self.is_armed {
             let metrics = self.engine.metrics();
-            metrics.request_answered(self.class, RequestEnd::Failed);
+            metrics.count_request_end(self.class, RequestEnd::Failed);
         }
     }
 }
--- a/adapters/http/src/client_connection.rs
+++ b/adapters/http/src/client_connection.rs
@@ -146,7 +146,7 @@
 ) -> DueClose {
     loop {
         connection.close_requested().await;
-        context.clock().settle().await;
+        context.clock().yield_to_ready_tasks().await;
         if let Some(due) = connection.due_close(|| stream.has_unread_bytes()) {
             return due;
         }
--- a/adapters/http/src/connection_limiter/tests.rs
+++ b/adapters/http/src/connection_limiter/tests.rs
@@ -23,7 +23,7 @@
         let metrics = Arc::new(Metrics::new(Vec::new()));
         let limiter = ConnectionLimiter::new(
             max_connections,
-            Clock::controlled(clock.clone()),
+            Clock::from_virtual(clock.clone()),
             metrics.clone(),
         );
         Self {
@@ -34,7 +34,7 @@
     }
 
     fn advance(&self, milliseconds: u64) {
-        let now = Clock::controlled(self.clock.clone()).now();
+        let now = Clock::from_virtual(self.clock.clone()).now();
         self.clock
             .advance(now + nanos(Duration::from_millis(milliseconds)));
     }
@@ -179,7 +179,7 @@
     upload.connection().set_backend_blocked(true);
     test.advance(5000);
     upload.connection().set_backend_blocked(false);
-    let now = || Clock::controlled(test.clock.clone()).now();
+    let now = || Clock::from_virtual(test.clock.clone()).now();
     assert_eq!(upload.connection().eviction_rank(now()), None);
     test.advance(500);
     assert!(upload.connection().eviction_rank(now()).is_some());
--- a/adapters/http/src/discovery.rs
+++ b/adapters/http/src/discovery.rs
@@ -41,7 +41,7 @@
         cached: Option<EndpointList>,
         seed: u64,
     ) -> Self {
-        let schedule = PollSchedule::new(engine.polls_discovery(), seed);
+        let schedule = PollSchedule::new(engine.is_discovery_polled(), seed);
         let log = LogLimiter::new(engine.clock().clone());
         let mut watcher = Self {
             engine,
--- a/adapters/http/src/discovery/poll.rs
+++ b/adapters/http/src/discovery/poll.rs
@@ -90,7 +90,7 @@
 }
 
 async fn connect(clock: &Clock, address: SocketAddr) -> Result<DiscoveryConnection, PollError> {
-    let connecting = activity::connecting(TcpStream::connect(address));
+    let connecting = activity::track_connecting(TcpStream::connect(address));
     let stream = clock
         .timeout(CONNECT_TIMEOUT, connecting)
         .await
--- a/adapters/http/src/observed_stream.rs
+++ b/adapters/http/src/observed_stream.rs
@@ -53,7 +53,7 @@
     observer: O,
     /// Bytes that were read before the HTTP library asked for them.
     read_ahead: BytesMut,
-    connection: activity::Connection,
+    connection: activity::ConnectionEndCounter,
     write_errors: WriteErrors,
 }
 
@@ -97,7 +97,7 @@
 impl<O: StreamObserver> ObservedStream<O> {
     /// Observes this socket.
     pub fn new(stream: TcpStream, observer: O) -> Self {
-        let connection = activity::Connection::default();
+        let connection = activity::ConnectionEndCounter::default();
         Self(Rc::new(RefCell::new(ObservedStreamState {
             stream,
             observer,
@@ -171,7 +171,7 @@
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
         if buffer.filled().len() > before {
-            activity::read(buffer.filled().len() - before);
+            activity::record_bytes_read(buffer.filled().len() - before);
             self.observer.bytes_read(&buffer.filled()[before..]);
         } else if read.is_ready() && buffer.remaining() > 0 {
             // The peer has closed, or there was an error.
@@ -188,7 +188,7 @@
     fn write_ended(&mut self, write: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         match &write {
             Poll::Ready(Ok(written)) => {
-                activity::written(*written);
+                activity::record_bytes_written(*written);
                 self.observer.bytes_written();
             }
             Poll::Ready(Err(_)) if self.write_errors == WriteErrors::Deferred => {
--- a/adapters/http/src/request_body.rs
+++ b/adapters/http/src/request_body.rs
@@ -110,7 +110,7 @@
             continue;
         }
         // Bytes that have arrived by now are with their reader after that, and the stall is over.
-        clock.settle().await;
+        clock.yield_to_ready_tasks().await;
         let stall = next_stall(clock, connection, upload, budget);
         if clock.now() >= stall.at {
             return stall.body;
--- a/adapters/http/src/upstream/attempt.rs
+++ b/adapters/http/src/upstream/attempt.rs
@@ -89,13 +89,13 @@
     async fn timed_out(&self) {
         let clock = &self.pool.clock;
         let Some(mut deadline) = self.command.upload_deadline.clone() else {
-            return clock.deadline(self.command.attempt_deadline).await;
+            return clock.wait_for_deadline(self.command.attempt_deadline).await;
         };
         loop {
             let at = *deadline.borrow_and_update();
             tokio::select! {
                 biased;
-                () = clock.deadline(at) => return,
+                () = clock.wait_for_deadline(at) => return,
                 Ok(()) = deadline.changed() => {}
             }
         }
@@ -106,7 +106,7 @@
     fn end_early(&self, outcome: Outcome) -> AttemptEnd {
         let may_have_run =
             self.progress.get() == Progress::Written && self.command.payload.body.is_complete();
-        AttemptEnd::bare(if may_have_run {
+        AttemptEnd::without_response(if may_have_run {
             outcome
         } else {
             Outcome::NotSent
@@ -126,14 +126,14 @@
     async fn send(&self) -> AttemptEnd {
         loop {
             let Ok(leased) = self.lease().await else {
-                return AttemptEnd::bare(Outcome::ConnectFailed);
+                return AttemptEnd::without_response(Outcome::ConnectFailed);
             };
             let is_new = leased.idle_time.is_none();
             if let Some(end) = self.send_over(leased).await {
                 return end;
             }
             if is_new {
-                return AttemptEnd::bare(Outcome::ConnectFailed);
+                return AttemptEnd::without_response(Outcome::ConnectFailed);
             }
         }
     }
@@ -160,10 +160,10 @@
         // The connect may have outlasted the request, or the backend's place on the list.
         if !self.engine.may_write(self.command.attempt) {
             leased.release();
-            return Some(AttemptEnd::bare(Outcome::NotSent));
+            return Some(AttemptEnd::without_response(Outcome::NotSent));
         }
         let Some(mut message) = self.message() else {
-            return Some(AttemptEnd::bare(Outcome::NotSent));
+            return Some(AttemptEnd::without_response(Outcome::NotSent));
         };
         leased.upload = self.command.payload.body.exchange();
         let idle_time = leased.idle_time;
@@ -175,7 +175,7 @@
             biased;
             end = exchange(leased, message, self.forwarded_errors()) => end,
             () = activity.stalled(&self.pool.clock, RESPONSE_STALL_TIMEOUT) => {
-                return Some(AttemptEnd::bare(Outcome::InvalidResponse));
+                return Some(AttemptEnd::without_response(Outcome::InvalidResponse));
             }
         };
         let Some(end) = end else {
@@ -185,7 +185,7 @@
         if end.response.is_none()
             && let Some(outcome) = self.upload_failure(&end)
         {
-            return Some(AttemptEnd::bare(outcome));
+            return Some(AttemptEnd::without_response(outcome));
         }
         if let Some(idle_time) = idle_time {
             let was_reset = end.outcome == Outcome::Reset && !activity.has_received();
@@ -248,7 +248,7 @@
         Ok(response) => Some(read_response(leased, response, forwarded_errors).await),
         Err(mut error) => match error.take_message() {
             Some(_) => None,
-            None => Some(AttemptEnd::bare(failure_outcome(error.error()))),
+            None => Some(AttemptEnd::without_response(failure_outcome(error.error()))),
         },
     }
 }
--- a/adapters/http/src/upstream/connection.rs
+++ b/adapters/http/src/upstream/connection.rs
@@ -51,7 +51,7 @@
         metrics: Arc<Metrics>,
         guard: ConnectionGuard,
     ) -> Result<Self, ConnectError> {
-        let connecting = activity::connecting(TcpStream::connect(address));
+        let connecting = activity::track_connecting(TcpStream::connect(address));
         let stream = clock
             .timeout(connect_timeout, connecting)
             .await
--- a/adapters/http/src/upstream/health_check.rs
+++ b/adapters/http/src/upstream/health_check.rs
@@ -29,7 +29,7 @@
         .clock
         .timeout(HEALTH_CHECK_TIMEOUT, request_load(&pool, &engine, target))
         .await
-        .unwrap_or_else(|_| AttemptEnd::bare(Outcome::TimedOut));
+        .unwrap_or_else(|_| AttemptEnd::without_response(Outcome::TimedOut));
     engine.health_check_ended(HealthCheckResult {
         backend: target.backend,
         outcome: end.outcome,
@@ -47,18 +47,20 @@
 ) -> AttemptEnd {
     let mut leased = match pool.lease_idle(engine, target) {
         Some(leased) => leased,
-        None if !pool.has_spare_connections() => return AttemptEnd::bare(Outcome::NotSent),
+        None if !pool.has_spare_connections() => {
+            return AttemptEnd::without_response(Outcome::NotSent);
+        }
         None => match pool.lease_new(engine, target).await {
             Ok(leased) => leased,
-            Err(_) => return AttemptEnd::bare(Outcome::ConnectFailed),
+            Err(_) => return AttemptEnd::without_response(Outcome::ConnectFailed),
         },
     };
     let Some(message) = load_request(target.address) else {
-        return AttemptEnd::bare(Outcome::NotSent);
+        return AttemptEnd::without_response(Outcome::NotSent);
     };
     // The backend may have left the list while the connection was established.
     if !engine.is_in_service_at(target.backend, target.address) || !leased.is_ready().await {
-        return AttemptEnd::bare(Outcome::NotSent);
+        return AttemptEnd::without_response(Outcome::NotSent);
     }
     exchange(leased, message).await
 }
@@ -68,7 +70,7 @@
     connection.response_activity.expect_response(&mut message);
     let response = match connection.sender.try_send_request(message).await {
         Ok(response) => response,
-        Err(error) => return AttemptEnd::bare(failure_outcome(error.error())),
+        Err(error) => return AttemptEnd::without_response(failure_outcome(error.error())),
     };
     let mut end = read_response(leased, response, ForwardedErrors::None).await;
     if let Some(BackendResponse {
--- a/adapters/http/src/upstream/pool.rs
+++ b/adapters/http/src/upstream/pool.rs
@@ -142,7 +142,7 @@
         address: SocketAddr,
     ) -> Result<BackendConnection, ConnectError> {
         // A test that steps the node's clock must reach nothing but its fakes.
-        if self.clock.is_controlled() && !address.ip().is_loopback() {
+        if self.clock.is_virtual() && !address.ip().is_loopback() {
             return Err(ConnectError::NotLoopback);
         }
         let max_open = self.max_open.get();
--- a/adapters/http/src/upstream/response_activity.rs
+++ b/adapters/http/src/upstream/response_activity.rs
@@ -70,7 +70,7 @@
             }
             let reads_before = self.0.reads.load(Ordering::Relaxed);
             clock.sleep(stall_timeout).await;
-            clock.settle().await;
+            clock.yield_to_ready_tasks().await;
             if self.0.reads.load(Ordering::Relaxed) != reads_before {
                 continue;
             }
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -61,7 +61,7 @@
     leased.upload.response_started();
     let (parts, mut body) = response.into_parts();
     if parts.status.is_informational() {
-        return AttemptEnd::bare(Outcome::InvalidResponse);
+        return AttemptEnd::without_response(Outcome::InvalidResponse);
     }
     let head = ResponseHead::new(&parts, body.size_hint().exact(), forwarded_errors);
     let max_body = MAX_BUFFERED_BODY as u64;
@@ -75,12 +75,12 @@
     };
     let mut received = BytesCollector::default();
     match read_body(&mut body, head.length, enough_bytes, &mut received).await {
-        Err(error) => AttemptEnd::bare(failure_outcome(&error)),
+        Err(error) => AttemptEnd::without_response(failure_outcome(&error)),
         Ok(BodyProgress::Partial) => streaming_end(&head, leased, received, reservation, body),
         Ok(BodyProgress::Complete)
             if received.len() == 0 && ends_unannounced(&parts, head.length) =>
         {
-            AttemptEnd::bare(Outcome::InvalidResponse)
+            AttemptEnd::without_response(Outcome::InvalidResponse)
         }
         Ok(BodyProgress::Complete) => {
             leased.release();
--- a/adapters/postgres/src/pool.rs
+++ b/adapters/postgres/src/pool.rs
@@ -178,7 +178,7 @@
         tokio::select! {
             biased;
             turn = woken => Ok(turn.ok()),
-            () = self.clock.deadline(deadline) => {
+            () = self.clock.wait_for_deadline(deadline) => {
                 slots.dequeue(position);
                 Err(ConnectError::WaitTimedOut)
             }
@@ -209,7 +209,7 @@
         slots: &Rc<ServerSlots>,
     ) -> Result<ServerConnection, ConnectError> {
         let endpoint = key.address.endpoint;
-        if self.clock.is_controlled() && !endpoint.ip().is_loopback() {
+        if self.clock.is_virtual() && !endpoint.ip().is_loopback() {
             return Err(ConnectError::NotLoopback);
         }
         let credentials = self
--- a/adapters/postgres/src/relay.rs
+++ b/adapters/postgres/src/relay.rs
@@ -301,7 +301,9 @@
                 }
             }
             Action::TransactionDone => self.complete_transaction(),
-            Action::NotRetryable => self.end_attempt(AttemptEnd::bare(Outcome::NotSent)),
+            Action::NotRetryable => {
+                self.end_attempt(AttemptEnd::without_response(Outcome::NotSent));
+            }
             Action::Release(state) => self.release_server(state),
             Action::DiscardServer => self.discard_server(),
             Action::End => {
@@ -317,7 +319,7 @@
         self.registered.count_transaction();
         self.end_attempt(AttemptEnd {
             response: Some(()),
-            ..AttemptEnd::bare(Outcome::Success)
+            ..AttemptEnd::without_response(Outcome::Success)
         });
         self.forget_request();
     }
@@ -338,14 +340,14 @@
             self.context.pool.release(&self.context.fleet, connection);
         }
         self.to_server.clear();
-        self.report_attempt_end(attempt, AttemptEnd::bare(Outcome::NotSent));
+        self.report_attempt_end(attempt, AttemptEnd::without_response(Outcome::NotSent));
     }
 
     /// Closes the server connection.
     fn discard_server(&mut self) {
         self.to_server.clear();
         let attempt = self.server.take().and_then(|server| server.attempt);
-        self.report_attempt_end(attempt, AttemptEnd::bare(Outcome::Cancelled));
+        self.report_attempt_end(attempt, AttemptEnd::without_response(Outcome::Cancelled));
     }
 }
 
--- a/adapters/postgres/src/relay/transactions.rs
+++ b/adapters/postgres/src/relay/transactions.rs
@@ -207,7 +207,7 @@
             .and_then(|server| server.attempt.take());
         self.handle(Event::ServerLost);
         self.server = None;
-        self.report_attempt_end(attempt, AttemptEnd::bare(outcome));
+        self.report_attempt_end(attempt, AttemptEnd::without_response(outcome));
         if attempt.is_none() && !self.ended {
             // Between two transactions the engine has no part in it.
             self.handle(Event::RequestFailed);
@@ -241,7 +241,7 @@
             } = *lease;
             let fleet = &self.context.fleet;
             self.context.pool.release(fleet, connection);
-            fleet.attempt_ended(attempt, AttemptEnd::bare(Outcome::NotSent));
+            fleet.attempt_ended(attempt, AttemptEnd::without_response(Outcome::NotSent));
         }
     }
 }
@@ -250,7 +250,7 @@
 /// stood still has come in time.
 fn deadline_notification(clock: &Clock, at: Nanos) -> Notification {
     let clock = clock.clone();
-    Box::pin(async move { clock.deadline(at).await })
+    Box::pin(async move { clock.wait_for_deadline(at).await })
 }
 
 /// The rank of a class's transactions among those that wait for a connection; the lowest is first.
--- a/adapters/postgres/src/stream.rs
+++ b/adapters/postgres/src/stream.rs
@@ -27,7 +27,7 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.0).poll_read(cx, buf);
-        activity::read(buf.filled().len() - before);
+        activity::record_bytes_read(buf.filled().len() - before);
         polled
     }
 }
@@ -40,7 +40,7 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.0).poll_write(cx, bytes);
         if let Poll::Ready(Ok(count)) = &polled {
-            activity::written(*count);
+            activity::record_bytes_written(*count);
         }
         polled
     }
--- a/adapters/postgres/src/upstream.rs
+++ b/adapters/postgres/src/upstream.rs
@@ -20,7 +20,7 @@
         spawn(async move {
             let attempt = command.attempt;
             if let Err(outcome) = lease_connection(&pool, &fleet, command).await {
-                fleet.attempt_ended(attempt, AttemptEnd::bare(outcome));
+                fleet.attempt_ended(attempt, AttemptEnd::without_response(outcome));
             }
         });
     }
@@ -58,7 +58,7 @@
         _ = &mut cancelled => return Err(Outcome::NotSent),
         acquired = pool.acquire(&key, request.rank, deadline) => acquired,
         // A login may take longer than that. Nothing was sent.
-        () = fleet.clock().deadline(deadline) => return Err(Outcome::NotSent),
+        () = fleet.clock().wait_for_deadline(deadline) => return Err(Outcome::NotSent),
     };
     let connection = acquired.map_err(|error| {
         let server = fleet.endpoint_name(backend);
--- a/adapters/postgres/tests/phases.rs
+++ b/adapters/postgres/tests/phases.rs
@@ -76,7 +76,7 @@
     test(async {
         let database = database();
         let virtual_clock = VirtualClock::at(0);
-        let clock = Clock::controlled(virtual_clock.clone());
+        let clock = Clock::from_virtual(virtual_clock.clone());
         let node = Node::start_with(&[database.at], clock, |_| {}).await;
         let mut config = node.driver("ann", "secret", "ops");
         let (client, connection) = config
@@ -86,7 +86,7 @@
             .expect("it");
         let ended = tokio::task::spawn_local(connection);
         let advance = async |by: Duration| {
-            let now = Clock::controlled(virtual_clock.clone()).now();
+            let now = Clock::from_virtual(virtual_clock.clone()).now();
             virtual_clock.advance(now + nanos(by));
             // What the clock has woken is done by then.
             tokio::time::sleep(Duration::from_millis(50)).await;
--- a/daemon/src/handover/context.rs
+++ b/daemon/src/handover/context.rs
@@ -28,7 +28,7 @@
     /// Waits until an exchange that begins now has to be over, and what had arrived by then is handled.
     pub(super) async fn exchange_timed_out(&self) {
         let ends_at = self.clock.now().saturating_add(nanos(EXCHANGE_TIMEOUT));
-        self.clock.deadline(ends_at).await;
+        self.clock.wait_for_deadline(ends_at).await;
     }
 
     /// Carries out what either state machine asks for, as far as it is the same for both. A failure to send is logged
--- a/daemon/src/node/virtual_clock_control.rs
+++ b/daemon/src/node/virtual_clock_control.rs
@@ -32,7 +32,7 @@
 
     /// The clock that the controller moves.
     pub fn clock(&self) -> Clock {
-        Clock::controlled(self.virtual_clock.clone())
+        Clock::from_virtual(self.virtual_clock.clone())
     }
 
     /// Follows the controller's steps until it has gone. `node` and `listen` introduce the node to it.
--- a/engine/src/activity.rs
+++ b/engine/src/activity.rs
@@ -1,6 +1,6 @@
 //! Counts what this thread's tasks do, so that the control of a virtual clock can tell when the process is idle: task
 //! polls, bytes through sockets, connections being established, connections ended. The counts decide nothing but how long
-//! [`settle`] waits.
+//! [`yield_to_ready_tasks`] waits.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -23,43 +23,43 @@
     /// Polls of tasks started by [`spawn`].
     pub polls: u64,
     /// Bytes read from sockets.
-    pub read: u64,
+    pub bytes_read: u64,
     /// Bytes written to sockets.
-    pub written: u64,
+    pub bytes_written: u64,
     /// Connections that have ended, from either side.
-    pub ended: u64,
+    pub connections_ended: u64,
     /// Connections that are being established now.
-    pub connecting: u64,
+    pub connections_pending: u64,
 }
 
 /// The counts of this thread.
 pub fn snapshot() -> Activity {
     Activity {
         polls: POLLS.get(),
-        read: BYTES_READ.get(),
-        written: BYTES_WRITTEN.get(),
-        ended: CONNECTIONS_ENDED.get(),
-        connecting: CONNECTIONS_PENDING.get(),
+        bytes_read: BYTES_READ.get(),
+        bytes_written: BYTES_WRITTEN.get(),
+        connections_ended: CONNECTIONS_ENDED.get(),
+        connections_pending: CONNECTIONS_PENDING.get(),
     }
 }
 
 /// Counts bytes read from a socket.
-pub fn read(bytes: usize) {
+pub fn record_bytes_read(bytes: usize) {
     BYTES_READ.set(BYTES_READ.get().wrapping_add(bytes as u64));
 }
 
 /// Counts bytes written to a socket.
-pub fn written(bytes: usize) {
+pub fn record_bytes_written(bytes: usize) {
     BYTES_WRITTEN.set(BYTES_WRITTEN.get().wrapping_add(bytes as u64));
 }
 
 /// A connection whose end is counted once: when it is seen, or when this is dropped.
 #[derive(Debug, Default)]
-pub struct Connection {
+pub struct ConnectionEndCounter {
     is_counted: bool,
 }
 
-impl Connection {
+impl ConnectionEndCounter {
     /// Counts the connection's end.
     pub fn mark_ended(&mut self) {
         if self.is_counted {
@@ -70,7 +70,7 @@
     }
 }
 
-impl Drop for Connection {
+impl Drop for ConnectionEndCounter {
     fn drop(&mut self) {
         self.mark_ended();
     }
@@ -93,7 +93,7 @@
 }
 
 /// Awaits `connect`, which establishes a connection, and counts it as being established meanwhile.
-pub async fn connecting<F: Future>(connect: F) -> F::Output {
+pub async fn track_connecting<F: Future>(connect: F) -> F::Output {
     let _guard = ConnectingGuard::new();
     connect.await
 }
@@ -115,7 +115,7 @@
     }
 }
 
-/// Turns of the runtime that [`settle`] waits for at least. What is read in one of them passes through two more tasks at
+/// Turns of the runtime that [`yield_to_ready_tasks`] waits for at least. What is read in one of them passes through two more tasks at
 /// most: that of an attempt, and that of the client's connection.
 const MIN_SETTLE_TURNS: u32 = 3;
 /// Turns that it waits for at most, while more bytes arrive all the time.
@@ -123,7 +123,7 @@
 
 /// Lets all tasks of this thread handle what has arrived by now: in each turn of the runtime sockets that have become
 /// readable wake their tasks, and all tasks that are awake run.
-pub async fn settle() {
+pub async fn yield_to_ready_tasks() {
     let mut read_before = BYTES_READ.get();
     for turn in 1..=MAX_SETTLE_TURNS {
         yield_now().await;
--- a/engine/src/attempt.rs
+++ b/engine/src/attempt.rs
@@ -69,7 +69,7 @@
 
 impl<R> AttemptEnd<R> {
     /// An end without a response.
-    pub fn bare(outcome: Outcome) -> Self {
+    pub fn without_response(outcome: Outcome) -> Self {
         Self {
             outcome,
             report: LoadReport::default(),
--- a/engine/src/clock.rs
+++ b/engine/src/clock.rs
@@ -100,12 +100,12 @@
     }
 
     /// A clock that a test controls.
-    pub fn controlled(virtual_clock: Rc<VirtualClock>) -> Self {
+    pub fn from_virtual(virtual_clock: Rc<VirtualClock>) -> Self {
         Self(Source::Virtual(virtual_clock))
     }
 
     /// Whether a test controls the clock.
-    pub fn is_controlled(&self) -> bool {
+    pub fn is_virtual(&self) -> bool {
         matches!(self.0, Source::Virtual(_))
     }
 
@@ -182,16 +182,16 @@
     /// Waits until this time, and until what had arrived by then has been handled. For a time limit whose other side is
     /// handled by other tasks: a process that has stood still finds the limit and what came before it at once, and the
     /// limit must not be seen first.
-    pub async fn deadline(&self, at: Nanos) {
+    pub async fn wait_for_deadline(&self, at: Nanos) {
         self.sleep_until(at).await;
-        self.settle().await;
+        self.yield_to_ready_tasks().await;
     }
 
     /// Lets all tasks handle what has arrived by now. Does nothing on a clock that a test controls, where time stands
     /// still until all that has arrived is handled.
-    pub async fn settle(&self) {
-        if !self.is_controlled() {
-            activity::settle().await;
+    pub async fn yield_to_ready_tasks(&self) {
+        if !self.is_virtual() {
+            activity::yield_to_ready_tasks().await;
         }
     }
 
@@ -218,7 +218,7 @@
         tokio::select! {
             biased;
             output = future => Ok(output),
-            () = self.deadline(at) => Err(Elapsed),
+            () = self.wait_for_deadline(at) => Err(Elapsed),
         }
     }
 }
--- a/engine/src/clock/tests.rs
+++ b/engine/src/clock/tests.rs
@@ -13,7 +13,7 @@
 #[test]
 fn virtual_clock_moves_by_steps_only() {
     let virtual_clock = VirtualClock::at(MILLISECOND);
-    let clock = Clock::controlled(virtual_clock.clone());
+    let clock = Clock::from_virtual(virtual_clock.clone());
     let mut long = Box::pin(clock.sleep(Duration::from_millis(5)));
     let mut short = Box::pin(clock.sleep_until(3 * MILLISECOND));
     assert!(!is_ready(&mut long) && !is_ready(&mut short));
@@ -34,7 +34,7 @@
 #[test]
 fn work_that_completes_at_its_time_limit_is_in_time() {
     let virtual_clock = VirtualClock::at(0);
-    let clock = Clock::controlled(virtual_clock.clone());
+    let clock = Clock::from_virtual(virtual_clock.clone());
     let work_clock = clock.clone();
     let mut both = Box::pin(clock.timeout(Duration::from_millis(2), async move {
         work_clock.sleep_until(2 * MILLISECOND).await;
--- a/engine/src/driver/queries.rs
+++ b/engine/src/driver/queries.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether service discovery has to be polled.
-    pub(crate) fn polls_discovery(&self) -> bool {
+    pub(crate) fn is_discovery_polled(&self) -> bool {
         self.settings.discovery == Discovery::Polled
     }
 
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -165,8 +165,8 @@
     }
 
     /// Whether the site's service discovery has to be polled.
-    pub fn polls_discovery(&self) -> bool {
-        self.driver.borrow().polls_discovery()
+    pub fn is_discovery_polled(&self) -> bool {
+        self.driver.borrow().is_discovery_polled()
     }
 
     /// Submits a request. Dropping the response before its outcome is there means that the client has disconnected.
@@ -308,7 +308,7 @@
     /// end requests whose responses lie in its sockets.
     async fn settle_if_late(&self, timer_at: Nanos) {
         if self.clock.now().saturating_sub(timer_at) >= nanos(LATE_TIMER_THRESHOLD) {
-            self.clock.settle().await;
+            self.clock.yield_to_ready_tasks().await;
         }
     }
 
@@ -342,7 +342,7 @@
             self.transport.start_attempt(self, command);
         }
         for attempt in pending_io.unlisted_attempts {
-            self.attempt_ended(attempt, AttemptEnd::bare(Outcome::NotSent));
+            self.attempt_ended(attempt, AttemptEnd::without_response(Outcome::NotSent));
         }
         if pending_io.polls_discovery {
             self.discovery_wanted.notify_one();
--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -136,7 +136,7 @@
     assert!(engine.may_write(command.attempt));
     let end = AttemptEnd {
         response: Some("paid"),
-        ..AttemptEnd::bare(Outcome::Success)
+        ..AttemptEnd::without_response(Outcome::Success)
     };
     engine.attempt_ended(command.attempt, end);
     assert!(matches!(
@@ -144,7 +144,10 @@
         Some(RequestOutcome::Served("paid"))
     ));
     // A second end of the same attempt changes nothing.
-    engine.attempt_ended(command.attempt, AttemptEnd::bare(Outcome::Reset));
+    engine.attempt_ended(
+        command.attempt,
+        AttemptEnd::without_response(Outcome::Reset),
+    );
     assert_eq!(open_requests(&engine), (0, 0));
     assert!(!has_backstop_timer(&engine));
 }
@@ -163,7 +166,10 @@
         (1, 1),
         "the attempt has not ended yet"
     );
-    engine.attempt_ended(command.attempt, AttemptEnd::bare(Outcome::NotSent));
+    engine.attempt_ended(
+        command.attempt,
+        AttemptEnd::without_response(Outcome::NotSent),
+    );
     assert_eq!(open_requests(&engine), (0, 0));
 }
 
@@ -182,7 +188,10 @@
     let command = transport.take_attempt();
     engine.response_started(command.attempt);
     // Not even after an end by which it never ran.
-    engine.attempt_ended(command.attempt, AttemptEnd::bare(Outcome::ConnectFailed));
+    engine.attempt_ended(
+        command.attempt,
+        AttemptEnd::without_response(Outcome::ConnectFailed),
+    );
     assert!(transport.attempts.borrow().is_empty());
     assert!(
         outcome_now(response).is_some_and(|outcome| !matches!(outcome, RequestOutcome::Served(_)))
@@ -296,7 +305,10 @@
             &[discovered(&name, EndpointState::Removed)],
         );
         if let Some(command) = command {
-            engine.attempt_ended(command.attempt, AttemptEnd::bare(Outcome::Reset));
+            engine.attempt_ended(
+                command.attempt,
+                AttemptEnd::without_response(Outcome::Reset),
+            );
         }
         transport.idle_closures.borrow_mut().clear();
     }
--- a/engine/src/engine/tests/any_order.rs
+++ b/engine/src/engine/tests/any_order.rs
@@ -101,7 +101,7 @@
             "rules": {"answer-slack-ns": 20 * MILLISECOND, "drain-grace-ns": DRAIN_GRACE, "fall-ns": 1500 * MILLISECOND,
                 "start-capacity": 0.1, "tip-multiple": 2.5, "warm-after-ns": 20_000 * MILLISECOND}});
         let virtual_clock = VirtualClock::at(1000 * MILLISECOND);
-        let (engine, transport) = engine_with(&config, Clock::controlled(virtual_clock.clone()));
+        let (engine, transport) = engine_with(&config, Clock::from_virtual(virtual_clock.clone()));
         let mut simulation = Self {
             engine,
             transport,
@@ -254,7 +254,7 @@
         let is_served = outcome == Outcome::Success;
         let end = AttemptEnd {
             response: is_served.then_some("yes"),
-            ..AttemptEnd::bare(outcome)
+            ..AttemptEnd::without_response(outcome)
         };
         self.engine.attempt_ended(attempt.command.attempt, end);
         self.observe();
--- a/engine/src/engine/tests/uploads.rs
+++ b/engine/src/engine/tests/uploads.rs
@@ -26,7 +26,7 @@
             "fall-ns": 1_500_000_000u64, "start-capacity": 0.1, "tip-multiple": 2.5,
             "warm-after-ns": 20_000_000_000u64}});
     let virtual_clock = VirtualClock::at(SECOND);
-    let (engine, transport) = engine_with(&config, Clock::controlled(virtual_clock.clone()));
+    let (engine, transport) = engine_with(&config, Clock::from_virtual(virtual_clock.clone()));
     engine.start_zone_monitoring(7);
     let endpoints: Vec<DiscoveredEndpoint> = (0..8)
         .map(|n| DiscoveredEndpoint {
@@ -61,11 +61,11 @@
         virtual_clock.advance(engine.clock().now() + STEP);
         while let Some(command) = { transport.attempts.borrow_mut().pop() } {
             let end = if zone_b.contains(&command.backend) {
-                AttemptEnd::bare(outcome)
+                AttemptEnd::without_response(outcome)
             } else {
                 AttemptEnd {
                     response: Some("served"),
-                    ..AttemptEnd::bare(Outcome::Success)
+                    ..AttemptEnd::without_response(Outcome::Success)
                 }
             };
             engine.attempt_ended(command.attempt, end);
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -40,7 +40,7 @@
 pub use log_limiter::LogLimiter;
 pub use log_output::LogOutput;
 pub use metrics::{
-    BackendCounts, ClassCounts, DroppedDatagram, Metrics, PeerMetrics, RequestEnd, ZoneMetrics,
+    BackendCounts, ClassCounts, DatagramDropReason, Metrics, PeerMetrics, RequestEnd, ZoneMetrics,
 };
 pub use protocol::{IncomingRequest, Protocol, RequestClass, RequestOutcome, UnknownTenant};
 pub use tcp_stream::TcpStream;
--- a/engine/src/log_limiter/tests.rs
+++ b/engine/src/log_limiter/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn burst_of_warnings_is_logged_as_one_message() {
     let virtual_clock = VirtualClock::at(0);
-    let mut limiter = LogLimiter::new(Clock::controlled(virtual_clock.clone()));
+    let mut limiter = LogLimiter::new(Clock::from_virtual(virtual_clock.clone()));
     let mut messages = Vec::new();
     for _ in 0..1000 {
         limiter.log(|suppressed| messages.push(suppressed));
--- a/engine/src/metrics.rs
+++ b/engine/src/metrics.rs
@@ -103,7 +103,7 @@
 
 /// Why a peer's datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DroppedDatagram {
+pub enum DatagramDropReason {
     /// Its sender did not authenticate.
     Unauthenticated,
     /// Any other reason.
@@ -181,7 +181,7 @@
     }
 
     /// Sets the number of live members.
-    pub fn set_peers(&self, members: u64) {
+    pub fn set_member_count(&self, members: u64) {
         lock(&self.peers).members = members;
     }
 
@@ -201,11 +201,11 @@
     }
 
     /// Counts a dropped datagram.
-    pub fn datagram_dropped(&self, dropped: DroppedDatagram) {
+    pub fn datagram_dropped(&self, dropped: DatagramDropReason) {
         let mut peers = lock(&self.peers);
         match dropped {
-            DroppedDatagram::Unauthenticated => peers.unauthenticated += 1,
-            DroppedDatagram::Malformed => peers.malformed += 1,
+            DatagramDropReason::Unauthenticated => peers.unauthenticated += 1,
+            DatagramDropReason::Malformed => peers.malformed += 1,
         }
     }
 
@@ -223,12 +223,12 @@
     pub fn request_ended(&self, class: ClassId, end: Option<RequestEnd>) {
         self.requests_in_progress.fetch_sub(1, Ordering::Relaxed);
         if let Some(end) = end {
-            self.request_answered(class, end);
+            self.count_request_end(class, end);
         }
     }
 
     /// Counts a response to a request that no engine had taken.
-    pub fn request_answered(&self, class: ClassId, end: RequestEnd) {
+    pub fn count_request_end(&self, class: ClassId, end: RequestEnd) {
         if let Some(entry) = self.classes.get(class.0 as usize) {
             entry.counters.count(end);
         }
--- a/testkit/scenarios/src/bin/faulty_node.rs
+++ b/testkit/scenarios/src/bin/faulty_node.rs
@@ -169,7 +169,7 @@
     let clock = controlled
         .as_ref()
         .map_or_else(Clock::system, |controlled| {
-            Clock::controlled(controlled.clock.clone())
+            Clock::from_virtual(controlled.clock.clone())
         });
     let node = Rc::new(Node {
         mutation: Mutation::from_environment(),
@@ -222,14 +222,14 @@
             .await
             .ok()
             .filter(|read| *read > 0)?;
-        activity::read(read);
+        activity::record_bytes_read(read);
         decoder.push(&buffer[..read]);
     }
 }
 
 async fn write(stream: &mut TcpStream, bytes: &[u8]) -> Option<()> {
     stream.write_all(bytes).await.ok()?;
-    activity::written(bytes.len());
+    activity::record_bytes_written(bytes.len());
     Some(())
 }
 
@@ -243,10 +243,10 @@
 
     /// Long-polls the discovery service and applies each update.
     async fn watch_until_disconnected(&self, discovery: SocketAddr) -> Option<()> {
-        let mut stream = activity::connecting(TcpStream::connect(discovery))
+        let mut stream = activity::track_connecting(TcpStream::connect(discovery))
             .await
             .ok()?;
-        let _connection = activity::Connection::default();
+        let _connection = activity::ConnectionEndCounter::default();
         let mut decoder = MessageDecoder::new(MessageKind::Response);
         let mut path = "/registry/instances".to_owned();
         loop {
@@ -308,7 +308,7 @@
 
     async fn serve_connection(self: Rc<Self>, mut stream: TcpStream) {
         let mut decoder = MessageDecoder::new(MessageKind::Request);
-        let _connection = activity::Connection::default();
+        let _connection = activity::ConnectionEndCounter::default();
         while let Some(request) = read(&mut stream, &mut decoder).await {
             let response = self.respond(&request).await;
             let attempts = self.attempts.get();
@@ -347,10 +347,10 @@
 
     async fn attempt(&self, request: &Message) -> Option<Message> {
         let endpoint = self.select_endpoint()?;
-        let mut stream = activity::connecting(TcpStream::connect(endpoint.address))
+        let mut stream = activity::track_connecting(TcpStream::connect(endpoint.address))
             .await
             .ok()?;
-        let _connection = activity::Connection::default();
+        let _connection = activity::ConnectionEndCounter::default();
         let is_forwarded =
             |(name, _): &&(String, String)| !name.eq_ignore_ascii_case("content-length");
         let headers: String = request
--- a/virtual-clock/src/control.rs
+++ b/virtual-clock/src/control.rs
@@ -142,7 +142,7 @@
         let mut unseen_ends = 0;
         loop {
             let ControllerMessage::Step { now, bytes, ended } = self.receive()?;
-            let read_before = activity::snapshot().read;
+            let read_before = activity::snapshot().bytes_read;
             virtual_clock.advance(now);
             run_until_idle(
                 read_before.saturating_add(bytes),
@@ -150,12 +150,12 @@
             )
             .await;
             let after = activity::snapshot();
-            unseen_ends = unseen_ends.max(ended.saturating_sub(after.ended));
+            unseen_ends = unseen_ends.max(ended.saturating_sub(after.connections_ended));
             self.send(&NodeMessage::Idle {
                 next: virtual_clock.next_deadline(),
-                read: after.read - before.read,
-                written: after.written - before.written,
-                ended: after.ended + unseen_ends,
+                read: after.bytes_read - before.bytes_read,
+                written: after.bytes_written - before.bytes_written,
+                ended: after.connections_ended + unseen_ends,
             })?;
             before = after;
         }
@@ -169,7 +169,10 @@
     for _ in 0..MAX_ARRIVAL_CHECKS {
         run_ready_tasks().await;
         let counts = activity::snapshot();
-        if counts.read >= min_read && counts.ended >= min_ended && counts.connecting == 0 {
+        if counts.bytes_read >= min_read
+            && counts.connections_ended >= min_ended
+            && counts.connections_pending == 0
+        {
             return;
         }
         std::thread::sleep(ARRIVAL_CHECK_INTERVAL);
--- a/virtual-clock/src/control/tests.rs
+++ b/virtual-clock/src/control/tests.rs
@@ -26,7 +26,7 @@
             .build()
             .unwrap();
         let steps = VirtualClock::at(100);
-        let clock = Clock::controlled(steps.clone());
+        let clock = Clock::from_virtual(steps.clone());
         LocalSet::new().block_on(&runtime, async move {
             spawn(task(clock));
             ControlConnection::connect(at)
@@ -68,9 +68,9 @@
         // Started by what has just run, it belongs to the same step.
         let inner = tasks.clone();
         let inner = spawn(async move { inner.sleep_until(300).await });
-        activity::written(7);
+        activity::record_bytes_written(7);
         let _ = inner.await;
-        activity::written(5);
+        activity::record_bytes_written(5);
     });
     let idle = |next, written| NodeMessage::Idle {
         next,
@@ -93,9 +93,9 @@
     let (node, mut reader) = node(|clock| async move {
         clock.sleep_until(200).await;
         let late = || tokio::time::sleep(Duration::from_millis(5));
-        activity::connecting(late()).await;
-        activity::written(3);
-        let mut connection = activity::Connection::default();
+        activity::track_connecting(late()).await;
+        activity::record_bytes_written(3);
+        let mut connection = activity::ConnectionEndCounter::default();
         clock.sleep_until(300).await;
         late().await;
         connection.mark_ended();
