--- a/engine/src/attempt.rs
+++ b/engine/src/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt to have a request served by one backend: its id, the command to start it, and its end.
+//! An attempt to have a request served by a backend: the attempt's id, the command to start the attempt, and the end of
+//! the attempt.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,18 +14,18 @@
 pub(crate) struct AttemptNumber(pub(crate) u32);
 
 impl AttemptNumber {
-    /// The number of an attempt that has `earlier` attempts of the same request before it.
-    pub(crate) fn after(earlier: usize) -> Self {
-        Self(u32::try_from(earlier).unwrap_or(u32::MAX))
+    /// The number of the attempt at `index` in the request's list of attempts.
+    pub(crate) fn from_index(index: usize) -> Self {
+        Self(u32::try_from(index).unwrap_or(u32::MAX))
     }
 
-    /// The attempt's index in its request's list of attempts.
+    /// The attempt's index in the request's list of attempts.
     pub(crate) fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// Identifies one attempt of one request.
+/// Identifies an attempt of a request on a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
     pub(crate) request: RequestId,
@@ -32,22 +33,22 @@
     pub(crate) backend: BackendId,
 }
 
-/// An attempt that a [`Transport`](crate::Transport) has to start.
+/// The command to a [`Transport`](crate::Transport) to start an attempt.
 pub struct AttemptCommand<P: Protocol> {
-    /// Identifies the attempt when its end is reported.
+    /// The id under which the transport reports the end of the attempt.
     pub attempt: AttemptId,
     /// The backend to send to.
     pub backend: BackendId,
-    /// Where the backend listens.
+    /// The address that the backend listens on.
     pub address: SocketAddr,
-    /// What to send.
+    /// The request to send.
     pub payload: Rc<P::Request>,
-    /// When the attempt times out.
+    /// When the attempt times out, on the engine's clock.
     pub attempt_deadline: Nanos,
-    /// When the client stops waiting.
+    /// When the client stops waiting or, during an upload, when the upload times out, on the engine's clock.
     pub expires_at: Nanos,
-    /// Present while the request's body is still being uploaded: yields the end of the client's waiting time once the
-    /// upload is complete, which then replaces the two times above.
+    /// Present if the request was submitted while its body was uploaded. Yields the client's deadline once the upload
+    /// is complete; that deadline replaces `attempt_deadline` and `expires_at`.
     pub upload_deadline: Option<watch::Receiver<Nanos>>,
     /// Resolves with `Ok` once the attempt is cancelled.
     pub cancelled: oneshot::Receiver<()>,
@@ -57,18 +58,18 @@
 pub struct AttemptEnd<R> {
     /// The result, as the balancer classifies it.
     pub outcome: Outcome,
-    /// The load report that came with the response; empty if there was none.
+    /// The load report that came with the response; empty if the response had none.
     pub report: LoadReport,
-    /// The response. Without one the attempt does not count as served, whatever its outcome. With another outcome than
-    /// [`Outcome::Success`] it is given to the client if the request fails.
+    /// The response. The request is served only if this is present and the outcome is [`Outcome::Success`]. With any
+    /// other outcome, the client receives the response if the request fails.
     pub response: Option<R>,
-    /// Whether only the beginning of the response is here. Whoever forwards the rest then counts the request's end in
-    /// the [`Metrics`](crate::Metrics).
+    /// Whether the rest of the response is still being streamed. Whoever forwards the rest must then count the end of
+    /// the request in the [`Metrics`](crate::Metrics).
     pub is_streaming: bool,
 }
 
 impl<R> AttemptEnd<R> {
-    /// An end without a response.
+    /// The end of an attempt that has no response.
     pub fn without_response(outcome: Outcome) -> Self {
         Self {
             outcome,
--- a/engine/src/clock.rs
+++ b/engine/src/clock.rs
@@ -1,5 +1,5 @@
-//! The process's one clock, and all waiting for it. In service it is the system's; under a test's control it is a
-//! [`VirtualClock`], which does not move between the test's steps, and then nothing here asks the system for the time.
+//! The process's only clock, and all sleeps and timeouts. In production, the clock follows the system's monotonic
+//! clock. In tests, it can follow a [`VirtualClock`], which the test advances; the system's time is then never read.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,15 +14,15 @@
 use crate::activity;
 use crate::heartbeat::Heartbeat;
 
-/// A monotonic clock. It counts nanoseconds from the Unix time at its start, so that times sent by other machines
-/// compare with it. Cheap to clone; clones are the same clock.
+/// A monotonic clock in nanoseconds. The clock starts at the current Unix time, so that its times are comparable with
+/// those of other machines. Cloning is cheap, and clones share the clock.
 #[derive(Clone)]
 pub struct Clock(Source);
 
-/// Where a clock's time comes from.
+/// The source of a clock's time.
 #[derive(Clone)]
 enum Source {
-    /// The system's monotonic clock. It read `started` when the Unix time was `started_at`.
+    /// The system's monotonic clock, which showed `started` at the Unix time `started_at`.
     System {
         started: Instant,
         started_at: Nanos,
@@ -32,14 +32,15 @@
     Virtual(Rc<VirtualClock>),
 }
 
-/// A sleep's place in the queue of a [`VirtualClock`]: sleeps end by time, then in the order in which they began.
+/// The position of a sleep in the queue of a [`VirtualClock`]. Sleeps end in order of time; sleeps that end at the same
+/// time end in the order in which they started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SleepKey {
     at: Nanos,
     number: u64,
 }
 
-/// A clock that moves only by [`advance`](Self::advance), and the sleeps on it.
+/// A clock that moves only when [`advance`](Self::advance) is called, with a queue of sleeps.
 pub struct VirtualClock {
     now: Cell<Nanos>,
     sleepers: RefCell<BTreeMap<SleepKey, Waker>>,
@@ -47,7 +48,7 @@
 }
 
 impl VirtualClock {
-    /// A clock that shows this Unix time.
+    /// Creates a clock that shows `now`, in nanoseconds of Unix time.
     pub fn at(now: Nanos) -> Rc<Self> {
         Rc::new(Self {
             now: Cell::new(now),
@@ -56,22 +57,22 @@
         })
     }
 
-    /// When the next sleep ends, if there is any.
+    /// When the next sleep ends; `None` if there are no sleeps.
     pub fn next_deadline(&self) -> Option<Nanos> {
         self.sleepers.borrow().keys().next().map(|key| key.at)
     }
 
-    /// Moves the clock forward to this time, and wakes the sleeps that have ended, in order. A time in the past leaves
-    /// the clock where it is.
+    /// Moves the clock forward to `to`, and wakes the sleeps that have ended, in order. The clock does not move if `to`
+    /// is in the past.
     pub fn advance(&self, to: Nanos) {
         self.now.set(self.now.get().max(to));
-        // A waker may end other sleeps, so nothing is borrowed while it is called.
+        // `sleepers` must not be borrowed while a waker is called, because the waker may drop other sleeps.
         while let Some(waker) = self.take_expired_waker() {
             waker.wake();
         }
     }
 
-    /// Removes the next sleep from the queue if it has ended.
+    /// Removes the next sleep from the queue if the sleep has ended, and returns the sleep's waker.
     fn take_expired_waker(&self) -> Option<Waker> {
         let mut sleepers = self.sleepers.borrow_mut();
         let next = sleepers.first_entry()?;
@@ -81,7 +82,7 @@
         Some(next.remove())
     }
 
-    /// A place in the queue behind all other sleeps that end at this time.
+    /// Allocates a position in the queue behind all other sleeps that end at this time.
     fn new_sleep_key(&self, at: Nanos) -> SleepKey {
         let number = self.next_sleep_number.get();
         self.next_sleep_number.set(number + 1);
@@ -90,7 +91,7 @@
 }
 
 impl Clock {
-    /// The system's clock, read from now on.
+    /// Creates a clock that follows the system's monotonic clock and starts at the current Unix time.
     pub fn system() -> Self {
         Self(Source::System {
             started: Instant::now(),
@@ -99,17 +100,17 @@
         })
     }
 
-    /// A clock that a test controls.
+    /// Creates a clock that follows a virtual clock.
     pub fn from_virtual(virtual_clock: Rc<VirtualClock>) -> Self {
         Self(Source::Virtual(virtual_clock))
     }
 
-    /// Whether a test controls the clock.
+    /// Whether the clock follows a virtual clock.
     pub fn is_virtual(&self) -> bool {
         matches!(self.0, Source::Virtual(_))
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Nanos {
         match &self.0 {
             Source::System {
@@ -121,8 +122,8 @@
         }
     }
 
-    /// By how many nanoseconds the wall clock is ahead of this one now; negative where it is behind. It may have
-    /// stepped since the start.
+    /// How far the wall clock is ahead of this clock, in nanoseconds; negative if the wall clock is behind. The two
+    /// clocks diverge when the wall clock is stepped.
     pub(crate) fn wall_clock_lead(&self) -> i64 {
         match &self.0 {
             Source::System { .. } => signed_difference(unix_time(), self.now()),
@@ -156,21 +157,21 @@
         }
     }
 
-    /// Waits for this long. The wait is a heartbeat: if it ends much too late, the process has stood still. To be awaited
-    /// all the time, by one task.
+    /// Waits for `interval` as a heartbeat: if the wait ends much too late, the process was paused. Exactly one task
+    /// must call this in a loop.
     pub async fn heartbeat(&self, interval: Duration) {
         let due_at = self.now().saturating_add(nanos(interval));
         let Source::System { heartbeat, .. } = &self.0 else {
             return self.sleep_until(due_at).await;
         };
-        heartbeat.expect(due_at);
+        heartbeat.schedule(due_at);
         self.sleep_until(due_at).await;
-        heartbeat.beat(self.now());
+        heartbeat.record(self.now());
     }
 
-    /// The time from `since` to an event that is handled now. None if the process has stood still until a moment ago:
-    /// the event may have happened at any time in between.
-    pub fn known_time_since(&self, since: Nanos) -> Option<Nanos> {
+    /// The time from `since` to an event that is being handled. Returns `None` if the process was paused in between and
+    /// has only just resumed, because the event may have happened at any time during the pause.
+    pub(crate) fn elapsed_unless_paused(&self, since: Nanos) -> Option<Nanos> {
         let now = self.now();
         let is_known = match &self.0 {
             Source::System { heartbeat, .. } => !heartbeat.has_just_resumed(now, since),
@@ -179,27 +180,28 @@
         is_known.then(|| now.saturating_sub(since))
     }
 
-    /// Waits until this time, and until what had arrived by then has been handled. For a time limit whose other side is
-    /// handled by other tasks: a process that has stood still finds the limit and what came before it at once, and the
-    /// limit must not be seen first.
+    /// Waits until this time, and then until the other tasks have handled the data that has arrived. For deadlines
+    /// whose events are handled by other tasks: after a pause of the process, data that arrived before the deadline
+    /// must be handled before the deadline counts as exceeded.
     pub async fn wait_for_deadline(&self, at: Nanos) {
         self.sleep_until(at).await;
         self.yield_to_ready_tasks().await;
     }
 
-    /// Lets all tasks handle what has arrived by now. Does nothing on a clock that a test controls, where time stands
-    /// still until all that has arrived is handled.
+    /// Lets all tasks handle the data that has arrived. Does nothing on a virtual clock, whose time does not advance
+    /// until all arrived data is handled.
     pub async fn yield_to_ready_tasks(&self) {
         if !self.is_virtual() {
             activity::yield_to_ready_tasks().await;
         }
     }
 
-    /// Limits a future to this duration. One that completes with what had arrived at that very moment is in time.
+    /// Limits a future to this duration. The future is still in time if it completes with data that had arrived when
+    /// the time limit was reached.
     ///
     /// # Errors
     ///
-    /// The time is up first.
+    /// Returns an error if the future does not complete in time.
     pub async fn timeout<F: Future>(
         &self,
         duration: Duration,
@@ -209,11 +211,11 @@
             .await
     }
 
-    /// Limits a future until this time. One that completes with what had arrived at that very moment is in time.
+    /// Like [`timeout`](Self::timeout), with a point in time as the limit.
     ///
     /// # Errors
     ///
-    /// The time is up first.
+    /// Returns an error if the future does not complete in time.
     pub async fn timeout_at<F: Future>(&self, at: Nanos, future: F) -> Result<F::Output, Elapsed> {
         tokio::select! {
             biased;
@@ -223,7 +225,7 @@
     }
 }
 
-/// What the wall clock shows.
+/// The time of the wall clock.
 fn unix_time() -> Nanos {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     nanos(since_epoch.unwrap_or_default())
@@ -234,9 +236,9 @@
     i64::try_from(difference).unwrap_or(if difference < 0 { i64::MIN } else { i64::MAX })
 }
 
-/// A time limit was reached.
+/// The error of a future that reached its time limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not in time")]
+#[error("time limit exceeded")]
 pub struct Elapsed;
 
 pin_project_lite::pin_project! {
@@ -257,14 +259,12 @@
 }
 
 impl Sleep {
-    /// A sleep on the system's clock.
     fn system(sleep: tokio::time::Sleep) -> Self {
         Self {
             kind: SleepKind::System { sleep },
         }
     }
 
-    /// A sleep on a virtual clock.
     fn on(clock: Rc<VirtualClock>, at: Nanos) -> Self {
         let sleep = VirtualSleep {
             clock,
@@ -288,11 +288,11 @@
     }
 }
 
-/// A sleep on a [`VirtualClock`]. It is queued from its first poll until it ends or is dropped.
+/// A sleep on a [`VirtualClock`]. The sleep is queued from its first poll until it ends or is dropped.
 struct VirtualSleep {
     clock: Rc<VirtualClock>,
     at: Nanos,
-    /// None while not queued.
+    /// `None` while the sleep is not queued.
     key: Option<SleepKey>,
 }
 
@@ -323,7 +323,7 @@
     }
 }
 
-/// A duration in nanoseconds. One that is too long for these counts as the longest, about 584 years.
+/// Converts a duration to nanoseconds. Durations above the maximum of about 584 years are clamped.
 pub fn nanos(duration: Duration) -> Nanos {
     u64::try_from(duration.as_nanos()).unwrap_or(Nanos::MAX)
 }
--- a/engine/src/clock/tests.rs
+++ b/engine/src/clock/tests.rs
@@ -9,9 +9,9 @@
         .is_ready()
 }
 
-/// Time does not pass by itself, and a wait that is dropped is no longer queued.
+/// Guards against a virtual clock that advances on its own, and against dropped sleeps that stay queued.
 #[test]
-fn virtual_clock_moves_by_steps_only() {
+fn virtual_clock_moves_only_when_advanced_and_forgets_dropped_sleeps() {
     let virtual_clock = VirtualClock::at(MILLISECOND);
     let clock = Clock::from_virtual(virtual_clock.clone());
     let mut long = Box::pin(clock.sleep(Duration::from_millis(5)));
@@ -24,7 +24,7 @@
         (clock.now(), virtual_clock.next_deadline()),
         (3 * MILLISECOND, Some(6 * MILLISECOND))
     );
-    // Never back.
+    // The clock does not go back.
     virtual_clock.advance(MILLISECOND);
     assert_eq!(clock.now(), 3 * MILLISECOND);
     drop(long);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn work_that_completes_at_its_time_limit_is_in_time() {
+fn future_that_completes_exactly_at_its_timeout_succeeds() {
     let virtual_clock = VirtualClock::at(0);
     let clock = Clock::from_virtual(virtual_clock.clone());
     let work_clock = clock.clone();
--- a/engine/src/driver.rs
+++ b/engine/src/driver.rs
@@ -1,8 +1,8 @@
-//! The state of one fleet: sole owner of its [`Balancer`] and of the open requests, backends, timers and zone
-//! monitoring around it.
+//! The state of one fleet: the [`Balancer`] with the open requests, backends, timers and zone monitoring around it.
 //!
-//! Events go to the balancer, its actions come back and are applied; what is left to do on the network is collected
-//! as [`PendingIo`]. No balancing decision is made here. The submodules handle one kind of event each.
+//! The driver passes events to the balancer and applies the resulting actions. Network operations are collected in
+//! [`PendingIo`] for the caller to execute. All balancing decisions are made by the balancer. Each submodule handles
+//! one kind of event.
 
 mod endpoints;
 mod queries;
@@ -34,23 +34,23 @@
     settings: Settings,
     pub(crate) names: NameTable,
     pub(crate) requests: OpenRequests<P>,
-    /// The clients' ids of the open requests, and of those that ended recently.
+    /// The ids of open and recently ended requests, as chosen by the clients.
     pub(crate) client_request_ids: ClientRequestIds,
     pub(crate) backends: Backends,
     pub(crate) timers: Timers,
     metrics: Arc<Metrics>,
-    /// None unless zones are monitored.
+    /// `None` if zone monitoring is off.
     zone_monitoring: Option<ZoneMonitoring>,
-    /// Takes the zone monitor's observations for the other nodes; none if there are none.
+    /// The channel for zone observations that are to be sent to the other nodes; `None` if the node has no peers.
     gossip_sender: Option<mpsc::Sender<ZoneGossip>>,
-    /// Whether service discovery has delivered an endpoint list since the start.
+    /// Whether service discovery has delivered an endpoint list, other than a cached one.
     has_endpoint_list: bool,
-    /// Whether the balancer wants a snapshot of the endpoint list next.
+    /// Whether the next request to service discovery asks for a snapshot of the endpoint list.
     snapshot_requested: bool,
 }
 
 impl<P: Protocol> Driver<P> {
-    /// A driver without backends. The seed drives the balancer's random draws.
+    /// Creates a driver without backends. `seed` initialises the balancer's random number generator.
     pub(crate) fn new(
         settings: Settings,
         names: NameTable,
@@ -107,10 +107,10 @@
                 }
             }
             Action::CheckHealth { backend } => self.check_health(backend, pending_io),
-            Action::WatchEndpoints => pending_io.polls_discovery = true,
+            Action::WatchEndpoints => pending_io.discovery_poll_requested = true,
             Action::FetchSnapshot => {
                 self.snapshot_requested = true;
-                pending_io.polls_discovery = true;
+                pending_io.discovery_poll_requested = true;
             }
             Action::SetTimer { after, token } => {
                 let at = self.clock.now().saturating_add(after);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Has a backend's health checked. One that is no longer listed is of no interest to the balancer.
+    /// Requests a health check of a backend, unless the backend is no longer listed.
     fn check_health(&self, backend: BackendId, pending_io: &mut PendingIo<P>) {
         if let Some(entry) = self.backends.get(backend) {
             pending_io.health_checks.push(BackendAddress {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Sets a timer, and has the task that waits for the next one woken if this one is earlier.
+    /// Sets a timer. If the timer is the next one to fire, the task that waits for timers is notified.
     fn set_timer(&mut self, at: Nanos, purpose: TimerPurpose, pending_io: &mut PendingIo<P>) {
         pending_io.next_timer_changed |= self.timers.set(at, purpose);
     }
@@ -146,7 +146,7 @@
                 TimerPurpose::Balancer(token) => {
                     self.handle(Event::TimerFired { token }, pending_io);
                 }
-                TimerPurpose::Backstop(request) => self.fail_overdue(request, pending_io),
+                TimerPurpose::FallbackTimeout(request) => self.fail_overdue(request, pending_io),
             }
         }
     }
--- a/engine/src/driver/endpoints.rs
+++ b/engine/src/driver/endpoints.rs
@@ -10,8 +10,8 @@
 use crate::start_times::ListTime;
 
 impl<P: Protocol> Driver<P> {
-    /// Applies an endpoint update to the backend table, and passes it to the zone monitor and the balancer. Removed
-    /// backends stay in the table until both have handled the update.
+    /// Applies an endpoint update to the backend table, and passes the update to the zone monitor and the balancer.
+    /// Removed backends stay in the table until both have handled the update.
     pub(crate) fn endpoints_updated(
         &mut self,
         update: EndpointUpdate,
@@ -36,7 +36,7 @@
         self.update_backend_counts();
     }
 
-    /// Updates the entries of these endpoints. Returns them in the balancer's terms.
+    /// Updates the backend table with these endpoints, and converts the endpoints for the balancer.
     fn update_backends(
         &mut self,
         discovered: &[DiscoveredEndpoint],
@@ -57,7 +57,7 @@
         endpoints
     }
 
-    /// Brings the metrics' backend counts up to date. The number of avoided backends changes with time alone.
+    /// Updates the backend counts in the metrics. The number of avoided backends can change without any event.
     pub(crate) fn update_backend_counts(&self) {
         let avoided = self.balancer.avoided(self.clock.now());
         self.metrics.set_backend_counts(BackendCounts {
--- a/engine/src/driver/queries.rs
+++ b/engine/src/driver/queries.rs
@@ -1,4 +1,4 @@
-//! Questions that adapters ask about a fleet. Nothing changes here, except that a request for a snapshot is taken.
+//! Queries by adapters. They do not change the driver, except that [`Driver::take_snapshot_request`] clears a flag.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,17 +13,16 @@
 use crate::protocol::{Protocol, RequestClass, UnknownTenant};
 
 impl<P: Protocol> Driver<P> {
-    /// The fleet's counters.
     pub(crate) fn metrics(&self) -> Arc<Metrics> {
         self.metrics.clone()
     }
 
-    /// Whether service discovery has delivered an endpoint list since the start.
+    /// See [`Engine::has_endpoint_list`](crate::Engine::has_endpoint_list).
     pub(crate) fn has_endpoint_list(&self) -> bool {
         self.has_endpoint_list
     }
 
-    /// A class by name.
+    /// Looks up a request class by name.
     pub(crate) fn class(&self, name: &str) -> Option<RequestClass> {
         let number = self.names.class(name)?;
         let class = self.settings.classes.get(number as usize)?;
@@ -34,7 +33,7 @@
         })
     }
 
-    /// A tenant's number; none on a site without tenants.
+    /// See [`Engine::tenant`](crate::Engine::tenant).
     pub(crate) fn tenant(&self, name: Option<&str>) -> Result<Option<u32>, UnknownTenant> {
         if self.settings.tenant_quotas.is_empty() {
             return Ok(None);
@@ -42,25 +41,25 @@
         self.names.tenant(name).map(Some).ok_or(UnknownTenant)
     }
 
-    /// A zone by name.
+    /// Looks up a zone by name.
     pub(crate) fn zone(&self, name: &str) -> Option<ZoneId> {
         (0..self.settings.zone_count)
             .map(ZoneId)
             .find(|zone| self.names.zone_name(*zone) == Some(name))
     }
 
-    /// The longest deadline of all classes.
+    /// The longest deadline of all request classes.
     pub(crate) fn longest_deadline(&self) -> Duration {
         let deadlines = self.settings.classes.iter().map(|class| class.deadline);
         Duration::from_nanos(deadlines.max().unwrap_or(0))
     }
 
-    /// Whether service discovery has to be polled.
+    /// Whether the settings say that service discovery is polled.
     pub(crate) fn is_discovery_polled(&self) -> bool {
         self.settings.discovery == Discovery::Polled
     }
 
-    /// Whether the balancer wants a snapshot of the endpoint list next. Asking takes the request back.
+    /// Whether the balancer has requested a snapshot of the endpoint list. The call clears the request.
     pub(crate) fn take_snapshot_request(&mut self) -> bool {
         std::mem::take(&mut self.snapshot_requested)
     }
@@ -68,31 +67,30 @@
     /// Whether an attempt may still be written; see [`Engine::may_write`](crate::Engine::may_write).
     pub(crate) fn may_write(&self, attempt: AttemptId) -> bool {
         let now = self.clock.now();
-        let is_awaited = self
+        let is_client_waiting = self
             .requests
             .get(attempt.request)
-            .is_some_and(|request| request.is_awaited(now));
-        // Nothing of the grace period is used on purpose: it covers what the backend's drain takes to be known here,
-        // and a node that is held up before its bytes go out.
+            .is_some_and(|request| request.is_client_waiting(now));
+        // No attempt is written during the grace period of a drain: the period is reserved for the delay until the
+        // node learns of the drain, and for delays in the node before the bytes are sent.
         let accepts_requests = self
             .backends
             .get(attempt.backend)
             .is_some_and(|entry| !entry.is_draining);
-        is_awaited
+        is_client_waiting
             && accepts_requests
             && self
                 .balancer
                 .may_write(now, attempt.request, attempt.number.0)
     }
 
-    /// Whether a backend is in service at this address.
+    /// Whether the backend is in service and has this address.
     pub(crate) fn is_in_service_at(&self, backend: BackendId, address: SocketAddr) -> bool {
         self.backends
             .get(backend)
             .is_some_and(|entry| entry.address == address && !entry.is_draining)
     }
 
-    /// Whether any backend is in service.
     pub(crate) fn has_endpoint_in_service(&self) -> bool {
         self.backends.has_any_in_service()
     }
@@ -102,7 +100,7 @@
         self.backends.in_service()
     }
 
-    /// A backend's name, or its number if it is not listed.
+    /// The name of a backend, or the number in the backend's id if the backend is not listed.
     pub(crate) fn endpoint_name(&self, backend: BackendId) -> String {
         let name = |entry: &BackendEntry| entry.name.to_string();
         self.backends
--- a/engine/src/driver/requests.rs
+++ b/engine/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! A request's way from its submission through its attempts to its one outcome.
+//! The life cycle of a request: submission, attempts, and exactly one outcome.
 
 use badgerpost_balancer::{
     AttemptResult, BackendId, Event, Nanos, Outcome, RequestArrival, RequestId,
@@ -8,7 +8,7 @@
 use super::Driver;
 use crate::attempt::{AttemptEnd, AttemptId};
 use crate::backends::BackendAddress;
-use crate::event_log::log_backstop;
+use crate::event_log::log_fallback_timeout;
 use crate::metrics::EndCounting;
 use crate::open_requests::{Delivery, ErrorResponse, OpenRequest, UploadState};
 use crate::pending_io::PendingIo;
@@ -16,7 +16,8 @@
 use crate::timers::TimerPurpose;
 
 impl<P: Protocol> Driver<P> {
-    /// Takes a request. Its outcome is sent to `outcome_sender`. Returns nothing if the client's id of it is in use.
+    /// Opens a request, whose outcome will be sent to `outcome_sender`. Returns `None` if the id that the client gave
+    /// the request is in use.
     pub(crate) fn submit(
         &mut self,
         incoming: IncomingRequest<P>,
@@ -40,10 +41,11 @@
             expires_at,
         };
         let open = OpenRequest::new(incoming, expires_at, upload, outcome_sender);
-        let backstop_at = open.backstop_at();
+        let fallback_timeout_at = open.fallback_timeout_at();
         self.requests.insert(request, open);
         self.metrics.request_started();
-        self.set_timer(backstop_at, TimerPurpose::Backstop(request), pending_io);
+        let purpose = TimerPurpose::FallbackTimeout(request);
+        self.set_timer(fallback_timeout_at, purpose, pending_io);
         let event = match upload {
             UploadState::InProgress => Event::UploadStarted(arrival),
             UploadState::Complete => Event::RequestArrived(arrival),
@@ -53,7 +55,7 @@
         Some(request)
     }
 
-    /// Starts an attempt on a backend, with a time limit if the balancer gives one.
+    /// Starts an attempt on a backend, with a timeout if the balancer sets one.
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
@@ -82,7 +84,8 @@
         let timeout_at = timeout.map_or(Nanos::MAX, |timeout| started_at.saturating_add(timeout));
         let command = open.attempt_command(attempt, target, timeout_at, started.cancelled);
         pending_io.attempts.push(command);
-        // How long an upload takes is no evidence of the health of a zone: it counts once it is complete.
+        // Upload time is no evidence of a zone's health, so the zone monitor sees the attempt once the upload is
+        // complete.
         if !open.is_uploading() {
             let class = open.class;
             self.with_zone_monitoring(pending_io, |zones, now| {
@@ -91,7 +94,7 @@
         }
     }
 
-    /// A request's body has been uploaded. Its client waits for this long from now on.
+    /// Handles the end of the upload of a request's body. The client waits for `budget` from now on.
     pub(crate) fn upload_complete(
         &mut self,
         request: RequestId,
@@ -99,18 +102,18 @@
         pending_io: &mut PendingIo<P>,
     ) {
         let now = self.clock.now();
-        let Some(open) = self.requests.unanswered_mut(request) else {
+        let Some(open) = self.requests.get_pending_mut(request) else {
             return;
         };
         let expires_at = now.saturating_add(budget);
-        let previous_backstop_at = open.backstop_at();
+        let previous_fallback_timeout_at = open.fallback_timeout_at();
         open.complete_upload(now, expires_at);
         let class = open.class;
         let attempts: Vec<AttemptId> = open.in_flight(request).collect();
-        let backstop_at = open.backstop_at();
-        let purpose = TimerPurpose::Backstop(request);
-        self.timers.clear(previous_backstop_at, purpose);
-        self.set_timer(backstop_at, purpose, pending_io);
+        let fallback_timeout_at = open.fallback_timeout_at();
+        let purpose = TimerPurpose::FallbackTimeout(request);
+        self.timers.clear(previous_fallback_timeout_at, purpose);
+        self.set_timer(fallback_timeout_at, purpose, pending_io);
         for attempt in attempts {
             self.with_zone_monitoring(pending_io, |zones, now| {
                 zones.attempt_sent(now, attempt, class)
@@ -123,7 +126,7 @@
         self.handle(event, pending_io);
     }
 
-    /// Sends a request's outcome. Only the first one of a request goes out.
+    /// Sends a request's outcome to whoever submitted the request. Later outcomes of the same request are ignored.
     pub(super) fn finish(
         &mut self,
         request: RequestId,
@@ -143,11 +146,13 @@
             (Some(Delivery::Delivered(_)), EndCounting::AtEndOfStream) | (None, _) => {}
         }
         open.mark_ended(self.clock.now());
-        self.timers
-            .clear(open.backstop_at(), TimerPurpose::Backstop(request));
+        self.timers.clear(
+            open.fallback_timeout_at(),
+            TimerPurpose::FallbackTimeout(request),
+        );
     }
 
-    /// Fails a request, with the last error that a backend has responded with if there is one for its client.
+    /// Fails a request. The outcome contains the error response of the request's last attempt, if there was one.
     pub(super) fn fail(&mut self, request: RequestId) {
         let open = self.requests.get_mut(request);
         match open.and_then(OpenRequest::take_error_response) {
@@ -158,7 +163,7 @@
         }
     }
 
-    /// An attempt has ended. A second end of the same attempt is ignored.
+    /// Handles the end of an attempt. A second end of the same attempt is ignored.
     pub(crate) fn attempt_ended(
         &mut self,
         attempt: AttemptId,
@@ -193,9 +198,9 @@
             (_, Some(response)) => open.set_error_response(ErrorResponse { response, counting }),
             (_, None) => {}
         }
-        // A response that lay in the node's socket while the node stood still tells nothing of its backend's speed.
-        let elapsed = self.clock.known_time_since(in_flight.waiting_since);
-        let request_ended = self.requests.unanswered(request).is_none();
+        // If the node was paused, the response may have waited in the socket, and the response time is unknown.
+        let elapsed = self.clock.elapsed_unless_paused(in_flight.waiting_since);
+        let request_ended = self.requests.get_pending(request).is_none();
         if !in_flight.is_request_complete {
             self.with_zone_monitoring(pending_io, |zones, now| {
                 zones.attempt_sent(now, attempt, class)
@@ -217,7 +222,7 @@
         self.remove_if_done(request);
     }
 
-    /// Rejects a request that never ran on any backend. Returns the outcome for its client.
+    /// Rejects a request that never ran on any backend. Returns the outcome for the client.
     pub(crate) fn reject(
         &mut self,
         request: RequestId,
@@ -228,28 +233,28 @@
         RequestOutcome::Rejected(retry_after)
     }
 
-    /// A request's client no longer waits. If the request has no outcome yet, it fails.
+    /// Handles the disconnection of a request's client. A request without an outcome fails.
     pub(crate) fn client_disconnected(
         &mut self,
         request: RequestId,
         pending_io: &mut PendingIo<P>,
     ) {
-        if self.requests.unanswered(request).is_some() {
+        if self.requests.get_pending(request).is_some() {
             self.abandon(request, RequestOutcome::Failed, pending_io);
         } else {
             self.remove_if_done(request);
         }
     }
 
-    /// Fails a request that the balancer has not ended although its client no longer waits.
+    /// Fails a request that the balancer did not end before the request's fallback timeout.
     pub(super) fn fail_overdue(&mut self, request: RequestId, pending_io: &mut PendingIo<P>) {
-        if let Some(open) = self.requests.unanswered(request) {
-            log_backstop(&open.client_id);
+        if let Some(open) = self.requests.get_pending(request) {
+            log_fallback_timeout(&open.client_id);
             self.abandon(request, RequestOutcome::Failed, pending_io);
         }
     }
 
-    /// Ends a request with an outcome that is not the balancer's, and notifies the balancer that nobody waits for it.
+    /// Ends a request with an outcome that the engine decided, and notifies the balancer that the client is gone.
     fn abandon(
         &mut self,
         request: RequestId,
@@ -261,7 +266,7 @@
         self.remove_if_done(request);
     }
 
-    /// Forgets a request that has its outcome and no attempt in flight.
+    /// Removes a request that has an outcome and no attempts in flight.
     fn remove_if_done(&mut self, request: RequestId) {
         if let Some(done) = self.requests.remove_if_done(request) {
             self.client_request_ids
--- a/engine/src/driver/zones.rs
+++ b/engine/src/driver/zones.rs
@@ -1,4 +1,4 @@
-//! Zone monitoring as the driver runs it: feeds the monitor and does what its output asks for.
+//! Connects zone monitoring to the driver: passes events to the zone monitor and applies the monitor's output.
 
 use badgerpost_balancer::{Event, Nanos, ZoneId};
 use tokio::sync::mpsc;
@@ -13,7 +13,7 @@
 };
 
 impl<P: Protocol> Driver<P> {
-    /// Starts zone monitoring. The seed drives the monitor's random draws.
+    /// Starts zone monitoring. `seed` initialises the zone monitor's random number generator.
     pub(crate) fn start_zone_monitoring(&mut self, seed: u64) {
         let names = (0..self.settings.zone_count)
             .map(|zone| self.names.zone_name(ZoneId(zone)).unwrap_or("").to_owned());
@@ -22,17 +22,17 @@
         self.zone_monitoring = Some(monitoring);
     }
 
-    /// Sets where the monitor's observations for the other nodes go.
+    /// Sets the channel for the zone observations that are to be sent to the other nodes.
     pub(crate) fn set_gossip_sender(&mut self, gossip_sender: mpsc::Sender<ZoneGossip>) {
         self.gossip_sender = Some(gossip_sender);
     }
 
-    /// Another node has joined, left or sent gossip.
+    /// Handles that another node joined, left or sent gossip.
     pub(crate) fn peer_updated(&mut self, update: &PeerUpdate, pending_io: &mut PendingIo<P>) {
         self.with_zone_monitoring(pending_io, |zones, now| zones.peer_updated(now, update));
     }
 
-    /// Operators override a zone's state; none ends an override. Does nothing if there is no such zone.
+    /// See [`Engine::override_zone`](crate::Engine::override_zone).
     pub(crate) fn override_zone(
         &mut self,
         zone_name: &str,
@@ -47,7 +47,7 @@
         });
     }
 
-    /// Has zone monitoring handle something, if it is on, and does what its output asks for.
+    /// Calls `handle` with the zone monitoring, if zone monitoring is on, and applies the output.
     pub(super) fn with_zone_monitoring(
         &mut self,
         pending_io: &mut PendingIo<P>,
@@ -81,8 +81,8 @@
         self.set_timer(timer.at, TimerPurpose::ZoneMonitor, pending_io);
     }
 
-    /// Sends an observation to the other nodes. With the queue full it is lost, and the next one makes up for it: each
-    /// replaces the one before.
+    /// Queues an observation for the other nodes. If the queue is full, the observation is dropped: each observation
+    /// replaces the previous one, so the next one makes up for the loss.
     fn send_gossip(&self, gossip: ZoneGossip) {
         if let Some(sender) = &self.gossip_sender {
             let _ = sender.try_send(gossip);
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -1,7 +1,7 @@
-//! The handle on one fleet's engine, which adapters and discovery clients hold.
+//! The [`Engine`] handle through which adapters and discovery clients use the engine of one fleet.
 //!
-//! Each call borrows the [`Driver`] for its own duration only. What it leaves to be done on the network is done once
-//! that borrow has ended, so that a [`Transport`] may call back.
+//! Each call borrows the [`Driver`] only while the call is handled. The resulting network operations start after that
+//! borrow has ended, so that a [`Transport`] may call back into the engine.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -26,19 +26,19 @@
 use crate::protocol::{IncomingRequest, Protocol, RequestClass, RequestOutcome, UnknownTenant};
 use crate::zone_monitoring::{PeerUpdate, ZoneGossip, ZoneOverride};
 
-/// A timer that fires this much too late shows that the process has stood still.
+/// A timer that fires at least this long after its due time indicates that the process was paused.
 const LATE_TIMER_THRESHOLD: Duration = Duration::from_millis(10);
 
-/// Does on the network what an engine asks for.
+/// Performs the network operations that an [`Engine`] requests.
 pub trait Transport<P: Protocol> {
-    /// Starts an attempt. Its end is reported by [`Engine::attempt_ended`], exactly once.
+    /// Starts an attempt. The transport reports the end of the attempt exactly once, to [`Engine::attempt_ended`].
     fn start_attempt(&self, engine: &Engine<P>, command: AttemptCommand<P>);
 
-    /// Checks a backend's health. The result is reported by [`Engine::health_check_ended`]. A transport whose backends
-    /// can't be checked does nothing.
+    /// Checks a backend's health and reports the result to [`Engine::health_check_ended`]. The default implementation
+    /// does nothing, for transports without health checks.
     fn check_health(&self, _engine: &Engine<P>, _target: BackendAddress) {}
 
-    /// Closes the idle connections to a backend that has left, moved or restarted.
+    /// Closes the idle connections to a backend that is draining, was removed, changed its address or restarted.
     fn close_idle_connections(&self, backend: BackendId);
 }
 
@@ -49,18 +49,18 @@
     pub backend: BackendId,
     /// How the check ended.
     pub outcome: Outcome,
-    /// How long it took.
+    /// The duration of the check.
     pub elapsed: Nanos,
-    /// The backend's load report; empty if there was none.
+    /// The backend's load report; empty if the backend sent none.
     pub report: LoadReport,
 }
 
-/// A handle on one fleet's engine. Cheap to clone; clones share the engine.
+/// A handle to the engine of one fleet. Cloning is cheap, and clones share the engine.
 pub struct Engine<P: Protocol> {
     driver: Rc<RefCell<Driver<P>>>,
     transport: Rc<dyn Transport<P>>,
     next_timer_changed: Rc<Notify>,
-    discovery_wanted: Rc<Notify>,
+    discovery_poll_requested: Rc<Notify>,
     clock: Clock,
 }
 
@@ -70,18 +70,18 @@
             driver: self.driver.clone(),
             transport: self.transport.clone(),
             next_timer_changed: self.next_timer_changed.clone(),
-            discovery_wanted: self.discovery_wanted.clone(),
+            discovery_poll_requested: self.discovery_poll_requested.clone(),
             clock: self.clock.clone(),
         }
     }
 }
 
 impl<P: Protocol> Engine<P> {
-    /// An engine without backends. The seed drives the balancer's random draws.
+    /// Creates an engine without backends. `seed` initialises the balancer's random number generator.
     ///
     /// # Errors
     ///
-    /// Settings that the balancer can't work with.
+    /// Returns an error if the balancer rejects the settings.
     pub fn new(
         settings: Settings,
         names: NameTable,
@@ -94,90 +94,90 @@
             driver: Rc::new(RefCell::new(driver)),
             transport,
             next_timer_changed: Rc::default(),
-            discovery_wanted: Rc::default(),
+            discovery_poll_requested: Rc::default(),
             clock,
         };
         engine.handle(Event::Start);
         Ok(engine)
     }
 
-    /// Starts zone monitoring; to be called before the first endpoint update. The seed drives the monitor's random
-    /// draws.
+    /// Starts zone monitoring. Must be called before the first endpoint update. `seed` initialises the zone monitor's
+    /// random number generator.
     pub fn start_zone_monitoring(&self, seed: u64) {
         self.driver.borrow_mut().start_zone_monitoring(seed);
     }
 
-    /// Sets where the zone monitor's observations for the other nodes of the fleet go.
+    /// Sets the channel for the zone observations that are to be sent to the other nodes of the fleet.
     pub fn set_gossip_sender(&self, gossip_sender: mpsc::Sender<ZoneGossip>) {
         self.driver.borrow_mut().set_gossip_sender(gossip_sender);
     }
 
-    /// Reports that another node of the fleet has joined, left or sent gossip.
+    /// Reports that another node of the fleet joined, left or sent gossip.
     pub fn peer_updated(&self, update: &PeerUpdate) {
         self.with_driver(|driver, pending_io| driver.peer_updated(update, pending_io));
     }
 
-    /// Overrides a zone's state by operators' order; none ends an override. Does nothing if there is no such zone, or
-    /// zones are not monitored.
+    /// Sets an operator's override of a zone's state, or ends the override if `zone_override` is `None`. Does nothing
+    /// if the zone is unknown or zone monitoring is off.
     pub fn override_zone(&self, zone_name: &str, zone_override: Option<ZoneOverride>) {
         self.with_driver(|driver, pending_io| {
             driver.override_zone(zone_name, zone_override, pending_io);
         });
     }
 
-    /// The process's clock.
+    /// The clock that the whole process shares.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// The engine's counters, which any thread may read.
+    /// The engine's metrics, which any thread may read.
     pub fn metrics(&self) -> Arc<Metrics> {
         self.driver.borrow().metrics()
     }
 
-    /// Brings the metrics' backend counts up to date: the number of avoided backends changes with time alone.
+    /// Updates the backend counts in the metrics. The number of avoided backends can change without any event.
     pub fn update_backend_counts(&self) {
         self.driver.borrow().update_backend_counts();
     }
 
-    /// Whether service discovery has delivered an endpoint list since the start. A cached list does not count.
+    /// Whether service discovery has delivered an endpoint list since the engine was created, other than a cached one.
     pub fn has_endpoint_list(&self) -> bool {
         self.driver.borrow().has_endpoint_list()
     }
 
-    /// A request class by name, or none if the settings do not list it.
+    /// Looks up a request class by name. Returns `None` if the settings do not define the class.
     pub fn class(&self, name: &str) -> Option<RequestClass> {
         self.driver.borrow().class(name)
     }
 
-    /// A tenant's number; none on a site without tenants.
+    /// Looks up a tenant's number by name. Returns `None` if the settings define no tenants.
     ///
     /// # Errors
     ///
-    /// The site has tenants, and none of this name.
+    /// Returns an error if the settings define tenants, but none of this name.
     pub fn tenant(&self, name: Option<&str>) -> Result<Option<u32>, UnknownTenant> {
         self.driver.borrow().tenant(name)
     }
 
-    /// The longest that a client of any class waits.
+    /// The longest deadline of all request classes.
     pub fn longest_deadline(&self) -> Duration {
         self.driver.borrow().longest_deadline()
     }
 
-    /// Whether the site's service discovery has to be polled.
+    /// Whether the settings say that service discovery is polled.
     pub fn is_discovery_polled(&self) -> bool {
         self.driver.borrow().is_discovery_polled()
     }
 
-    /// Submits a request. Dropping the response before its outcome is there means that the client has disconnected.
-    /// Returns nothing if the client's id of the request is in use: forwarded, this one would count as another attempt
-    /// of the request that has it.
+    /// Submits a request. Dropping the returned response before the outcome arrives reports that the client has
+    /// disconnected. Returns `None` if the request's id is already in use: a backend would take the request for
+    /// another attempt of the request that has the id.
     pub fn submit(&self, incoming: IncomingRequest<P>) -> Option<PendingResponse<P>> {
         self.submit_with(incoming, UploadState::Complete)
     }
 
-    /// Submits a request whose body is still being uploaded, otherwise like [`submit`](Self::submit). Its budget is
-    /// the longest that the upload may take; [`PendingResponse::upload_complete`] reports its end.
+    /// Submits a request whose body is still being uploaded, otherwise like [`submit`](Self::submit). The request's
+    /// budget limits the upload time; [`PendingResponse::upload_complete`] reports the end of the upload.
     pub fn submit_upload(&self, incoming: IncomingRequest<P>) -> Option<PendingResponse<P>> {
         self.submit_with(incoming, UploadState::InProgress)
     }
@@ -198,30 +198,30 @@
         })
     }
 
-    /// Reports that bytes of a request's body have gone out with this attempt that are not buffered, so that the
-    /// request can't be sent again.
+    /// Reports that this attempt has sent parts of the request's body that are not buffered, so that the request can't
+    /// be retried.
     pub fn body_consumed(&self, attempt: AttemptId) {
         let request = attempt.request;
         self.handle(Event::BodyConsumed { request });
     }
 
-    /// Reports that a backend aborted a response that was being streamed.
+    /// Reports that a backend aborted a response during streaming.
     pub fn response_aborted(&self, backend: BackendId) {
         self.handle(Event::ResponseAborted { backend });
     }
 
-    /// Whether an attempt may still be written. Establishing its connection can outlast the request, the grace period
-    /// of a draining backend, or the time within which a retry is safe.
+    /// Whether an attempt may still be written. While the attempt's connection was being established, the request may
+    /// have ended, the backend may have started to drain, or a retry may have become unsafe.
     pub fn may_write(&self, attempt: AttemptId) -> bool {
         self.driver.borrow().may_write(attempt)
     }
 
-    /// Whether a backend is in service at this address.
+    /// Whether the backend is in service and has this address.
     pub fn is_in_service_at(&self, backend: BackendId, address: SocketAddr) -> bool {
         self.driver.borrow().is_in_service_at(backend, address)
     }
 
-    /// Whether any backend is in service, by the latest endpoint list.
+    /// Whether any backend is in service according to the latest endpoint list.
     pub fn has_endpoint_in_service(&self) -> bool {
         self.driver.borrow().has_endpoint_in_service()
     }
@@ -231,7 +231,7 @@
         self.driver.borrow().endpoints_in_service()
     }
 
-    /// A backend's name, or its number if it is not listed.
+    /// The name of a backend, or the number in the backend's id if the backend is not listed.
     pub fn endpoint_name(&self, backend: BackendId) -> String {
         self.driver.borrow().endpoint_name(backend)
     }
@@ -241,8 +241,7 @@
         self.with_driver(|driver, pending_io| driver.attempt_ended(attempt, end, pending_io));
     }
 
-    /// Reports that part of an attempt's response has gone to the client, so that the request can't be sent anywhere
-    /// else.
+    /// Reports that part of an attempt's response was sent to the client, so that the request can't be retried.
     pub fn response_started(&self, attempt: AttemptId) {
         let request = attempt.request;
         self.handle(Event::ResponseStarted { request });
@@ -271,22 +270,22 @@
         });
     }
 
-    /// Reports that a request to service discovery has failed.
+    /// Reports that a request to service discovery failed.
     pub fn discovery_failed(&self) {
         self.handle(Event::DiscoveryFailed);
     }
 
-    /// Waits until the balancer asks for endpoint changes or a snapshot.
+    /// Waits until the balancer requests endpoint changes or a snapshot of the endpoint list.
     pub async fn discovery_requested(&self) {
-        self.discovery_wanted.notified().await;
+        self.discovery_poll_requested.notified().await;
     }
 
-    /// Whether the balancer wants a snapshot of the endpoint list next. Asking takes the request back.
+    /// Whether the balancer has requested a snapshot of the endpoint list. The call clears the request.
     pub fn take_snapshot_request(&self) -> bool {
         self.driver.borrow_mut().take_snapshot_request()
     }
 
-    /// Handles timers as they fire. Never returns.
+    /// Handles timers when they become due. Never returns.
     pub async fn run_timers(&self) {
         loop {
             let next_at = self.driver.borrow().timers.next_at();
@@ -295,7 +294,7 @@
                 Some(at) => {
                     tokio::select! {
                         biased;
-                        () = self.clock.sleep_until(at) => self.settle_if_late(at).await,
+                        () = self.clock.sleep_until(at) => self.yield_if_late(at).await,
                         () = self.next_timer_changed.notified() => {}
                     }
                 }
@@ -304,9 +303,9 @@
         }
     }
 
-    /// Lets what has arrived be handled before timers that are overdue because the process has stood still: they would
-    /// end requests whose responses lie in its sockets.
-    async fn settle_if_late(&self, timer_at: Nanos) {
+    /// Lets received data be handled before timers that are overdue because the process was paused. Otherwise these
+    /// timers would fail requests whose responses are waiting unread in a socket.
+    async fn yield_if_late(&self, timer_at: Nanos) {
         if self.clock.now().saturating_sub(timer_at) >= nanos(LATE_TIMER_THRESHOLD) {
             self.clock.yield_to_ready_tasks().await;
         }
@@ -322,16 +321,16 @@
         self.with_driver(|driver, pending_io| driver.handle(event, pending_io));
     }
 
-    /// Borrows the driver for one call, and then does what that leaves to be done.
+    /// Calls `call` with the driver borrowed, and then executes the operations that the call collected.
     fn with_driver<T>(&self, call: impl FnOnce(&mut Driver<P>, &mut PendingIo<P>) -> T) -> T {
         let mut pending_io = PendingIo::default();
         let result = call(&mut self.driver.borrow_mut(), &mut pending_io);
-        self.perform(pending_io);
+        self.execute(pending_io);
         result
     }
 
-    /// Does pending work. The transport may call back, so the driver must not be borrowed.
-    fn perform(&self, pending_io: PendingIo<P>) {
+    /// Executes collected operations. The driver must not be borrowed, since the transport may call back.
+    fn execute(&self, pending_io: PendingIo<P>) {
         for backend in pending_io.idle_closures {
             self.transport.close_idle_connections(backend);
         }
@@ -344,8 +343,8 @@
         for attempt in pending_io.unlisted_attempts {
             self.attempt_ended(attempt, AttemptEnd::without_response(Outcome::NotSent));
         }
-        if pending_io.polls_discovery {
-            self.discovery_wanted.notify_one();
+        if pending_io.discovery_poll_requested {
+            self.discovery_poll_requested.notify_one();
         }
         if pending_io.next_timer_changed {
             self.next_timer_changed.notify_one();
@@ -353,7 +352,7 @@
     }
 }
 
-/// A submitted request whose outcome is awaited. Dropping it means that the client has disconnected.
+/// The outcome of a submitted request, to be awaited. Dropping this reports that the client has disconnected.
 pub struct PendingResponse<P: Protocol> {
     engine: Engine<P>,
     request: RequestId,
@@ -361,14 +360,14 @@
 }
 
 impl<P: Protocol> PendingResponse<P> {
-    /// Reports that the request's body has been uploaded. The client waits for `budget` from now on.
+    /// Reports that the request's body has been uploaded. The client waits for another `budget` nanoseconds from now.
     pub fn upload_complete(&self, budget: Nanos) {
         self.engine.with_driver(|driver, pending_io| {
             driver.upload_complete(self.request, budget, pending_io);
         });
     }
 
-    /// Rejects the request, which must not have run on any backend. Returns the outcome for its client.
+    /// Rejects the request, which must not have run on any backend. Returns the outcome for the client.
     pub fn reject(&self) -> RequestOutcome<P::Response> {
         self.engine
             .with_driver(|driver, pending_io| driver.reject(self.request, pending_io))
@@ -379,15 +378,15 @@
         self.wait().await
     }
 
-    /// Waits for the outcome, which can be had once.
+    /// Waits for the outcome. Must not be called again after it has returned the outcome.
     pub async fn wait(&mut self) -> RequestOutcome<P::Response> {
-        // The sender is dropped unused only if the request is gone, and then nothing is known of its outcome.
+        // If the request was removed without an outcome, the sender is dropped and the request counts as failed.
         (&mut self.outcome).await.unwrap_or(RequestOutcome::Failed)
     }
 }
 
 impl<P: Protocol> Drop for PendingResponse<P> {
-    /// A client that disconnects takes its connection's task with it, and so this.
+    /// The task of a client connection ends when the client disconnects, which drops the pending response.
     fn drop(&mut self) {
         let request = self.request;
         self.engine
--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! The engine as adapters see it, with a transport that records what it is asked to do.
+//! Tests the engine through its public interface, with a transport that records commands.
 
 use std::future::Future;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -22,7 +22,7 @@
     type Response = &'static str;
 }
 
-/// Records what it is asked to do.
+/// A transport that records commands and executes none of them.
 #[derive(Default)]
 struct RecordingTransport {
     attempts: RefCell<Vec<AttemptCommand<TestProtocol>>>,
@@ -30,7 +30,7 @@
 }
 
 impl RecordingTransport {
-    /// The last attempt that was to be started and has not been taken yet.
+    /// Removes and returns the most recent command to start an attempt.
     fn take_attempt(&self) -> AttemptCommand<TestProtocol> {
         self.attempts.borrow_mut().pop().expect("an attempt")
     }
@@ -46,7 +46,7 @@
     }
 }
 
-/// An engine with one zone and one class of requests that are not idempotent.
+/// Creates an engine with one zone and one class of non-idempotent requests.
 fn test_engine(drain_grace: Nanos) -> (Engine<TestProtocol>, Rc<RecordingTransport>) {
     let config = serde_json::json!({"az": "a", "zones": ["a"], "discovery": "pushed",
         "classes": [{"name": "pay", "effect": "once", "on-time-ns": 2_000_000_000u64,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Has service discovery deliver a list of one backend in service.
+/// Reports an endpoint list with one backend in service.
 fn list_one_backend(engine: &Engine<TestProtocol>) {
     engine.endpoints_updated(
         EndpointUpdate::Snapshot,
@@ -89,7 +89,7 @@
     );
 }
 
-/// A request with an id that no other one has.
+/// Creates a request with a unique id.
 fn incoming(budget: Nanos) -> IncomingRequest<TestProtocol> {
     static NEXT_ID: AtomicU32 = AtomicU32::new(0);
     let id = NEXT_ID.fetch_add(1, Ordering::Relaxed).to_string().into();
@@ -105,7 +105,7 @@
     }
 }
 
-/// A request's outcome, if it is there already.
+/// The outcome of a request, or `None` if there is no outcome yet.
 fn outcome_now(response: PendingResponse<TestProtocol>) -> Option<RequestOutcome<&'static str>> {
     let outcome = std::pin::pin!(response.into_outcome());
     match outcome.poll(&mut Context::from_waker(Waker::noop())) {
@@ -114,17 +114,17 @@
     }
 }
 
-/// The numbers of requests that the driver and the balancer have open.
+/// The number of open requests in the driver and in the balancer.
 fn open_requests(engine: &Engine<TestProtocol>) -> (usize, usize) {
     let driver = engine.driver.borrow();
     (driver.requests.len(), driver.balancer.open_requests())
 }
 
-fn has_backstop_timer(engine: &Engine<TestProtocol>) -> bool {
+fn has_fallback_timeout(engine: &Engine<TestProtocol>) -> bool {
     let driver = engine.driver.borrow();
     driver
         .timers
-        .any(|purpose| matches!(purpose, TimerPurpose::Backstop(_)))
+        .any(|purpose| matches!(purpose, TimerPurpose::FallbackTimeout(_)))
 }
 
 #[test]
@@ -143,16 +143,16 @@
         outcome_now(response),
         Some(RequestOutcome::Served("paid"))
     ));
-    // A second end of the same attempt changes nothing.
+    // A second end of the same attempt is ignored.
     engine.attempt_ended(
         command.attempt,
         AttemptEnd::without_response(Outcome::Reset),
     );
     assert_eq!(open_requests(&engine), (0, 0));
-    assert!(!has_backstop_timer(&engine));
+    assert!(!has_fallback_timeout(&engine));
 }
 
-/// Establishing a connection can outlast the request: what is written after its outcome would be one send too many.
+/// Guards against sending a request after its outcome, when its connection is established only after the outcome.
 #[test]
 fn attempt_may_not_be_written_after_its_request_has_ended() {
     let (engine, transport) = test_engine(SECOND);
@@ -173,7 +173,7 @@
     assert_eq!(open_requests(&engine), (0, 0));
 }
 
-/// The client has received part of a streamed response: however the attempt ends, no other backend gets the request.
+/// Guards against retrying a request whose client has already received part of a response.
 #[test]
 fn request_is_not_retried_once_its_response_has_started() {
     let (engine, transport) = test_engine(SECOND);
@@ -187,7 +187,7 @@
     let response = engine.submit(incoming(SECOND)).expect("a new id");
     let command = transport.take_attempt();
     engine.response_started(command.attempt);
-    // Not even after an end by which it never ran.
+    // Not even after an outcome that would normally allow a retry.
     engine.attempt_ended(
         command.attempt,
         AttemptEnd::without_response(Outcome::ConnectFailed),
@@ -198,8 +198,8 @@
     );
 }
 
-/// While a connection is established, its backend can begin to drain, or leave the list. The grace period of a drain is
-/// not for the node to use.
+/// Guards against sending to a backend that began to drain or was removed while its connection was being established,
+/// even within the grace period of the drain.
 #[test]
 fn attempt_may_not_be_written_once_its_backend_is_known_to_drain() {
     for (grace, state, expected) in [
@@ -228,7 +228,7 @@
     }
 }
 
-/// The attempt never ends, so the balancer has nothing to go by: the driver fails the request when its time is up.
+/// Guards against a request that stays open for ever because its attempt never ends.
 #[test]
 fn request_that_the_balancer_leaves_open_fails_at_its_deadline() {
     let (engine, transport) = test_engine(SECOND);
@@ -242,14 +242,15 @@
     let outcome = runtime.block_on(async {
         tokio::select! {
             outcome = response.into_outcome() => outcome,
-            () = engine.run_timers() => unreachable!("timers run for ever"),
+            () = engine.run_timers() => unreachable!("run_timers never returns"),
         }
     });
     assert!(matches!(outcome, RequestOutcome::Failed));
     assert!(!engine.may_write(command.attempt));
 }
 
-/// A restarted backend starts slowly again, by the node's own clock, and connections from before its restart are dead.
+/// Guards against a restarted backend that skips slow start, or that is reached over connections from before its
+/// restart.
 #[test]
 fn restart_under_the_same_name_is_reported_and_closes_idle_connections() {
     let (engine, transport) = test_engine(SECOND);
@@ -284,9 +285,9 @@
     assert!(transport.attempts.borrow().is_empty());
 }
 
-/// A long day brings ever new backends, some at old addresses, and ever new ids. None of them may be left behind.
+/// Guards against memory that grows with the number of backends and requests seen so far.
 #[test]
-fn nothing_is_left_behind_by_a_day_of_churn() {
+fn churn_of_backends_and_requests_leaves_no_state_behind() {
     let (engine, transport) = test_engine(SECOND);
     for round in 0..20_000 {
         let name = format!("s-{round}");
@@ -296,7 +297,7 @@
         );
         let response = engine.submit(incoming(SECOND)).expect("a new id");
         let command = transport.attempts.borrow_mut().pop();
-        // Some clients disconnect, some attempts end after their backend has left the list.
+        // Some clients disconnect, and some attempts end after their backend was removed.
         if round % 3 == 0 {
             drop(response);
         }
--- a/engine/src/engine/tests/any_order.rs
+++ b/engine/src/engine/tests/any_order.rs
@@ -1,6 +1,7 @@
-//! Any order of arrivals, disconnecting clients, connections established, resets, responses, deadlines, drains and
-//! endpoint updates: one outcome for each client that stayed, nothing written for one that disconnected or to a backend
-//! past its drain grace, no request that is not idempotent run twice, and nothing left at the end.
+//! Property test with random sequences of requests, client disconnections, established connections, resets, responses,
+//! deadlines, drains and endpoint updates. Each connected client receives exactly one outcome; nothing is written for a
+//! disconnected client or to a backend past its drain grace period; a non-idempotent request runs at most once; no
+//! state is left at the end.
 
 use badgerpost_time::MILLISECOND;
 use proptest::prelude::*;
@@ -12,14 +13,13 @@
 const DRAIN_GRACE: Nanos = 200 * MILLISECOND;
 const KEY_WINDOW: Nanos = 300 * MILLISECOND;
 
-/// The number of classes.
 const CLASS_COUNT: u32 = 3;
-/// Requests with an idempotency key.
+/// The class of requests with an idempotency key.
 const KEYED: ClassId = ClassId(1);
-/// Requests that are not idempotent.
+/// The class of non-idempotent requests.
 const NON_IDEMPOTENT: ClassId = ClassId(2);
 
-/// The port of the first backend; the others follow it.
+/// The port of the first backend. The other backends have the next ports.
 const FIRST_PORT: u16 = 9;
 
 struct TestBackend {
@@ -42,14 +42,14 @@
     },
 ];
 
-/// An attempt that was written.
+/// An attempt whose request was written.
 struct WrittenAttempt {
     at: Nanos,
     backend: usize,
     may_have_run: bool,
 }
 
-/// A request as its client and the backends know it.
+/// A request as observed by its client and by the backends.
 struct ObservedRequest {
     class: ClassId,
     response: Option<PendingResponse<TestProtocol>>,
@@ -63,7 +63,7 @@
     command: AttemptCommand<TestProtocol>,
     request: usize,
     backend: usize,
-    /// Its index among the attempts of its request that were written.
+    /// The attempt's index in [`ObservedRequest::written`]; `None` if it was not written.
     written: Option<usize>,
 }
 
@@ -73,7 +73,7 @@
     virtual_clock: Rc<VirtualClock>,
     requests: Vec<ObservedRequest>,
     attempts: Vec<OpenAttempt>,
-    /// Since when the engine knows that each backend is out of service.
+    /// When the engine was told that a backend is out of service, by backend index; `None` if it is in service.
     draining_since: [Option<Nanos>; BACKENDS.len()],
 }
 
@@ -89,7 +89,7 @@
     ])
 }
 
-/// The class that a step's operand selects.
+/// The class that the operand of a step selects.
 fn class_of(operand: usize) -> ClassId {
     ClassId(u32::try_from(operand).expect("a small operand") % CLASS_COUNT)
 }
@@ -139,7 +139,7 @@
         self.observe();
     }
 
-    /// Takes up the attempts that the engine has started or cancelled, and the outcomes that it has sent.
+    /// Collects the attempts that the engine has started, ends those that it has cancelled, and collects outcomes.
     fn observe(&mut self) {
         self.take_started_attempts();
         self.take_outcomes();
@@ -214,7 +214,7 @@
         self.observe();
     }
 
-    /// An attempt's connection is established: the attempt is written, if the engine still wants that.
+    /// Establishes an attempt's connection, and writes the attempt if the engine permits.
     fn connection_established(&mut self, index: usize) -> Result<(), TestCaseError> {
         let now = self.now();
         let attempt = &self.attempts[index];
@@ -234,7 +234,7 @@
         prop_assert_eq!(request.outcomes, 0, "written after the outcome");
         prop_assert!(
             self.draining_since[backend].is_none_or(|since| now < since + DRAIN_GRACE),
-            "written past the drain grace"
+            "written past the drain grace period"
         );
         check_retry_safety(request, backend, now)?;
         request.written.push(WrittenAttempt {
@@ -260,7 +260,7 @@
         self.observe();
     }
 
-    /// An attempt that was written ends with this outcome; the connection of any other one fails.
+    /// Ends an attempt with this outcome if the attempt was written, and with a connection failure otherwise.
     fn end_or_fail_to_connect(&mut self, index: usize, outcome: Outcome) {
         let is_written = self.attempts[index].written.is_some();
         let outcome = if is_written {
@@ -282,7 +282,7 @@
         }
     }
 
-    /// Does the transport's part: no attempt lasts longer than its deadline.
+    /// Ends the attempts whose deadlines have passed, as a transport must.
     fn time_out_attempts(&mut self) {
         while let Some(index) = self.next_overdue() {
             let outcome = if self.attempts[index].written.is_some() {
@@ -324,7 +324,7 @@
     }
 }
 
-/// Fails if an earlier attempt may have run and the request may not be sent to this backend now.
+/// Fails if an earlier attempt may have run and the request may therefore not be sent to this backend now.
 fn check_retry_safety(
     request: &ObservedRequest,
     backend: usize,
@@ -337,14 +337,17 @@
     {
         prop_assert!(
             request.class != NON_IDEMPOTENT,
-            "a request that is not idempotent written where another attempt may have run"
+            "a non-idempotent request written although another attempt may have run"
         );
         if request.class == KEYED {
             prop_assert!(
                 BACKENDS[earlier.backend].zone == BACKENDS[backend].zone,
-                "out of its deduplication scope"
+                "written outside the deduplication scope"
+            );
+            prop_assert!(
+                now < earlier.at + KEY_WINDOW,
+                "written after the deduplication window"
             );
-            prop_assert!(now < earlier.at + KEY_WINDOW, "after its key's window");
         }
     }
     Ok(())
@@ -354,7 +357,7 @@
     #![proptest_config(ProptestConfig { cases: 600, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_order_of_events_ends_with_one_outcome_and_nothing_left(
+    fn any_order_of_events_ends_with_one_outcome_per_request_and_no_state(
         hedging: bool,
         steps in prop::collection::vec((0u8..16, 0usize..1000), 1..80),
     ) {
@@ -376,6 +379,6 @@
             );
         }
         prop_assert_eq!(open_requests(&simulation.engine), (0, 0));
-        prop_assert!(!has_backstop_timer(&simulation.engine));
+        prop_assert!(!has_fallback_timeout(&simulation.engine));
     }
 }
--- a/engine/src/engine/tests/uploads.rs
+++ b/engine/src/engine/tests/uploads.rs
@@ -1,23 +1,23 @@
-//! Requests that are submitted while their bodies are still being uploaded are evidence of a zone's health like others.
+//! Tests that requests submitted during their upload count as evidence of a zone's health.
 
 use super::*;
 use crate::clock::VirtualClock;
 
 const STEP: Nanos = SECOND / 50;
 
-/// How a request is submitted.
+/// How the test's requests are submitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Submission {
-    /// With all of its body.
+    /// After the upload of the body.
     Complete,
-    /// While its body is uploaded, which is complete at once.
+    /// During an upload that completes right after the submission.
     Uploaded,
-    /// While its body is uploaded, which does not become complete.
+    /// During an upload that does not complete.
     Uploading,
 }
 
-/// The share of zone b after some seconds of requests, those sent there with this outcome.
-fn share_of_failing_zone(submission: Submission, outcome: Outcome) -> f64 {
+/// The share of zone b after 20 s of requests, where all attempts in zone b end with `outcome`.
+fn share_after_outcomes(submission: Submission, outcome: Outcome) -> f64 {
     let config = serde_json::json!({"az": "a", "zones": ["a", "b", "c"], "discovery": "pushed",
         "classes": [{"name": "read", "effect": "repeatable", "on-time-ns": 2_000_000_000u64,
             "deadline-ns": 4_000_000_000u64}],
@@ -77,27 +77,27 @@
 }
 
 #[test]
-fn a_zone_whose_uploads_fail_is_ejected_like_any_other() {
+fn zone_with_failing_uploads_loses_share() {
     for (submission, outcome) in [
         (Submission::Complete, Outcome::Error),
         (Submission::Uploaded, Outcome::Error),
         (Submission::Complete, Outcome::ConnectFailed),
         (Submission::Uploading, Outcome::ConnectFailed),
     ] {
-        let share = share_of_failing_zone(submission, outcome);
+        let share = share_after_outcomes(submission, outcome);
         assert!(share < 1.0, "{submission:?}, {outcome:?}: {share}");
     }
 }
 
-/// How long a body takes is no evidence of a backend's speed.
+/// Guards against upload time that counts as the response time of a backend.
 #[test]
-fn a_zone_whose_uploads_are_served_stays_open() {
+fn zone_with_served_uploads_keeps_its_full_share() {
     for submission in [
         Submission::Complete,
         Submission::Uploaded,
         Submission::Uploading,
     ] {
-        let share = share_of_failing_zone(submission, Outcome::Success);
+        let share = share_after_outcomes(submission, Outcome::Success);
         assert!(share >= 1.0, "{submission:?}: {share}");
     }
 }
--- a/engine/src/event_log.rs
+++ b/engine/src/event_log.rs
@@ -1,4 +1,4 @@
-//! The log messages about backends, zones and requests.
+//! Log messages about backends, zones and requests.
 
 use badgerpost_balancer::{BackendId, LogEvent};
 use badgerpost_settings::NameTable;
@@ -7,17 +7,17 @@
 use crate::zone_monitoring::ZoneChange;
 use badgerpost_time::MILLISECOND;
 
-/// The target of all messages. Operators may filter by it, so it does not follow the module that logs.
+/// The tracing target of all messages. Operators filter by the target, so it must not change with the module layout.
 const LOG_TARGET: &str = "badgerpost_engine::driver";
 
-/// The names of a listed backend and its zone, for a message.
+/// The log fields that identify a backend.
 struct BackendNames<'a> {
     server: Option<&'a str>,
     zone: Option<&'a str>,
 }
 
 impl<'a> BackendNames<'a> {
-    /// The names of a backend, or none if it is not listed.
+    /// Looks up the names of a backend and its zone. The names are `None` if the backend is not listed.
     fn of(backend: BackendId, backends: &'a Backends) -> Self {
         let entry = backends.get(backend);
         Self {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Logs an event that the balancer reports.
+/// Logs an event that the balancer reported.
 pub(crate) fn log_balancer_event(event: &LogEvent, backends: &Backends, names: &NameTable) {
     match event {
         LogEvent::ZoneSpill { active, to } => {
@@ -65,12 +65,13 @@
     tracing::info!(target: LOG_TARGET, zone, why, evidence, share, servers, "zone changed");
 }
 
-/// Logs that a request failed because the balancer had not ended it in time. `client_id` is the client's id of it.
-pub(crate) fn log_backstop(client_id: &str) {
+/// Logs that the engine failed a request at its fallback timeout. `client_id` is the request's id as chosen by the
+/// client.
+pub(crate) fn log_fallback_timeout(client_id: &str) {
     tracing::warn!(
         target: LOG_TARGET,
         request = client_id,
-        reason = "the module left it open",
+        reason = "the balancer did not end the request before its fallback timeout",
         "request failed at its deadline"
     );
 }
--- a/engine/src/heartbeat.rs
+++ b/engine/src/heartbeat.rs
@@ -1,5 +1,5 @@
-//! Notices that the process has stood still: it was stopped, or its machine was short of CPU. What arrived meanwhile is
-//! seen at once afterwards, and says nothing of how long the other side has taken for it.
+//! Detects pauses of the process, for example because it was stopped or its machine was short of CPU. Data that arrived
+//! during a pause is all read right after it, so the measured response times of such data are meaningless.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,37 +8,38 @@
 
 use crate::clock::nanos;
 
-/// A heartbeat that is this much too late tells of a pause: longer than what a busy node's tasks take in one turn.
+/// A heartbeat that is late by at least this much indicates a pause. Must be longer than one turn of the runtime on a
+/// busy node.
 const MIN_PAUSE: Duration = Duration::from_millis(50);
-/// How long after a pause what had arrived in it is still being handled.
+/// How long after a pause data that arrived during the pause may still be waiting to be handled.
 const CATCH_UP_TIME: Duration = Duration::from_millis(20);
 
-/// The regular heartbeats of one process.
+/// Detects pauses of the process from late heartbeats.
 #[derive(Debug, Default)]
 pub(crate) struct Heartbeat {
-    /// When the next one is due; none before the first.
+    /// When the next heartbeat is due; `None` if none is scheduled.
     due_at: Cell<Option<Nanos>>,
-    /// When the process went on after its last pause; none without a pause.
+    /// When the process resumed after its last pause; `None` if there was no pause.
     resumed_at: Cell<Option<Nanos>>,
 }
 
 impl Heartbeat {
-    /// The next heartbeat is due at this time.
-    pub(crate) fn expect(&self, due_at: Nanos) {
+    /// Schedules the next heartbeat.
+    pub(crate) fn schedule(&self, due_at: Nanos) {
         self.due_at.set(Some(due_at));
     }
 
-    /// The heartbeat that was due.
-    pub(crate) fn beat(&self, now: Nanos) {
+    /// Records the scheduled heartbeat.
+    pub(crate) fn record(&self, now: Nanos) {
         if self.is_late(now) {
             self.resumed_at.set(Some(now));
         }
         self.due_at.set(None);
     }
 
-    /// Whether the process has stood still since then, and has gone on only a moment ago.
+    /// Whether the process was paused after `since` and has resumed only just now.
     pub(crate) fn has_just_resumed(&self, now: Nanos, since: Nanos) -> bool {
-        // The first that goes on after a pause need not be the heartbeat.
+        // After a pause, other tasks may run before the heartbeat does.
         if self.is_late(now) {
             return true;
         }
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -1,8 +1,9 @@
-//! The engine between adapters and the decision module: sole owner of one [`badgerpost_balancer::Balancer`] for each
-//! fleet, and of its ids, timers, open requests and attempts.
+//! The engine connects protocol adapters to the balancer. One [`Engine`] per fleet owns that fleet's
+//! [`badgerpost_balancer::Balancer`] and its ids, timers, open requests and attempts.
 //!
-//! It knows no protocol: what a request carries and what a response is are a [`Protocol`]'s types, and a [`Transport`]
-//! sends the attempts. Its [`Clock`] is the process's only one, and a test can control it.
+//! The engine is independent of any protocol: a [`Protocol`] defines the types of requests and responses, and a
+//! [`Transport`] sends the attempts. All time in the process comes from one [`Clock`], which tests can replace by a
+//! [`VirtualClock`].
 
 mod accept_backoff;
 pub mod activity;
--- a/engine/src/open_requests.rs
+++ b/engine/src/open_requests.rs
@@ -1,9 +1,8 @@
-//! The open requests of one engine: those that have no outcome yet, and those that have one but still have attempts
-//! in flight.
+//! The open requests of one engine. A request is open until it has an outcome and none of its attempts is in flight.
 //!
 //! ```text
-//! submitted --> unanswered --> ended, attempts in flight --> removed
-//!                    \________________________________________/
+//! submitted --> pending --> ended, attempts in flight --> removed
+//!                  \______________________________________/
 //! ```
 
 use std::collections::HashMap;
@@ -17,78 +16,74 @@
 use crate::metrics::{EndCounting, RequestEnd};
 use crate::protocol::{IncomingRequest, Protocol, RequestOutcome};
 
-/// How long after a client stops waiting its request fails by itself, in nanoseconds, should the balancer not end it:
-/// longer than the balancer's own housekeeping takes, and well within the slack that the platform allows.
-const BACKSTOP_DELAY: Nanos = 20_000_000;
+/// The engine fails a request this long after the request's deadline if the balancer has not ended the request. Must be
+/// longer than the delay of the balancer's own timeouts, and shorter than the lateness that the platform tolerates.
+const FALLBACK_TIMEOUT_DELAY_NS: Nanos = 20_000_000;
 
-/// Whether a request's body was there when the request was submitted.
+/// Whether a request's body has been uploaded in full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UploadState {
-    /// It was, or there is none.
+    /// The request has no body, or the node has received the whole body.
     Complete,
-    /// It is still being uploaded.
+    /// The body is still being uploaded.
     InProgress,
 }
 
 /// An attempt that has not ended.
 pub(crate) struct InFlightAttempt {
-    /// The backend that it was sent to.
     backend: BackendId,
-    /// Whether its backend has all of its request, and is waited for.
+    /// Whether the request's body has been uploaded in full, so that the node is waiting for the backend only.
     pub(crate) is_request_complete: bool,
-    /// Since when the backend's response is waited for: since the attempt was sent, or its upload completed.
+    /// When the wait for the backend's response began: at the start of the attempt, or at the end of the upload.
     pub(crate) waiting_since: Nanos,
-    /// None once the attempt is cancelled.
+    /// `None` once the attempt is cancelled.
     cancel_sender: Option<oneshot::Sender<()>>,
 }
 
 /// A new attempt of a request.
 pub(crate) struct StartedAttempt {
-    /// Its number.
     pub(crate) number: AttemptNumber,
     /// Resolves with `Ok` once the attempt is cancelled.
     pub(crate) cancelled: oneshot::Receiver<()>,
 }
 
-/// What came of sending a request's outcome to whoever submitted it.
+/// The result of sending a request's outcome to whoever submitted the request.
 pub(crate) enum Delivery {
-    /// It was received.
+    /// The outcome was received.
     Delivered(RequestEnd),
-    /// Nobody waits for it any more.
+    /// The receiver was dropped.
     ClientDisconnected,
 }
 
-/// A backend's response that is no success.
+/// A backend's response to an attempt that did not succeed.
 pub(crate) struct ErrorResponse<R> {
-    /// The response.
     pub(crate) response: R,
-    /// When the end of a request is counted that fails with it.
+    /// When the metrics count the end of a request that fails with this response.
     pub(crate) counting: EndCounting,
 }
 
-/// A request that has no outcome yet, or attempts in flight.
+/// A request that has no outcome yet, or has attempts in flight.
 pub(crate) struct OpenRequest<P: Protocol> {
-    /// The client's id of it.
+    /// The request's id as chosen by the client.
     pub(crate) client_id: Box<str>,
-    /// Its class.
     pub(crate) class: ClassId,
     payload: Rc<P::Request>,
-    /// When its client stops waiting; until an upload is complete, when the upload times out.
+    /// When the client stops waiting or, during an upload, when the upload times out.
     expires_at: Nanos,
-    /// Present if the request was submitted before its body was uploaded: notifies the attempts of their deadline.
+    /// Notifies the attempts of a changed deadline. Present if the request was submitted while its body was uploaded.
     upload_deadline: Option<watch::Sender<Nanos>>,
     upload: UploadState,
-    /// By attempt number; none where an attempt has ended.
+    /// Indexed by attempt number; `None` for attempts that have ended.
     attempts: Vec<Option<InFlightAttempt>>,
-    /// The response of the last attempt if it was no success, for the client should the request fail.
+    /// The error response of the last attempt, which the client receives if the request fails.
     error_response: Option<ErrorResponse<P::Response>>,
-    /// None once the outcome is sent.
+    /// `None` once the outcome is sent.
     outcome_sender: Option<oneshot::Sender<RequestOutcome<P::Response>>>,
     has_ended: bool,
 }
 
 impl<P: Protocol> OpenRequest<P> {
-    /// A request without attempts. Its outcome is sent to `outcome_sender`.
+    /// Creates a request without attempts, whose outcome will be sent to `outcome_sender`.
     pub(crate) fn new(
         incoming: IncomingRequest<P>,
         expires_at: Nanos,
@@ -110,8 +105,8 @@
         }
     }
 
-    /// Whether the client still waits for the outcome at this time.
-    pub(crate) fn is_awaited(&self, now: Nanos) -> bool {
+    /// Whether the client is still waiting for an outcome.
+    pub(crate) fn is_client_waiting(&self, now: Nanos) -> bool {
         !self.has_ended && now < self.expires_at
     }
 
@@ -125,25 +120,25 @@
         self.attempts
             .iter()
             .enumerate()
-            .filter_map(move |(earlier, attempt)| {
+            .filter_map(move |(index, attempt)| {
                 Some(AttemptId {
                     request,
-                    number: AttemptNumber::after(earlier),
+                    number: AttemptNumber::from_index(index),
                     backend: attempt.as_ref()?.backend,
                 })
             })
     }
 
-    /// When the request fails by itself.
-    pub(crate) fn backstop_at(&self) -> Nanos {
-        self.expires_at.saturating_add(BACKSTOP_DELAY)
+    /// When the engine fails the request if the balancer has not ended the request.
+    pub(crate) fn fallback_timeout_at(&self) -> Nanos {
+        self.expires_at.saturating_add(FALLBACK_TIMEOUT_DELAY_NS)
     }
 
-    /// Adds an attempt, which replaces the error response of the one before it.
+    /// Adds an attempt and discards the error response of the previous one.
     pub(crate) fn start_attempt(&mut self, now: Nanos, backend: BackendId) -> StartedAttempt {
         self.error_response = None;
         let (cancel_sender, cancelled) = oneshot::channel();
-        let number = AttemptNumber::after(self.attempts.len());
+        let number = AttemptNumber::from_index(self.attempts.len());
         self.attempts.push(Some(InFlightAttempt {
             backend,
             is_request_complete: !self.is_uploading(),
@@ -153,7 +148,8 @@
         StartedAttempt { number, cancelled }
     }
 
-    /// The command to send an attempt to a backend. It times out at `timeout_at`, or earlier with the request.
+    /// Builds the command that starts an attempt. The attempt times out at `timeout_at`, or at the request's deadline
+    /// if that is earlier.
     pub(crate) fn attempt_command(
         &self,
         attempt: AttemptId,
@@ -173,23 +169,24 @@
         }
     }
 
-    /// Cancels an attempt. One that has ended meanwhile is left alone: its own end is on the way.
+    /// Cancels an attempt. Does nothing if the attempt has ended or was cancelled before.
     pub(crate) fn cancel_attempt(&mut self, number: AttemptNumber) {
         let Some(Some(attempt)) = self.attempts.get_mut(number.index()) else {
             return;
         };
         if let Some(cancel_sender) = attempt.cancel_sender.take() {
-            // The attempt's task may have finished just now.
+            // Sending fails if the attempt's task has just finished.
             let _ = cancel_sender.send(());
         }
     }
 
-    /// Removes an attempt that has ended. Returns nothing if it had ended before.
+    /// Removes an attempt that has ended. Returns `None` if the attempt was removed before.
     pub(crate) fn take_attempt(&mut self, number: AttemptNumber) -> Option<InFlightAttempt> {
         self.attempts.get_mut(number.index())?.take()
     }
 
-    /// Starts the client's waiting time, and the backends', as the upload is complete.
+    /// Records the end of the upload: sets the client's deadline, and starts the response time of the attempts in
+    /// flight.
     pub(crate) fn complete_upload(&mut self, now: Nanos, expires_at: Nanos) {
         self.expires_at = expires_at;
         if let Some(upload_deadline) = &self.upload_deadline {
@@ -202,7 +199,7 @@
         }
     }
 
-    /// Sends the outcome to whoever submitted the request. Returns nothing if that has been done before.
+    /// Sends the outcome to whoever submitted the request. Returns `None` if an outcome was sent before.
     pub(crate) fn send_outcome(
         &mut self,
         outcome: RequestOutcome<P::Response>,
@@ -216,18 +213,17 @@
         Some(delivery)
     }
 
-    /// Keeps a backend's response that is no success, in place of an earlier one.
+    /// Stores the error response of an attempt, replacing an earlier one.
     pub(crate) fn set_error_response(&mut self, error_response: ErrorResponse<P::Response>) {
         self.error_response = Some(error_response);
     }
 
-    /// Takes the last response of a backend that was no success.
     pub(crate) fn take_error_response(&mut self) -> Option<ErrorResponse<P::Response>> {
         self.error_response.take()
     }
 
-    /// Marks the request as ended, and ends the waiting time of its attempts: while its body is being uploaded nothing
-    /// else ends them.
+    /// Marks the request as ended. During an upload, also sets the deadline of the attempts to `now`, because nothing
+    /// else ends these attempts.
     pub(crate) fn mark_ended(&mut self, now: Nanos) {
         self.has_ended = true;
         if let Some(upload_deadline) = &self.upload_deadline {
@@ -235,13 +231,13 @@
         }
     }
 
-    /// Whether the request has its outcome and no attempt is in flight.
+    /// Whether the request has an outcome and no attempts in flight.
     fn is_done(&self) -> bool {
         self.has_ended && self.attempts.iter().all(Option::is_none)
     }
 }
 
-/// The open requests by id. Bounded by the adapters' limits on connections and sessions.
+/// The open requests by id. The adapters' limits on connections and sessions bound the number of entries.
 pub(crate) struct OpenRequests<P: Protocol> {
     requests: HashMap<RequestId, OpenRequest<P>>,
     next_id: u64,
@@ -257,39 +253,36 @@
 }
 
 impl<P: Protocol> OpenRequests<P> {
-    /// An id that no other request has or had.
+    /// Returns a request id that was never used before.
     pub(crate) fn allocate_id(&mut self) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
         id
     }
 
-    /// Adds a request.
     pub(crate) fn insert(&mut self, id: RequestId, request: OpenRequest<P>) {
         self.requests.insert(id, request);
     }
 
-    /// An open request.
     pub(crate) fn get(&self, id: RequestId) -> Option<&OpenRequest<P>> {
         self.requests.get(&id)
     }
 
-    /// An open request, to be changed.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest<P>> {
         self.requests.get_mut(&id)
     }
 
-    /// An open request that has no outcome yet.
-    pub(crate) fn unanswered(&self, id: RequestId) -> Option<&OpenRequest<P>> {
+    /// Returns a request if it is open and has no outcome yet.
+    pub(crate) fn get_pending(&self, id: RequestId) -> Option<&OpenRequest<P>> {
         self.get(id).filter(|request| !request.has_ended)
     }
 
-    /// An open request that has no outcome yet, to be changed.
-    pub(crate) fn unanswered_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest<P>> {
+    /// Like [`get_pending`](Self::get_pending), with mutable access.
+    pub(crate) fn get_pending_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest<P>> {
         self.get_mut(id).filter(|request| !request.has_ended)
     }
 
-    /// Removes a request if it has its outcome and no attempt is in flight.
+    /// Removes and returns a request if it has an outcome and no attempts in flight.
     pub(crate) fn remove_if_done(&mut self, id: RequestId) -> Option<OpenRequest<P>> {
         if !self.get(id)?.is_done() {
             return None;
@@ -297,7 +290,6 @@
         self.requests.remove(&id)
     }
 
-    /// The number of open requests.
     #[cfg(test)]
     pub(crate) fn len(&self) -> usize {
         self.requests.len()
--- a/engine/src/pending_io.rs
+++ b/engine/src/pending_io.rs
@@ -1,4 +1,4 @@
-//! The network operations and task notifications that result from the handling of an event.
+//! The network operations and task notifications that result from handling an event.
 
 use badgerpost_balancer::BackendId;
 
@@ -6,19 +6,18 @@
 use crate::backends::BackendAddress;
 use crate::protocol::Protocol;
 
-/// Work collected while the driver is borrowed, and done once that borrow has ended.
+/// Operations collected while the driver is borrowed, and executed after the borrow has ended.
 pub(crate) struct PendingIo<P: Protocol> {
-    /// Attempts to start.
     pub(crate) attempts: Vec<AttemptCommand<P>>,
-    /// Attempts on backends that are no longer listed. They end without having been sent.
+    /// Attempts on backends that are no longer listed. These attempts end without being sent.
     pub(crate) unlisted_attempts: Vec<AttemptId>,
-    /// Backends whose idle connections are of no more use.
+    /// Backends whose idle connections are to be closed.
     pub(crate) idle_closures: Vec<BackendId>,
     /// Backends whose health is to be checked.
     pub(crate) health_checks: Vec<BackendAddress>,
-    /// Whether service discovery is to be asked.
-    pub(crate) polls_discovery: bool,
-    /// Whether the next timer fires earlier than before.
+    /// Whether service discovery is to be polled.
+    pub(crate) discovery_poll_requested: bool,
+    /// Whether a timer was set that fires before all others.
     pub(crate) next_timer_changed: bool,
 }
 
@@ -29,7 +28,7 @@
             unlisted_attempts: Vec::new(),
             idle_closures: Vec::new(),
             health_checks: Vec::new(),
-            polls_discovery: false,
+            discovery_poll_requested: false,
             next_timer_changed: false,
         }
     }
