--- a/engine/src/backends.rs
+++ b/engine/src/backends.rs
@@ -1,4 +1,4 @@
-//! The backends of a fleet: which name has which id, where each listens, and whether it is draining.
+//! The table of a fleet's backends: maps names to ids, and ids to addresses and drain states.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -11,43 +11,42 @@
 
 /// One entry of the endpoint list that service discovery delivers.
 pub struct DiscoveredEndpoint {
-    /// The backend's name.
+    /// The backend's name, unique in the fleet.
     pub name: String,
-    /// Where it listens.
+    /// The address that the backend listens on.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// The name of the backend's zone.
     pub zone: String,
-    /// The name of its machine kind.
+    /// The name of the backend's machine kind.
     pub machine_kind: String,
-    /// Its cell.
+    /// The number of the backend's cell.
     pub cell: u64,
-    /// Whether it is in service, draining or removed.
+    /// Whether the backend is in service, draining or removed.
     pub state: EndpointState,
-    /// Its capacity, relative to the other backends.
+    /// The backend's capacity relative to the other backends.
     pub size: f64,
-    /// When it last started, in Unix time; 0 if that was long ago.
+    /// The backend's last start in milliseconds of Unix time; 0 if the backend started long ago.
     pub started_at_ms: u64,
 }
 
-/// A backend and where it listens.
+/// A backend and its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BackendAddress {
-    /// The backend.
+    /// The backend's id.
     pub backend: BackendId,
-    /// Where it listens.
+    /// The address that the backend listens on.
     pub address: SocketAddr,
 }
 
-/// What the engine knows of a listed backend.
+/// The table entry of a listed backend.
 pub(crate) struct BackendEntry {
-    /// Its name, for logs.
+    /// The backend's name, for logs.
     pub(crate) name: Rc<str>,
-    /// The name of its zone, for logs.
+    /// The name of the backend's zone, for logs.
     pub(crate) zone: Rc<str>,
-    /// Where it listens.
     pub(crate) address: SocketAddr,
     started_at_ms: u64,
-    /// Whether the backend is no longer in service.
+    /// Whether the backend is draining or removed.
     pub(crate) is_draining: bool,
 }
 
@@ -56,23 +55,24 @@
         !self.is_draining
     }
 
-    /// Whether connections to the backend that were opened under this entry lead nowhere under the new one.
+    /// Whether the backend has moved or restarted, so that existing connections to the backend are unusable.
     fn is_replaced_by(&self, endpoint: &DiscoveredEndpoint) -> bool {
         self.address != endpoint.address || self.started_at_ms != endpoint.started_at_ms
     }
 }
 
-/// A backend table entry after an endpoint update.
+/// The result of updating a backend's entry.
 pub(crate) struct UpdatedBackend {
-    /// The endpoint in the balancer's terms.
+    /// The endpoint, converted for the balancer.
     pub(crate) endpoint: Endpoint,
-    /// Whether idle connections to the backend are of no more use.
+    /// Whether idle connections to the backend are to be closed.
     pub(crate) close_idle_connections: bool,
 }
 
-/// All backends of a fleet. Bounded by the endpoint list, which service discovery bounds.
+/// All backends of a fleet. The service discovery client limits the length of the endpoint list, and thereby the number
+/// of entries.
 pub(crate) struct Backends {
-    /// Ordered, so that equal histories produce equal behaviour.
+    /// An ordered map, so that the engine behaves deterministically.
     ids: BTreeMap<String, BackendId>,
     entries: HashMap<BackendId, BackendEntry>,
     next_id: u32,
@@ -80,7 +80,6 @@
 }
 
 impl Backends {
-    /// No backends yet.
     pub(crate) fn new(slow_start_duration: Nanos) -> Self {
         Self {
             ids: BTreeMap::new(),
@@ -90,7 +89,8 @@
         }
     }
 
-    /// Prepares for the entries of a list.
+    /// Updates the start time estimates for a received list. Must be called before [`update`](Self::update) is called
+    /// for the entries of the list.
     pub(crate) fn list_received(&mut self, at: ListTime, endpoints: &[DiscoveredEndpoint]) {
         let entries = endpoints
             .iter()
@@ -100,17 +100,14 @@
         self.starts.prune(|name| ids.contains_key(name));
     }
 
-    /// The entry of a listed backend.
     pub(crate) fn get(&self, id: BackendId) -> Option<&BackendEntry> {
         self.entries.get(&id)
     }
 
-    /// The number of listed backends.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether any backend is in service.
     pub(crate) fn has_any_in_service(&self) -> bool {
         self.entries.values().any(BackendEntry::is_in_service)
     }
@@ -130,8 +127,8 @@
         addresses
     }
 
-    /// The names that an update removes: those that it lists as removed, and, unless it is a delta, those that it does
-    /// not list.
+    /// The names of the backends that an update removes: those that the update lists as removed and, unless the update
+    /// is a delta, those that are missing from the update.
     pub(crate) fn names_removed_by(
         &self,
         update: EndpointUpdate,
@@ -156,14 +153,14 @@
         removed
     }
 
-    /// Removes a backend. One that appears later under the same name gets a new id.
+    /// Removes a backend. A backend that is listed later under the same name gets a new id.
     pub(crate) fn remove(&mut self, name: &str) -> Option<BackendId> {
         let id = self.ids.remove(name)?;
         self.entries.remove(&id);
         Some(id)
     }
 
-    /// Adds or updates the entry of one endpoint. Returns nothing for an endpoint that is removed and was never known.
+    /// Adds or updates the entry of an endpoint. Returns `None` for a removed endpoint that has no entry.
     pub(crate) fn update(
         &mut self,
         endpoint: &DiscoveredEndpoint,
@@ -191,7 +188,7 @@
         })
     }
 
-    /// The id of an endpoint's name. A new name gets a new id, unless the endpoint is removed.
+    /// Returns the id of an endpoint's name, and allocates an id for a new name unless the endpoint is removed.
     fn id_for(&mut self, endpoint: &DiscoveredEndpoint) -> Option<BackendId> {
         if let Some(&id) = self.ids.get(&endpoint.name) {
             return Some(id);
@@ -205,14 +202,13 @@
         Some(id)
     }
 
-    /// Whether neither a name nor an entry is left.
     #[cfg(test)]
     pub(crate) fn is_empty(&self) -> bool {
         self.ids.is_empty() && self.entries.is_empty()
     }
 }
 
-/// A discovered endpoint in the balancer's terms.
+/// Converts a discovered endpoint for the balancer.
 fn balancer_endpoint(
     id: BackendId,
     endpoint: &DiscoveredEndpoint,
--- a/engine/src/start_times/tests.rs
+++ b/engine/src/start_times/tests.rs
@@ -2,17 +2,17 @@
 
 const SLOW_START: i64 = 20 * SECOND;
 /// The true Unix time of the first list.
-const BEGIN: i64 = 1_700_000_000 * SECOND;
+const FIRST_LIST_AT: i64 = 1_700_000_000 * SECOND;
 
-/// Lists as a node with this wall clock sees them; the engine's clock begins at the wall clock's time.
-struct Lists {
+/// A node that receives endpoint lists. The engine's clock is set from the node's wall clock.
+struct TestNode {
     starts: StartTimes,
-    /// By how much the wall clock was ahead of the true time as the engine's clock was set.
+    /// How far the wall clock was ahead of the true time when the engine's clock was set.
     clock_error: i64,
     is_first: bool,
 }
 
-impl Lists {
+impl TestNode {
     fn with_clock_ahead_by(clock_error: i64) -> Self {
         Self {
             starts: StartTimes::new(SLOW_START as u64),
@@ -21,17 +21,17 @@
         }
     }
 
-    /// A list at this time after the first one, by a wall clock that has stepped by so much since; returns the ages of
-    /// its backends, each given by its start relative to the first list's true time.
+    /// Receives a list `after` nanoseconds after the first one, with the wall clock stepped by `step` since. Each
+    /// listed backend has a name and a start relative to `FIRST_LIST_AT`. Returns the backends' ages in seconds.
     fn ages(&mut self, after: i64, step: i64, listed: &[(&str, i64)]) -> Vec<Option<i64>> {
-        let now = BEGIN + self.clock_error + after;
+        let now = FIRST_LIST_AT + self.clock_error + after;
         let at = ListTime {
             now: now as u64,
             wall_clock_lead: step,
             is_first: self.is_first,
         };
         self.is_first = false;
-        let milliseconds = |start: i64| ((BEGIN + start) / 1_000_000) as u64;
+        let milliseconds = |start: i64| ((FIRST_LIST_AT + start) / 1_000_000) as u64;
         let entries = listed
             .iter()
             .map(|(name, start)| (*name, milliseconds(*start)));
@@ -45,10 +45,10 @@
 }
 
 #[test]
-fn a_start_of_long_ago_is_none() {
+fn start_listed_as_zero_has_no_start_time() {
     let mut starts = StartTimes::new(SLOW_START as u64);
     let at = ListTime {
-        now: BEGIN as u64,
+        now: FIRST_LIST_AT as u64,
         wall_clock_lead: 0,
         is_first: true,
     };
@@ -57,21 +57,21 @@
 }
 
 #[test]
-fn the_first_list_goes_by_a_wall_clock_that_is_right() {
-    let mut lists = Lists::with_clock_ahead_by(0);
+fn first_list_uses_a_correct_wall_clock() {
+    let mut node = TestNode::with_clock_ahead_by(0);
     let listed = [("a", -5 * SECOND), ("b", -600 * SECOND), ("c", -2 * HOUR)];
-    assert_eq!(lists.ages(0, 0, &listed), [Some(5), Some(600), Some(7200)]);
+    assert_eq!(node.ages(0, 0, &listed), [Some(5), Some(600), Some(7200)]);
 }
 
 #[test]
-fn a_start_in_a_change_is_recent_by_any_wall_clock() {
+fn new_start_in_a_later_list_is_recent_with_any_wall_clock_error() {
     for clock_error in [0, HOUR, -HOUR, 30 * SECOND, -30 * SECOND, 100 * HOUR] {
-        let mut lists = Lists::with_clock_ahead_by(clock_error);
-        lists.ages(0, 0, &[("old", -2 * HOUR)]);
-        assert_eq!(lists.ages(9 * SECOND, 0, &[("new", 8 * SECOND)]), [Some(0)]);
-        // The latest start tells the time from then on.
+        let mut node = TestNode::with_clock_ahead_by(clock_error);
+        node.ages(0, 0, &[("old", -2 * HOUR)]);
+        assert_eq!(node.ages(9 * SECOND, 0, &[("new", 8 * SECOND)]), [Some(0)]);
+        // Later ages are computed from the latest start.
         assert_eq!(
-            lists.ages(20 * SECOND, 0, &[("next", 12 * SECOND)]),
+            node.ages(20 * SECOND, 0, &[("next", 12 * SECOND)]),
             [Some(7)],
             "ahead by {clock_error}"
         );
@@ -79,97 +79,96 @@
 }
 
 #[test]
-fn a_step_while_the_node_runs_changes_no_age() {
+fn wall_clock_step_after_the_first_list_keeps_old_and_new_starts_apart() {
     for step in [HOUR, -HOUR, 5 * SECOND, -5 * SECOND] {
-        let mut lists = Lists::with_clock_ahead_by(0);
-        lists.ages(0, 0, &[("old", -2 * HOUR)]);
+        let mut node = TestNode::with_clock_ahead_by(0);
+        node.ages(0, 0, &[("old", -2 * HOUR)]);
         let listed = [("old", -2 * HOUR), ("new", 9 * SECOND)];
-        let [old, new] = lists.ages(10 * SECOND, step, &listed)[..] else {
+        let [old, new] = node.ages(10 * SECOND, step, &listed)[..] else {
             panic!("two ages");
         };
         assert!(old > Some(3600), "{step}: {old:?}");
         assert_eq!(new, Some(0), "{step}");
-        assert_eq!(lists.ages(15 * SECOND, 0, &listed)[1], Some(5), "{step}");
+        assert_eq!(node.ages(15 * SECOND, 0, &listed)[1], Some(5), "{step}");
     }
 }
 
-/// All machines' clocks step together: the start lies an hour before an earlier one.
+/// The clocks of all machines step back by an hour, so a new start is listed with an earlier time than a known one.
 #[test]
-fn a_start_after_all_clocks_have_stepped_back_is_recent() {
-    let mut lists = Lists::with_clock_ahead_by(0);
-    lists.ages(0, 0, &[("old", -2 * HOUR)]);
-    lists.ages(5 * SECOND, 0, &[("one", 4 * SECOND)]);
+fn start_after_all_clocks_stepped_back_is_recent() {
+    let mut node = TestNode::with_clock_ahead_by(0);
+    node.ages(0, 0, &[("old", -2 * HOUR)]);
+    node.ages(5 * SECOND, 0, &[("one", 4 * SECOND)]);
     let stepped = [("two", 9 * SECOND - HOUR)];
-    assert_eq!(lists.ages(10 * SECOND, -HOUR, &stepped), [Some(1)]);
+    assert_eq!(node.ages(10 * SECOND, -HOUR, &stepped), [Some(1)]);
 }
 
 #[test]
-fn backends_that_have_long_been_up_stay_warm_where_the_first_list_is_read_by_a_wrong_clock() {
+fn old_backends_stay_out_of_slow_start_if_the_first_list_is_read_with_a_wrong_clock() {
     for clock_error in [HOUR, -HOUR] {
-        let mut lists = Lists::with_clock_ahead_by(clock_error);
+        let mut node = TestNode::with_clock_ahead_by(clock_error);
         let listed = [("a", -600 * SECOND), ("b", -590 * SECOND)];
-        let ages = lists.ages(0, 0, &listed);
+        let ages = node.ages(0, 0, &listed);
         assert!(
             ages.iter().all(|age| *age >= Some(590)),
             "{clock_error}: {ages:?}"
         );
     }
-    // Behind by seconds: the latest start may be a moment ago, the others are older by as much as they are listed.
-    let mut lists = Lists::with_clock_ahead_by(-30 * SECOND);
+    // With a clock that is seconds behind, the latest start counts as just now, and the other ages are relative to it.
+    let mut node = TestNode::with_clock_ahead_by(-30 * SECOND);
     let listed = [("a", -600 * SECOND), ("b", -10 * SECOND)];
-    assert_eq!(lists.ages(0, 0, &listed), [Some(590), Some(0)]);
+    assert_eq!(node.ages(0, 0, &listed), [Some(590), Some(0)]);
 }
 
 #[test]
-fn a_recent_start_in_the_first_list_is_recent_by_a_clock_that_is_an_hour_off() {
+fn recent_start_in_the_first_list_is_recent_with_a_clock_that_is_an_hour_off() {
     for clock_error in [HOUR, -HOUR] {
-        let mut lists = Lists::with_clock_ahead_by(clock_error);
+        let mut node = TestNode::with_clock_ahead_by(clock_error);
         assert_eq!(
-            lists.ages(0, 0, &[("a", -3 * SECOND), ("b", -2 * HOUR)])[0],
+            node.ages(0, 0, &[("a", -3 * SECOND), ("b", -2 * HOUR)])[0],
             Some(3)
         );
     }
-    // By a clock that is right something newer shows that an hour ago is an hour ago.
-    let mut lists = Lists::with_clock_ahead_by(0);
+    // With a correct clock, the later start of b shows that a did start over an hour ago.
+    let mut node = TestNode::with_clock_ahead_by(0);
     let listed = [("a", -HOUR - 5 * SECOND), ("b", -600 * SECOND)];
-    assert_eq!(lists.ages(0, 0, &listed), [Some(3605), Some(600)]);
+    assert_eq!(node.ages(0, 0, &listed), [Some(3605), Some(600)]);
 }
 
 #[test]
-fn a_clock_that_is_right_again_makes_starts_of_the_first_list_younger_unless_a_start_proves_it_wrong()
- {
-    let mut lists = Lists::with_clock_ahead_by(15 * SECOND);
+fn backward_step_makes_first_list_starts_younger_unless_a_start_lies_in_the_future() {
+    let mut node = TestNode::with_clock_ahead_by(15 * SECOND);
     let listed = [("a", -2 * SECOND), ("b", -600 * SECOND)];
-    assert_eq!(lists.ages(0, 0, &listed), [Some(17), Some(615)]);
+    assert_eq!(node.ages(0, 0, &listed), [Some(17), Some(615)]);
     assert_eq!(
-        lists.ages(SECOND, -15 * SECOND, &listed),
+        node.ages(SECOND, -15 * SECOND, &listed),
         [Some(3), Some(601)]
     );
-    let mut lists = Lists::with_clock_ahead_by(0);
-    assert_eq!(lists.ages(0, 0, &listed), [Some(2), Some(600)]);
+    let mut node = TestNode::with_clock_ahead_by(0);
+    assert_eq!(node.ages(0, 0, &listed), [Some(2), Some(600)]);
     assert_eq!(
-        lists.ages(SECOND, -15 * SECOND, &listed),
+        node.ages(SECOND, -15 * SECOND, &listed),
         [Some(3), Some(601)]
     );
 }
 
 #[test]
-fn a_backend_that_comes_back_has_the_start_that_it_had() {
-    let mut lists = Lists::with_clock_ahead_by(HOUR);
-    lists.ages(0, 0, &[("old", -2 * HOUR)]);
-    assert_eq!(lists.ages(5 * SECOND, 0, &[("a", 5 * SECOND)]), [Some(0)]);
-    lists.ages(10 * SECOND, 0, &[("old", -2 * HOUR)]);
-    assert_eq!(lists.ages(30 * SECOND, 0, &[("a", 5 * SECOND)]), [Some(25)]);
-    // With another start it has started anew.
-    assert_eq!(lists.ages(40 * SECOND, 0, &[("a", 38 * SECOND)]), [Some(2)]);
+fn backend_that_returns_to_the_list_keeps_its_start_time() {
+    let mut node = TestNode::with_clock_ahead_by(HOUR);
+    node.ages(0, 0, &[("old", -2 * HOUR)]);
+    assert_eq!(node.ages(5 * SECOND, 0, &[("a", 5 * SECOND)]), [Some(0)]);
+    node.ages(10 * SECOND, 0, &[("old", -2 * HOUR)]);
+    assert_eq!(node.ages(30 * SECOND, 0, &[("a", 5 * SECOND)]), [Some(25)]);
+    // A different listed start means that the backend has restarted.
+    assert_eq!(node.ages(40 * SECOND, 0, &[("a", 38 * SECOND)]), [Some(2)]);
 }
 
 #[test]
-fn starts_of_backends_that_left_are_bounded() {
+fn number_of_starts_of_unlisted_backends_is_bounded() {
     let mut starts = StartTimes::new(SLOW_START as u64);
     for number in 0..10_000 {
         let at = ListTime {
-            now: BEGIN as u64,
+            now: FIRST_LIST_AT as u64,
             wall_clock_lead: 0,
             is_first: false,
         };
@@ -177,5 +176,5 @@
         starts.started_at(&name, 1, at);
         starts.prune(|listed| listed == name);
     }
-    assert!(starts.starts.len() <= MAX_UNLISTED + 2);
+    assert!(starts.starts.len() <= MAX_UNLISTED_STARTS + 2);
 }
--- a/engine/src/zone_monitoring.rs
+++ b/engine/src/zone_monitoring.rs
@@ -1,5 +1,5 @@
-//! Connects the zone-health core to the engine: translates the attempts, endpoint lists, peer updates and operator
-//! overrides that the driver sees into events of the core, and the core's actions into work for the driver.
+//! Connects the [`ZoneMonitor`] to the engine: translates attempts, endpoint lists, peer updates and operator overrides
+//! into events for the monitor, and the monitor's actions into a [`ZoneOutput`] for the driver.
 
 use std::collections::BTreeMap;
 
@@ -10,21 +10,20 @@
 use badgerpost_zone_health::{
     Action, AttemptKey, AttemptSignal, ClassIndex, Event, GossipZone, ListedServer, MemberId,
     ServerId, Settings as ZoneSettings, ZoneIndex, ZoneMonitor, ZoneObservation,
-    ZoneOverride as CoreOverride, ZoneStateReason,
+    ZoneOverride as MonitorOverride, ZoneStateReason,
 };
 
 use crate::attempt::AttemptId;
 
-/// Attempt ids of the zone-health core keep this many low bits for the attempt's number.
+/// The number of low bits of an [`AttemptKey`] that hold the attempt's number. The other bits hold the request id.
 const ATTEMPT_NUMBER_BITS: u32 = 8;
 
-/// The highest attempt number that fits into these bits.
 const MAX_ATTEMPT_NUMBER: u32 = (1 << ATTEMPT_NUMBER_BITS) - 1;
 
-/// A node's observation of a zone for its peers, as encoded for the network.
+/// An encoded observation of a zone that nodes send to each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneGossip {
-    /// The zone's number; the topic under which it is broadcast.
+    /// The zone's number, which is also the gossip topic of the observation.
     pub zone: u16,
     /// The encoded [`ZoneObservation`].
     pub observation: Vec<u8>,
@@ -33,7 +32,7 @@
 /// An update from or about another node of the fleet.
 #[derive(Clone, Debug)]
 pub enum PeerUpdate {
-    /// A node has joined or left.
+    /// A node joined or left.
     Member {
         /// The node's id.
         member: u64,
@@ -42,27 +41,27 @@
         /// Whether the node is up.
         is_up: bool,
     },
-    /// A node has sent what it observed of a zone.
+    /// A node sent an observation of a zone.
     Gossip {
         /// The node's id.
         member: u64,
-        /// When it was sent, by the sender's clock, in Unix time.
+        /// When the gossip was sent, in nanoseconds of Unix time on the sender's clock.
         sent_at: Nanos,
         /// The observation.
         gossip: ZoneGossip,
     },
 }
 
-/// An operator's order to close a zone or to keep it open, whatever the zone monitor finds.
+/// An operator's override that holds a zone open or closed regardless of the zone monitor's findings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneOverride {
-    /// The state that the zone is held in.
+    /// The state in which the zone is held.
     pub state: ForcedZoneState,
-    /// How long the override lasts from now on.
+    /// How long the override lasts, counted from when the engine receives the override.
     pub duration: Nanos,
 }
 
-/// The state that an operator holds a zone in.
+/// The state in which an operator's override holds a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForcedZoneState {
     /// The zone gets no requests.
@@ -71,16 +70,15 @@
     Open,
 }
 
-/// What the core's actions leave for the driver to do.
+/// The zone monitor's actions, translated for the driver.
 #[derive(Default)]
 pub(crate) struct ZoneOutput {
-    /// Events for the balancer.
     pub(crate) balancer_events: Vec<BalancerEvent>,
     /// State changes, for the log and the metrics.
     pub(crate) changes: Vec<ZoneChange>,
     /// Observations for the other nodes.
     pub(crate) gossip: Vec<ZoneGossip>,
-    /// The core's one timer is set anew.
+    /// The new setting of the monitor's timer; `None` if the timer did not change.
     pub(crate) timer: Option<TimerChange>,
 }
 
@@ -90,44 +88,42 @@
     }
 }
 
-/// A timer that replaces an earlier one.
+/// A new setting of the zone monitor's only timer.
 pub(crate) struct TimerChange {
-    /// When it fires.
+    /// When the timer fires.
     pub(crate) at: Nanos,
-    /// When the timer that it replaces would have fired.
+    /// When the replaced timer would have fired; `None` if no timer was set.
     pub(crate) replaces: Option<Nanos>,
 }
 
-/// A zone's state has changed.
+/// A change of a zone's state.
 pub(crate) struct ZoneChange {
-    /// The zone.
     pub(crate) zone: ZoneId,
-    /// Its new share, from 0 to 1.
+    /// The zone's new share, from 0 to 1.
     pub(crate) share: f64,
-    /// The reason for the change.
     pub(crate) reason: ZoneStateReason,
     /// The number of servers in the zone.
     pub(crate) servers: u32,
 }
 
-/// A backend in service, as the zone-health core knows it.
+/// The zone and size of a backend in service.
 struct MonitoredBackend {
     zone: ZoneId,
     size: f64,
 }
 
-/// A [`ZoneMonitor`] and the state needed to feed it.
+/// A [`ZoneMonitor`] with the state needed to build the monitor's events.
 pub(crate) struct ZoneMonitoring {
     monitor: ZoneMonitor,
     zone_count: u32,
-    /// The backends in service. Bounded by the endpoint list.
+    /// The backends in service. The endpoint list bounds the number of entries.
     backends: BTreeMap<BackendId, MonitoredBackend>,
-    /// When the core's timer fires.
+    /// When the monitor's timer fires; `None` if no timer is set.
     timer_at: Option<Nanos>,
 }
 
 impl ZoneMonitoring {
-    /// A monitor with no backends yet. The seed drives its random draws.
+    /// Creates a monitor without backends. `seed` initialises the monitor's random number generator.
     pub(crate) fn new(settings: &Settings, seed: u64, now: Nanos) -> Self {
         let zone_settings = ZoneSettings {
             local_zone: settings.local_zone.0,
@@ -144,7 +140,7 @@
         }
     }
 
-    /// An endpoint update has come.
+    /// Handles an endpoint update.
     pub(crate) fn endpoints_updated(
         &mut self,
         now: Nanos,
@@ -166,7 +162,7 @@
         self.handle(now, event)
     }
 
-    /// Adds a backend that is in service in one of the configured zones, and removes any other.
+    /// Adds a backend if it is in service in one of the configured zones; otherwise removes the backend.
     fn update_backend(&mut self, endpoint: &Endpoint) {
         let is_in_service = endpoint.state == EndpointState::InService;
         if is_in_service && endpoint.zone.0 < self.zone_count {
@@ -180,7 +176,7 @@
         }
     }
 
-    /// An attempt has been sent.
+    /// Handles the start of an attempt.
     pub(crate) fn attempt_sent(
         &mut self,
         now: Nanos,
@@ -199,8 +195,8 @@
         self.handle(now, event)
     }
 
-    /// An attempt has ended. `utilization` is the backend's, if it reported one. Without a response time, as its request
-    /// was not complete yet, only failures are evidence.
+    /// Handles the end of an attempt. `has_response_time` is false if the request's upload was not complete; then only
+    /// failures count as evidence. `utilization` is the utilization that the backend reported, if any.
     pub(crate) fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -222,31 +218,31 @@
         self.handle(now, event)
     }
 
-    /// The timer has fired.
+    /// Handles the firing of the monitor's timer.
     pub(crate) fn on_timer(&mut self, now: Nanos) -> ZoneOutput {
         self.timer_at = None;
         self.handle(now, Event::TimerFired)
     }
 
-    /// Operators override a zone's state; none ends an override.
+    /// Sets an operator's override of a zone's state, or ends the override if `zone_override` is `None`.
     pub(crate) fn operator_override(
         &mut self,
         now: Nanos,
         zone: ZoneId,
         zone_override: Option<ZoneOverride>,
     ) -> ZoneOutput {
-        let core_override = zone_override.map(|zone_override| {
+        let monitor_override = zone_override.map(|zone_override| {
             let is_closed = zone_override.state == ForcedZoneState::Closed;
-            CoreOverride::new(is_closed, now.saturating_add(zone_override.duration))
+            MonitorOverride::new(is_closed, now.saturating_add(zone_override.duration))
         });
         let event = Event::OperatorOverride {
             zone: ZoneIndex(zone.0),
-            zone_override: core_override,
+            zone_override: monitor_override,
         };
         self.handle(now, event)
     }
 
-    /// Another node has joined, left or sent gossip. Gossip that can't be decoded is ignored.
+    /// Handles that another node joined, left or sent gossip. Gossip that can't be decoded is ignored.
     pub(crate) fn peer_updated(&mut self, now: Nanos, update: &PeerUpdate) -> ZoneOutput {
         match peer_event(update) {
             Some(event) => self.handle(now, event),
@@ -254,7 +250,7 @@
         }
     }
 
-    /// Passes an event to the core and collects what its actions ask for.
+    /// Passes an event to the monitor and translates the resulting actions.
     fn handle(&mut self, now: Nanos, event: Event) -> ZoneOutput {
         let mut actions = Vec::new();
         self.monitor.handle(now, event, &mut actions);
@@ -265,7 +261,7 @@
         output
     }
 
-    /// Translates one of the core's actions.
+    /// Translates one of the monitor's actions.
     fn apply(&mut self, action: &Action, output: &mut ZoneOutput) {
         match *action {
             Action::SetShare { zone, share } => {
@@ -302,7 +298,7 @@
     }
 }
 
-/// A peer update as an event of the core, or none if its gossip can't be decoded.
+/// Translates a peer update into an event for the monitor. Returns `None` if the gossip can't be decoded.
 fn peer_event(update: &PeerUpdate) -> Option<Event> {
     match update {
         PeerUpdate::Member {
@@ -327,7 +323,7 @@
     }
 }
 
-/// The evidence that an attempt's outcome is for the health of its backend's zone.
+/// The evidence that an attempt's outcome provides about the health of the backend's zone.
 fn attempt_signal(outcome: Outcome) -> AttemptSignal {
     match outcome {
         Outcome::Success => AttemptSignal::Answered,
@@ -339,7 +335,8 @@
     }
 }
 
-/// The core's number of an attempt. A request has far fewer attempts than fit: settings limit them.
+/// The monitor's key for an attempt. The settings limit the attempts of a request to far less than
+/// [`MAX_ATTEMPT_NUMBER`].
 fn attempt_key(attempt: AttemptId) -> AttemptKey {
     let number = attempt.number.0.min(MAX_ATTEMPT_NUMBER);
     AttemptKey((attempt.request.0 << ATTEMPT_NUMBER_BITS) | u64::from(number))
