--- a/engine/src/accept_backoff.rs
+++ b/engine/src/accept_backoff.rs
@@ -1,28 +1,29 @@
-//! The wait after a failed accept.
+//! The delay after a failed `accept`.
 
 use std::time::Duration;
 
 use crate::clock::Clock;
 
-/// After a second failure in a row. The first one may have been the one connection's, and others wait behind it.
+/// The delay after the second consecutive failure. There is no delay after the first one, which may concern only one
+/// connection while others are waiting in the queue.
 const FIRST_DELAY: Duration = Duration::from_millis(1);
-/// After several in a row: without a free descriptor the next one would fail at once.
+/// The longest delay after consecutive failures, for example while no file descriptor is free.
 const MAX_DELAY: Duration = Duration::from_millis(20);
 
-/// How long a listener waits after an accept that has failed: not at all at first, then longer with each failure in a row,
-/// up to 20 ms.
+/// Delays a listener after failed `accept` calls: not after the first failure, then exponentially longer with each
+/// consecutive failure, up to 20 ms.
 #[derive(Debug, Default)]
 pub struct AcceptBackoff {
     next_delay: Duration,
 }
 
 impl AcceptBackoff {
-    /// A connection was accepted.
+    /// Resets the delay after a successful `accept`.
     pub fn succeeded(&mut self) {
         self.next_delay = Duration::ZERO;
     }
 
-    /// An accept has failed: waits before the next one.
+    /// Waits for the current delay after a failed `accept`, and increases the delay.
     pub async fn failed(&mut self, clock: &Clock) {
         let delay = self.advance();
         if delay > Duration::ZERO {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// The wait after this failure; the next one is longer.
+    /// Returns the current delay and increases the next one.
     fn advance(&mut self) -> Duration {
         let delay = self.next_delay;
         self.next_delay = (2 * delay).clamp(FIRST_DELAY, MAX_DELAY);
--- a/engine/src/activity.rs
+++ b/engine/src/activity.rs
@@ -1,6 +1,6 @@
-//! Counts what this thread's tasks do, so that the control of a virtual clock can tell when the process is idle: task
-//! polls, bytes through sockets, connections being established, connections ended. The counts decide nothing but how long
-//! [`yield_to_ready_tasks`] waits.
+//! Counts the activity of this thread's tasks, so that the controller of a virtual clock can tell when the process is
+//! idle: task polls, bytes read and written, connections being established, and connections ended. Apart from that, the
+//! counts only affect how long [`yield_to_ready_tasks`] waits.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -17,22 +17,22 @@
     static CONNECTIONS_PENDING: Cell<u64> = const { Cell::new(0) };
 }
 
-/// What this thread's tasks have done since the thread began.
+/// The activity of this thread's tasks since the thread started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Activity {
-    /// Polls of tasks started by [`spawn`].
+    /// Polls of tasks that were started with [`spawn`].
     pub polls: u64,
     /// Bytes read from sockets.
     pub bytes_read: u64,
     /// Bytes written to sockets.
     pub bytes_written: u64,
-    /// Connections that have ended, from either side.
+    /// Connections ended by either side.
     pub connections_ended: u64,
-    /// Connections that are being established now.
+    /// Connections that are currently being established.
     pub connections_pending: u64,
 }
 
-/// The counts of this thread.
+/// The current counts of this thread.
 pub fn snapshot() -> Activity {
     Activity {
         polls: POLLS.get(),
@@ -53,14 +53,14 @@
     BYTES_WRITTEN.set(BYTES_WRITTEN.get().wrapping_add(bytes as u64));
 }
 
-/// A connection whose end is counted once: when it is seen, or when this is dropped.
+/// Counts the end of a connection once: at [`mark_ended`](Self::mark_ended), or when this is dropped.
 #[derive(Debug, Default)]
 pub struct ConnectionEndCounter {
     is_counted: bool,
 }
 
 impl ConnectionEndCounter {
-    /// Counts the connection's end.
+    /// Counts the end of the connection, unless it has been counted before.
     pub fn mark_ended(&mut self) {
         if self.is_counted {
             return;
@@ -92,7 +92,7 @@
     }
 }
 
-/// Awaits `connect`, which establishes a connection, and counts it as being established meanwhile.
+/// Awaits `connect`, which establishes a connection, and counts the connection as being established in the meantime.
 pub async fn track_connecting<F: Future>(connect: F) -> F::Output {
     let _guard = ConnectingGuard::new();
     connect.await
@@ -115,27 +115,27 @@
     }
 }
 
-/// Turns of the runtime that [`yield_to_ready_tasks`] waits for at least. What is read in one of them passes through two more tasks at
-/// most: that of an attempt, and that of the client's connection.
-const MIN_SETTLE_TURNS: u32 = 3;
-/// Turns that it waits for at most, while more bytes arrive all the time.
-const MAX_SETTLE_TURNS: u32 = 16;
+/// The minimum number of runtime turns that [`yield_to_ready_tasks`] waits for. Data that is read in one turn passes
+/// through at most two more tasks: the task of the attempt and the task of the client connection.
+const MIN_YIELD_TURNS: u32 = 3;
+/// The maximum number of runtime turns that [`yield_to_ready_tasks`] waits for while more bytes keep arriving.
+const MAX_YIELD_TURNS: u32 = 16;
 
-/// Lets all tasks of this thread handle what has arrived by now: in each turn of the runtime sockets that have become
-/// readable wake their tasks, and all tasks that are awake run.
+/// Lets all tasks of this thread handle the data that has arrived. In each turn of the runtime, readable sockets wake
+/// their tasks, and all woken tasks run.
 pub async fn yield_to_ready_tasks() {
     let mut read_before = BYTES_READ.get();
-    for turn in 1..=MAX_SETTLE_TURNS {
+    for turn in 1..=MAX_YIELD_TURNS {
         yield_now().await;
         let read = BYTES_READ.get();
-        if turn >= MIN_SETTLE_TURNS && read == read_before {
+        if turn >= MIN_YIELD_TURNS && read == read_before {
             return;
         }
         read_before = read;
     }
 }
 
-/// Starts a task on this thread, whose polls are counted. Every task of the process has to be started here.
+/// Starts a task on this thread and counts its polls. All tasks of the process must be started with this function.
 pub fn spawn<F: Future + 'static>(task: F) -> JoinHandle<F::Output> {
     tokio::task::spawn_local(CountedTask { task })
 }
--- a/engine/src/connection_counter.rs
+++ b/engine/src/connection_counter.rs
@@ -1,26 +1,26 @@
-//! A count of open connections that goes down by itself when a connection's owner is dropped.
+//! A counter of open connections that is decremented when a connection's guard is dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The number of open connections. Clones share it.
+/// Counts open connections. Clones share the count.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionCounter(Rc<Cell<usize>>);
 
 impl ConnectionCounter {
-    /// The number of connections that are open now.
+    /// The number of connections that are currently open.
     pub fn get(&self) -> usize {
         self.0.get()
     }
 
-    /// Counts one more connection, until the guard is dropped.
+    /// Counts a new connection until the returned guard is dropped.
     #[must_use = "the connection counts only while the guard lives"]
     pub fn open(&self) -> ConnectionGuard {
         self.0.set(self.0.get() + 1);
         ConnectionGuard(self.0.clone())
     }
 
-    /// Whether anybody else holds the counter: a guard of an open connection, or a clone that can open one.
+    /// Whether there are other clones of the counter, or guards of open connections.
     pub fn is_shared(&self) -> bool {
         Rc::strong_count(&self.0) > 1
     }
--- a/engine/src/connection_limit.rs
+++ b/engine/src/connection_limit.rs
@@ -1,34 +1,34 @@
-//! The limits by which an adapter closes clients' connections, and how often each has.
+//! The limits because of which adapters close client connections, and a counter for each limit.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A limit by which a client's connection was closed.
+/// A limit because of which an adapter closed a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionLimit {
-    /// No request arrived on a new connection.
+    /// No request arrived in time on a new connection.
     FirstRequest,
     /// The head of a request was not complete in time.
     RequestHead,
-    /// The body of a request stalled, or arrived too slowly.
+    /// The body of a request stalled or arrived too slowly.
     RequestBody,
-    /// No request followed the last one.
+    /// No further request arrived in time on a reused connection.
     Idle,
-    /// The client did not take a complete response.
+    /// The client did not receive a complete response in time.
     ResponseSend,
-    /// The client did not take more of a response that was streamed.
+    /// The client stopped receiving a streamed response.
     StreamToClient,
-    /// The backend did not send more of a response that was streamed.
+    /// The backend stopped sending a streamed response.
     StreamFromBackend,
-    /// The client did not close its side after the node had.
+    /// The client did not close the connection in time after the node had closed its side.
     Close,
-    /// The client was still sending after an error response.
+    /// The client kept sending after an error response.
     LingeringClose,
     /// The connection was closed to admit another one.
     Eviction,
 }
 
 impl ConnectionLimit {
-    /// All limits, in the order in which they are shown.
+    /// All limits, in the order in which the metrics page shows them.
     pub const ALL: [Self; 10] = [
         Self::FirstRequest,
         Self::RequestHead,
@@ -42,7 +42,7 @@
         Self::Eviction,
     ];
 
-    /// Its name in metrics and log lines.
+    /// The limit's name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::FirstRequest => "first_request",
@@ -59,7 +59,7 @@
     }
 }
 
-/// How many connections each limit has closed.
+/// The number of connections closed because of each limit.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionLimitCounters([AtomicU64; ConnectionLimit::ALL.len()]);
 
--- a/engine/src/idle_pool.rs
+++ b/engine/src/idle_pool.rs
@@ -1,19 +1,17 @@
-//! A pool of idle connections by destination. Its user decides which may be pooled and for how long, and bounds their
-//! number by its own count of open connections.
+//! A pool of idle connections by destination. The owner of the pool decides which connections are pooled and for how
+//! long, and limits the number of connections.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
 use badgerpost_balancer::Nanos;
 
-/// A connection that can be checked for being idle.
+/// A connection that can tell whether it is safe to reuse.
 pub trait IdleCheck {
-    /// Whether the connection is open and nothing was received that nobody asked for. Bytes behind a response would
-    /// be taken for the next one's.
+    /// Whether the connection is open and has no unread bytes. Unread bytes would be taken for the next response.
     fn is_idle(&mut self) -> bool;
 }
 
-/// A pooled connection.
 struct PooledConnection<C> {
     connection: C,
     idle_since: Nanos,
@@ -29,12 +27,12 @@
 pub struct TakenConnection<C> {
     /// The connection.
     pub connection: C,
-    /// How long it was idle.
+    /// How long the connection was idle, in nanoseconds.
     pub idle_time: Nanos,
 }
 
-/// Idle connections by destination, the most recently used one last. That one is used next, so that those in excess
-/// grow old.
+/// Idle connections by destination, the most recently used one last. The most recently used connection is taken first,
+/// so that surplus connections stay idle and expire.
 pub struct IdlePool<K, C> {
     connections: RefCell<BTreeMap<K, Vec<PooledConnection<C>>>>,
 }
@@ -48,7 +46,7 @@
 }
 
 impl<K: Ord, C: IdleCheck> IdlePool<K, C> {
-    /// Adds a connection that is idle from `now` on.
+    /// Adds a connection that becomes idle at `now`.
     pub fn put(&self, destination: K, connection: C, now: Nanos) {
         let pooled = PooledConnection {
             connection,
@@ -61,8 +59,8 @@
             .push(pooled);
     }
 
-    /// Takes the most recently used connection to a destination among those that have been idle for at least
-    /// `min_idle_time`. Connections found not to be idle any more are dropped.
+    /// Takes the most recently used connection to a destination that has been idle for at least `min_idle_time`
+    /// nanoseconds. Connections that fail the [idle check](IdleCheck::is_idle) are dropped.
     pub fn take(
         &self,
         destination: &K,
@@ -85,8 +83,8 @@
         }
     }
 
-    /// Drops the connections for which `keep` returns false. It is given the destination, the connection, and how long
-    /// it has been idle.
+    /// Drops the connections for which `keep` returns false. The arguments of `keep` are the destination, the
+    /// connection, and how long the connection has been idle.
     pub fn retain(&self, now: Nanos, mut keep: impl FnMut(&K, &mut C, Nanos) -> bool) {
         self.connections
             .borrow_mut()
@@ -99,7 +97,7 @@
             });
     }
 
-    /// The number of idle connections to the destinations that fulfil a condition.
+    /// The number of idle connections to the destinations that match a condition.
     pub fn count(&self, condition: impl Fn(&K) -> bool) -> usize {
         self.connections
             .borrow()
@@ -109,8 +107,8 @@
             .sum()
     }
 
-    /// Drops the connection that has been idle longest, among those to the destinations that fulfil a condition.
-    /// Returns whether there was one.
+    /// Drops the connection that has been idle longest among those to the destinations that match a condition. Returns
+    /// false if there is no such connection.
     pub fn drop_oldest(&self, condition: impl Fn(&K) -> bool) -> bool {
         let mut by_destination = self.connections.borrow_mut();
         let oldest = by_destination
--- a/engine/src/idle_pool/tests.rs
+++ b/engine/src/idle_pool/tests.rs
@@ -28,23 +28,24 @@
 }
 
 #[test]
-fn most_recently_used_connection_is_taken_once_idle_long_enough_and_while_nothing_was_received() {
+fn take_returns_the_most_recently_used_connection_that_is_idle_long_enough_and_has_no_unread_bytes()
+{
     let pool = IdlePool::<u8, FakeConnection>::default();
     let (first, last) = (Rc::new(Cell::new(true)), Rc::new(Cell::new(true)));
     pool.put(1, connection("first", &first), 0);
     pool.put(1, connection("last", &last), 10);
-    // The last one has not been idle long enough.
+    // "last" has not been idle long enough.
     assert_eq!(
         name_and_idle_time(pool.take(&1, 12, 5)),
         Some(("first", 12))
     );
     pool.put(1, connection("first", &first), 12);
     assert_eq!(name_and_idle_time(pool.take(&2, 20, 0)), None);
-    // Something was received on the last one meanwhile: it is dropped when its turn comes.
+    // "last" has received unexpected bytes, so the next `take` that reaches it drops it.
     last.set(false);
     assert_eq!(name_and_idle_time(pool.take(&1, 20, 8)), Some(("first", 8)));
     assert_eq!(name_and_idle_time(pool.take(&1, 20, 8)), None);
-    assert!(!pool.drop_oldest(|_| true), "nothing is left");
+    assert!(!pool.drop_oldest(|_| true), "the pool is empty");
 }
 
 #[test]
--- a/engine/src/log_limiter.rs
+++ b/engine/src/log_limiter.rs
@@ -1,13 +1,13 @@
-//! Rate-limited logging: a message about something that happens a thousand times a second must not fill the log.
+//! Rate limiting for log messages about frequent events.
 
 use badgerpost_balancer::Nanos;
 
 use crate::clock::Clock;
 
-/// The least time between two messages, in nanoseconds.
-const LOG_INTERVAL: Nanos = 5_000_000_000;
+/// The minimum time between two messages.
+const MIN_LOG_INTERVAL_NS: Nanos = 5_000_000_000;
 
-/// Lets one message through in 5 s and counts the others.
+/// Logs at most one message in 5 s and counts the suppressed ones.
 pub struct LogLimiter {
     clock: Clock,
     last_logged_at: Option<Nanos>,
@@ -15,7 +15,7 @@
 }
 
 impl LogLimiter {
-    /// A limiter that lets the first message through.
+    /// Creates a limiter that does not suppress the first message.
     pub fn new(clock: Clock) -> Self {
         Self {
             clock,
@@ -24,12 +24,13 @@
         }
     }
 
-    /// Calls `log` with the number of messages suppressed since the last one, unless that was less than 5 s ago.
+    /// Calls `log` with the number of messages suppressed since the last call of `log`. Suppresses the message instead
+    /// if that call was less than 5 s ago.
     pub fn log(&mut self, log: impl FnOnce(u64)) {
         let now = self.clock.now();
         let is_too_early = self
             .last_logged_at
-            .is_some_and(|at| now.saturating_sub(at) < LOG_INTERVAL);
+            .is_some_and(|at| now.saturating_sub(at) < MIN_LOG_INTERVAL_NS);
         if is_too_early {
             self.suppressed += 1;
             return;
--- a/engine/src/log_limiter/tests.rs
+++ b/engine/src/log_limiter/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::clock::VirtualClock;
 
-/// Guards the log against a warning that comes with every request.
+/// Guards against a log that is flooded by a warning for every request.
 #[test]
 fn burst_of_warnings_is_logged_as_one_message() {
     let virtual_clock = VirtualClock::at(0);
@@ -14,7 +14,7 @@
         (messages.as_slice(), limiter.suppressed),
         ([0].as_slice(), 999)
     );
-    virtual_clock.advance(LOG_INTERVAL);
+    virtual_clock.advance(MIN_LOG_INTERVAL_NS);
     limiter.log(|suppressed| messages.push(suppressed));
     assert_eq!(messages, [0, 999]);
 }
--- a/engine/src/log_output.rs
+++ b/engine/src/log_output.rs
@@ -1,5 +1,5 @@
-//! Where log lines go. A thread of its own writes them: an output that is full, closed or slow delays no request, and
-//! costs only log lines.
+//! Writes log lines on a separate thread. If the output is slow, full or closed, log lines are lost, but requests are
+//! not delayed.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -11,18 +11,18 @@
 #[cfg(test)]
 mod tests;
 
-/// Lines that wait to be written; those that come while so many wait are lost.
+/// The maximum number of lines in the queue. Further lines are lost.
 const MAX_QUEUED_LINES: usize = 1024;
-/// Longest wait for the last lines of a process.
+/// The longest time that [`LogOutput::flush`] waits.
 const MAX_FLUSH_WAIT: Duration = Duration::from_millis(100);
 
 enum Message {
     Line(Vec<u8>),
-    /// Answered once all lines before it are written.
+    /// Requests a reply once all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
-/// The writing end of the log. A clone writes to the same output.
+/// A handle to the log output. Clones write to the same output.
 #[derive(Clone)]
 pub struct LogOutput {
     queue: SyncSender<Message>,
@@ -30,12 +30,12 @@
 }
 
 impl LogOutput {
-    /// Starts the thread that writes to `output`. After a loss, `report_loss` is told how many lines were lost, once a
-    /// line has been written again.
+    /// Starts the thread that writes to `output`. After lines were lost, the thread calls `report_loss` with their
+    /// number as soon as it has written another line.
     ///
     /// # Errors
     ///
-    /// The thread can't be started.
+    /// Returns an error if the thread can't be started.
     pub fn start(
         output: impl Write + Send + 'static,
         report_loss: impl Fn(u64) + Send + 'static,
@@ -53,17 +53,17 @@
         Ok(Self { queue, lost_lines })
     }
 
-    /// Waits until the lines so far are written, for a short while at most.
+    /// Waits until all queued lines are written, but for at most 100 ms.
     pub fn flush(&self) {
         let (done, is_done) = sync_channel(1);
         if self.queue.try_send(Message::Flush(done)).is_ok() {
-            // An output that stalls is not waited for.
+            // A timeout is ignored: the output has stalled.
             let _ = is_done.recv_timeout(MAX_FLUSH_WAIT);
         }
     }
 }
 
-/// Takes one whole line a call. Never fails and never waits.
+/// Each call queues one complete line. Never fails or blocks.
 impl Write for LogOutput {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if self.queue.try_send(Message::Line(line.to_vec())).is_err() {
@@ -77,7 +77,7 @@
     }
 }
 
-/// The thread's side.
+/// The state of the thread that writes the lines.
 struct Writer<O, R> {
     output: O,
     report_loss: R,
@@ -89,7 +89,7 @@
         for message in messages {
             match message {
                 Message::Line(line) => self.write(&line),
-                // Nobody waits any more where this fails.
+                // Sending fails if the receiver has stopped waiting.
                 Message::Flush(done) => drop(done.try_send(())),
             }
         }
--- a/engine/src/log_output/tests.rs
+++ b/engine/src/log_output/tests.rs
@@ -1,4 +1,4 @@
-//! Outputs that stall and fail.
+//! Tests the log output with a writer that stalls or fails.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -6,15 +6,15 @@
 
 use super::{LogOutput, MAX_QUEUED_LINES};
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An output that does with each line what the test tells it, and waits until it does.
-struct Told {
+/// A writer that blocks on each line until the test sends the result of the write.
+struct ScriptedOutput {
     results: Receiver<io::Result<()>>,
     written: Sender<String>,
 }
 
-impl Write for Told {
+impl Write for ScriptedOutput {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         self.results
             .recv()
@@ -30,22 +30,22 @@
     }
 }
 
-struct Log {
+struct TestLog {
     output: LogOutput,
     results: Sender<io::Result<()>>,
     written: Receiver<String>,
     losses: Receiver<u64>,
 }
 
-fn log() -> Log {
-    let (results, told) = channel();
+fn test_log() -> TestLog {
+    let (results, scripted_results) = channel();
     let (written, lines) = channel();
     let (lost, losses) = channel();
-    let output = Told {
-        results: told,
+    let output = ScriptedOutput {
+        results: scripted_results,
         written,
     };
-    Log {
+    TestLog {
         output: LogOutput::start(output, move |lines| lost.send(lines).unwrap()).unwrap(),
         results,
         written: lines,
@@ -54,39 +54,39 @@
 }
 
 #[test]
-fn lines_are_written_in_their_order() {
-    let mut log = log();
+fn lines_are_written_in_order() {
+    let mut log = test_log();
     for line in ["first", "second"] {
         log.output.write_all(line.as_bytes()).unwrap();
         log.results.send(Ok(())).unwrap();
     }
     for line in ["first", "second"] {
-        assert_eq!(log.written.recv_timeout(PATIENCE).unwrap(), line);
+        assert_eq!(log.written.recv_timeout(RECEIVE_TIMEOUT).unwrap(), line);
     }
     assert!(log.losses.try_recv().is_err());
 }
 
 #[test]
-fn an_output_that_stalls_holds_up_nobody_and_what_was_lost_is_counted() {
-    let mut log = log();
+fn stalled_output_does_not_block_and_lost_lines_are_counted() {
+    let mut log = test_log();
     log.output.write_all(b"stalls").unwrap();
-    let begun = Instant::now();
-    // One is with the thread, once it has taken it.
+    let started = Instant::now();
+    // The thread may or may not have taken the first line from the queue by now.
     for _ in 0..MAX_QUEUED_LINES + 10 {
         log.output.write_all(b"waits").unwrap();
     }
     log.output.flush();
-    assert!(begun.elapsed() < Duration::from_secs(1));
+    assert!(started.elapsed() < Duration::from_secs(1));
     for _ in 0..=MAX_QUEUED_LINES {
         log.results.send(Ok(())).unwrap();
     }
-    let lost = log.losses.recv_timeout(PATIENCE).unwrap();
+    let lost = log.losses.recv_timeout(RECEIVE_TIMEOUT).unwrap();
     assert!((10..=11).contains(&lost), "{lost}");
 }
 
 #[test]
-fn a_line_that_cannot_be_written_is_lost_and_counted() {
-    let mut log = log();
+fn lines_that_fail_to_be_written_are_counted_as_lost() {
+    let mut log = test_log();
     for result in [
         Err(io::ErrorKind::StorageFull.into()),
         Err(io::ErrorKind::BrokenPipe.into()),
@@ -95,6 +95,6 @@
         log.output.write_all(b"a line").unwrap();
         log.results.send(result).unwrap();
     }
-    assert_eq!(log.losses.recv_timeout(PATIENCE), Ok(2));
-    assert_eq!(log.written.recv_timeout(PATIENCE).unwrap(), "a line");
+    assert_eq!(log.losses.recv_timeout(RECEIVE_TIMEOUT), Ok(2));
+    assert_eq!(log.written.recv_timeout(RECEIVE_TIMEOUT).unwrap(), "a line");
 }
--- a/engine/src/metrics.rs
+++ b/engine/src/metrics.rs
@@ -1,5 +1,5 @@
-//! The counters of one engine, which any thread may read while the engine works. Each is counted where the counted
-//! event happens, so that a reader never has to ask the serving thread.
+//! The metrics of one engine. Any thread may read the metrics without synchronising with the thread that serves
+//! requests.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,38 +8,38 @@
 
 use crate::connection_limit::{ConnectionLimit, ConnectionLimitCounters};
 
-/// How a request has ended, as its client sees it.
+/// How a request ended from the client's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Served, to the last byte.
+    /// The client received a complete response.
     Served,
-    /// Rejected.
+    /// The request was rejected.
     Rejected,
-    /// Failed.
+    /// The request failed.
     Failed,
 }
 
-/// When a request's end is counted in the metrics.
+/// When the metrics count the end of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndCounting {
-    /// With its outcome.
+    /// When the outcome is sent.
     Immediate,
-    /// By whoever forwards the rest of a streamed response, at its end.
+    /// When the streamed response has ended. Counted by whoever forwards the stream.
     AtEndOfStream,
 }
 
-/// How many requests of a class have ended so far, by kind of end.
+/// The number of requests of a class that have ended, by kind of end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
-    /// Requests served.
+    /// The number of served requests.
     pub served: u64,
-    /// Requests rejected.
+    /// The number of rejected requests.
     pub rejected: u64,
-    /// Requests failed.
+    /// The number of failed requests.
     pub failed: u64,
 }
 
-/// The counters behind [`ClassCounts`].
+/// The atomic counters from which [`ClassCounts`] are read.
 #[derive(Debug, Default)]
 struct ClassCounters {
     served: AtomicU64,
@@ -66,67 +66,66 @@
     }
 }
 
-/// A request class and its counters.
 #[derive(Debug)]
 struct ClassEntry {
     name: String,
     counters: ClassCounters,
 }
 
-/// The share of traffic that a monitored zone gets now.
+/// The current share of traffic of a monitored zone.
 #[derive(Clone, Debug)]
 pub struct ZoneMetrics {
     /// The zone's name.
     pub name: String,
-    /// Its share, from 0 to 1.
+    /// The zone's share, from 0 (no traffic) to 1 (the full share).
     pub share: f64,
-    /// The reason for it, as one identifier.
+    /// The identifier of the reason for the share.
     pub reason: &'static str,
 }
 
 /// Traffic between this node and its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerMetrics {
-    /// Live members, this node included; 0 if the node has no peers.
+    /// The number of live members, including this node; 0 if the node has no peers.
     pub members: u64,
-    /// Bytes of datagrams received.
+    /// The number of bytes in received datagrams.
     pub received_bytes: u64,
-    /// Bytes of datagrams sent.
+    /// The number of bytes in sent datagrams.
     pub sent_bytes: u64,
-    /// Datagrams dropped because their sender did not authenticate.
+    /// The number of datagrams dropped because the sender could not be authenticated.
     pub unauthenticated: u64,
-    /// Datagrams dropped for any other reason.
+    /// The number of datagrams dropped for any other reason.
     pub malformed: u64,
-    /// Gossip items ignored because too many are stored.
+    /// The number of gossip items ignored because the limit of stored items was reached.
     pub ignored_items: u64,
 }
 
-/// Why a peer's datagram was dropped.
+/// The reason why a peer's datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramDropReason {
-    /// Its sender did not authenticate.
+    /// The sender could not be authenticated.
     Unauthenticated,
     /// Any other reason.
     Malformed,
 }
 
-/// The number of listed backends.
+/// The numbers of listed and of avoided backends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendCounts {
-    /// Backends on the endpoint list.
+    /// The number of backends on the endpoint list.
     pub listed: u64,
-    /// Those of them that the balancer avoids.
+    /// The number of listed backends that the balancer avoids.
     pub avoided: u64,
 }
 
-/// The counters of one engine since its start.
+/// The metrics of one engine since the engine was created.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Empty unless zones are monitored. Locked only while a value is read or changed.
+    /// Indexed by zone id; empty if zone monitoring is off. Locked only while a value is read or changed.
     zones: Mutex<Vec<ZoneMetrics>>,
     /// Locked only while a value is read or changed.
     peers: Mutex<PeerMetrics>,
-    /// By class id.
+    /// Indexed by class id.
     classes: Vec<ClassEntry>,
     attempts_sent: AtomicU64,
     requests_in_progress: AtomicU64,
@@ -136,7 +135,7 @@
 }
 
 impl Metrics {
-    /// Counters for these classes, whose names are in the order of their ids.
+    /// Creates metrics for these request classes. `class_names` is indexed by class id.
     pub fn new(class_names: Vec<String>) -> Self {
         let classes = class_names
             .into_iter()
@@ -151,7 +150,7 @@
         }
     }
 
-    /// Adds the zones, by id, all with their full share of traffic.
+    /// Adds the monitored zones, each with its full share of traffic. `zone_names` is indexed by zone id.
     pub(crate) fn start_zone_monitoring(&self, zone_names: Vec<String>) {
         let zones = zone_names.into_iter().map(|name| ZoneMetrics {
             name,
@@ -161,26 +160,24 @@
         *lock(&self.zones) = zones.collect();
     }
 
-    /// Changes the share of a zone.
     pub(crate) fn set_zone_share(&self, zone: ZoneId, share: f64) {
         if let Some(metrics) = lock(&self.zones).get_mut(zone.0 as usize) {
             metrics.share = share;
         }
     }
 
-    /// Changes the reason for a zone's share.
     pub(crate) fn set_zone_reason(&self, zone: ZoneId, reason: &'static str) {
         if let Some(metrics) = lock(&self.zones).get_mut(zone.0 as usize) {
             metrics.reason = reason;
         }
     }
 
-    /// The monitored zones, by id.
+    /// The monitored zones, ordered by id.
     pub fn zones(&self) -> Vec<ZoneMetrics> {
         lock(&self.zones).clone()
     }
 
-    /// Sets the number of live members.
+    /// Sets the number of live members, including this node.
     pub fn set_member_count(&self, members: u64) {
         lock(&self.peers).members = members;
     }
@@ -195,7 +192,7 @@
         lock(&self.peers).sent_bytes += bytes;
     }
 
-    /// Sets the number of gossip items that were ignored.
+    /// Sets the number of gossip items ignored so far because the limit of stored items was reached.
     pub fn set_ignored_items(&self, ignored_items: u64) {
         lock(&self.peers).ignored_items = ignored_items;
     }
@@ -209,17 +206,17 @@
         }
     }
 
-    /// The traffic between this node and its peers.
+    /// The metrics of the traffic between this node and its peers.
     pub fn peers_snapshot(&self) -> PeerMetrics {
         *lock(&self.peers)
     }
 
-    /// Counts a request that an engine has taken.
+    /// Counts the start of a submitted request.
     pub fn request_started(&self) {
         self.requests_in_progress.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts the end of a request that an engine had taken. Without an `end` its client has disconnected.
+    /// Counts the end of a submitted request. `end` is `None` if the client has disconnected.
     pub fn request_ended(&self, class: ClassId, end: Option<RequestEnd>) {
         self.requests_in_progress.fetch_sub(1, Ordering::Relaxed);
         if let Some(end) = end {
@@ -227,53 +224,53 @@
         }
     }
 
-    /// Counts a response to a request that no engine had taken.
+    /// Counts the end of a request by kind of end. Adapters call this only for requests that were never submitted.
     pub fn count_request_end(&self, class: ClassId, end: RequestEnd) {
         if let Some(entry) = self.classes.get(class.0 as usize) {
             entry.counters.count(end);
         }
     }
 
-    /// Counts an attempt that was written to the last byte.
+    /// Counts an attempt whose request was written in full.
     pub fn attempt_sent(&self) {
         self.attempts_sent.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a client connection that a limit has closed.
+    /// Counts a client connection that was closed because of a limit.
     pub fn connection_closed(&self, limit: ConnectionLimit) {
         self.connections_closed.count(limit);
     }
 
-    /// Client connections that this limit has closed.
+    /// The number of client connections that were closed because of this limit.
     pub fn connections_closed(&self, limit: ConnectionLimit) -> u64 {
         self.connections_closed.get(limit)
     }
 
-    /// Sets the number of listed backends.
+    /// Sets the numbers of listed and of avoided backends.
     pub fn set_backend_counts(&self, counts: BackendCounts) {
         self.backends_listed.store(counts.listed, Ordering::Relaxed);
         self.backends_avoided
             .store(counts.avoided, Ordering::Relaxed);
     }
 
-    /// The classes' names and counts, by class id.
+    /// The name and counts of each request class, ordered by class id.
     pub fn classes(&self) -> impl Iterator<Item = (&str, ClassCounts)> {
         self.classes
             .iter()
             .map(|entry| (entry.name.as_str(), entry.counters.snapshot()))
     }
 
-    /// Attempts written to the last byte.
+    /// The number of attempts whose requests were written in full.
     pub fn attempts_sent(&self) -> u64 {
         self.attempts_sent.load(Ordering::Relaxed)
     }
 
-    /// Requests taken that have not ended.
+    /// The number of submitted requests that have not ended.
     pub fn requests_in_progress(&self) -> u64 {
         self.requests_in_progress.load(Ordering::Relaxed)
     }
 
-    /// The number of listed backends.
+    /// The numbers of listed and of avoided backends.
     pub fn backend_counts(&self) -> BackendCounts {
         BackendCounts {
             listed: self.backends_listed.load(Ordering::Relaxed),
@@ -282,7 +279,8 @@
     }
 }
 
-/// Locks a value. A thread that panicked with the lock held leaves it usable: each change is a single assignment.
+/// Locks a value and ignores lock poisoning. The value is valid even after a panic, because each change is a single
+/// assignment.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/engine/src/protocol.rs
+++ b/engine/src/protocol.rs
@@ -1,13 +1,13 @@
-//! The interface between an adapter and an engine for requests: what an adapter submits, and the final outcome that
-//! it gets back.
+//! The types that adapters and the engine exchange about requests: an adapter submits an [`IncomingRequest`] and
+//! receives a [`RequestOutcome`].
 
 use badgerpost_balancer::{ClassId, Idempotency, Nanos};
 
 use crate::metrics::RequestEnd;
 
-/// The types that an adapter's requests and responses have. The engine passes them on and never looks inside.
+/// The request and response types of an adapter. The engine passes values of these types on without inspecting them.
 pub trait Protocol: 'static {
-    /// A client's request in the form in which it is forwarded.
+    /// A client's request, ready to be forwarded to a backend.
     type Request: 'static;
     /// A backend's response.
     type Response: 'static;
@@ -15,39 +15,39 @@
 
 /// A client's request as submitted to an engine.
 pub struct IncomingRequest<P: Protocol> {
-    /// The client's id of the request. No two open requests have the same one.
+    /// The request's id as chosen by the client. Unique among the open requests.
     pub id: Box<str>,
     /// The request's class.
     pub class: ClassId,
-    /// The tenant's number, on a site with tenants ([`Engine::tenant`](crate::Engine::tenant)).
+    /// The tenant's number from [`Engine::tenant`](crate::Engine::tenant); absent if the settings define no tenants.
     pub tenant: Option<u32>,
-    /// A hash of the name of what the request is about ([`badgerpost_settings::name_hash`]).
+    /// The [hash](badgerpost_settings::name_hash) of the name that the request refers to, for affinity to backends.
     pub affinity_key: Option<u64>,
-    /// The client's estimate of the time that a backend works on the request.
+    /// The client's estimate of the time that a backend needs to serve the request.
     pub expected_service_time: Option<Nanos>,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// How long the client waits from now on.
+    /// How long the client waits, counted from the submission.
     pub budget: Nanos,
-    /// What is forwarded to a backend.
+    /// The request to forward to a backend.
     pub payload: P::Request,
 }
 
 /// The final outcome of a request.
 #[derive(Debug)]
 pub enum RequestOutcome<R> {
-    /// Served, with a backend's response.
+    /// A backend served the request with this response.
     Served(R),
-    /// Rejected. The client should not retry within this time, if it is above 0.
+    /// The request was rejected. The client should wait for this time before it retries; 0 sets no minimum.
     Rejected(Nanos),
-    /// Failed.
+    /// The request failed without a response for the client.
     Failed,
-    /// Failed, with a backend's error response, which the client is given.
+    /// The request failed, and the client receives this error response of a backend.
     FailedWith(R),
 }
 
 impl<R> RequestOutcome<R> {
-    /// How the request has ended for the metrics.
+    /// The kind of end that the metrics count.
     pub(crate) fn end(&self) -> RequestEnd {
         match self {
             Self::Served(_) => RequestEnd::Served,
@@ -57,18 +57,18 @@
     }
 }
 
-/// What an adapter needs to know of a request class.
+/// The properties of a request class that adapters use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestClass {
-    /// The class.
+    /// The id of the class.
     pub id: ClassId,
-    /// The longest that a client of this class waits.
+    /// The longest time that a client of this class waits.
     pub deadline: Nanos,
-    /// Whether its requests may be sent more than once.
+    /// Whether requests of this class may be sent more than once.
     pub idempotency: Idempotency,
 }
 
-/// The settings list tenants, and the request names none of them.
+/// The settings define tenants, but the request names none of them.
 #[derive(Debug, thiserror::Error)]
 #[error("unknown tenant")]
 pub struct UnknownTenant;
--- a/engine/src/tcp_stream.rs
+++ b/engine/src/tcp_stream.rs
@@ -1,8 +1,8 @@
-//! A TCP stream that relies on no more than what Linux documents of its calls.
+//! A TCP stream that handles short reads and interrupted system calls as Linux documents them.
 //!
-//! As a reader, the runtime's own stream takes a read that did not fill its buffer for the last one until the next
-//! event, and passes an interrupted call on as an error. A read may be short though more has arrived, and then no event
-//! follows: here the socket counts as drained only when a call says so, and an interrupted call is made again.
+//! After a read that does not fill the buffer, Tokio's own stream waits for the next readiness event, and it returns
+//! interrupted calls as errors. However, a read may be short although more bytes have arrived, and then no further
+//! event follows. This stream waits for readiness only after a call would block, and repeats interrupted calls.
 
 use std::future::Future;
 use std::io::{self, IoSlice};
@@ -14,8 +14,8 @@
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 
-/// Most bytes of one read: its buffer is cleared first, and none has to be larger than this to be read fast.
-const MAX_READ: usize = 16 * 1024;
+/// The maximum number of bytes per read. Limits how much of the buffer is zeroed before each read.
+const MAX_READ_BYTES: usize = 16 * 1024;
 
 /// A connected TCP stream.
 #[derive(Debug)]
@@ -32,31 +32,31 @@
     ///
     /// # Errors
     ///
-    /// The peer refuses, can't be reached, or the system has no socket for it.
+    /// Returns an error if the peer refuses or can't be reached, or if no socket can be created.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
         tokio::net::TcpStream::connect(address).await.map(Self)
     }
 
-    /// Sets whether small writes go out at once.
+    /// Sets `TCP_NODELAY`, with which small writes are sent at once.
     ///
     /// # Errors
     ///
-    /// The system refuses.
-    pub fn set_nodelay(&self, is_immediate: bool) -> io::Result<()> {
-        self.0.set_nodelay(is_immediate)
+    /// Returns an error if the system call fails.
+    pub fn set_nodelay(&self, is_enabled: bool) -> io::Result<()> {
+        self.0.set_nodelay(is_enabled)
     }
 
-    /// Has the connection end by a reset when this is dropped.
+    /// Makes the connection end with a reset when the stream is dropped.
     ///
     /// # Errors
     ///
-    /// The system refuses.
+    /// Returns an error if the system call fails.
     pub fn set_reset_on_close(&self) -> io::Result<()> {
         self.0.set_zero_linger()
     }
 
-    /// Waits until there is something to read, and reads nothing. Returns the number of bytes seen, 0 at the peer's
-    /// end.
+    /// Waits until bytes can be read, and copies them into `buffer` without consuming them. Returns the number of
+    /// bytes, which is 0 if the peer has closed its side.
     pub fn poll_peek(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         let mut seen = ReadBuf::new(buffer);
         loop {
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Whether bytes have arrived that were not read, by the system itself: the runtime learns of them later, and after a
-    /// pause of the process that may be too late for a decision.
+    /// Whether unread bytes have arrived. Asks the operating system, because the runtime's readiness state may be out
+    /// of date, especially after the process was paused.
     pub fn has_unread_bytes(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         loop {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Whether the system knows by now that the peer has closed its side, though bytes before that may be unread.
+    /// Whether the runtime has been notified that the peer closed its side. Bytes sent before that may still be unread.
     pub fn is_read_closed(&self, cx: &mut Context<'_>) -> bool {
         match pin!(self.0.ready(Interest::READABLE)).poll(cx) {
             Poll::Ready(Ok(ready)) => ready.is_read_closed(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Calls `write` until the socket takes bytes or fails, waiting for its readiness in between.
+    /// Calls `write` until the socket accepts bytes or fails, and waits for the socket to become writable in between.
     fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
@@ -104,12 +104,12 @@
     }
 }
 
-/// Whether a call has done nothing and is to be made again at once.
+/// Whether a call was interrupted and must be repeated at once.
 fn is_interrupted<T>(result: &io::Result<T>) -> bool {
     matches!(result, Err(error) if error.kind() == io::ErrorKind::Interrupted)
 }
 
-/// Whether a call has done nothing, and readiness is reported once it can be made again.
+/// Whether a call would block and must be repeated after the next readiness event.
 fn would_block<T>(result: &io::Result<T>) -> bool {
     matches!(result, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
@@ -120,10 +120,10 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let size = buffer.remaining().min(MAX_READ);
+        let size = buffer.remaining().min(MAX_READ_BYTES);
         loop {
             ready!(self.0.poll_read_ready(cx))?;
-            // Unlike `poll_read`, this clears the readiness only when there is nothing to read.
+            // Unlike `poll_read`, `try_read` clears the readiness only if the call would block.
             let result = self.0.try_read(buffer.initialize_unfilled_to(size));
             if is_interrupted(&result) || would_block(&result) {
                 continue;
