--- a/engine/src/attempt.rs
+++ b/engine/src/attempt.rs
@@ -63,8 +63,8 @@
     /// The response. The request is served only if this is present and the outcome is [`Outcome::Success`]. With any
     /// other outcome, the client receives the response if the request fails.
     pub response: Option<R>,
-    /// Whether the rest of the response is still being streamed. Whoever forwards the rest must then count the end of
-    /// the request in the [`Metrics`](crate::Metrics).
+    /// Whether the rest of the response is still being streamed. The code that forwards the rest must then count the
+    /// end of the request in the [`Metrics`](crate::Metrics).
     pub is_streaming: bool,
 }
 
--- a/engine/src/driver/requests.rs
+++ b/engine/src/driver/requests.rs
@@ -126,7 +126,7 @@
         self.handle(event, pending_io);
     }
 
-    /// Sends a request's outcome to whoever submitted the request. Later outcomes of the same request are ignored.
+    /// Sends a request's outcome to the submitter. Later outcomes of the same request are ignored.
     pub(super) fn finish(
         &mut self,
         request: RequestId,
--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -228,7 +228,7 @@
     }
 }
 
-/// Guards against a request that stays open for ever because its attempt never ends.
+/// Guards against a request that stays open indefinitely because its attempt never ends.
 #[test]
 fn request_that_the_balancer_leaves_open_fails_at_its_deadline() {
     let (engine, transport) = test_engine(SECOND);
--- a/engine/src/heartbeat.rs
+++ b/engine/src/heartbeat.rs
@@ -1,5 +1,5 @@
-//! Detects pauses of the process, for example because it was stopped or its machine was short of CPU. Data that arrived
-//! during a pause is all read right after it, so the measured response times of such data are meaningless.
+//! Detects pauses of the process, which occur when the process is stopped or the machine is short of CPU. Data that
+//! arrives during a pause is read only after the pause, so the time of its arrival is unknown.
 
 use std::cell::Cell;
 use std::time::Duration;
--- a/engine/src/idle_pool.rs
+++ b/engine/src/idle_pool.rs
@@ -6,7 +6,7 @@
 
 use badgerpost_balancer::Nanos;
 
-/// A connection that can tell whether it is safe to reuse.
+/// A connection that can be checked before it is reused.
 pub trait IdleCheck {
     /// Whether the connection is open and has no unread bytes. Unread bytes would be taken for the next response.
     fn is_idle(&mut self) -> bool;
--- a/engine/src/metrics.rs
+++ b/engine/src/metrics.rs
@@ -24,7 +24,7 @@
 pub(crate) enum EndCounting {
     /// When the outcome is sent.
     Immediate,
-    /// When the streamed response has ended. Counted by whoever forwards the stream.
+    /// When the streamed response has ended. Counted by the code that forwards the stream.
     AtEndOfStream,
 }
 
--- a/engine/src/open_requests.rs
+++ b/engine/src/open_requests.rs
@@ -47,7 +47,7 @@
     pub(crate) cancelled: oneshot::Receiver<()>,
 }
 
-/// The result of sending a request's outcome to whoever submitted the request.
+/// The result of sending a request's outcome to the submitter.
 pub(crate) enum Delivery {
     /// The outcome was received.
     Delivered(RequestEnd),
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Sends the outcome to whoever submitted the request. Returns `None` if an outcome was sent before.
+    /// Sends the outcome to the submitter. Returns `None` if an outcome was sent before.
     pub(crate) fn send_outcome(
         &mut self,
         outcome: RequestOutcome<P::Response>,
@@ -222,8 +222,8 @@
         self.error_response.take()
     }
 
-    /// Marks the request as ended. During an upload, also sets the deadline of the attempts to `now`, because nothing
-    /// else ends these attempts.
+    /// Marks the request as ended. If the request was submitted while its body was uploaded, also sets the deadline of
+    /// its attempts to `now`: during the upload, nothing else ends these attempts.
     pub(crate) fn mark_ended(&mut self, now: Nanos) {
         self.has_ended = true;
         if let Some(upload_deadline) = &self.upload_deadline {
--- a/engine/src/start_times.rs
+++ b/engine/src/start_times.rs
@@ -185,11 +185,11 @@
         }
         let age = at.wall_time().max(min_writer_time).saturating_sub(started);
         let age_less_one_hour = age.saturating_sub(HOUR);
-        let is_recent_less_one_hour =
+        let is_recent_if_one_hour_ahead =
             (-HOUR_ERROR_TOLERANCE_NS..self.slow_start_duration).contains(&age_less_one_hour);
-        // A start within the last hour of the wall clock shows that the wall clock is not an hour ahead.
+        // A start that is less than an hour old by the wall clock shows that the wall clock is not an hour ahead.
         let may_be_one_hour_ahead = wall_clock_lag <= HOUR_ERROR_TOLERANCE_NS - HOUR;
-        if is_recent_less_one_hour && may_be_one_hour_ahead {
+        if is_recent_if_one_hour_ahead && may_be_one_hour_ahead {
             age_less_one_hour
         } else {
             age
--- a/engine/src/zone_monitoring.rs
+++ b/engine/src/zone_monitoring.rs
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Handles the start of an attempt.
+    /// Starts to observe an attempt: when the attempt is sent or, for an upload, when the upload is complete.
     pub(crate) fn attempt_sent(
         &mut self,
         now: Nanos,
