--- a/core/zone-health/src/event.rs
+++ b/core/zone-health/src/event.rs
@@ -23,9 +23,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptSignal {
     /// The server sent a usable response.
-    Answered,
+    Success,
     /// The server responded with an error.
-    Failed,
+    ErrorResponse,
     /// The connection could not be established, or broke.
     ConnectionFailed,
     /// No response came within the timeout, or before the attempt was cancelled.
@@ -45,7 +45,7 @@
     /// Its zone.
     pub zone: ZoneIndex,
     /// Its capacity relative to other servers.
-    pub size: f64,
+    pub capacity: f64,
 }
 
 /// What operators force a zone to be.
--- a/core/zone-health/src/monitor.rs
+++ b/core/zone-health/src/monitor.rs
@@ -212,7 +212,7 @@
         }
         self.record_evidence(attempt, signal, usual_failure_rate, probes);
         let is_healthy = self.zones.entry(attempt.zone).state.is_healthy();
-        if signal == AttemptSignal::Answered && is_healthy {
+        if signal == AttemptSignal::Success && is_healthy {
             return AssessmentNeed::None;
         }
         AssessmentNeed::UnlessJustDone
@@ -230,11 +230,11 @@
         let duration = awake_now.saturating_sub(attempt.sent_at);
         let entry = self.zones.entry_mut(attempt.zone);
         match signal {
-            AttemptSignal::Answered => {
+            AttemptSignal::Success => {
                 let slowdown = self.attempts.record_latency(attempt.class, duration);
                 entry.record_success(awake_now, &attempt, slowdown, usual_failure_rate);
             }
-            AttemptSignal::Failed => {
+            AttemptSignal::ErrorResponse => {
                 entry.record_error(awake_now, &attempt, usual_failure_rate, probes);
             }
             AttemptSignal::ConnectionFailed => {
@@ -309,7 +309,7 @@
 fn is_response(signal: AttemptSignal) -> bool {
     matches!(
         signal,
-        AttemptSignal::Answered | AttemptSignal::Failed | AttemptSignal::Inconclusive
+        AttemptSignal::Success | AttemptSignal::ErrorResponse | AttemptSignal::Inconclusive
     )
 }
 
--- a/core/zone-health/src/monitor/gossip.rs
+++ b/core/zone-health/src/monitor/gossip.rs
@@ -71,7 +71,7 @@
             observer_zone: self.local_zone().into(),
             silence_evidence,
             failure_evidence,
-            has_answers: !has_evidence && entry.has_recent_answer(awake_now),
+            has_recent_success: !has_evidence && entry.has_recent_answer(awake_now),
             state: entry.state.observed_state(awake_now),
             is_first_hand: entry.state.is_first_hand(),
         }
--- a/core/zone-health/src/monitor/tests.rs
+++ b/core/zone-health/src/monitor/tests.rs
@@ -90,7 +90,7 @@
             .map(|server| ListedServer {
                 server: ServerId(server),
                 zone: ZoneIndex(server / SERVERS_PER_ZONE),
-                size: 4.0,
+                capacity: 4.0,
             })
             .collect();
         simulation.handle(Event::EndpointsListed(servers));
@@ -167,14 +167,14 @@
             _ if self.stuck_server == Some(server) => (500 * MILLISECOND, AttemptSignal::TimedOut),
             Behaviour::Silent if class.0 == 0 => (200 * MILLISECOND, AttemptSignal::TimedOut),
             Behaviour::Silent => (900 * MILLISECOND, AttemptSignal::TimedOut),
-            Behaviour::Slow(factor) => (duration * factor, AttemptSignal::Answered),
+            Behaviour::Slow(factor) => (duration * factor, AttemptSignal::Success),
             Behaviour::Failing(percentage) if percentile < percentage => {
-                (duration, AttemptSignal::Failed)
+                (duration, AttemptSignal::ErrorResponse)
             }
-            Behaviour::FailingOneClass if class.0 == 1 => (duration, AttemptSignal::Failed),
+            Behaviour::FailingOneClass if class.0 == 1 => (duration, AttemptSignal::ErrorResponse),
             Behaviour::Refusing => (MILLISECOND / 2, AttemptSignal::ConnectionFailed),
-            _ if percentile == 0 => (duration, AttemptSignal::Failed),
-            _ => (duration, AttemptSignal::Answered),
+            _ if percentile == 0 => (duration, AttemptSignal::ErrorResponse),
+            _ => (duration, AttemptSignal::Success),
         };
         self.handle(Event::AttemptSent {
             attempt,
@@ -431,7 +431,7 @@
         .map(|server| ListedServer {
             server: ServerId(server),
             zone: ZoneIndex(0),
-            size: 1.0,
+            capacity: 1.0,
         })
         .collect();
     monitor.handle(0, Event::EndpointsListed(servers), &mut actions);
--- a/core/zone-health/src/observation.rs
+++ b/core/zone-health/src/observation.rs
@@ -18,7 +18,8 @@
     /// The zone gets recovery probes only.
     Ejected {
         /// Recovery probes answered since the last that failed.
-        answered_probes: u8,
+        #[serde(rename = "answered_probes")]
+        successful_probes: u8,
         /// Age of the last failed probe, in milliseconds; `u16::MAX` if there is none.
         failed_probe_age_ms: u16,
     },
@@ -27,7 +28,8 @@
         /// Index of the recovery step.
         step: u8,
         /// Whether a response has come in this step.
-        has_answers: bool,
+        #[serde(rename = "has_answers")]
+        has_success: bool,
     },
 }
 
@@ -41,7 +43,8 @@
     /// Evidence of failures, in hundredths of a log-likelihood ratio.
     pub failure_evidence: u16,
     /// Whether the node had a usable response from the zone a moment ago and has no evidence against it.
-    pub has_answers: bool,
+    #[serde(rename = "has_answers")]
+    pub has_recent_success: bool,
     /// The zone's state for the node.
     pub state: ObservedState,
     /// Whether that state follows from the node's own evidence rather than from that of others.
--- a/core/zone-health/src/observation/tests.rs
+++ b/core/zone-health/src/observation/tests.rs
@@ -8,9 +8,9 @@
         observer_zone: GossipZone(2),
         silence_evidence: 512,
         failure_evidence: evidence_to_units(1e9),
-        has_answers: false,
+        has_recent_success: false,
         state: ObservedState::Ejected {
-            answered_probes: 3,
+            successful_probes: 3,
             failed_probe_age_ms: 800,
         },
         is_first_hand: true,
@@ -32,7 +32,7 @@
         observer_zone: GossipZone(2),
         silence_evidence: 512,
         failure_evidence: 7,
-        has_answers: true,
+        has_recent_success: true,
         state,
         is_first_hand: false,
     };
@@ -41,7 +41,7 @@
         (ObservedState::Suspected, &[2, 0x80, 0x04, 7, 1, 1, 0]),
         (
             ObservedState::Ejected {
-                answered_probes: 200,
+                successful_probes: 200,
                 failed_probe_age_ms: u16::MAX,
             },
             &[2, 0x80, 0x04, 7, 1, 2, 200, 0xff, 0xff, 0x03, 0],
@@ -49,7 +49,7 @@
         (
             ObservedState::Recovering {
                 step: 4,
-                has_answers: true,
+                has_success: true,
             },
             &[2, 0x80, 0x04, 7, 1, 3, 4, 1, 0],
         ),
--- a/core/zone-health/src/observation_publisher.rs
+++ b/core/zone-health/src/observation_publisher.rs
@@ -74,7 +74,7 @@
         let age = self.last.map_or(Nanos::MAX, |last| now - last.sent_at);
         let is_adverse = is_adverse(observation);
         // Other nodes have evidence against a zone that responds to this node.
-        if !is_adverse && observation.has_answers && recipients.is_zone_doubted {
+        if !is_adverse && observation.has_recent_success && recipients.is_zone_doubted {
             return age >= RESPONSE_REPORT_INTERVAL;
         }
         let Some(last) = self.last else {
@@ -105,17 +105,17 @@
 fn without_ages(observation: &ZoneObservation) -> ZoneObservation {
     let state = match observation.state {
         ObservedState::Ejected {
-            answered_probes,
+            successful_probes,
             failed_probe_age_ms,
         } => ObservedState::Ejected {
-            answered_probes,
+            successful_probes,
             failed_probe_age_ms: u16::from(failed_probe_age_ms < u16::MAX),
         },
         state => state,
     };
     ZoneObservation {
         state,
-        has_answers: false,
+        has_recent_success: false,
         ..*observation
     }
 }
--- a/core/zone-health/src/peer_observations/tests.rs
+++ b/core/zone-health/src/peer_observations/tests.rs
@@ -22,7 +22,7 @@
         observer_zone,
         silence_evidence,
         failure_evidence: 0,
-        has_answers: silence_evidence == 0,
+        has_recent_success: silence_evidence == 0,
         state: ObservedState::Healthy,
         is_first_hand: silence_evidence > 0,
     }
@@ -115,7 +115,7 @@
         state,
         ..observation(ZONE_A, 0.0)
     };
-    let recovering = |step, has_answers| in_state(ObservedState::Recovering { step, has_answers });
+    let recovering = |step, has_success| in_state(ObservedState::Recovering { step, has_success });
     record(&mut peers, 1, recovering(4, true));
     let one_recovering = summary_of_zone_a(&peers, NOW, ZONE_A);
     assert_eq!(
@@ -139,14 +139,14 @@
         (Some(1), true, true)
     );
     let ejected = in_state(ObservedState::Ejected {
-        answered_probes: 9,
+        successful_probes: 9,
         failed_probe_age_ms: 40,
     });
     record(&mut peers, 4, ejected);
     let with_ejected = summary_of_zone_a(&peers, NOW + MILLISECOND, ZONE_A);
     assert_eq!(
         (
-            with_ejected.answered_probes,
+            with_ejected.successful_probes,
             with_ejected.probing_peers,
             with_ejected.failed_probe_age
         ),
--- a/core/zone-health/src/peer_summary.rs
+++ b/core/zone-health/src/peer_summary.rs
@@ -60,7 +60,7 @@
     /// Whether any node has had responses in that step or a later one.
     pub(crate) has_answers_at_step: bool,
     /// Recently answered recovery probes, bounded for each node.
-    pub(crate) answered_probes: u32,
+    pub(crate) successful_probes: u32,
     /// Nodes with answered recovery probes.
     pub(crate) probing_peers: u32,
     /// Age of the last failed recovery probe; the largest value if there is none.
@@ -135,7 +135,7 @@
             self.witnesses += 1;
             self.silence += silence;
             self.failures += failures;
-        } else if observation.has_answers {
+        } else if observation.has_recent_success {
             self.responsive += 1;
         }
         if is_witness || observation.state == ObservedState::Suspected {
@@ -149,23 +149,23 @@
             ObservedState::Healthy => {}
             ObservedState::Suspected => self.add_ejected(observation.is_first_hand),
             ObservedState::Ejected {
-                answered_probes,
+                successful_probes,
                 failed_probe_age_ms,
             } => {
                 self.add_ejected(observation.is_first_hand);
-                self.add_probes(u32::from(answered_probes).min(MAXIMUM_PROBES_PER_PEER));
+                self.add_probes(u32::from(successful_probes).min(MAXIMUM_PROBES_PER_PEER));
                 if failed_probe_age_ms < u16::MAX {
                     let failed_probe_age = Nanos::from(failed_probe_age_ms) * MILLISECOND + age;
                     self.summary.failed_probe_age =
                         self.summary.failed_probe_age.min(failed_probe_age);
                 }
             }
-            ObservedState::Recovering { step, has_answers } => {
+            ObservedState::Recovering { step, has_success } => {
                 self.recovering += 1;
                 self.add_probes(MAXIMUM_PROBES_PER_PEER);
                 self.steps.push(PeerStep {
                     step: usize::from(step),
-                    has_answers,
+                    has_answers: has_success,
                 });
             }
         }
@@ -181,7 +181,7 @@
 
     /// Adds the answered recovery probes of one node.
     fn add_probes(&mut self, answered: u32) {
-        self.summary.answered_probes += answered;
+        self.summary.successful_probes += answered;
         if answered > 0 {
             self.summary.probing_peers += 1;
         }
--- a/core/zone-health/src/recovery.rs
+++ b/core/zone-health/src/recovery.rs
@@ -93,7 +93,7 @@
     pub(crate) fn observed_state(&self, success_count: u32) -> ObservedState {
         ObservedState::Recovering {
             step: u8::try_from(self.step).unwrap_or(u8::MAX),
-            has_answers: self.has_answers(success_count),
+            has_success: self.has_answers(success_count),
         }
     }
 
--- a/core/zone-health/src/recovery_probes.rs
+++ b/core/zone-health/src/recovery_probes.rs
@@ -97,7 +97,7 @@
     reason: ZoneStateReason,
     next_probe_at: Nanos,
     /// Probes answered in a row.
-    answered_probes: u32,
+    successful_probes: u32,
     last_failed_probe_at: Option<Nanos>,
     /// Whether this node has already been drawn, or not, to follow another node's answered probe.
     has_drawn_to_follow: bool,
@@ -117,7 +117,7 @@
             earliest_end_at,
             reason,
             next_probe_at: earliest_end_at + probes.random_delay(),
-            answered_probes: 0,
+            successful_probes: 0,
             last_failed_probe_at: None,
             has_drawn_to_follow: false,
         }
@@ -130,7 +130,7 @@
 
     /// Whether the last probe was answered.
     pub(crate) fn has_answered_probe(&self) -> bool {
-        self.answered_probes > 0
+        self.successful_probes > 0
     }
 
     /// When the next probe is due.
@@ -146,7 +146,7 @@
             .and_then(|age| u16::try_from(age).ok())
             .unwrap_or(u16::MAX);
         ObservedState::Ejected {
-            answered_probes: u8::try_from(self.answered_probes).unwrap_or(u8::MAX),
+            successful_probes: u8::try_from(self.successful_probes).unwrap_or(u8::MAX),
             failed_probe_age_ms,
         }
     }
@@ -163,7 +163,7 @@
     pub(crate) fn probe_failed(&mut self, now: Nanos, probes: ProbeContext) {
         self.last_failed_probe_at = Some(now);
         self.next_probe_at = self.next_probe_at.max(now + probes.random_delay());
-        self.answered_probes = 0;
+        self.successful_probes = 0;
     }
 
     /// Records an answered probe; the next one follows soon. A silent zone with few servers needs fewer answers.
@@ -172,8 +172,8 @@
             ZoneStateReason::Failing { .. } => self.required_probes(),
             _ => self.required_probes().min(server_count.max(1)),
         };
-        self.answered_probes += 1;
-        if self.answered_probes >= required_probes && now >= self.earliest_end_at {
+        self.successful_probes += 1;
+        if self.successful_probes >= required_probes && now >= self.earliest_end_at {
             return ProbeProgress::Sufficient;
         }
         self.next_probe_at = self
@@ -191,7 +191,7 @@
         peers: &PeerSummary,
         probes: ProbeContext,
     ) {
-        if peers.answered_probes == 0 || self.has_drawn_to_follow {
+        if peers.successful_probes == 0 || self.has_drawn_to_follow {
             return;
         }
         self.has_drawn_to_follow = true;
@@ -212,7 +212,7 @@
         let failed_probe_age = peers.failed_probe_age.min(own_failed_probe_age);
         now >= self.earliest_end_at
             && peers.probing_peers >= MINIMUM_PROBING_PEERS
-            && peers.answered_probes >= self.required_probes()
+            && peers.successful_probes >= self.required_probes()
             && failed_probe_age >= failed_probe_period
     }
 
--- a/core/zone-health/src/zone_entry.rs
+++ b/core/zone-health/src/zone_entry.rs
@@ -71,7 +71,7 @@
         if !had_servers && self.server_count > 0 {
             self.state.servers_listed_anew(awake_now);
         }
-        self.size = servers.map(|server| server.size).sum();
+        self.size = servers.map(|server| server.capacity).sum();
     }
 
     /// Records a usable response that took `slowdown` times as long as usual.
--- a/daemon/tests/gossip.rs
+++ b/daemon/tests/gossip.rs
@@ -268,7 +268,7 @@
                 observer_zone: GossipZone(0),
                 silence_evidence: u16::MAX,
                 failure_evidence: u16::MAX,
-                has_answers: false,
+                has_recent_success: false,
                 state: ObservedState::Suspected,
                 is_first_hand: true,
             };
--- a/engine/src/zone_monitoring.rs
+++ b/engine/src/zone_monitoring.rs
@@ -160,7 +160,7 @@
         let listed = self.backends.iter().map(|(id, backend)| ListedServer {
             server: ServerId(id.0),
             zone: ZoneIndex(backend.zone.0),
-            size: backend.size,
+            capacity: backend.size,
         });
         let event = Event::EndpointsListed(listed.collect());
         self.handle(now, event)
@@ -210,7 +210,7 @@
         utilization: Option<f64>,
     ) -> ZoneOutput {
         let signal = match attempt_signal(outcome) {
-            AttemptSignal::Answered if !has_response_time => AttemptSignal::Inconclusive,
+            AttemptSignal::Success if !has_response_time => AttemptSignal::Inconclusive,
             AttemptSignal::TimedOut if !has_response_time => AttemptSignal::NotSent,
             signal => signal,
         };
@@ -330,8 +330,8 @@
 /// The evidence that an attempt's outcome is for the health of its backend's zone.
 fn attempt_signal(outcome: Outcome) -> AttemptSignal {
     match outcome {
-        Outcome::Success => AttemptSignal::Answered,
-        Outcome::Error => AttemptSignal::Failed,
+        Outcome::Success => AttemptSignal::Success,
+        Outcome::Error => AttemptSignal::ErrorResponse,
         Outcome::ConnectFailed | Outcome::Reset => AttemptSignal::ConnectionFailed,
         Outcome::TimedOut | Outcome::Cancelled => AttemptSignal::TimedOut,
         Outcome::Rejected | Outcome::InvalidResponse => AttemptSignal::Inconclusive,
