--- a/core/zone-health/src/assessment.rs
+++ b/core/zone-health/src/assessment.rs
@@ -27,7 +27,7 @@
     /// The other nodes' observations, if there are other nodes. Their evidence is included in the figures above.
     pub(crate) peers: Option<PeerSummary>,
     /// Whether this node had a usable response from the zone a moment ago.
-    pub(crate) has_answers: bool,
+    pub(crate) has_recent_success: bool,
     /// The evidence of this node alone, the greater of silence and failures.
     pub(crate) own_evidence: f64,
 }
@@ -45,8 +45,8 @@
 
 impl Assessment {
     /// Weighs silence and failures against each other; failures count for nothing during an amnesty.
-    pub(crate) fn new(snapshot: &EvidenceSnapshot, has_failure_amnesty: bool) -> Self {
-        let failures = if has_failure_amnesty {
+    pub(crate) fn new(snapshot: &EvidenceSnapshot, is_ignoring_failures: bool) -> Self {
+        let failures = if is_ignoring_failures {
             0.0
         } else {
             snapshot.failures
--- a/core/zone-health/src/attempt_tracker.rs
+++ b/core/zone-health/src/attempt_tracker.rs
@@ -10,7 +10,7 @@
 /// Outstanding attempts that are tracked; the caller has no more connections than that for its requests.
 const MAXIMUM_OUTSTANDING_ATTEMPTS: usize = 65_536;
 /// Slowdown of responses that a timed-out attempt allows for before it counts as a failed recovery probe.
-const TIMEOUT_SLOWDOWN: f64 = 2.0;
+const TIMEOUT_SLOWDOWN_TOLERANCE: f64 = 2.0;
 /// Evidence of silence above which a timed-out attempt counts as a failed recovery probe.
 const TIMEOUT_EVIDENCE_THRESHOLD: f64 = 1.0;
 /// Fraction of the responses that a recovery probe's timeout is based on.
@@ -78,15 +78,15 @@
     /// Records a response time. Returns it relative to the class's median.
     pub(crate) fn record_latency(&mut self, class: ClassIndex, duration: Nanos) -> f64 {
         let latency = &mut self.latencies[class.position()];
-        let usual = latency.median().unwrap_or(duration).max(1);
+        let median = latency.median().unwrap_or(duration).max(1);
         latency.record(duration);
-        duration as f64 / usual as f64
+        duration as f64 / median as f64
     }
 
     /// Whether an attempt that timed out after this duration had waited longer than most responses take.
     pub(crate) fn is_significant_timeout(&self, class: ClassIndex, duration: Nanos) -> bool {
         let evidence =
-            self.latencies[class.position()].silence_evidence(duration, TIMEOUT_SLOWDOWN);
+            self.latencies[class.position()].silence_evidence(duration, TIMEOUT_SLOWDOWN_TOLERANCE);
         evidence > TIMEOUT_EVIDENCE_THRESHOLD
     }
 
--- a/core/zone-health/src/decaying_cusum.rs
+++ b/core/zone-health/src/decaying_cusum.rs
@@ -3,11 +3,11 @@
 use badgerpost_time::{Nanos, SECOND};
 
 /// Time constant of the exponential decay of evidence.
-const DECAY_TIME: Nanos = 2 * SECOND;
+const DECAY_TIME_CONSTANT: Nanos = 2 * SECOND;
 
 /// The factor by which evidence of `recorded_at` has decayed by `now`, from 1 down to 0.
 pub(crate) fn decay_factor(now: Nanos, recorded_at: Nanos) -> f64 {
-    (-(now.saturating_sub(recorded_at) as f64) / DECAY_TIME as f64).exp()
+    (-(now.saturating_sub(recorded_at) as f64) / DECAY_TIME_CONSTANT as f64).exp()
 }
 
 /// A cumulative sum of log-likelihood ratios (Page's CUSUM) with an upper bound and exponential decay.
--- a/core/zone-health/src/evidence.rs
+++ b/core/zone-health/src/evidence.rs
@@ -11,15 +11,15 @@
 use badgerpost_time::Nanos;
 
 /// Failure rate assumed for a failing zone, at the least.
-const MINIMUM_FAULTY_FAILURE_RATE: f64 = 0.3;
+const MINIMUM_FAULTY_ZONE_FAILURE_RATE: f64 = 0.3;
 /// Failure rate assumed for a failing zone, at the most.
-const MAXIMUM_FAULTY_FAILURE_RATE: f64 = 0.95;
+const MAXIMUM_FAULTY_ZONE_FAILURE_RATE: f64 = 0.95;
 /// A failing zone fails this many times as often as usual.
-const FAULTY_RATE_RATIO: f64 = 3.0;
+const FAULTY_ZONE_FAILURE_RATIO: f64 = 3.0;
 /// Failure rate that counts as usual at the least, also where no rate is known.
-pub(crate) const USUAL_FAILURE_RATE: f64 = 0.02;
+pub(crate) const DEFAULT_FAILURE_RATE: f64 = 0.02;
 /// Failure rate that counts as usual at the most: the test needs room above it.
-const MAXIMUM_USUAL_FAILURE_RATE: f64 = 0.8;
+const MAXIMUM_BASELINE_FAILURE_RATE: f64 = 0.8;
 /// Upper bound of the evidence from one server: it can't speak for the others.
 const MAXIMUM_SERVER_EVIDENCE: f64 = 5.0;
 /// Upper bound of the evidence from one class: that of two servers.
@@ -29,15 +29,15 @@
 /// Timed-out attempts that are remembered as silent. Each is evidence of up to 2.5, so more change nothing.
 const MAXIMUM_TIMED_OUT_ATTEMPTS: usize = 64;
 /// Servers above which the worst one can be left out.
-const SERVERS_TO_LEAVE_ONE_OUT: u32 = 2;
+const LEAVE_ONE_OUT_SERVER_THRESHOLD: u32 = 2;
 /// Classes in use above which the worst one can be left out.
-const CLASSES_TO_LEAVE_ONE_OUT: usize = 1;
+const LEAVE_ONE_OUT_CLASS_THRESHOLD: usize = 1;
 /// Decayed number of attempts above which a class counts as in use.
 const MINIMUM_CLASS_ATTEMPTS: f64 = 1.0;
 /// Weight of the newest attempt in the recent failure rate: an average over about ten attempts.
-const RECENT_FAILURE_WEIGHT: f64 = 0.1;
+const FAILURE_RATE_EWMA_WEIGHT: f64 = 0.1;
 /// Weight of the newest response in the smoothed slowdown.
-const SLOWDOWN_WEIGHT: f64 = 0.3;
+const SLOWDOWN_EWMA_WEIGHT: f64 = 0.3;
 
 /// An attempt without a response.
 #[derive(Clone, Copy)]
@@ -73,7 +73,7 @@
 
 impl AttemptResult {
     /// 1 for a failure, 0 for a success.
-    fn failure_count(self) -> f64 {
+    fn failure_indicator(self) -> f64 {
         match self {
             Self::Success => 0.0,
             Self::ErrorResponse | Self::ConnectionFailed => 1.0,
@@ -81,13 +81,16 @@
     }
 
     /// The logarithm of how much more likely this result is in a failing zone, given the usual failure rate.
-    fn log_likelihood_ratio(self, usual_failure_rate: f64) -> f64 {
-        let usual = usual_failure_rate.clamp(USUAL_FAILURE_RATE, MAXIMUM_USUAL_FAILURE_RATE);
-        let faulty = (FAULTY_RATE_RATIO * usual)
-            .clamp(MINIMUM_FAULTY_FAILURE_RATE, MAXIMUM_FAULTY_FAILURE_RATE);
+    fn log_likelihood_ratio(self, baseline_failure_rate: f64) -> f64 {
+        let baseline =
+            baseline_failure_rate.clamp(DEFAULT_FAILURE_RATE, MAXIMUM_BASELINE_FAILURE_RATE);
+        let faulty = (FAULTY_ZONE_FAILURE_RATIO * baseline).clamp(
+            MINIMUM_FAULTY_ZONE_FAILURE_RATE,
+            MAXIMUM_FAULTY_ZONE_FAILURE_RATE,
+        );
         match self {
-            Self::Success => ((1.0 - faulty) / (1.0 - usual)).ln(),
-            Self::ErrorResponse | Self::ConnectionFailed => (faulty / usual).ln(),
+            Self::Success => ((1.0 - faulty) / (1.0 - baseline)).ln(),
+            Self::ErrorResponse | Self::ConnectionFailed => (faulty / baseline).ln(),
         }
     }
 }
@@ -126,7 +129,7 @@
     fn record(&mut self, now: Nanos, result: AttemptResult) {
         let decayed = self.value_at(now);
         self.counts = AttemptCounts {
-            failed: decayed.failed + result.failure_count(),
+            failed: decayed.failed + result.failure_indicator(),
             total: decayed.total + 1.0,
         };
         self.updated_at = now;
@@ -233,9 +236,9 @@
         now: Nanos,
         attempt: &OutstandingAttempt,
         result: AttemptResult,
-        usual_failure_rate: f64,
+        baseline_failure_rate: f64,
     ) {
-        let log_ratio = result.log_likelihood_ratio(usual_failure_rate);
+        let log_ratio = result.log_likelihood_ratio(baseline_failure_rate);
         self.servers.entry(attempt.server).or_default().add(
             now,
             log_ratio,
@@ -252,7 +255,7 @@
                 .add(now, log_ratio, MAXIMUM_CONNECTION_EVIDENCE);
         }
         self.recent_failure_rate +=
-            RECENT_FAILURE_WEIGHT * (result.failure_count() - self.recent_failure_rate);
+            FAILURE_RATE_EWMA_WEIGHT * (result.failure_indicator() - self.recent_failure_rate);
         if let Some(counts) = self.class_counts.get_mut(attempt.class.position()) {
             counts.record(now, result);
         }
@@ -275,7 +278,7 @@
         self.record_response(now);
         self.last_success_at = Some(now);
         self.success_count = self.success_count.saturating_add(1);
-        self.slowdown += SLOWDOWN_WEIGHT * (slowdown - self.slowdown);
+        self.slowdown += SLOWDOWN_EWMA_WEIGHT * (slowdown - self.slowdown);
     }
 
     /// Records an attempt that ended without a response.
@@ -293,7 +296,7 @@
     pub(crate) fn failure_evidence(&self, now: Nanos, server_count: u32) -> f64 {
         let by_server = sum_without_worst(
             self.servers.values().map(|cusum| cusum.value_at(now)),
-            server_count > SERVERS_TO_LEAVE_ONE_OUT,
+            server_count > LEAVE_ONE_OUT_SERVER_THRESHOLD,
         );
         let used_classes = self
             .class_counts
@@ -302,7 +305,7 @@
             .count();
         let by_class = sum_without_worst(
             self.classes.iter().map(|cusum| cusum.value_at(now)),
-            used_classes > CLASSES_TO_LEAVE_ONE_OUT,
+            used_classes > LEAVE_ONE_OUT_CLASS_THRESHOLD,
         );
         by_server.min(by_class + self.connections.value_at(now))
     }
@@ -325,14 +328,14 @@
             let Some(latency) = test.latencies.get(attempt.class.position()) else {
                 continue;
             };
-            if self.precedes_last_response(&attempt, latency) {
+            if self.was_due_before_last_response(&attempt, latency) {
                 continue;
             }
             *by_server.entry(attempt.server).or_default() +=
                 latency.silence_evidence(silent.waiting_duration, test.slowdown);
             first_sent_at = first_sent_at.min(attempt.sent_at);
         }
-        let can_leave_one_out = test.server_count > SERVERS_TO_LEAVE_ONE_OUT;
+        let can_leave_one_out = test.server_count > LEAVE_ONE_OUT_SERVER_THRESHOLD;
         SilenceEvidence {
             evidence: sum_without_worst(by_server.into_values(), can_leave_one_out),
             first_sent_at,
@@ -340,14 +343,14 @@
     }
 
     /// Whether a response to the attempt was due before the last response came: its silence proves nothing.
-    fn precedes_last_response(
+    fn was_due_before_last_response(
         &self,
         attempt: &OutstandingAttempt,
         latency: &LatencyHistogram,
     ) -> bool {
-        let usual_latency = latency.median().unwrap_or(0);
+        let median_latency = latency.median().unwrap_or(0);
         self.last_response_at
-            .is_some_and(|response_at| attempt.sent_at + usual_latency < response_at)
+            .is_some_and(|response_at| attempt.sent_at + median_latency < response_at)
     }
 }
 
--- a/core/zone-health/src/latency_histogram.rs
+++ b/core/zone-health/src/latency_histogram.rs
@@ -10,7 +10,7 @@
 /// Lower bound of the first bucket, in nanoseconds.
 const FIRST_BUCKET_NANOS: f64 = 0.1 * MILLISECOND as f64;
 /// Weight of all samples at which every count is halved, so that old samples fade.
-const HALVING_WEIGHT: f64 = 2000.0;
+const MAXIMUM_WEIGHT: f64 = 2000.0;
 /// Weight of all samples below which the histogram is not used.
 const MINIMUM_WEIGHT: f64 = 20.0;
 /// Weight of the pseudo-sample that keeps the estimated probability above zero.
@@ -39,7 +39,7 @@
     pub(crate) fn record(&mut self, duration: Nanos) {
         self.counts[bucket_index(duration as f64)] += 1.0;
         self.total += 1.0;
-        if self.total > HALVING_WEIGHT {
+        if self.total > MAXIMUM_WEIGHT {
             for count in &mut self.counts {
                 *count /= 2.0;
             }
--- a/core/zone-health/src/latency_histogram/tests.rs
+++ b/core/zone-health/src/latency_histogram/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn silence_is_weak_evidence_early_and_strong_evidence_late() {
+fn silence_evidence_grows_with_the_waiting_time() {
     let mut histogram = LatencyHistogram::new();
     assert_eq!(
         histogram.silence_evidence(1000 * MILLISECOND, 2.0),
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn old_samples_fade() {
+fn quantiles_follow_recent_samples() {
     let mut histogram = LatencyHistogram::new();
     for _ in 0..2000 {
         histogram.record(10 * MILLISECOND);
--- a/core/zone-health/src/monitor.rs
+++ b/core/zone-health/src/monitor.rs
@@ -35,7 +35,7 @@
     /// Not because of this event.
     None,
     /// Now, unless they were assessed a moment ago and a timer is pending.
-    UnlessJustDone,
+    RateLimited,
     /// Now.
     Immediate,
 }
@@ -49,7 +49,7 @@
     /// On the caller's clock.
     last_assessment_at: Nanos,
     /// Whether no zone responded at the last assessment, and no response has come since.
-    is_cut_off: bool,
+    is_isolated: bool,
     peers: PeerObservations,
     /// Whether gossip has arrived, or must be repeated, since the last assessment.
     has_pending_gossip: bool,
@@ -66,7 +66,7 @@
             attempts: AttemptTracker::new(class_count),
             clock: MonitorClock::new(now),
             last_assessment_at: 0,
-            is_cut_off: false,
+            is_isolated: false,
             peers: PeerObservations::default(),
             has_pending_gossip: false,
             random: LinearCongruentialGenerator::new(settings.seed),
@@ -79,7 +79,7 @@
         self.clock.advance(now);
         let is_needed = match self.apply(event) {
             AssessmentNeed::None => false,
-            AssessmentNeed::UnlessJustDone => !self.is_just_assessed(),
+            AssessmentNeed::RateLimited => !self.is_recently_assessed(),
             AssessmentNeed::Immediate => true,
         };
         if is_needed {
@@ -89,7 +89,7 @@
     }
 
     /// Whether the zones were assessed a moment ago and will be again by the pending timer.
-    fn is_just_assessed(&self) -> bool {
+    fn is_recently_assessed(&self) -> bool {
         self.clock.now() < self.last_assessment_at + MINIMUM_ASSESSMENT_INTERVAL
             && self.clock.has_timer()
     }
@@ -115,14 +115,14 @@
                     class,
                     sent_at,
                 };
-                self.attempt_sent(attempt, outstanding);
+                self.track_attempt(attempt, outstanding);
                 AssessmentNeed::None
             }
             Event::AttemptEnded {
                 attempt,
                 signal,
                 utilization,
-            } => self.attempt_ended(attempt, signal, utilization),
+            } => self.end_attempt(attempt, signal, utilization),
             Event::TimerFired => {
                 self.clock.clear_timer();
                 AssessmentNeed::Immediate
@@ -141,7 +141,7 @@
                 home_zone,
                 is_up,
             } => {
-                self.peer_changed(member, home_zone, is_up);
+                self.update_peer(member, home_zone, is_up);
                 AssessmentNeed::None
             }
             Event::PeerObserved {
@@ -149,7 +149,7 @@
                 zone,
                 sent_at,
                 observation,
-            } => self.peer_observed(member, zone, sent_at, observation),
+            } => self.record_peer_observation(member, zone, sent_at, observation),
         }
     }
 
@@ -172,20 +172,20 @@
     /// The context of a decision on recovery probes; draws a random number.
     fn draw_probe_context(&mut self) -> ProbeContext {
         ProbeContext {
-            sharing_nodes: self.probing_nodes(),
+            probing_nodes: self.probing_nodes(),
             random_fraction: self.random.next_fraction(),
         }
     }
 
     /// Tracks an attempt, if its zone is known.
-    fn attempt_sent(&mut self, key: AttemptKey, attempt: OutstandingAttempt) {
+    fn track_attempt(&mut self, key: AttemptKey, attempt: OutstandingAttempt) {
         if self.zones.contains(attempt.zone) {
             self.attempts.insert(key, attempt);
         }
     }
 
     /// Takes the end of an attempt into account.
-    fn attempt_ended(
+    fn end_attempt(
         &mut self,
         key: AttemptKey,
         signal: AttemptSignal,
@@ -196,7 +196,7 @@
         };
         let probes = self.draw_probe_context();
         // Computed first: a reconnection discards the evidence.
-        let usual_failure_rate =
+        let baseline_failure_rate =
             self.zones
                 .failure_rate_elsewhere(self.clock.awake_now(), attempt.zone, attempt.class);
         if let Some(utilization) = utilization {
@@ -204,18 +204,18 @@
             let entry = self.zones.entry_mut(attempt.zone);
             entry.record_utilization(now, utilization);
         }
-        if is_response(signal) && self.is_cut_off {
-            self.reconnected();
+        if is_response(signal) && self.is_isolated {
+            self.end_isolation();
         }
         if signal == AttemptSignal::NotSent {
             return AssessmentNeed::None;
         }
-        self.record_evidence(attempt, signal, usual_failure_rate, probes);
+        self.record_evidence(attempt, signal, baseline_failure_rate, probes);
         let is_healthy = self.zones.entry(attempt.zone).state.is_healthy();
         if signal == AttemptSignal::Success && is_healthy {
             return AssessmentNeed::None;
         }
-        AssessmentNeed::UnlessJustDone
+        AssessmentNeed::RateLimited
     }
 
     /// Records the end of an attempt as evidence about its zone.
@@ -223,7 +223,7 @@
         &mut self,
         attempt: OutstandingAttempt,
         signal: AttemptSignal,
-        usual_failure_rate: f64,
+        baseline_failure_rate: f64,
         probes: ProbeContext,
     ) {
         let awake_now = self.clock.awake_now();
@@ -232,13 +232,13 @@
         match signal {
             AttemptSignal::Success => {
                 let slowdown = self.attempts.record_latency(attempt.class, duration);
-                entry.record_success(awake_now, &attempt, slowdown, usual_failure_rate);
+                entry.record_success(awake_now, &attempt, slowdown, baseline_failure_rate);
             }
             AttemptSignal::ErrorResponse => {
-                entry.record_error(awake_now, &attempt, usual_failure_rate, probes);
+                entry.record_error(awake_now, &attempt, baseline_failure_rate, probes);
             }
             AttemptSignal::ConnectionFailed => {
-                entry.record_connection_failure(awake_now, &attempt, usual_failure_rate, probes);
+                entry.record_connection_failure(awake_now, &attempt, baseline_failure_rate, probes);
             }
             AttemptSignal::TimedOut => {
                 entry.state.evidence.record_timeout(attempt, awake_now);
@@ -246,7 +246,7 @@
                     .attempts
                     .is_significant_timeout(attempt.class, duration)
                 {
-                    entry.state.attempt_failed(awake_now, probes);
+                    entry.state.record_failed_attempt(awake_now, probes);
                 }
             }
             AttemptSignal::Inconclusive => entry.state.evidence.record_response(awake_now),
@@ -255,8 +255,8 @@
     }
 
     /// Ends the time during which this node was cut off: the silence of that time is evidence against no zone.
-    fn reconnected(&mut self) {
-        self.is_cut_off = false;
+    fn end_isolation(&mut self) {
+        self.is_isolated = false;
         self.zones.restore_all(self.clock.awake_now());
     }
 
--- a/core/zone-health/src/monitor/gossip.rs
+++ b/core/zone-health/src/monitor/gossip.rs
@@ -4,31 +4,31 @@
 use crate::action::Action;
 use crate::ids::{GossipZone, MemberId, ZoneIndex};
 use crate::observation::ZoneObservation;
-use crate::observation_publisher::{Recipients, is_negligible, sent_evidence};
+use crate::observation_publisher::{Recipients, is_negligible, quantize_evidence};
 use crate::peer_observations::refresh_interval;
 use crate::peer_summary::{OwnObservation, PeerSummary};
 use crate::zone_state::SLOWDOWN_TOLERANCE;
 use badgerpost_time::Nanos;
 
 /// Number of members, on average, that repeat their observations for a new member.
-const MEMBERS_REPEATING_FOR_NEWCOMER: f64 = 8.0;
+const EXPECTED_RESENDING_MEMBERS: f64 = 8.0;
 
 impl ZoneMonitor {
     /// Adds or removes a member. Some members, drawn at random, repeat their observations for a new one.
-    pub(super) fn peer_changed(&mut self, member: MemberId, home_zone: GossipZone, is_up: bool) {
+    pub(super) fn update_peer(&mut self, member: MemberId, home_zone: GossipZone, is_up: bool) {
         self.peers.update_member(member, home_zone, is_up);
         if !is_up {
             return;
         }
         let peer_count = self.peers.len() as f64;
-        if self.random.next_fraction() * peer_count < MEMBERS_REPEATING_FOR_NEWCOMER {
+        if self.random.next_fraction() * peer_count < EXPECTED_RESENDING_MEMBERS {
             self.zones.expire_observations();
             self.has_pending_gossip = true;
         }
     }
 
     /// Stores another node's observation. A burst of them is assessed once.
-    pub(super) fn peer_observed(
+    pub(super) fn record_peer_observation(
         &mut self,
         member: MemberId,
         zone: GossipZone,
@@ -41,7 +41,7 @@
             return AssessmentNeed::None;
         }
         self.has_pending_gossip = true;
-        AssessmentNeed::UnlessJustDone
+        AssessmentNeed::RateLimited
     }
 
     /// The other nodes' observations of a zone; none without other nodes.
@@ -64,14 +64,14 @@
         let awake_now = self.clock.awake_now();
         let entry = self.zones.entry(zone);
         let silence = self.silence_evidence(zone, SLOWDOWN_TOLERANCE).evidence;
-        let silence_evidence = sent_evidence(silence);
-        let failure_evidence = sent_evidence(entry.failure_evidence(awake_now));
+        let silence_evidence = quantize_evidence(silence);
+        let failure_evidence = quantize_evidence(entry.failure_evidence(awake_now));
         let has_evidence = !is_negligible(silence_evidence) || !is_negligible(failure_evidence);
         ZoneObservation {
             observer_zone: self.local_zone().into(),
             silence_evidence,
             failure_evidence,
-            has_recent_success: !has_evidence && entry.has_recent_answer(awake_now),
+            has_recent_success: !has_evidence && entry.has_recent_success(awake_now),
             state: entry.state.observed_state(awake_now),
             is_first_hand: entry.state.is_first_hand(),
         }
@@ -87,7 +87,7 @@
         let now = self.clock.now();
         let observation = self.observation(zone);
         let recipients = Recipients {
-            is_zone_doubted: peers.is_doubted,
+            has_adverse_report: peers.has_adverse_report,
             refresh_interval: refresh_interval(self.peers.len()),
         };
         let publisher = &mut self.zones.entry_mut(zone).observation_publisher;
--- a/core/zone-health/src/monitor/tests.rs
+++ b/core/zone-health/src/monitor/tests.rs
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_silent_zone_is_left_within_300_ms_and_recovers_by_steps() {
+fn a_silent_zone_loses_its_traffic_within_300_ms_and_recovers_in_steps() {
     for_each_seed(|seed| {
         let mut simulation = Simulation::after_warm_up(seed);
         assert_eq!(simulation.changes, []);
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_zone_that_refuses_connections_or_fails_requests_is_left() {
+fn a_zone_that_refuses_connections_or_fails_requests_is_suspected_of_failing() {
     for behaviour in [
         Behaviour::Refusing,
         Behaviour::Failing(100),
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_suspended_or_cut_off_node_ejects_no_zone() {
+fn a_suspended_or_isolated_node_ejects_no_zone() {
     for_each_seed(|seed| {
         let mut simulation = Simulation::after_warm_up(seed);
         // Suspended: all events of that time come at once, the timer first.
@@ -359,8 +359,8 @@
         assert_eq!(simulation.changes, [], "suspended");
         simulation.behaviour = [Behaviour::Silent; 3];
         simulation.run(4 * SECOND);
-        let is_cut_off = simulation.local_reasons().contains(&"nobody-else");
-        assert!(is_cut_off, "{:?}", simulation.changes);
+        let is_isolated = simulation.local_reasons().contains(&"nobody-else");
+        assert!(is_isolated, "{:?}", simulation.changes);
         simulation.behaviour = [Behaviour::Healthy; 3];
         simulation.run(2 * SECOND);
         assert_eq!(simulation.share[LOCAL_ZONE], 1.0);
@@ -417,7 +417,7 @@
 }
 
 #[test]
-fn the_only_zone_is_never_left() {
+fn the_only_zone_keeps_its_full_share() {
     let settings = Settings {
         local_zone: 0,
         zone_count: 1,
--- a/core/zone-health/src/monitor/zone_assessment.rs
+++ b/core/zone-health/src/monitor/zone_assessment.rs
@@ -15,14 +15,14 @@
     pub(super) fn assess_zones(&mut self, actions: &mut Vec<Action>) {
         self.last_assessment_at = self.clock.now();
         self.has_pending_gossip = false;
-        if !self.is_cut_off {
+        if !self.is_isolated {
             for zone in self.zones.indices() {
                 self.assess_zone(zone, actions);
             }
-            self.detect_cut_off();
+            self.detect_isolation();
         }
         self.zones
-            .publish_shares(self.clock.now(), self.is_cut_off, actions);
+            .publish_shares(self.clock.now(), self.is_isolated, actions);
     }
 
     /// Assesses one zone, unless it is overridden.
@@ -45,7 +45,7 @@
         let failure_rate_elsewhere = self.zones.worst_failure_rate_elsewhere(awake_now, zone);
         let state = &mut self.zones.entry_mut(zone).state;
         if state.is_failure_common(failure_rate_elsewhere) {
-            state.exonerate(awake_now);
+            state.restore_and_ignore_failures(awake_now);
         }
         if let Some(peers) = snapshot.peers {
             self.publish_observation(zone, peers, actions);
@@ -63,11 +63,11 @@
 
     /// If no zone is left that can take requests, makes all healthy: either this node itself is cut off, or nothing is
     /// gained by avoiding them.
-    fn detect_cut_off(&mut self) {
+    fn detect_isolation(&mut self) {
         if self.zones.can_any_take_traffic(self.clock.now()) {
             return;
         }
-        self.is_cut_off = self.zones.is_any_withheld();
+        self.is_isolated = self.zones.is_any_suspected_or_ejected();
         self.zones.restore_all(self.clock.awake_now());
     }
 
@@ -89,16 +89,16 @@
         let tolerance = entry.state.slowdown_tolerance();
         let tolerant_silence = self.silence_evidence(zone, tolerance).evidence;
         let failures = entry.failure_evidence(awake_now);
-        let has_answers = entry.has_recent_answer(awake_now);
+        let has_recent_success = entry.has_recent_success(awake_now);
         let own = OwnObservation {
             silence: tolerant_silence,
             failures,
-            has_answers,
+            has_recent_success,
         };
         let peers = self.summarize_peers(zone, own);
         // A node with recent responses from the zone believes no other that it is silent.
         let peers_silence = peers
-            .filter(|_| !has_answers)
+            .filter(|_| !has_recent_success)
             .map_or(0.0, |peers| peers.silence);
         EvidenceSnapshot {
             silence: silence.evidence + peers_silence,
@@ -107,7 +107,7 @@
             has_alternative: self.zones.has_alternative(self.clock.now(), zone),
             silent_duration: awake_now.saturating_sub(silence.first_sent_at),
             peers,
-            has_answers,
+            has_recent_success,
             own_evidence: silence.evidence.max(failures),
         }
     }
--- a/core/zone-health/src/observation.rs
+++ b/core/zone-health/src/observation.rs
@@ -6,7 +6,7 @@
 use crate::ids::GossipZone;
 
 /// Units of evidence in an observation: log-likelihoods are sent in hundredths.
-const UNITS_PER_EVIDENCE: f64 = 100.0;
+const EVIDENCE_WIRE_SCALE: f64 = 100.0;
 
 /// The state that a zone has for one node. The order of the variants is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -72,13 +72,13 @@
     clippy::cast_sign_loss,
     reason = "the value is clamped to the range of the type"
 )]
-pub(crate) fn evidence_to_units(evidence: f64) -> u16 {
-    (evidence * UNITS_PER_EVIDENCE).clamp(0.0, f64::from(u16::MAX)) as u16
+pub(crate) fn evidence_to_hundredths(evidence: f64) -> u16 {
+    (evidence * EVIDENCE_WIRE_SCALE).clamp(0.0, f64::from(u16::MAX)) as u16
 }
 
 /// Converts the units of a [`ZoneObservation`] back to evidence.
-pub(crate) fn evidence_from_units(units: u16) -> f64 {
-    f64::from(units) / UNITS_PER_EVIDENCE
+pub(crate) fn evidence_from_hundredths(hundredths: u16) -> f64 {
+    f64::from(hundredths) / EVIDENCE_WIRE_SCALE
 }
 
 #[cfg(test)]
--- a/core/zone-health/src/observation/tests.rs
+++ b/core/zone-health/src/observation/tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 #[test]
-fn an_observation_is_small_and_decodes_to_itself() {
+fn an_observation_takes_at_most_16_bytes_and_decodes_only_from_all_of_them() {
     let observation = ZoneObservation {
         observer_zone: GossipZone(2),
         silence_evidence: 512,
-        failure_evidence: evidence_to_units(1e9),
+        failure_evidence: evidence_to_hundredths(1e9),
         has_recent_success: false,
         state: ObservedState::Ejected {
             successful_probes: 3,
--- a/core/zone-health/src/observation_publisher.rs
+++ b/core/zone-health/src/observation_publisher.rs
@@ -1,32 +1,34 @@
 //! Decides when the other nodes are sent this node's observation of a zone, and how coarse its evidence is.
 
-use crate::observation::{ObservedState, ZoneObservation, evidence_to_units};
+use crate::observation::{ObservedState, ZoneObservation, evidence_to_hundredths};
 use badgerpost_time::{MILLISECOND, Nanos};
 
 /// Evidence that is worth sending, in the units of an observation.
-const MINIMUM_SENT_EVIDENCE: u16 = 100;
+const MINIMUM_SENT_EVIDENCE_HUNDREDTHS: u16 = 100;
 /// Steps in which sent evidence grows, in the units of an observation: smaller changes cause no message.
-const SENT_EVIDENCE_STEP: u16 = 50;
+const SENT_EVIDENCE_STEP_HUNDREDTHS: u16 = 50;
 /// Upper bound of sent evidence, in the units of an observation: a node may contribute less than this.
-const MAXIMUM_SENT_EVIDENCE: u16 = 300;
+const MAXIMUM_SENT_EVIDENCE_HUNDREDTHS: u16 = 300;
 /// Time between two reports that a zone responds although other nodes have evidence against it.
 const RESPONSE_REPORT_INTERVAL: Nanos = 200 * MILLISECOND;
 
 /// Rounds evidence to what is sent, in the units of an observation.
-pub(crate) fn sent_evidence(evidence: f64) -> u16 {
-    evidence_to_units(evidence).min(MAXIMUM_SENT_EVIDENCE) / SENT_EVIDENCE_STEP * SENT_EVIDENCE_STEP
+pub(crate) fn quantize_evidence(evidence: f64) -> u16 {
+    evidence_to_hundredths(evidence).min(MAXIMUM_SENT_EVIDENCE_HUNDREDTHS)
+        / SENT_EVIDENCE_STEP_HUNDREDTHS
+        * SENT_EVIDENCE_STEP_HUNDREDTHS
 }
 
 /// Whether evidence in the units of an observation is too weak to be sent by itself.
-pub(crate) fn is_negligible(units: u16) -> bool {
-    units < MINIMUM_SENT_EVIDENCE
+pub(crate) fn is_negligible(hundredths: u16) -> bool {
+    hundredths < MINIMUM_SENT_EVIDENCE_HUNDREDTHS
 }
 
 /// What the recipients make of an observation.
 #[derive(Clone, Copy)]
 pub(crate) struct Recipients {
     /// Whether any of them has evidence against the zone.
-    pub(crate) is_zone_doubted: bool,
+    pub(crate) has_adverse_report: bool,
     /// How often an observation that is adverse to the zone is repeated.
     pub(crate) refresh_interval: Nanos,
 }
@@ -74,7 +76,7 @@
         let age = self.last.map_or(Nanos::MAX, |last| now - last.sent_at);
         let is_adverse = is_adverse(observation);
         // Other nodes have evidence against a zone that responds to this node.
-        if !is_adverse && observation.has_recent_success && recipients.is_zone_doubted {
+        if !is_adverse && observation.has_recent_success && recipients.has_adverse_report {
             return age >= RESPONSE_REPORT_INTERVAL;
         }
         let Some(last) = self.last else {
@@ -83,7 +85,7 @@
         if !is_adverse && !self::is_adverse(&last.observation) {
             return false;
         }
-        differs_for_recipients(&last.observation, observation)
+        has_new_information(&last.observation, observation)
             || (is_adverse && age >= recipients.refresh_interval)
     }
 }
@@ -97,12 +99,12 @@
 }
 
 /// Whether the recipients learn anything from the second observation that they can't work out from the first.
-fn differs_for_recipients(first: &ZoneObservation, second: &ZoneObservation) -> bool {
-    without_ages(first) != without_ages(second)
+fn has_new_information(first: &ZoneObservation, second: &ZoneObservation) -> bool {
+    without_time_dependent_fields(first) != without_time_dependent_fields(second)
 }
 
 /// The observation without what changes as time passes.
-fn without_ages(observation: &ZoneObservation) -> ZoneObservation {
+fn without_time_dependent_fields(observation: &ZoneObservation) -> ZoneObservation {
     let state = match observation.state {
         ObservedState::Ejected {
             successful_probes,
--- a/core/zone-health/src/peer_observations.rs
+++ b/core/zone-health/src/peer_observations.rs
@@ -73,7 +73,7 @@
             return false;
         }
         // The first observation may arrive before the news that the node is a member.
-        let known = self
+        let entry = self
             .members
             .entry(member)
             .or_insert_with(|| Member::new(observation.observer_zone, false));
@@ -81,7 +81,7 @@
             received_at: now,
             observation,
         };
-        known.observations.insert(zone, received);
+        entry.observations.insert(zone, received);
         true
     }
 
@@ -124,7 +124,7 @@
                 continue;
             }
             if member.is_up && member.home_zone == home_zone {
-                builder.add_voter();
+                builder.count_home_zone_node();
             }
             if let Some(received) = member.observations.get(&zone)
                 && now < received.received_at + self.observation_lifetime
--- a/core/zone-health/src/peer_observations/tests.rs
+++ b/core/zone-health/src/peer_observations/tests.rs
@@ -1,7 +1,7 @@
 //! Summaries of observations from several nodes, zones and ages.
 
 use super::*;
-use crate::observation::{ObservedState, evidence_to_units};
+use crate::observation::{ObservedState, evidence_to_hundredths};
 use crate::peer_summary::EVIDENCE_LIFETIME;
 
 const NOW: Nanos = 100 * SECOND;
@@ -12,12 +12,12 @@
 const NO_OWN_OBSERVATION: OwnObservation = OwnObservation {
     silence: 0.0,
     failures: 0.0,
-    has_answers: false,
+    has_recent_success: false,
 };
 
 /// An observation of a node of `observer_zone`: with responses, unless there is evidence of silence.
 fn observation(observer_zone: GossipZone, silence: f64) -> ZoneObservation {
-    let silence_evidence = evidence_to_units(silence);
+    let silence_evidence = evidence_to_hundredths(silence);
     ZoneObservation {
         observer_zone,
         silence_evidence,
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn delayed_observations_and_those_over_another_zones_link_do_not_count() {
+fn delayed_observations_and_those_from_third_zones_do_not_count() {
     let mut peers = peers_in_zone_a(4);
     let delayed_at = NOW - 5 * SECOND;
     assert!(!peers.record(
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_median_node_leads_the_recovery_if_at_least_two_are_recovering() {
+fn the_common_recovery_step_is_the_median_of_at_least_two_recovering_nodes() {
     let mut peers = peers_in_zone_a(5);
     let in_state = |state| ZoneObservation {
         state,
@@ -133,7 +133,7 @@
     assert_eq!(
         (
             three_recovering.median_step,
-            three_recovering.has_answers_at_step,
+            three_recovering.has_success_at_step,
             three_recovering.is_recovering_by_quorum
         ),
         (Some(1), true, true)
--- a/core/zone-health/src/recovery.rs
+++ b/core/zone-health/src/recovery.rs
@@ -27,7 +27,7 @@
     step: usize,
     step_since: Nanos,
     /// Usable responses counted before the step began.
-    earlier_successes: u32,
+    success_count_at_start: u32,
 }
 
 /// The evidence about a recovering zone at one instant.
@@ -64,7 +64,7 @@
         Self {
             step,
             step_since: now,
-            earlier_successes: success_count,
+            success_count_at_start: success_count,
         }
     }
 
@@ -93,12 +93,12 @@
     pub(crate) fn observed_state(&self, success_count: u32) -> ObservedState {
         ObservedState::Recovering {
             step: u8::try_from(self.step).unwrap_or(u8::MAX),
-            has_success: self.has_answers(success_count),
+            has_success: self.has_success(success_count),
         }
     }
 
     /// The peers' median step, if this recovery is behind it.
-    pub(crate) fn step_to_catch_up(&self, median_step: Option<usize>) -> Option<usize> {
+    pub(crate) fn catch_up_step(&self, median_step: Option<usize>) -> Option<usize> {
         let median_step = median_step.filter(|median| self.step < *median)?;
         Some(median_step.min(RECOVERY_FRACTIONS.len() - 1))
     }
@@ -114,7 +114,7 @@
             return StepOutcome::Enter(self.step.saturating_sub(1));
         }
         // All nodes recover in step, and one with few requests goes with the others.
-        if let Some(step) = self.step_to_catch_up(median_step) {
+        if let Some(step) = self.catch_up_step(median_step) {
             return StepOutcome::Enter(step);
         }
         let is_ahead = median_step.is_some_and(|median| self.step > median);
@@ -126,20 +126,20 @@
 
     /// Whether a step that has lasted for this duration has shown that the zone can take more.
     fn is_complete(&self, evidence: &StepEvidence, duration: Nanos) -> bool {
-        let has_answers = self.has_answers(evidence.success_count)
+        let has_success = self.has_success(evidence.success_count)
             || evidence
                 .peers
-                .is_some_and(|peers| peers.has_answers_at_step);
+                .is_some_and(|peers| peers.has_success_at_step);
         let slowdown_limit =
             SLOWDOWN_LIMIT.max(SLOWDOWN_GROWTH_LIMIT * evidence.first_step_slowdown);
         let is_fast_enough = evidence.slowdown < slowdown_limit;
         duration >= STEP_PERIOD
-            && has_answers
+            && has_success
             && (is_fast_enough || duration >= MAXIMUM_STEP_PERIOD)
     }
 
     /// Whether a usable response has come in this step.
-    fn has_answers(&self, success_count: u32) -> bool {
-        success_count > self.earlier_successes
+    fn has_success(&self, success_count: u32) -> bool {
+        success_count > self.success_count_at_start
     }
 }
--- a/core/zone-health/src/recovery_probes.rs
+++ b/core/zone-health/src/recovery_probes.rs
@@ -8,13 +8,13 @@
 use badgerpost_time::{MILLISECOND, Nanos, SECOND, nanos_from_f64};
 
 /// How long a zone is ejected at the least; doubled for each ejection before.
-const EJECTION_BASE: Nanos = 500 * MILLISECOND;
+const BASE_EJECTION_PERIOD: Nanos = 500 * MILLISECOND;
 /// Ejections after which the time no longer doubles: about a minute.
 const MAXIMUM_EJECTION_DOUBLINGS: u32 = 7;
 /// Probes that must be answered in a row before a silent zone recovers.
-const PROBES_AFTER_SILENCE: u32 = 3;
+const REQUIRED_PROBES_AFTER_SILENCE: u32 = 3;
 /// The same for a failing zone. One that fails three requests in ten answers three in a row once in three times.
-const PROBES_AFTER_FAILURES: u32 = 8;
+const REQUIRED_PROBES_AFTER_FAILURES: u32 = 8;
 /// Probes a second that the nodes of a zone send together.
 const PROBES_PER_SECOND: f64 = 2.0;
 /// Time between two probes of one node at the least, in seconds.
@@ -23,44 +23,44 @@
 /// it leaves the probes to those that have some.
 const MAXIMUM_PROBING_NODES: f64 = 240.0;
 /// Time to the next probe after an answered one.
-const NEXT_PROBE_DELAY: Nanos = 50 * MILLISECOND;
+const DELAY_AFTER_SUCCESSFUL_PROBE: Nanos = 50 * MILLISECOND;
 /// The interval to the next probe is drawn from this fraction of the mean upwards, over the length of the mean.
 const MINIMUM_INTERVAL_FRACTION: f64 = 0.5;
 /// Number of nodes, on average, that probe a zone at once after another node's probe was answered.
-const PROBE_FOLLOWERS: f64 = 6.0;
+const EXPECTED_CONFIRMING_NODES: f64 = 6.0;
 /// Nodes that need answered probes before their probes end an ejection.
 const MINIMUM_PROBING_PEERS: u32 = 2;
 /// How long a failed probe outweighs the answered probes of others after silence.
-const FAILED_PROBE_PERIOD_AFTER_SILENCE: Nanos = 500 * MILLISECOND;
+const MINIMUM_FAILED_PROBE_AGE_AFTER_SILENCE: Nanos = 500 * MILLISECOND;
 /// The same after failures, where a single answer proves little.
-const FAILED_PROBE_PERIOD_AFTER_FAILURES: Nanos = 4 * SECOND;
+const MINIMUM_FAILED_PROBE_AGE_AFTER_FAILURES: Nanos = 4 * SECOND;
 
 /// What the time of a probe depends on.
 #[derive(Clone, Copy)]
 pub(crate) struct ProbeContext {
     /// Number of nodes that share the probes to a zone.
-    pub(crate) sharing_nodes: f64,
+    pub(crate) probing_nodes: f64,
     /// A random number from 0 to 1, which spreads the nodes' probes.
     pub(crate) random_fraction: f64,
 }
 
 impl ProbeContext {
     /// The context for a zone that is ejected on this node's own evidence, or else on that of its peers.
-    pub(crate) fn for_state(self, is_first_hand: bool) -> Self {
-        let sharing_nodes = if is_first_hand {
-            self.sharing_nodes
+    pub(crate) fn for_ejection(self, is_first_hand: bool) -> Self {
+        let probing_nodes = if is_first_hand {
+            self.probing_nodes
         } else {
             MAXIMUM_PROBING_NODES
         };
         Self {
-            sharing_nodes,
+            probing_nodes,
             ..self
         }
     }
 
     /// Mean time between two probes of this node, in nanoseconds.
     fn mean_interval(self) -> f64 {
-        let seconds = self.sharing_nodes.min(MAXIMUM_PROBING_NODES) / PROBES_PER_SECOND;
+        let seconds = self.probing_nodes.min(MAXIMUM_PROBING_NODES) / PROBES_PER_SECOND;
         seconds.max(MINIMUM_PROBE_INTERVAL_SECONDS) * SECOND as f64
     }
 
@@ -75,8 +75,8 @@
     }
 
     /// Whether this node is drawn to follow another node's answered probe.
-    fn is_drawn_to_follow(self) -> bool {
-        self.random_fraction * self.sharing_nodes < PROBE_FOLLOWERS
+    fn is_selected_to_confirm(self) -> bool {
+        self.random_fraction * self.probing_nodes < EXPECTED_CONFIRMING_NODES
     }
 }
 
@@ -100,7 +100,7 @@
     successful_probes: u32,
     last_failed_probe_at: Option<Nanos>,
     /// Whether this node has already been drawn, or not, to follow another node's answered probe.
-    has_drawn_to_follow: bool,
+    has_drawn_confirmation: bool,
 }
 
 impl Ejection {
@@ -112,14 +112,14 @@
         probes: ProbeContext,
     ) -> Self {
         let doublings = earlier_ejections.min(MAXIMUM_EJECTION_DOUBLINGS);
-        let earliest_end_at = now + (EJECTION_BASE << doublings);
+        let earliest_end_at = now + (BASE_EJECTION_PERIOD << doublings);
         Self {
             earliest_end_at,
             reason,
             next_probe_at: earliest_end_at + probes.random_delay(),
             successful_probes: 0,
             last_failed_probe_at: None,
-            has_drawn_to_follow: false,
+            has_drawn_confirmation: false,
         }
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// Whether the last probe was answered.
-    pub(crate) fn has_answered_probe(&self) -> bool {
+    pub(crate) fn has_successful_probe(&self) -> bool {
         self.successful_probes > 0
     }
 
@@ -154,20 +154,24 @@
     /// Answered probes needed to start the recovery.
     fn required_probes(&self) -> u32 {
         match self.reason {
-            ZoneStateReason::Failing { .. } => PROBES_AFTER_FAILURES,
-            _ => PROBES_AFTER_SILENCE,
+            ZoneStateReason::Failing { .. } => REQUIRED_PROBES_AFTER_FAILURES,
+            _ => REQUIRED_PROBES_AFTER_SILENCE,
         }
     }
 
     /// Records a failed probe: the count of answers starts anew.
-    pub(crate) fn probe_failed(&mut self, now: Nanos, probes: ProbeContext) {
+    pub(crate) fn record_failed_probe(&mut self, now: Nanos, probes: ProbeContext) {
         self.last_failed_probe_at = Some(now);
         self.next_probe_at = self.next_probe_at.max(now + probes.random_delay());
         self.successful_probes = 0;
     }
 
     /// Records an answered probe; the next one follows soon. A silent zone with few servers needs fewer answers.
-    pub(crate) fn probe_answered(&mut self, now: Nanos, server_count: u32) -> ProbeProgress {
+    pub(crate) fn record_successful_probe(
+        &mut self,
+        now: Nanos,
+        server_count: u32,
+    ) -> ProbeProgress {
         let required_probes = match self.reason {
             ZoneStateReason::Failing { .. } => self.required_probes(),
             _ => self.required_probes().min(server_count.max(1)),
@@ -178,33 +182,33 @@
         }
         self.next_probe_at = self
             .next_probe_at
-            .min(now + NEXT_PROBE_DELAY)
+            .min(now + DELAY_AFTER_SUCCESSFUL_PROBE)
             .max(self.earliest_end_at);
         ProbeProgress::Insufficient
     }
 
     /// Brings the next probe forward if another node's probe was answered and this node is drawn to confirm it, so
     /// that a recovery does not depend on one node. Drawn once in an ejection.
-    pub(crate) fn follow_peers_probe(
+    pub(crate) fn schedule_confirmation(
         &mut self,
         now: Nanos,
         peers: &PeerSummary,
         probes: ProbeContext,
     ) {
-        if peers.successful_probes == 0 || self.has_drawn_to_follow {
+        if peers.successful_probes == 0 || self.has_drawn_confirmation {
             return;
         }
-        self.has_drawn_to_follow = true;
-        if probes.is_drawn_to_follow() {
+        self.has_drawn_confirmation = true;
+        if probes.is_selected_to_confirm() {
             self.next_probe_at = self.next_probe_at.min(now.max(self.earliest_end_at));
         }
     }
 
     /// Whether the other nodes' probes suffice to start the recovery.
     pub(crate) fn is_ended_by_peers(&self, now: Nanos, peers: &PeerSummary) -> bool {
-        let failed_probe_period = match self.reason {
-            ZoneStateReason::Failing { .. } => FAILED_PROBE_PERIOD_AFTER_FAILURES,
-            _ => FAILED_PROBE_PERIOD_AFTER_SILENCE,
+        let minimum_failed_probe_age = match self.reason {
+            ZoneStateReason::Failing { .. } => MINIMUM_FAILED_PROBE_AGE_AFTER_FAILURES,
+            _ => MINIMUM_FAILED_PROBE_AGE_AFTER_SILENCE,
         };
         let own_failed_probe_age = self
             .last_failed_probe_at
@@ -213,7 +217,7 @@
         now >= self.earliest_end_at
             && peers.probing_peers >= MINIMUM_PROBING_PEERS
             && peers.successful_probes >= self.required_probes()
-            && failed_probe_age >= failed_probe_period
+            && failed_probe_age >= minimum_failed_probe_age
     }
 
     /// Whether a probe is due; if so, the next one is scheduled.
--- a/core/zone-health/src/suspicion.rs
+++ b/core/zone-health/src/suspicion.rs
@@ -70,9 +70,9 @@
 ///
 /// Peers' evidence expires once they send the zone nothing, so its absence alone withdraws nothing.
 fn is_withdrawn(snapshot: &EvidenceSnapshot, success_count: u32) -> bool {
-    let is_dropped_by_peers = snapshot
+    let is_unsupported_by_peers = snapshot
         .peers
-        .is_some_and(|peers| !peers.is_held_first_hand)
+        .is_some_and(|peers| !peers.is_suspected_first_hand)
         && snapshot.silence < WITHDRAWAL_THRESHOLD;
-    success_count > 0 || is_dropped_by_peers
+    success_count > 0 || is_unsupported_by_peers
 }
--- a/core/zone-health/src/traffic_division.rs
+++ b/core/zone-health/src/traffic_division.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZoneCapacity {
     /// Sum of the sizes of its servers, less what its state withholds.
-    pub(crate) size: f64,
+    pub(crate) capacity: f64,
     /// Utilization of its cores, from 0 to 1, if recently reported.
     pub(crate) utilization: Option<f64>,
     /// Whether the zone may take any traffic.
@@ -24,7 +24,7 @@
         }
         let utilization = self.utilization.unwrap_or(DEFAULT_UTILIZATION);
         let free_fraction = (1.0 - utilization).clamp(MINIMUM_FREE_FRACTION, 1.0);
-        self.size.max(0.0) * free_fraction
+        self.capacity.max(0.0) * free_fraction
     }
 }
 
--- a/core/zone-health/src/traffic_division/tests.rs
+++ b/core/zone-health/src/traffic_division/tests.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn fractions_follow_free_capacity_and_unavailable_zones_get_none() {
-    let zone = |size, utilization, is_available| ZoneCapacity {
-        size,
+    let zone = |capacity, utilization, is_available| ZoneCapacity {
+        capacity,
         utilization,
         is_available,
     };
--- a/core/zone-health/src/zone_entry.rs
+++ b/core/zone-health/src/zone_entry.rs
@@ -12,9 +12,9 @@
 /// How long a reported utilization is used.
 const UTILIZATION_LIFETIME: Nanos = 4 * SECOND;
 /// A usable response within this time refutes the other nodes' evidence of silence.
-const RECENT_ANSWER_PERIOD: Nanos = 100 * MILLISECOND;
+const RECENT_SUCCESS_PERIOD: Nanos = 100 * MILLISECOND;
 /// Weight of the newest report in the smoothed utilization.
-const UTILIZATION_WEIGHT: f64 = 0.1;
+const UTILIZATION_EWMA_WEIGHT: f64 = 0.1;
 /// Greatest utilization that is plausible.
 const MAXIMUM_UTILIZATION: f64 = 2.0;
 
@@ -32,7 +32,7 @@
     pub(crate) state: ZoneState,
     server_count: u32,
     /// Sum of the servers' sizes.
-    size: f64,
+    capacity: f64,
     utilization: Option<Utilization>,
     zone_override: Option<ZoneOverride>,
     /// The share that was last published to the caller.
@@ -47,7 +47,7 @@
         Self {
             state: ZoneState::new(class_count),
             server_count: 0,
-            size: 0.0,
+            capacity: 0.0,
             utilization: None,
             zone_override: None,
             share_publisher: SharePublisher::default(),
@@ -69,9 +69,9 @@
         let had_servers = self.server_count > 0;
         self.server_count = u32::try_from(servers.clone().count()).unwrap_or(u32::MAX);
         if !had_servers && self.server_count > 0 {
-            self.state.servers_listed_anew(awake_now);
+            self.state.recover_with_new_servers(awake_now);
         }
-        self.size = servers.map(|server| server.capacity).sum();
+        self.capacity = servers.map(|server| server.capacity).sum();
     }
 
     /// Records a usable response that took `slowdown` times as long as usual.
@@ -80,7 +80,7 @@
         awake_now: Nanos,
         attempt: &OutstandingAttempt,
         slowdown: f64,
-        usual_failure_rate: f64,
+        baseline_failure_rate: f64,
     ) {
         let evidence = &mut self.state.evidence;
         evidence.record_success(awake_now, slowdown);
@@ -88,9 +88,10 @@
             awake_now,
             attempt,
             AttemptResult::Success,
-            usual_failure_rate,
+            baseline_failure_rate,
         );
-        self.state.attempt_succeeded(awake_now, self.server_count);
+        self.state
+            .record_successful_attempt(awake_now, self.server_count);
     }
 
     /// Records an error response. It is a response all the same: the zone is not silent.
@@ -98,7 +99,7 @@
         &mut self,
         awake_now: Nanos,
         attempt: &OutstandingAttempt,
-        usual_failure_rate: f64,
+        baseline_failure_rate: f64,
         probes: ProbeContext,
     ) {
         let evidence = &mut self.state.evidence;
@@ -107,9 +108,9 @@
             awake_now,
             attempt,
             AttemptResult::ErrorResponse,
-            usual_failure_rate,
+            baseline_failure_rate,
         );
-        self.state.attempt_failed(awake_now, probes);
+        self.state.record_failed_attempt(awake_now, probes);
     }
 
     /// Records a connection that could not be established, or broke.
@@ -117,16 +118,16 @@
         &mut self,
         awake_now: Nanos,
         attempt: &OutstandingAttempt,
-        usual_failure_rate: f64,
+        baseline_failure_rate: f64,
         probes: ProbeContext,
     ) {
         self.state.evidence.record_result(
             awake_now,
             attempt,
             AttemptResult::ConnectionFailed,
-            usual_failure_rate,
+            baseline_failure_rate,
         );
-        self.state.attempt_failed(awake_now, probes);
+        self.state.record_failed_attempt(awake_now, probes);
     }
 
     /// Evidence of failures, of this node alone.
@@ -137,10 +138,10 @@
     }
 
     /// Whether a usable response came a moment ago.
-    pub(crate) fn has_recent_answer(&self, awake_now: Nanos) -> bool {
+    pub(crate) fn has_recent_success(&self, awake_now: Nanos) -> bool {
         self.state
             .evidence
-            .has_success_within(awake_now, RECENT_ANSWER_PERIOD)
+            .has_success_within(awake_now, RECENT_SUCCESS_PERIOD)
     }
 
     /// Takes a server's report of its utilization into account, if it is plausible.
@@ -148,9 +149,11 @@
         if !(0.0..=MAXIMUM_UTILIZATION).contains(&reported) {
             return;
         }
-        let before = self.utilization.map_or(reported, |before| before.value);
+        let average = self
+            .utilization
+            .map_or(reported, |utilization| utilization.value);
         self.utilization = Some(Utilization {
-            value: before + UTILIZATION_WEIGHT * (reported - before),
+            value: average + UTILIZATION_EWMA_WEIGHT * (reported - average),
             reported_at: now,
         });
     }
@@ -196,10 +199,10 @@
     }
 
     /// The zone's capacity for requests that the local zone does not take.
-    pub(crate) fn overflow_capacity(&self, now: Nanos, is_local: bool) -> ZoneCapacity {
+    pub(crate) fn spill_capacity(&self, now: Nanos, is_local: bool) -> ZoneCapacity {
         let fraction = self.traffic_fraction(now);
         ZoneCapacity {
-            size: self.size * fraction,
+            capacity: self.capacity * fraction,
             utilization: self.recent_utilization(now),
             is_available: !is_local && fraction > 0.0,
         }
--- a/core/zone-health/src/zone_state.rs
+++ b/core/zone-health/src/zone_state.rs
@@ -35,15 +35,15 @@
 /// The same for restarted servers, which have an eighth of their capacity at first.
 const RESTART_SLOWDOWN_TOLERANCE: f64 = 8.0;
 /// Once a zone has stayed healthy for this long, its earlier ejections no longer prolong the next one.
-const EJECTION_MEMORY: Nanos = 60 * SECOND;
+const EJECTION_COUNT_RESET_PERIOD: Nanos = 60 * SECOND;
 /// Failure rate in other zones from which on no single zone is held responsible ...
 const COMMON_FAILURE_RATE: f64 = 0.15;
 /// ... if it is also at least this fraction of the failure rate for which the zone was suspected.
 const COMMON_FAILURE_FRACTION: f64 = 0.5;
 /// How long evidence of failures is ignored after a zone was wrongly suspected of them.
-const FAILURE_AMNESTY: Nanos = 10 * SECOND;
+const IGNORED_FAILURES_PERIOD: Nanos = 10 * SECOND;
 /// How long a node that recovered a zone itself ignores peers that have not yet.
-const RECOVERED_PERIOD: Nanos = 4 * SECOND;
+const RECENT_RECOVERY_PERIOD: Nanos = 4 * SECOND;
 
 /// The state proper; see the module's diagram.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -62,12 +62,12 @@
 pub(crate) struct ZoneState {
     stage: ZoneStage,
     pub(crate) evidence: Evidence,
-    /// Ejections since the zone was last healthy for [`EJECTION_MEMORY`].
+    /// Ejections since the zone was last healthy for [`EJECTION_COUNT_RESET_PERIOD`].
     ejection_count: u32,
     /// When the zone became healthy; 0 if it always was.
     healthy_since: Nanos,
     /// Until when evidence of failures is ignored.
-    failure_amnesty_until: Nanos,
+    ignore_failures_until: Nanos,
     /// Slowdown of responses in the first recovery step.
     first_step_slowdown: f64,
     /// Whether the zone recovers with restarted servers.
@@ -86,7 +86,7 @@
             evidence: Evidence::new(class_count),
             ejection_count: 0,
             healthy_since: 0,
-            failure_amnesty_until: 0,
+            ignore_failures_until: 0,
             first_step_slowdown: 1.0,
             has_restarted_servers: false,
             failure_rate_at_suspicion: 0.0,
@@ -118,7 +118,7 @@
         match self.stage {
             ZoneStage::Healthy => ZoneStateReason::Healthy,
             ZoneStage::Suspected(suspicion) => suspicion.reason(),
-            ZoneStage::Ejected(ejection) if ejection.has_answered_probe() => {
+            ZoneStage::Ejected(ejection) if ejection.has_successful_probe() => {
                 ZoneStateReason::Probing
             }
             ZoneStage::Ejected(ejection) => ejection.reason(),
@@ -160,7 +160,7 @@
 
     /// Applies the transition, if any, that follows from the evidence now.
     pub(crate) fn assess(&mut self, now: Nanos, snapshot: EvidenceSnapshot, probes: ProbeContext) {
-        let assessment = Assessment::new(&snapshot, now < self.failure_amnesty_until);
+        let assessment = Assessment::new(&snapshot, now < self.ignore_failures_until);
         match self.stage {
             ZoneStage::Healthy => self.assess_healthy(now, &snapshot, assessment),
             ZoneStage::Suspected(suspicion) => {
@@ -179,7 +179,7 @@
 
     /// Healthy: becomes suspected on enough evidence, or else follows the peers.
     fn assess_healthy(&mut self, now: Nanos, snapshot: &EvidenceSnapshot, assessment: Assessment) {
-        if now.saturating_sub(self.healthy_since) >= EJECTION_MEMORY {
+        if now.saturating_sub(self.healthy_since) >= EJECTION_COUNT_RESET_PERIOD {
             self.ejection_count = 0;
         }
         // The last zone left is suspected only after a long silence.
@@ -189,7 +189,7 @@
             self.suspect(now, assessment.reason, snapshot.own_evidence);
         } else if let Some(peers) = snapshot.peers
             && snapshot.has_alternative
-            && !snapshot.has_answers
+            && !snapshot.has_recent_success
             && !self.is_recently_recovered(now)
         {
             self.adopt_peers_state(now, peers);
@@ -220,7 +220,7 @@
 
     /// Whether the zone has just become healthy: what peers reported before is older than this node's own experience.
     fn is_recently_recovered(&self, now: Nanos) -> bool {
-        self.healthy_since > 0 && now.saturating_sub(self.healthy_since) < RECOVERED_PERIOD
+        self.healthy_since > 0 && now.saturating_sub(self.healthy_since) < RECENT_RECOVERY_PERIOD
     }
 
     /// Suspected: the suspicion is withdrawn, or the zone is ejected.
@@ -244,7 +244,7 @@
             now,
             reason,
             self.ejection_count,
-            probes.for_state(self.is_first_hand),
+            probes.for_ejection(self.is_first_hand),
         );
         self.stage = ZoneStage::Ejected(ejection);
         self.ejection_count += 1;
@@ -258,7 +258,7 @@
         peers: PeerSummary,
         probes: ProbeContext,
     ) {
-        ejection.follow_peers_probe(now, &peers, probes.for_state(self.is_first_hand));
+        ejection.schedule_confirmation(now, &peers, probes.for_ejection(self.is_first_hand));
         self.stage = ZoneStage::Ejected(ejection);
         if ejection.is_ended_by_peers(now, &peers) {
             self.start_recovery(now);
@@ -312,7 +312,7 @@
     /// Goes forward to the peers' median recovery step, if the zone is recovering and behind it.
     fn catch_up(&mut self, now: Nanos, median_step: Option<usize>) {
         if let ZoneStage::Recovering(recovery) = self.stage
-            && let Some(step) = recovery.step_to_catch_up(median_step)
+            && let Some(step) = recovery.catch_up_step(median_step)
         {
             self.enter_step(now, step);
         }
@@ -339,9 +339,9 @@
     }
 
     /// Any state → Healthy, as other zones fail as much; further failures are ignored for a while.
-    pub(crate) fn exonerate(&mut self, now: Nanos) {
+    pub(crate) fn restore_and_ignore_failures(&mut self, now: Nanos) {
         self.restore(now);
-        self.failure_amnesty_until = now + FAILURE_AMNESTY;
+        self.ignore_failures_until = now + IGNORED_FAILURES_PERIOD;
     }
 
     /// Whether the zone is suspected or ejected for failures that other zones have by now, too.
@@ -358,7 +358,7 @@
 
     /// Ejected → Recovering, as servers are listed in a zone that had none: the evidence was about others. Restarted
     /// servers may be slower than a recovery probe's timeout, so the first step takes the place of the probes.
-    pub(crate) fn servers_listed_anew(&mut self, now: Nanos) {
+    pub(crate) fn recover_with_new_servers(&mut self, now: Nanos) {
         if matches!(self.stage, ZoneStage::Ejected(_)) {
             self.start_recovery(now);
             self.has_restarted_servers = true;
@@ -366,17 +366,17 @@
     }
 
     /// An attempt failed. In an ejected zone it counts as a failed recovery probe, even if it was sent before.
-    pub(crate) fn attempt_failed(&mut self, now: Nanos, probes: ProbeContext) {
-        let probes = probes.for_state(self.is_first_hand);
+    pub(crate) fn record_failed_attempt(&mut self, now: Nanos, probes: ProbeContext) {
+        let probes = probes.for_ejection(self.is_first_hand);
         if let ZoneStage::Ejected(ejection) = &mut self.stage {
-            ejection.probe_failed(now, probes);
+            ejection.record_failed_probe(now, probes);
         }
     }
 
     /// An attempt succeeded. In an ejected zone it counts as an answered recovery probe, and may start the recovery.
-    pub(crate) fn attempt_succeeded(&mut self, now: Nanos, server_count: u32) {
+    pub(crate) fn record_successful_attempt(&mut self, now: Nanos, server_count: u32) {
         if let ZoneStage::Ejected(ejection) = &mut self.stage
-            && ejection.probe_answered(now, server_count) == ProbeProgress::Sufficient
+            && ejection.record_successful_probe(now, server_count) == ProbeProgress::Sufficient
         {
             self.start_recovery(now);
         }
@@ -384,7 +384,7 @@
 
     /// Whether a recovery probe is due; if so, the next one is scheduled.
     pub(crate) fn take_due_probe(&mut self, now: Nanos, probes: ProbeContext) -> bool {
-        let probes = probes.for_state(self.is_first_hand);
+        let probes = probes.for_ejection(self.is_first_hand);
         match &mut self.stage {
             ZoneStage::Ejected(ejection) => ejection.take_due_probe(now, probes),
             _ => false,
--- a/core/zone-health/src/zone_state/tests.rs
+++ b/core/zone-health/src/zone_state/tests.rs
@@ -8,7 +8,7 @@
 const START: Nanos = 100 * SECOND;
 /// A node that shares the recovery probes with nobody and draws no delay.
 const PROBES: ProbeContext = ProbeContext {
-    sharing_nodes: 1.0,
+    probing_nodes: 1.0,
     random_fraction: 0.0,
 };
 const NO_EVIDENCE: EvidenceSnapshot = EvidenceSnapshot {
@@ -18,7 +18,7 @@
     has_alternative: true,
     silent_duration: 0,
     peers: None,
-    has_answers: false,
+    has_recent_success: false,
     own_evidence: 0.0,
 };
 const SILENCE: EvidenceSnapshot = EvidenceSnapshot {
@@ -52,11 +52,11 @@
 #[test]
 fn a_healthy_zone_is_not_suspected_below_the_threshold() {
     let mut zone = healthy_zone();
-    let weaker = EvidenceSnapshot {
+    let below_threshold = EvidenceSnapshot {
         silence: SUSPECT_THRESHOLD - 0.1,
         ..SILENCE
     };
-    zone.assess(START, weaker, PROBES);
+    zone.assess(START, below_threshold, PROBES);
     assert!(zone.is_healthy());
 }
 
@@ -97,17 +97,17 @@
 }
 
 #[test]
-fn an_ejected_zone_recovers_after_enough_answered_probes() {
+fn an_ejected_zone_recovers_after_enough_successful_probes() {
     let (mut zone, ejected_at) = ejected_zone();
     let probed_at = ejected_at + SECOND;
-    zone.attempt_succeeded(probed_at, 10);
-    zone.attempt_succeeded(probed_at, 10);
+    zone.record_successful_attempt(probed_at, 10);
+    zone.record_successful_attempt(probed_at, 10);
     assert_eq!(zone.reason(), ZoneStateReason::Probing);
-    zone.attempt_failed(probed_at, PROBES);
+    zone.record_failed_attempt(probed_at, PROBES);
     assert!(matches!(zone.reason(), ZoneStateReason::Silent { .. }));
     for _ in 0..3 {
         assert_eq!(zone.traffic_fraction(), 0.0);
-        zone.attempt_succeeded(probed_at, 10);
+        zone.record_successful_attempt(probed_at, 10);
     }
     assert_eq!(zone.traffic_fraction(), RECOVERY_FRACTIONS[0]);
 }
@@ -116,7 +116,7 @@
 fn each_ejection_doubles_the_time_to_the_first_probe() {
     let (mut zone, first_ejected_at) = ejected_zone();
     let first_probe_at = zone.next_assessment_at().unwrap();
-    zone.servers_listed_anew(first_probe_at);
+    zone.recover_with_new_servers(first_probe_at);
     zone.assess(first_probe_at, SILENCE, PROBES);
     let second_probe_at = zone.next_assessment_at().unwrap();
     assert_eq!(
@@ -129,7 +129,7 @@
 fn a_recovering_zone_needs_a_response_in_each_step_and_ends_healthy() {
     let (mut zone, ejected_at) = ejected_zone();
     let mut now = ejected_at + SECOND;
-    zone.servers_listed_anew(now);
+    zone.recover_with_new_servers(now);
     assert_eq!(zone.slowdown_tolerance(), RESTART_SLOWDOWN_TOLERANCE);
     for fraction in RECOVERY_FRACTIONS {
         now += STEP_PERIOD;
@@ -146,7 +146,7 @@
 fn a_recovering_zone_goes_back_a_step_on_evidence_and_is_ejected_on_more() {
     let (mut zone, ejected_at) = ejected_zone();
     let mut now = ejected_at + SECOND;
-    zone.servers_listed_anew(now);
+    zone.recover_with_new_servers(now);
     zone.evidence.record_success(now, 1.0);
     now += STEP_PERIOD;
     zone.assess(now, NO_EVIDENCE, PROBES);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn failures_that_other_zones_share_exonerate_the_zone_for_a_while() {
+fn failures_common_to_all_zones_restore_the_zone_and_are_ignored_for_a_period() {
     let mut zone = healthy_zone();
     let failures = EvidenceSnapshot {
         failures: 10.0,
@@ -174,9 +174,9 @@
     assert!(!zone.is_healthy());
     assert!(!zone.is_failure_common(COMMON_FAILURE_RATE / 2.0));
     assert!(zone.is_failure_common(COMMON_FAILURE_RATE));
-    zone.exonerate(START);
-    zone.assess(START + FAILURE_AMNESTY - 1, failures, PROBES);
+    zone.restore_and_ignore_failures(START);
+    zone.assess(START + IGNORED_FAILURES_PERIOD - 1, failures, PROBES);
     assert!(zone.is_healthy());
-    zone.assess(START + FAILURE_AMNESTY, failures, PROBES);
+    zone.assess(START + IGNORED_FAILURES_PERIOD, failures, PROBES);
     assert!(!zone.is_healthy());
 }
--- a/core/zone-health/src/zone_table.rs
+++ b/core/zone-health/src/zone_table.rs
@@ -4,7 +4,7 @@
 
 use crate::action::{Action, ZoneStateReason};
 use crate::event::{ListedServer, Settings};
-use crate::evidence::{AttemptCounts, USUAL_FAILURE_RATE};
+use crate::evidence::{AttemptCounts, DEFAULT_FAILURE_RATE};
 use crate::ids::{ClassIndex, ServerId, ZoneIndex};
 use crate::share_publisher::ZoneShare;
 use crate::traffic_division::{ZoneCapacity, divide_traffic};
@@ -104,7 +104,7 @@
                 sum.total += counts.total;
             }
         }
-        (sum.failed + USUAL_FAILURE_RATE * PSEUDO_ATTEMPTS_ELSEWHERE)
+        (sum.failed + DEFAULT_FAILURE_RATE * PSEUDO_ATTEMPTS_ELSEWHERE)
             / (sum.total + PSEUDO_ATTEMPTS_ELSEWHERE)
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Whether any zone is suspected or ejected.
-    pub(crate) fn is_any_withheld(&self) -> bool {
+    pub(crate) fn is_any_suspected_or_ejected(&self) -> bool {
         self.entries
             .iter()
             .any(|entry| entry.state.traffic_fraction() == 0.0)
@@ -137,10 +137,10 @@
     pub(crate) fn publish_shares(
         &mut self,
         now: Nanos,
-        is_cut_off: bool,
+        is_isolated: bool,
         actions: &mut Vec<Action>,
     ) {
-        let shares = self.shares(now, is_cut_off);
+        let shares = self.shares(now, is_isolated);
         for ((zone, entry), share) in self.indices().zip(&mut self.entries).zip(shares) {
             entry.share_publisher.publish(zone, share, actions);
         }
@@ -150,11 +150,11 @@
     ///
     /// While the local zone gets all of its requests, another zone's share is the fraction that its state allows. Else
     /// it is the zone's part in the division of the remaining requests, within that fraction.
-    fn shares(&self, now: Nanos, is_cut_off: bool) -> Vec<ZoneShare> {
+    fn shares(&self, now: Nanos, is_isolated: bool) -> Vec<ZoneShare> {
         let capacities: Vec<ZoneCapacity> = self
             .indices()
             .zip(&self.entries)
-            .map(|(zone, entry)| entry.overflow_capacity(now, zone == self.local_zone))
+            .map(|(zone, entry)| entry.spill_capacity(now, zone == self.local_zone))
             .collect();
         let local_fraction = self
             .entries
@@ -172,7 +172,7 @@
                     } else {
                         divided.min(fraction)
                     },
-                    reason: share_reason(entry, now, is_cut_off),
+                    reason: share_reason(entry, now, is_isolated),
                     server_count: entry.server_count(),
                 }
             })
@@ -181,10 +181,10 @@
 }
 
 /// Why a zone gets the share that it gets.
-fn share_reason(entry: &ZoneEntry, now: Nanos, is_cut_off: bool) -> ZoneStateReason {
+fn share_reason(entry: &ZoneEntry, now: Nanos, is_isolated: bool) -> ZoneStateReason {
     if entry.active_override(now).is_some() {
         ZoneStateReason::OperatorOverride
-    } else if is_cut_off {
+    } else if is_isolated {
         ZoneStateReason::NoAlternative
     } else {
         entry.state.reason()
