--- a/core/zone-health/src/evidence.rs
+++ b/core/zone-health/src/evidence.rs
@@ -1,7 +1,8 @@
-//! Evidence against one zone, by two sequential tests side by side: one of failures (a CUSUM of log-likelihood
-//! ratios), one of silence (the ages of outstanding attempts against the class's response times).
+//! Evidence against one zone, from two sequential tests: a CUSUM of log-likelihood ratios for failures, and a test of
+//! the ages of outstanding attempts against the class's response times for silence.
 //!
-//! All instants here are on the awake clock.
+//! Evidence is in nats: natural logarithms of likelihood ratios or of inverse probabilities. All instants are on the
+//! awake clock.
 
 use std::collections::BTreeMap;
 
@@ -10,62 +11,58 @@
 use crate::latency_histogram::LatencyHistogram;
 use badgerpost_time::Nanos;
 
-/// Failure rate assumed for a failing zone, at the least.
+/// Lower bound of the failure rate assumed for a faulty zone.
 const MINIMUM_FAULTY_ZONE_FAILURE_RATE: f64 = 0.3;
-/// Failure rate assumed for a failing zone, at the most.
+/// Upper bound of the failure rate assumed for a faulty zone.
 const MAXIMUM_FAULTY_ZONE_FAILURE_RATE: f64 = 0.95;
-/// A failing zone fails this many times as often as usual.
+/// Failure rate assumed for a faulty zone, relative to the baseline failure rate.
 const FAULTY_ZONE_FAILURE_RATIO: f64 = 3.0;
-/// Failure rate that counts as usual at the least, also where no rate is known.
+/// Failure rate assumed without observations; also the lower bound of the baseline failure rate.
 pub(crate) const DEFAULT_FAILURE_RATE: f64 = 0.02;
-/// Failure rate that counts as usual at the most: the test needs room above it.
+/// Upper bound of the baseline failure rate, below the maximum for a faulty zone so that the test can distinguish the
+/// two.
 const MAXIMUM_BASELINE_FAILURE_RATE: f64 = 0.8;
-/// Upper bound of the evidence from one server: it can't speak for the others.
+/// Upper bound of the evidence from one server, so that one faulty server cannot cause an ejection.
 const MAXIMUM_SERVER_EVIDENCE: f64 = 5.0;
-/// Upper bound of the evidence from one class: that of two servers.
+/// Upper bound of the evidence from one class.
 const MAXIMUM_CLASS_EVIDENCE: f64 = 2.0 * MAXIMUM_SERVER_EVIDENCE;
-/// Upper bound of the evidence from failed connections: that of four servers.
+/// Upper bound of the evidence from failed connections.
 const MAXIMUM_CONNECTION_EVIDENCE: f64 = 4.0 * MAXIMUM_SERVER_EVIDENCE;
-/// Timed-out attempts that are remembered as silent. Each is evidence of up to 2.5, so more change nothing.
+/// Maximum number of timed-out attempts stored as evidence of silence.
 const MAXIMUM_TIMED_OUT_ATTEMPTS: usize = 64;
-/// Servers above which the worst one can be left out.
+/// Number of servers above which the server with the most evidence is left out.
 const LEAVE_ONE_OUT_SERVER_THRESHOLD: u32 = 2;
-/// Classes in use above which the worst one can be left out.
+/// Number of classes in use above which the class with the most evidence is left out.
 const LEAVE_ONE_OUT_CLASS_THRESHOLD: usize = 1;
 /// Decayed number of attempts above which a class counts as in use.
 const MINIMUM_CLASS_ATTEMPTS: f64 = 1.0;
-/// Weight of the newest attempt in the recent failure rate: an average over about ten attempts.
+/// Weight of the newest attempt in the recent failure rate, an exponentially weighted moving average.
 const FAILURE_RATE_EWMA_WEIGHT: f64 = 0.1;
-/// Weight of the newest response in the smoothed slowdown.
+/// Weight of the newest response in the slowdown, an exponentially weighted moving average.
 const SLOWDOWN_EWMA_WEIGHT: f64 = 0.3;
 
-/// An attempt without a response.
+/// An attempt that was sent and has no response yet.
 #[derive(Clone, Copy)]
 pub(crate) struct OutstandingAttempt {
-    /// The server it was sent to.
     pub(crate) server: ServerId,
-    /// The server's zone.
     pub(crate) zone: ZoneIndex,
-    /// The request's class.
     pub(crate) class: ClassIndex,
-    /// When it was sent.
     pub(crate) sent_at: Nanos,
 }
 
-/// An attempt that has waited without a response, still outstanding or timed out.
+/// An attempt without a response, either outstanding or timed out.
 #[derive(Clone, Copy)]
 struct SilentAttempt {
     attempt: OutstandingAttempt,
-    /// How long it has waited, or had waited when it timed out.
+    /// Time from sending until the present or until the timeout.
     waiting_duration: Nanos,
 }
 
-/// The result of an attempt that is evidence for or against a zone's servers.
+/// Result of an attempt that counts for or against the zone in the test of failures.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptResult {
     /// A usable response.
     Success,
-    /// An error response.
     ErrorResponse,
     /// The connection could not be established, or broke.
     ConnectionFailed,
@@ -80,7 +77,7 @@
         }
     }
 
-    /// The logarithm of how much more likely this result is in a failing zone, given the usual failure rate.
+    /// Log-likelihood ratio of the result between a faulty zone and a zone with the baseline failure rate.
     fn log_likelihood_ratio(self, baseline_failure_rate: f64) -> f64 {
         let baseline =
             baseline_failure_rate.clamp(DEFAULT_FAILURE_RATE, MAXIMUM_BASELINE_FAILURE_RATE);
@@ -95,17 +92,16 @@
     }
 }
 
-/// Decayed numbers of attempts and of failed ones.
+/// Numbers of attempts and of failed attempts, decayed over time.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct AttemptCounts {
-    /// Attempts that failed.
     pub(crate) failed: f64,
-    /// All attempts.
+    /// All attempts, including failed ones.
     pub(crate) total: f64,
 }
 
 impl AttemptCounts {
-    /// The counts after decay by a factor.
+    /// The counts multiplied by `factor`.
     fn decayed(self, factor: f64) -> Self {
         Self {
             failed: self.failed * factor,
@@ -114,7 +110,7 @@
     }
 }
 
-/// Attempts of one class in one zone in the last seconds.
+/// Attempts of one class in one zone, decayed until `updated_at`.
 #[derive(Clone, Copy, Default)]
 struct ClassCounts {
     counts: AttemptCounts,
@@ -139,36 +135,36 @@
 /// Evidence that a zone is silent.
 #[derive(Clone, Copy)]
 pub(crate) struct SilenceEvidence {
-    /// Log-likelihood of the silence, without the worst server.
+    /// Sum of the evidence over the servers, without the server with the most evidence if there are enough.
     pub(crate) evidence: f64,
-    /// When the first of the silent attempts was sent; the present if there is none.
+    /// When the oldest silent attempt was sent; the present if no attempt is silent.
     pub(crate) first_sent_at: Nanos,
 }
 
-/// What silence is measured against.
+/// Parameters of the silence test for one zone.
 #[derive(Clone, Copy)]
 pub(crate) struct SilenceTest<'a> {
     /// Response times by class.
     pub(crate) latencies: &'a [LatencyHistogram],
     /// Number of servers in service in the zone.
     pub(crate) server_count: u32,
-    /// How many times as long as usual responses may take.
+    /// Tolerated factor by which responses may be slower than the recorded response times.
     pub(crate) slowdown: f64,
 }
 
 /// The evidence against one zone.
 #[derive(Default)]
 pub(crate) struct Evidence {
-    /// Evidence of failures by server; bounded by the endpoint list.
+    /// Evidence of failures by server. The endpoint list bounds the number of servers.
     servers: BTreeMap<ServerId, DecayingCusum>,
     classes: Vec<DecayingCusum>,
     connections: DecayingCusum,
     class_counts: Vec<ClassCounts>,
-    /// Timed-out attempts since the last response, at most [`MAXIMUM_TIMED_OUT_ATTEMPTS`].
+    /// Attempts that timed out since the last response, at most [`MAXIMUM_TIMED_OUT_ATTEMPTS`].
     timed_out: Vec<SilentAttempt>,
-    /// When the last response of any kind came, or the evidence was reset: attempts sent long before prove nothing.
+    /// When the last response of any kind came or the evidence was reset. Earlier attempts do not count as silent.
     last_response_at: Option<Nanos>,
-    /// When the last usable response came; a reset keeps it.
+    /// When the last usable response came. A reset keeps this value.
     last_success_at: Option<Nanos>,
     /// Usable responses since the count or the evidence was reset.
     success_count: u32,
@@ -177,7 +173,7 @@
 }
 
 impl Evidence {
-    /// No evidence yet, for this number of request classes.
+    /// Creates an instance without evidence for `class_count` request classes.
     pub(crate) fn new(class_count: usize) -> Self {
         Self {
             classes: vec![DecayingCusum::default(); class_count],
@@ -187,7 +183,7 @@
         }
     }
 
-    /// Discards all evidence: what was observed before says nothing about what comes.
+    /// Discards all evidence except the time of the last usable response.
     pub(crate) fn reset(&mut self, now: Nanos) {
         *self = Self {
             last_response_at: Some(now),
@@ -196,41 +192,40 @@
         };
     }
 
-    /// Discards the evidence from servers that are no longer listed.
+    /// Discards the evidence about servers that are no longer listed.
     pub(crate) fn retain_servers(&mut self, is_listed: impl Fn(ServerId) -> bool) {
         self.servers.retain(|server, _| is_listed(*server));
         self.timed_out
             .retain(|silent| is_listed(silent.attempt.server));
     }
 
-    /// Usable responses since the count or the evidence was reset.
+    /// Number of usable responses since the count or the evidence was reset.
     pub(crate) fn success_count(&self) -> u32 {
         self.success_count
     }
 
-    /// Starts the count of usable responses anew.
     pub(crate) fn reset_success_count(&mut self) {
         self.success_count = 0;
     }
 
-    /// Failure rate of the last ten attempts or so.
+    /// Moving average of the failure rate over about ten attempts, from 0 to 1.
     pub(crate) fn recent_failure_rate(&self) -> f64 {
         self.recent_failure_rate
     }
 
-    /// Response times relative to the usual ones, smoothed.
+    /// Moving average of response times relative to the median of their class.
     pub(crate) fn slowdown(&self) -> f64 {
         self.slowdown
     }
 
-    /// Attempts of a class in this zone, with exponential decay.
+    /// Decayed numbers of attempts of a class in this zone.
     pub(crate) fn attempt_counts(&self, class: ClassIndex, now: Nanos) -> AttemptCounts {
         self.class_counts
             .get(class.position())
             .map_or_else(AttemptCounts::default, |counts| counts.value_at(now))
     }
 
-    /// Takes the result of an attempt into account. The usual failure rate is that of the class in other zones.
+    /// Adds an attempt's result to the evidence. `baseline_failure_rate` is the class's failure rate in other zones.
     pub(crate) fn record_result(
         &mut self,
         now: Nanos,
@@ -244,7 +239,7 @@
             log_ratio,
             MAXIMUM_SERVER_EVIDENCE,
         );
-        // A failed connection is no evidence against a class, and an error response none against connections.
+        // Failed connections do not count against the class, and error responses do not count against connections.
         if result != AttemptResult::ConnectionFailed
             && let Some(class) = self.classes.get_mut(attempt.class.position())
         {
@@ -261,19 +256,19 @@
         }
     }
 
-    /// Whether a usable response came within this duration.
+    /// Whether a usable response came within `duration` before `now`.
     pub(crate) fn has_success_within(&self, now: Nanos, duration: Nanos) -> bool {
         self.last_success_at
             .is_some_and(|success_at| now < success_at + duration)
     }
 
-    /// Records a response of any kind: the zone is not silent.
+    /// Records a response of any kind, which ends any silence of the zone.
     pub(crate) fn record_response(&mut self, now: Nanos) {
         self.last_response_at = Some(now);
         self.timed_out.clear();
     }
 
-    /// Records a usable response that took `slowdown` times as long as usual.
+    /// Records a usable response. `slowdown` is the response time relative to the class's median.
     pub(crate) fn record_success(&mut self, now: Nanos, slowdown: f64) {
         self.record_response(now);
         self.last_success_at = Some(now);
@@ -291,8 +286,8 @@
         }
     }
 
-    /// Evidence of failures: the lower of that by server, without the worst server, and that by class and
-    /// connections, without the worst class.
+    /// Evidence of failures: the lower of the sum over servers and the sum over classes and connections. The first sum
+    /// leaves out the worst server, and the second the worst class, unless too few are in use.
     pub(crate) fn failure_evidence(&self, now: Nanos, server_count: u32) -> f64 {
         let by_server = sum_without_worst(
             self.servers.values().map(|cusum| cusum.value_at(now)),
@@ -310,7 +305,7 @@
         by_server.min(by_class + self.connections.value_at(now))
     }
 
-    /// Evidence of silence from the attempts that were outstanding when the last response came, or were sent later.
+    /// Evidence of silence from outstanding and timed-out attempts that were not due before the last response.
     pub(crate) fn silence_evidence<'a>(
         &self,
         outstanding: impl Iterator<Item = &'a OutstandingAttempt>,
@@ -342,7 +337,8 @@
         }
     }
 
-    /// Whether a response to the attempt was due before the last response came: its silence proves nothing.
+    /// Whether the attempt's response was due, by the class's median, before the last response came. A later response
+    /// shows that the zone was not silent then, so such an attempt does not count.
     fn was_due_before_last_response(
         &self,
         attempt: &OutstandingAttempt,
@@ -354,7 +350,7 @@
     }
 }
 
-/// The sum of the values, without the largest one if `leave_one_out`.
+/// The sum of the values, without the largest value if `leave_one_out` is set.
 fn sum_without_worst(values: impl Iterator<Item = f64>, leave_one_out: bool) -> f64 {
     let mut sum = 0.0;
     let mut worst = 0.0f64;
--- a/core/zone-health/src/lib.rs
+++ b/core/zone-health/src/lib.rs
@@ -1,13 +1,14 @@
 //! Decides which zones a node may send requests to.
 //!
-//! The monitor gathers evidence about each zone from the node's own attempts (responses, errors, failed connections
-//! and silence), and from the observations that other nodes gossip. A zone with more evidence against it than chance
-//! explains gets no new requests while other zones are left. It is ejected if that is confirmed, then probed now and
-//! then, and recovers step by step. The zone's states and transitions are drawn in `zone_state.rs`;
-//! `docs/design/zones.md` gives the statistical tests and their error rates.
+//! The monitor collects evidence about each zone from the node's own attempts (responses, errors, failed connections
+//! and missing responses) and from the observations that other nodes gossip. When the evidence against a zone reaches a
+//! threshold, the zone is suspected and gets no new requests while another zone can take them. A confirmed suspicion
+//! ejects the zone. Recovery probes then test the zone at intervals; after enough successful probes, the zone recovers
+//! its traffic in steps. The state machine is drawn in `zone_state.rs`; `docs/design/zones.md` gives the statistical
+//! tests and their error rates.
 //!
-//! The crate does no I/O: [`ZoneMonitor::handle`] takes the time and an [`Event`] and appends [`Action`]s. All random
-//! draws follow from the seed in [`Settings`].
+//! The crate does no I/O: [`ZoneMonitor::handle`] takes the time and an [`Event`] and appends [`Action`]s. The seed in
+//! [`Settings`] determines all random draws.
 
 mod action;
 mod assessment;
--- a/core/zone-health/src/recovery_probes.rs
+++ b/core/zone-health/src/recovery_probes.rs
@@ -1,51 +1,53 @@
-//! Recovery probes to one ejected zone: when the next one is due, and whether enough were answered.
+//! Recovery probes to one ejected zone: when the next probe is due, and how many probes must succeed.
 //!
-//! The nodes of a zone share a fixed rate of probes, so each node's interval grows with their number.
+//! The nodes of a home zone share a fixed rate of probes, so each node's interval grows with the number of nodes.
 
 use crate::action::ZoneStateReason;
 use crate::observation::ObservedState;
 use crate::peer_summary::PeerSummary;
 use badgerpost_time::{MILLISECOND, Nanos, SECOND, nanos_from_f64};
 
-/// How long a zone is ejected at the least; doubled for each ejection before.
+/// Minimum duration of the first ejection. Each earlier ejection doubles the duration.
 const BASE_EJECTION_PERIOD: Nanos = 500 * MILLISECOND;
-/// Ejections after which the time no longer doubles: about a minute.
+/// Maximum number of doublings, which limits the minimum duration to about a minute.
 const MAXIMUM_EJECTION_DOUBLINGS: u32 = 7;
-/// Probes that must be answered in a row before a silent zone recovers.
+/// Consecutive successful probes required before a silent zone recovers.
 const REQUIRED_PROBES_AFTER_SILENCE: u32 = 3;
-/// The same for a failing zone. One that fails three requests in ten answers three in a row once in three times.
+/// Consecutive successful probes required before a failing zone recovers. A zone that fails a fraction of its requests
+/// often passes a few probes by chance.
 const REQUIRED_PROBES_AFTER_FAILURES: u32 = 8;
-/// Probes a second that the nodes of a zone send together.
+/// Rate of the probes that the nodes of one home zone send together, per second.
 const PROBES_PER_SECOND: f64 = 2.0;
-/// Time between two probes of one node at the least, in seconds.
+/// Lower bound of the mean interval between two probes of one node.
 const MINIMUM_PROBE_INTERVAL_SECONDS: f64 = 0.25;
-/// Number of nodes that share the probes at the most, and the number assumed by a node without evidence of its own:
-/// it leaves the probes to those that have some.
+/// Upper bound of the number of nodes that share the probes. A node without evidence of its own assumes this number, so
+/// that nodes with evidence probe first.
 const MAXIMUM_PROBING_NODES: f64 = 240.0;
-/// Time to the next probe after an answered one.
 const DELAY_AFTER_SUCCESSFUL_PROBE: Nanos = 50 * MILLISECOND;
-/// The interval to the next probe is drawn from this fraction of the mean upwards, over the length of the mean.
+/// Lower end of the range from which a probe interval is drawn, as a fraction of the mean interval. The width of the
+/// range is the mean interval.
 const MINIMUM_INTERVAL_FRACTION: f64 = 0.5;
-/// Number of nodes, on average, that probe a zone at once after another node's probe was answered.
+/// Expected number of nodes that probe a zone at once to confirm a peer's successful probe.
 const EXPECTED_CONFIRMING_NODES: f64 = 6.0;
-/// Nodes that need answered probes before their probes end an ejection.
+/// Minimum number of peers with successful probes for an ejection to end by the peers' probes.
 const MINIMUM_PROBING_PEERS: u32 = 2;
-/// How long a failed probe outweighs the answered probes of others after silence.
+/// Minimum time since the last failed probe for an ejection for silence to end by the peers' probes.
 const MINIMUM_FAILED_PROBE_AGE_AFTER_SILENCE: Nanos = 500 * MILLISECOND;
-/// The same after failures, where a single answer proves little.
+/// Minimum time since the last failed probe for an ejection for failures to end by the peers' probes. The time is
+/// longer because a failing zone passes single probes by chance.
 const MINIMUM_FAILED_PROBE_AGE_AFTER_FAILURES: Nanos = 4 * SECOND;
 
-/// What the time of a probe depends on.
+/// Inputs to the scheduling of recovery probes.
 #[derive(Clone, Copy)]
 pub(crate) struct ProbeContext {
-    /// Number of nodes that share the probes to a zone.
+    /// Number of nodes that share the probes to a zone, including this one.
     pub(crate) probing_nodes: f64,
-    /// A random number from 0 to 1, which spreads the nodes' probes.
+    /// Random number from 0 (included) to 1 (excluded), which spreads the probes of different nodes over time.
     pub(crate) random_fraction: f64,
 }
 
 impl ProbeContext {
-    /// The context for a zone that is ejected on this node's own evidence, or else on that of its peers.
+    /// The context for an ejection on this node's own evidence if `is_first_hand`, or else on the peers' evidence.
     pub(crate) fn for_ejection(self, is_first_hand: bool) -> Self {
         let probing_nodes = if is_first_hand {
             self.probing_nodes
@@ -58,53 +60,53 @@
         }
     }
 
-    /// Mean time between two probes of this node, in nanoseconds.
+    /// Mean interval between two probes of this node, in nanoseconds.
     fn mean_interval(self) -> f64 {
         let seconds = self.probing_nodes.min(MAXIMUM_PROBING_NODES) / PROBES_PER_SECOND;
         seconds.max(MINIMUM_PROBE_INTERVAL_SECONDS) * SECOND as f64
     }
 
-    /// A time from 0 to the mean interval.
+    /// Random delay from 0 to the mean interval.
     fn random_delay(self) -> Nanos {
         nanos_from_f64(self.random_fraction * self.mean_interval())
     }
 
-    /// A time around the mean interval.
+    /// Random interval around the mean interval.
     fn random_interval(self) -> Nanos {
         nanos_from_f64((MINIMUM_INTERVAL_FRACTION + self.random_fraction) * self.mean_interval())
     }
 
-    /// Whether this node is drawn to follow another node's answered probe.
+    /// Whether this node is randomly selected to confirm a peer's successful probe.
     fn is_selected_to_confirm(self) -> bool {
         self.random_fraction * self.probing_nodes < EXPECTED_CONFIRMING_NODES
     }
 }
 
-/// Whether the probes answered so far suffice to start the recovery.
+/// Whether enough probes have succeeded to start the recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeProgress {
-    /// More answers are needed.
+    /// More successful probes are needed.
     Insufficient,
-    /// The zone can recover.
+    /// The recovery can start.
     Sufficient,
 }
 
 /// An ejection, with the progress of its recovery probes. All instants are on the awake clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Ejection {
-    /// The zone stays ejected at least until then.
+    /// The ejection lasts at least until this instant.
     earliest_end_at: Nanos,
     reason: ZoneStateReason,
     next_probe_at: Nanos,
-    /// Probes answered in a row.
+    /// Consecutive successful probes.
     successful_probes: u32,
     last_failed_probe_at: Option<Nanos>,
-    /// Whether this node has already been drawn, or not, to follow another node's answered probe.
+    /// Whether the random selection to confirm a peer's successful probe has taken place in this ejection.
     has_drawn_confirmation: bool,
 }
 
 impl Ejection {
-    /// An ejection that begins now, after this number of earlier ones.
+    /// Creates an ejection that begins at `now`. `earlier_ejections` determines the minimum duration.
     pub(crate) fn new(
         now: Nanos,
         reason: ZoneStateReason,
@@ -128,17 +130,16 @@
         self.reason
     }
 
-    /// Whether the last probe was answered.
+    /// Whether the last probe succeeded.
     pub(crate) fn has_successful_probe(&self) -> bool {
         self.successful_probes > 0
     }
 
-    /// When the next probe is due.
     pub(crate) fn next_probe_at(&self) -> Nanos {
         self.next_probe_at
     }
 
-    /// The ejection in the form in which it is gossiped.
+    /// The ejection as gossiped to the other nodes.
     pub(crate) fn observed_state(&self, now: Nanos) -> ObservedState {
         let failed_probe_age_ms = self
             .last_failed_probe_at
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Answered probes needed to start the recovery.
+    /// Consecutive successful probes required to start the recovery.
     fn required_probes(&self) -> u32 {
         match self.reason {
             ZoneStateReason::Failing { .. } => REQUIRED_PROBES_AFTER_FAILURES,
@@ -159,14 +160,15 @@
         }
     }
 
-    /// Records a failed probe: the count of answers starts anew.
+    /// Records a failed probe and sets the number of successful probes to 0.
     pub(crate) fn record_failed_probe(&mut self, now: Nanos, probes: ProbeContext) {
         self.last_failed_probe_at = Some(now);
         self.next_probe_at = self.next_probe_at.max(now + probes.random_delay());
         self.successful_probes = 0;
     }
 
-    /// Records an answered probe; the next one follows soon. A silent zone with few servers needs fewer answers.
+    /// Records a successful probe and schedules the next one after [`DELAY_AFTER_SUCCESSFUL_PROBE`]. A silent zone with
+    /// few servers requires at most one successful probe for each server.
     pub(crate) fn record_successful_probe(
         &mut self,
         now: Nanos,
@@ -187,8 +189,8 @@
         ProbeProgress::Insufficient
     }
 
-    /// Brings the next probe forward if another node's probe was answered and this node is drawn to confirm it, so
-    /// that a recovery does not depend on one node. Drawn once in an ejection.
+    /// Brings the next probe forward if a peer's probe succeeded and this node is randomly selected to confirm the
+    /// success, so that a recovery does not depend on one node. The selection takes place once in an ejection.
     pub(crate) fn schedule_confirmation(
         &mut self,
         now: Nanos,
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Whether the other nodes' probes suffice to start the recovery.
+    /// Whether the peers' probes suffice to start the recovery.
     pub(crate) fn is_ended_by_peers(&self, now: Nanos, peers: &PeerSummary) -> bool {
         let minimum_failed_probe_age = match self.reason {
             ZoneStateReason::Failing { .. } => MINIMUM_FAILED_PROBE_AGE_AFTER_FAILURES,
@@ -220,7 +222,7 @@
             && failed_probe_age >= minimum_failed_probe_age
     }
 
-    /// Whether a probe is due; if so, the next one is scheduled.
+    /// Whether a probe is due. If so, schedules the next one.
     pub(crate) fn take_due_probe(&mut self, now: Nanos, probes: ProbeContext) -> bool {
         if now < self.next_probe_at {
             return false;
--- a/core/zone-health/src/zone_entry.rs
+++ b/core/zone-health/src/zone_entry.rs
@@ -1,4 +1,4 @@
-//! All that a monitor keeps about one zone.
+//! State, servers, utilization and publication records of one zone.
 
 use crate::event::{ListedServer, OverrideMode, ZoneOverride};
 use crate::evidence::{AttemptResult, OutstandingAttempt};
@@ -9,40 +9,40 @@
 use crate::zone_state::ZoneState;
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
-/// How long a reported utilization is used.
+/// How long a reported utilization stays valid.
 const UTILIZATION_LIFETIME: Nanos = 4 * SECOND;
-/// A usable response within this time refutes the other nodes' evidence of silence.
+/// A usable response within this period refutes the other nodes' evidence of silence.
 const RECENT_SUCCESS_PERIOD: Nanos = 100 * MILLISECOND;
-/// Weight of the newest report in the smoothed utilization.
+/// Weight of the newest report in the utilization, an exponentially weighted moving average.
 const UTILIZATION_EWMA_WEIGHT: f64 = 0.1;
-/// Greatest utilization that is plausible.
+/// Highest plausible utilization. Higher reports are ignored.
 const MAXIMUM_UTILIZATION: f64 = 2.0;
 
-/// Smoothed utilization of a zone's cores.
+/// Moving average of the utilization of a zone's cores.
 #[derive(Clone, Copy)]
 struct Utilization {
     value: f64,
-    /// When it was last reported, on the caller's clock.
+    /// Time of the last report, on the caller's clock.
     reported_at: Nanos,
 }
 
-/// One zone: state, servers, utilization, override, and what was published about it.
+/// Everything that the monitor stores about one zone.
 pub(crate) struct ZoneEntry {
-    /// The state that follows from the evidence.
+    /// State machine driven by the evidence.
     pub(crate) state: ZoneState,
     server_count: u32,
-    /// Sum of the servers' sizes.
+    /// Sum of the servers' relative capacities.
     capacity: f64,
     utilization: Option<Utilization>,
     zone_override: Option<ZoneOverride>,
-    /// The share that was last published to the caller.
+    /// Publishes the zone's share to the caller.
     pub(crate) share_publisher: SharePublisher,
-    /// The observation that was last sent to the other nodes.
+    /// Selects the observations of the zone that are sent to the other nodes.
     pub(crate) observation_publisher: ObservationPublisher,
 }
 
 impl ZoneEntry {
-    /// A healthy zone without servers, for this number of request classes.
+    /// Creates a healthy zone without servers, for `class_count` request classes.
     pub(crate) fn new(class_count: usize) -> Self {
         Self {
             state: ZoneState::new(class_count),
@@ -60,7 +60,7 @@
         self.server_count
     }
 
-    /// Replaces the servers in service.
+    /// Replaces the servers in service. An ejected zone that had no servers starts its recovery.
     pub(crate) fn set_servers<'a>(
         &mut self,
         awake_now: Nanos,
@@ -74,7 +74,7 @@
         self.capacity = servers.map(|server| server.capacity).sum();
     }
 
-    /// Records a usable response that took `slowdown` times as long as usual.
+    /// Records a usable response. `slowdown` is the response time relative to the class's median.
     pub(crate) fn record_success(
         &mut self,
         awake_now: Nanos,
@@ -94,7 +94,7 @@
             .record_successful_attempt(awake_now, self.server_count);
     }
 
-    /// Records an error response. It is a response all the same: the zone is not silent.
+    /// Records an error response, which is evidence of failures but ends any silence of the zone.
     pub(crate) fn record_error(
         &mut self,
         awake_now: Nanos,
@@ -113,7 +113,7 @@
         self.state.record_failed_attempt(awake_now, probes);
     }
 
-    /// Records a connection that could not be established, or broke.
+    /// Records an attempt whose connection could not be established, or broke.
     pub(crate) fn record_connection_failure(
         &mut self,
         awake_now: Nanos,
@@ -130,21 +130,21 @@
         self.state.record_failed_attempt(awake_now, probes);
     }
 
-    /// Evidence of failures, of this node alone.
+    /// Evidence of failures from this node's own attempts.
     pub(crate) fn failure_evidence(&self, awake_now: Nanos) -> f64 {
         self.state
             .evidence
             .failure_evidence(awake_now, self.server_count)
     }
 
-    /// Whether a usable response came a moment ago.
+    /// Whether a usable response came within [`RECENT_SUCCESS_PERIOD`].
     pub(crate) fn has_recent_success(&self, awake_now: Nanos) -> bool {
         self.state
             .evidence
             .has_success_within(awake_now, RECENT_SUCCESS_PERIOD)
     }
 
-    /// Takes a server's report of its utilization into account, if it is plausible.
+    /// Adds a server's reported utilization to the moving average, unless the value is implausible.
     pub(crate) fn record_utilization(&mut self, now: Nanos, reported: f64) {
         if !(0.0..=MAXIMUM_UTILIZATION).contains(&reported) {
             return;
@@ -158,38 +158,38 @@
         });
     }
 
-    /// The utilization, if it was reported lately.
+    /// The utilization, if a report came within [`UTILIZATION_LIFETIME`].
     fn recent_utilization(&self, now: Nanos) -> Option<f64> {
         self.utilization
             .filter(|utilization| now < utilization.reported_at + UTILIZATION_LIFETIME)
             .map(|utilization| utilization.value)
     }
 
-    /// Sets the operators' override, or ends it.
+    /// Sets the operators' override; none ends the current one.
     pub(crate) fn set_override(&mut self, zone_override: Option<ZoneOverride>) {
         self.zone_override = zone_override;
     }
 
-    /// When the override ends or has ended, if there is one.
+    /// When the override ends or ended; none without an override.
     pub(crate) fn override_until(&self) -> Option<Nanos> {
         self.zone_override.map(|zone_override| zone_override.until)
     }
 
-    /// The override in force, if any.
+    /// The override in force at `now`, if any.
     pub(crate) fn active_override(&self, now: Nanos) -> Option<OverrideMode> {
         self.zone_override
             .filter(|zone_override| now < zone_override.until)
             .map(|zone_override| zone_override.mode)
     }
 
-    /// Whether the zone can take requests that another zone does not.
+    /// Whether the zone has servers, is not force-ejected, and is neither suspected nor ejected.
     pub(crate) fn can_take_traffic(&self, now: Nanos) -> bool {
         self.server_count > 0
             && self.active_override(now) != Some(OverrideMode::ForceEjected)
             && self.state.traffic_fraction() > 0.0
     }
 
-    /// The fraction of its usual requests that the zone gets, by override or by its state.
+    /// Fraction of the zone's full share that the override, or else the state, allows; from 0 to 1.
     pub(crate) fn traffic_fraction(&self, now: Nanos) -> f64 {
         match self.active_override(now) {
             Some(OverrideMode::ForceEjected) => 0.0,
@@ -198,7 +198,7 @@
         }
     }
 
-    /// The zone's capacity for requests that the local zone does not take.
+    /// The zone's capacity for requests that spill from the local zone. The local zone itself is never available.
     pub(crate) fn spill_capacity(&self, now: Nanos, is_local: bool) -> ZoneCapacity {
         let fraction = self.traffic_fraction(now);
         ZoneCapacity {
--- a/core/zone-health/src/zone_state.rs
+++ b/core/zone-health/src/zone_state.rs
@@ -6,17 +6,17 @@
 //!  | Healthy |                       | Suspected |               | Ejected |
 //!  +---------+ <-------------------- +-----------+               +---------+
 //!     |    ^         withdrawn                                     |     ^
-//!     |    |                                    probes answered,   |     | evidence
-//!     |    |     last step completed       servers listed anew     v     |
+//!     |    |                                   probes successful,  |     | evidence
+//!     |    |     last step completed      servers listed again     v     |
 //!     |    +--------------------------------------------------- +------------+
 //!     +-------------------------------------------------------> | Recovering | --+ next or
 //!                      quorum of peers                          +------------+ <-+ previous step
 //! ```
 //!
-//! Besides, any state becomes `Healthy` when the monitor finds that this node itself was cut off, or that other zones
-//! fail as much.
+//! In addition, any state becomes `Healthy` when the monitor detects that this node was isolated, and a state that is
+//! due to failures becomes `Healthy` when other zones fail at a similar rate.
 //!
-//! All instants here are on the awake clock.
+//! All instants are on the awake clock.
 
 use crate::action::ZoneStateReason;
 use crate::assessment::{Assessment, EvidenceSnapshot, SUSPECT_THRESHOLD};
@@ -28,58 +28,58 @@
 use crate::suspicion::{MAXIMUM_SUSPICION_PERIOD, Suspicion, SuspicionOutcome};
 use badgerpost_time::{Nanos, SECOND};
 
-/// Own evidence at which a node reports a state as first-hand.
+/// Own evidence at which this node reports a zone's state as first-hand, in nats.
 const FIRST_HAND_THRESHOLD: f64 = 2.0;
-/// Slowdown of responses that does not count as silence when it comes to ejecting a zone.
+/// Slowdown of responses that does not count as silence in the decision to eject a zone.
 pub(crate) const SLOWDOWN_TOLERANCE: f64 = 4.0;
-/// The same for restarted servers, which have an eighth of their capacity at first.
+/// Replaces [`SLOWDOWN_TOLERANCE`] for restarted servers, which start with an eighth of their capacity.
 const RESTART_SLOWDOWN_TOLERANCE: f64 = 8.0;
-/// Once a zone has stayed healthy for this long, its earlier ejections no longer prolong the next one.
+/// Time for which a zone must stay healthy until earlier ejections no longer prolong the next one.
 const EJECTION_COUNT_RESET_PERIOD: Nanos = 60 * SECOND;
-/// Failure rate in other zones from which on no single zone is held responsible ...
+/// Lower bound of the failure rate in other zones from which a zone's failures count as common.
 const COMMON_FAILURE_RATE: f64 = 0.15;
-/// ... if it is also at least this fraction of the failure rate for which the zone was suspected.
+/// The same limit as a fraction of the failure rate at which the zone was suspected; the greater limit applies.
 const COMMON_FAILURE_FRACTION: f64 = 0.5;
-/// How long evidence of failures is ignored after a zone was wrongly suspected of them.
+/// How long evidence of failures is ignored after the zone's failures counted as common.
 const IGNORED_FAILURES_PERIOD: Nanos = 10 * SECOND;
-/// How long a node that recovered a zone itself ignores peers that have not yet.
+/// How long a node that completed a zone's recovery ignores the states reported by peers that have not.
 const RECENT_RECOVERY_PERIOD: Nanos = 4 * SECOND;
 
-/// The state proper; see the module's diagram.
+/// A state of the state machine in the module's diagram.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ZoneStage {
-    /// The zone gets its usual share.
+    /// The zone gets its full share.
     Healthy,
-    /// The zone gets nothing new until the suspicion is withdrawn or confirmed.
+    /// The zone gets no new requests until the suspicion is withdrawn or confirmed.
     Suspected(Suspicion),
     /// The zone gets recovery probes only.
     Ejected(Ejection),
-    /// The zone gets a fraction of its requests, which grows step by step.
+    /// The zone gets a fraction of its full share, which grows in steps.
     Recovering(Recovery),
 }
 
-/// One zone: its state, and the evidence about it.
+/// The state machine of one zone, with the evidence about the zone.
 pub(crate) struct ZoneState {
     stage: ZoneStage,
     pub(crate) evidence: Evidence,
     /// Ejections since the zone was last healthy for [`EJECTION_COUNT_RESET_PERIOD`].
     ejection_count: u32,
-    /// When the zone became healthy; 0 if it always was.
+    /// When the zone became healthy; 0 if the zone has been healthy from the start.
     healthy_since: Nanos,
-    /// Until when evidence of failures is ignored.
+    /// End of the period in which evidence of failures is ignored; 0 if there was none.
     ignore_failures_until: Nanos,
-    /// Slowdown of responses in the first recovery step.
+    /// Slowdown of responses at the end of the first recovery step.
     first_step_slowdown: f64,
-    /// Whether the zone recovers with restarted servers.
+    /// Whether the last recovery began because servers were listed in a zone that had none.
     has_restarted_servers: bool,
-    /// Recent failure rate when the zone was suspected.
+    /// Recent failure rate when the zone was last suspected, or ejected again during a recovery.
     failure_rate_at_suspicion: f64,
-    /// Whether the zone was suspected on this node's own evidence.
+    /// Whether the last suspicion, or ejection during a recovery, was based on this node's own evidence.
     is_first_hand: bool,
 }
 
 impl ZoneState {
-    /// A healthy zone without evidence, for this number of request classes.
+    /// Creates a healthy zone without evidence for `class_count` request classes.
     pub(crate) fn new(class_count: usize) -> Self {
         Self {
             stage: ZoneStage::Healthy,
@@ -94,17 +94,17 @@
         }
     }
 
-    /// Whether the zone gets its usual share.
+    /// Whether the zone gets its full share.
     pub(crate) fn is_healthy(&self) -> bool {
         self.stage == ZoneStage::Healthy
     }
 
-    /// Whether the zone was last suspected on this node's own evidence.
+    /// Whether the last suspicion, or ejection during a recovery, was based on this node's own evidence.
     pub(crate) fn is_first_hand(&self) -> bool {
         self.is_first_hand
     }
 
-    /// The fraction of its usual requests that the zone gets, from 0 to 1.
+    /// Fraction of the zone's full share that the state allows, from 0 to 1.
     pub(crate) fn traffic_fraction(&self) -> f64 {
         match self.stage {
             ZoneStage::Healthy => 1.0,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The reason of the current state.
+    /// Why the zone is in the current state.
     pub(crate) fn reason(&self) -> ZoneStateReason {
         match self.stage {
             ZoneStage::Healthy => ZoneStateReason::Healthy,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The state in the form in which it is gossiped.
+    /// The state as gossiped to the other nodes.
     pub(crate) fn observed_state(&self, now: Nanos) -> ObservedState {
         match self.stage {
             ZoneStage::Healthy => ObservedState::Healthy,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Slowdown of responses that does not count as silence.
+    /// Slowdown of responses that does not count as silence in the current state.
     pub(crate) fn slowdown_tolerance(&self) -> f64 {
         let is_recovering = matches!(self.stage, ZoneStage::Recovering(_));
         if self.has_restarted_servers && is_recovering {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// When the state must be assessed again even without any event.
+    /// When the state must be assessed even without an event; none for a healthy zone.
     pub(crate) fn next_assessment_at(&self) -> Option<Nanos> {
         match self.stage {
             ZoneStage::Healthy => None,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Applies the transition, if any, that follows from the evidence now.
+    /// Applies the transition, if any, that follows from the evidence at `now`.
     pub(crate) fn assess(&mut self, now: Nanos, snapshot: EvidenceSnapshot, probes: ProbeContext) {
         let assessment = Assessment::new(&snapshot, now < self.ignore_failures_until);
         match self.stage {
@@ -177,12 +177,12 @@
         }
     }
 
-    /// Healthy: becomes suspected on enough evidence, or else follows the peers.
+    /// Healthy → Suspected on sufficient evidence. Otherwise may adopt the state reported by the peers.
     fn assess_healthy(&mut self, now: Nanos, snapshot: &EvidenceSnapshot, assessment: Assessment) {
         if now.saturating_sub(self.healthy_since) >= EJECTION_COUNT_RESET_PERIOD {
             self.ejection_count = 0;
         }
-        // The last zone left is suspected only after a long silence.
+        // A zone without an alternative is suspected only after a long silence.
         let may_be_suspected =
             snapshot.has_alternative || snapshot.silent_duration >= MAXIMUM_SUSPICION_PERIOD;
         if assessment.evidence >= SUSPECT_THRESHOLD && may_be_suspected {
@@ -204,11 +204,11 @@
         self.stage = ZoneStage::Suspected(Suspicion::new(now, reason));
     }
 
-    /// Healthy → Suspected or Recovering, as the peers decided while this node had no responses or was not running.
+    /// Healthy → Suspected or Recovering, following a quorum of peers, for a node without recent responses.
     fn adopt_peers_state(&mut self, now: Nanos, peers: PeerSummary) {
         self.is_first_hand = false;
         if peers.is_ejected_by_quorum {
-            // Withdrawn if the peers withdraw theirs, confirmed as theirs are.
+            // The suspicion is withdrawn when the peers withdraw theirs, and is otherwise confirmed after its period.
             self.evidence.reset_success_count();
             let reason = ZoneStateReason::Silent { evidence: 0.0 };
             self.stage = ZoneStage::Suspected(Suspicion::new(now, reason));
@@ -218,12 +218,12 @@
         }
     }
 
-    /// Whether the zone has just become healthy: what peers reported before is older than this node's own experience.
+    /// Whether the zone became healthy so recently that the peers' reports may be older than the recovery.
     fn is_recently_recovered(&self, now: Nanos) -> bool {
         self.healthy_since > 0 && now.saturating_sub(self.healthy_since) < RECENT_RECOVERY_PERIOD
     }
 
-    /// Suspected: the suspicion is withdrawn, or the zone is ejected.
+    /// Suspected → Healthy if the suspicion is withdrawn, or → Ejected if the suspicion is confirmed.
     fn assess_suspected(
         &mut self,
         now: Nanos,
@@ -250,7 +250,7 @@
         self.ejection_count += 1;
     }
 
-    /// Ejected: recovers if enough of the peers' probes were answered.
+    /// Ejected → Recovering if the peers' recovery probes suffice. Otherwise may schedule a probe that confirms theirs.
     fn assess_ejected(
         &mut self,
         now: Nanos,
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Recovering: the zone is ejected again, or goes to another step.
+    /// Recovering → Ejected, another recovery step, or Healthy after the last step.
     fn assess_recovering(
         &mut self,
         now: Nanos,
@@ -276,7 +276,7 @@
         probes: ProbeContext,
     ) {
         let evidence = StepEvidence {
-            // Restarted servers are slow, not silent.
+            // Restarted servers respond slowly, so silence is measured with the state's slowdown tolerance.
             against_zone: assessment.failures.max(snapshot.tolerant_silence),
             peers: snapshot.peers,
             success_count: self.evidence.success_count(),
@@ -295,7 +295,7 @@
         }
     }
 
-    /// Recovering → the next step, or Healthy after the last one.
+    /// Recovering → the next step, or Healthy after the last step.
     fn complete_step(&mut self, now: Nanos, recovery: Recovery) {
         if recovery.is_first_step() {
             self.first_step_slowdown = self.evidence.slowdown();
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Goes forward to the peers' median recovery step, if the zone is recovering and behind it.
+    /// Moves a recovery that is behind the peers' median step forward to that step.
     fn catch_up(&mut self, now: Nanos, median_step: Option<usize>) {
         if let ZoneStage::Recovering(recovery) = self.stage
             && let Some(step) = recovery.catch_up_step(median_step)
@@ -324,27 +324,27 @@
         self.stage = ZoneStage::Recovering(Recovery::at_step(step, now, success_count));
     }
 
-    /// Any state → Recovering, in the first step, with the servers that the zone had before.
+    /// Any state → Recovering, at the first step. Assumes that the zone's servers have not restarted.
     fn start_recovery(&mut self, now: Nanos) {
         self.has_restarted_servers = false;
         self.evidence.reset(now);
         self.enter_step(now, 0);
     }
 
-    /// Any state → Healthy; discards the evidence.
+    /// Any state → Healthy. Discards the evidence.
     pub(crate) fn restore(&mut self, now: Nanos) {
         self.stage = ZoneStage::Healthy;
         self.healthy_since = now;
         self.evidence.reset(now);
     }
 
-    /// Any state → Healthy, as other zones fail as much; further failures are ignored for a while.
+    /// Any state → Healthy, because other zones fail at a similar rate. Ignores evidence of failures for a period.
     pub(crate) fn restore_and_ignore_failures(&mut self, now: Nanos) {
         self.restore(now);
         self.ignore_failures_until = now + IGNORED_FAILURES_PERIOD;
     }
 
-    /// Whether the zone is suspected or ejected for failures that other zones have by now, too.
+    /// Whether the zone is suspected or ejected for failures that other zones now have at a similar rate.
     pub(crate) fn is_failure_common(&self, failure_rate_elsewhere: f64) -> bool {
         let reason = match self.stage {
             ZoneStage::Suspected(suspicion) => suspicion.reason(),
@@ -356,8 +356,8 @@
         matches!(reason, ZoneStateReason::Failing { .. }) && failure_rate_elsewhere >= common_rate
     }
 
-    /// Ejected → Recovering, as servers are listed in a zone that had none: the evidence was about others. Restarted
-    /// servers may be slower than a recovery probe's timeout, so the first step takes the place of the probes.
+    /// Ejected → Recovering, because the evidence concerned earlier servers of the zone. No recovery probes are sent
+    /// first, as restarted servers may be slower than a probe's timeout.
     pub(crate) fn recover_with_new_servers(&mut self, now: Nanos) {
         if matches!(self.stage, ZoneStage::Ejected(_)) {
             self.start_recovery(now);
@@ -365,7 +365,7 @@
         }
     }
 
-    /// An attempt failed. In an ejected zone it counts as a failed recovery probe, even if it was sent before.
+    /// Records a failed attempt. In an ejected zone, any attempt counts as a recovery probe, even one sent earlier.
     pub(crate) fn record_failed_attempt(&mut self, now: Nanos, probes: ProbeContext) {
         let probes = probes.for_ejection(self.is_first_hand);
         if let ZoneStage::Ejected(ejection) = &mut self.stage {
@@ -373,7 +373,7 @@
         }
     }
 
-    /// An attempt succeeded. In an ejected zone it counts as an answered recovery probe, and may start the recovery.
+    /// Records a successful attempt. In an ejected zone, any attempt counts as a recovery probe.
     pub(crate) fn record_successful_attempt(&mut self, now: Nanos, server_count: u32) {
         if let ZoneStage::Ejected(ejection) = &mut self.stage
             && ejection.record_successful_probe(now, server_count) == ProbeProgress::Sufficient
@@ -382,7 +382,7 @@
         }
     }
 
-    /// Whether a recovery probe is due; if so, the next one is scheduled.
+    /// Whether a recovery probe is due. If so, schedules the next one.
     pub(crate) fn take_due_probe(&mut self, now: Nanos, probes: ProbeContext) -> bool {
         let probes = probes.for_ejection(self.is_first_hand);
         match &mut self.stage {
--- a/core/zone-health/src/zone_table.rs
+++ b/core/zone-health/src/zone_table.rs
@@ -1,4 +1,4 @@
-//! The entries of all zones, and what is computed over several of them: failure rates, alternatives and shares.
+//! The entries of all zones, and values computed across zones: failure rates, alternatives and shares.
 
 use std::collections::BTreeSet;
 
@@ -11,12 +11,12 @@
 use crate::zone_entry::ZoneEntry;
 use badgerpost_time::Nanos;
 
-/// Pseudo-attempts, failing at the usual rate, that steady the failure rate in other zones.
+/// Number of pseudo-attempts at [`DEFAULT_FAILURE_RATE`] that smooth the failure rate in other zones.
 const PSEUDO_ATTEMPTS_ELSEWHERE: f64 = 5.0;
 
 /// One entry for each zone of the settings.
 pub(crate) struct ZoneTable {
-    /// By [`ZoneIndex`].
+    /// Indexed by [`ZoneIndex`].
     entries: Vec<ZoneEntry>,
     zone_count: u32,
     class_count: u32,
@@ -24,7 +24,7 @@
 }
 
 impl ZoneTable {
-    /// Healthy zones without servers.
+    /// Creates a table of healthy zones without servers.
     pub(crate) fn new(settings: &Settings) -> Self {
         let class_count = settings.class_count as usize;
         Self {
@@ -37,32 +37,30 @@
         }
     }
 
-    /// The indices of all zones.
     pub(crate) fn indices(&self) -> impl Iterator<Item = ZoneIndex> + use<> {
         (0..self.zone_count).map(ZoneIndex)
     }
 
-    /// The entries of all zones.
     pub(crate) fn entries(&self) -> impl Iterator<Item = &ZoneEntry> {
         self.entries.iter()
     }
 
-    /// Whether there is such a zone.
+    /// Whether the settings include the zone.
     pub(crate) fn contains(&self, zone: ZoneIndex) -> bool {
         zone.0 < self.zone_count
     }
 
-    /// The entry of a zone that is known to exist.
+    /// The entry of a zone. Panics if the settings do not include the zone.
     pub(crate) fn entry(&self, zone: ZoneIndex) -> &ZoneEntry {
         &self.entries[zone.position()]
     }
 
-    /// The entry of a zone that is known to exist, for changes.
+    /// The entry of a zone, for changes. Panics if the settings do not include the zone.
     pub(crate) fn entry_mut(&mut self, zone: ZoneIndex) -> &mut ZoneEntry {
         &mut self.entries[zone.position()]
     }
 
-    /// Replaces the servers of all zones.
+    /// Replaces the servers of all zones, and discards the evidence about servers that are no longer listed.
     pub(crate) fn set_servers(&mut self, awake_now: Nanos, servers: &[ListedServer]) {
         let listed: BTreeSet<ServerId> = servers.iter().map(|server| server.server).collect();
         for (zone, entry) in self.indices().zip(&mut self.entries) {
@@ -75,21 +73,21 @@
         }
     }
 
-    /// Makes all zones healthy and discards the evidence.
+    /// Makes all zones healthy and discards the evidence about them.
     pub(crate) fn restore_all(&mut self, awake_now: Nanos) {
         for entry in &mut self.entries {
             entry.state.restore(awake_now);
         }
     }
 
-    /// Lets the observations of all zones be sent to the other nodes again.
+    /// Marks the observations of all zones to be sent to the other nodes again.
     pub(crate) fn expire_observations(&mut self) {
         for entry in &mut self.entries {
             entry.observation_publisher.expire();
         }
     }
 
-    /// Failure rate of a class in the other zones.
+    /// Failure rate of a class in the zones other than `zone`, smoothed by pseudo-attempts.
     pub(crate) fn failure_rate_elsewhere(
         &self,
         awake_now: Nanos,
@@ -108,32 +106,30 @@
             / (sum.total + PSEUDO_ATTEMPTS_ELSEWHERE)
     }
 
-    /// The highest failure rate of any class in the other zones.
+    /// The highest failure rate of any class in the zones other than `zone`.
     pub(crate) fn worst_failure_rate_elsewhere(&self, awake_now: Nanos, zone: ZoneIndex) -> f64 {
         (0..self.class_count)
             .map(|class| self.failure_rate_elsewhere(awake_now, zone, ClassIndex(class)))
             .fold(0.0, f64::max)
     }
 
-    /// Whether any zone can take requests.
     pub(crate) fn can_any_take_traffic(&self, now: Nanos) -> bool {
         self.entries.iter().any(|entry| entry.can_take_traffic(now))
     }
 
-    /// Whether a zone other than this one can take requests.
+    /// Whether a zone other than `zone` can take requests.
     pub(crate) fn has_alternative(&self, now: Nanos, zone: ZoneIndex) -> bool {
         self.indices()
             .any(|other| other != zone && self.entry(other).can_take_traffic(now))
     }
 
-    /// Whether any zone is suspected or ejected.
     pub(crate) fn is_any_suspected_or_ejected(&self) -> bool {
         self.entries
             .iter()
             .any(|entry| entry.state.traffic_fraction() == 0.0)
     }
 
-    /// Emits the shares that have changed.
+    /// Emits the shares that have changed sufficiently since the last publication.
     pub(crate) fn publish_shares(
         &mut self,
         now: Nanos,
@@ -148,8 +144,9 @@
 
     /// The current share of each zone.
     ///
-    /// While the local zone gets all of its requests, another zone's share is the fraction that its state allows. Else
-    /// it is the zone's part in the division of the remaining requests, within that fraction.
+    /// While the local zone gets its full share, the share of any other zone is the fraction that its state allows.
+    /// Otherwise another zone's share is its part of the requests that spill from the local zone, capped at that
+    /// fraction.
     fn shares(&self, now: Nanos, is_isolated: bool) -> Vec<ZoneShare> {
         let capacities: Vec<ZoneCapacity> = self
             .indices()
@@ -180,7 +177,7 @@
     }
 }
 
-/// Why a zone gets the share that it gets.
+/// Why a zone has its current share.
 fn share_reason(entry: &ZoneEntry, now: Nanos, is_isolated: bool) -> ZoneStateReason {
     if entry.active_override(now).is_some() {
         ZoneStateReason::OperatorOverride
