--- a/core/zone-health/src/action.rs
+++ b/core/zone-health/src/action.rs
@@ -1,31 +1,32 @@
-//! What the monitor asks of the caller: actions, with the reason of a zone's state.
+//! Outputs of the monitor: actions for the caller, and the reasons of a zone's state.
 
 use crate::ids::{GossipZone, ZoneIndex};
 use crate::observation::ZoneObservation;
 use badgerpost_time::Nanos;
 
-/// Why a zone gets the share that it gets.
+/// Why a zone has its current share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ZoneStateReason {
     /// There is no evidence against the zone.
     Healthy,
-    /// Responses are missing at several of its servers.
+    /// Attempts to several of the zone's servers get no response.
     Silent {
-        /// Log-likelihood of the silence given the usual response times, without the zone's worst server.
+        /// Evidence of silence in nats, without the zone's worst server.
         evidence: f64,
     },
-    /// Errors or failed connections at several of its servers.
+    /// Attempts to several of the zone's servers end with errors or failed connections.
     Failing {
-        /// Log-likelihood ratio of the failures, without the worst server and the worst class.
+        /// Evidence of failures in nats, scaled to the threshold of suspicion and without the worst server and the
+        /// worst class.
         evidence: f64,
     },
-    /// The zone is ejected, and recovery probes to it are answered.
+    /// The zone is ejected, and the last recovery probe succeeded.
     Probing,
-    /// The zone gets a growing fraction of its requests again.
+    /// The zone gets a growing fraction of its full share after an ejection.
     Recovering,
-    /// No zone responds: either this node is cut off, or there is nowhere else to send requests.
+    /// No zone responds, so no zone is avoided. Either this node is isolated or all zones are faulty.
     NoAlternative,
-    /// Operators override the state.
+    /// An operators' override is in force.
     OperatorOverride,
 }
 
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The evidence behind the reason; 0 if it is not based on evidence.
+    /// The evidence behind the reason, in nats; 0 for a reason without evidence.
     #[must_use]
     pub fn evidence(&self) -> f64 {
         match self {
@@ -59,43 +60,43 @@
 pub enum Action {
     /// A zone's share changed.
     ///
-    /// The local zone's share is the fraction of all requests that it gets. Another zone's share is its weight,
-    /// relative to the other zones, for the requests that the local zone does not get. A zone with share 0 gets
-    /// nothing new.
+    /// The local zone's share is the fraction of all requests that the zone gets. Another zone's share is a weight,
+    /// relative to the other zones, for the requests that the local zone does not get. A zone with share 0 gets no new
+    /// requests.
     SetShare {
-        /// The zone.
+        /// The zone whose share changed.
         zone: ZoneIndex,
-        /// The share, from 0 to 1.
+        /// The new share, from 0 to 1.
         share: f64,
     },
-    /// Send the next request that is safe to retry elsewhere to this zone, as a recovery probe.
+    /// Send the next request that is safe to retry in another zone to this zone, as a recovery probe.
     RequestProbe {
         /// The zone to probe.
         zone: ZoneIndex,
-        /// How long to wait for the response before retrying elsewhere.
+        /// How long to wait for the response before retrying in another zone.
         timeout: Nanos,
     },
-    /// Send an observation of a zone to the other nodes. Emitted only if there are any.
+    /// Send this node's observation of a zone to the other nodes. Emitted only if there are other nodes.
     Gossip {
         /// The observed zone.
         zone: GossipZone,
-        /// What this node observes.
+        /// This node's observation.
         observation: ZoneObservation,
     },
-    /// Send [`Event::TimerFired`](crate::Event::TimerFired) at this instant; replaces the previous timer.
+    /// Send [`Event::TimerFired`](crate::Event::TimerFired) at this instant. Replaces the pending timer.
     SetTimer {
-        /// When the timer fires.
+        /// When the timer fires, on the caller's clock.
         at: Nanos,
     },
-    /// A zone's state changed; for the log.
+    /// The reason of a zone's state changed. For the log.
     LogChange {
-        /// The zone.
+        /// The zone whose state changed.
         zone: ZoneIndex,
-        /// Its share from now on.
+        /// The zone's new share, from 0 to 1.
         share: f64,
-        /// The reason of the new state.
+        /// Why the zone has the new share.
         reason: ZoneStateReason,
-        /// Number of servers in service there.
+        /// Number of servers in service in the zone.
         server_count: u32,
     },
 }
--- a/core/zone-health/src/assessment.rs
+++ b/core/zone-health/src/assessment.rs
@@ -1,50 +1,50 @@
-//! The evidence about a zone at one instant, and what it amounts to.
+//! The evidence about a zone at one instant, and its assessment against the thresholds of suspicion.
 
 use crate::action::ZoneStateReason;
 use crate::peer_summary::PeerSummary;
 use badgerpost_time::Nanos;
 
-/// Evidence at which a healthy zone is suspected, as a log-likelihood. A zone that is as bad as the silence test
-/// allows for (responses twice as slow as usual) reaches it by chance once in 150 cases.
+/// Evidence at which a healthy zone is suspected, in nats.
 pub(crate) const SUSPECT_THRESHOLD: f64 = 5.0;
-/// Evidence of failures at which a healthy zone is suspected. It is higher, as a suspected zone gets no requests that
-/// could withdraw it: at least three failures in a row, besides those of the worst server.
+/// Evidence of failures at which a healthy zone is suspected, in nats. Higher than [`SUSPECT_THRESHOLD`], because a
+/// suspected zone gets no requests whose success could withdraw the suspicion.
 const FAILURE_SUSPECT_THRESHOLD: f64 = 8.0;
 
 /// All evidence about a zone at one instant.
 #[derive(Clone, Copy)]
 pub(crate) struct EvidenceSnapshot {
-    /// Evidence of silence, allowing for responses twice as slow as usual.
+    /// Evidence of silence, tolerating responses twice as slow as recorded.
     pub(crate) silence: f64,
-    /// Evidence of silence, allowing for the slowdown that the zone's state tolerates.
+    /// Evidence of silence, tolerating the slowdown that the zone's state allows.
     pub(crate) tolerant_silence: f64,
     /// Evidence of failures.
     pub(crate) failures: f64,
-    /// Whether another zone can take the requests.
+    /// Whether another zone can take requests.
     pub(crate) has_alternative: bool,
-    /// How long the first silent attempt has waited.
+    /// Age of the oldest silent attempt; 0 if no attempt is silent.
     pub(crate) silent_duration: Nanos,
-    /// The other nodes' observations, if there are other nodes. Their evidence is included in the figures above.
+    /// Summary of the other nodes' observations; none without other nodes. The evidence above includes the summary's
+    /// evidence.
     pub(crate) peers: Option<PeerSummary>,
-    /// Whether this node had a usable response from the zone a moment ago.
+    /// Whether this node recently had a usable response from the zone.
     pub(crate) has_recent_success: bool,
-    /// The evidence of this node alone, the greater of silence and failures.
+    /// The greater of silence and failures, from this node's own attempts alone.
     pub(crate) own_evidence: f64,
 }
 
-/// What a snapshot amounts to, on the scale of [`SUSPECT_THRESHOLD`].
+/// Result of the assessment of a snapshot, on the scale of [`SUSPECT_THRESHOLD`].
 #[derive(Clone, Copy)]
 pub(crate) struct Assessment {
     /// The greater of silence and scaled failures.
     pub(crate) evidence: f64,
-    /// Scaled evidence of failures.
+    /// Evidence of failures, scaled from [`FAILURE_SUSPECT_THRESHOLD`] to [`SUSPECT_THRESHOLD`].
     pub(crate) failures: f64,
-    /// Which of the two is greater.
+    /// Silence or failures, whichever has the greater evidence.
     pub(crate) reason: ZoneStateReason,
 }
 
 impl Assessment {
-    /// Weighs silence and failures against each other; failures count for nothing during an amnesty.
+    /// Assesses a snapshot. Evidence of failures counts as 0 if `is_ignoring_failures`.
     pub(crate) fn new(snapshot: &EvidenceSnapshot, is_ignoring_failures: bool) -> Self {
         let failures = if is_ignoring_failures {
             0.0
--- a/core/zone-health/src/attempt_tracker.rs
+++ b/core/zone-health/src/attempt_tracker.rs
@@ -1,4 +1,4 @@
-//! Outstanding attempts and the response times of each class.
+//! Outstanding attempts, and response times by request class.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +7,22 @@
 use crate::latency_histogram::LatencyHistogram;
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
-/// Outstanding attempts that are tracked; the caller has no more connections than that for its requests.
+/// Maximum number of attempts that are tracked at the same time.
 const MAXIMUM_OUTSTANDING_ATTEMPTS: usize = 65_536;
-/// Slowdown of responses that a timed-out attempt allows for before it counts as a failed recovery probe.
+/// Slowdown of responses that is tolerated before a timed-out attempt counts as a failed recovery probe.
 const TIMEOUT_SLOWDOWN_TOLERANCE: f64 = 2.0;
-/// Evidence of silence above which a timed-out attempt counts as a failed recovery probe.
+/// Evidence of silence above which a timed-out attempt counts as a failed recovery probe, in nats.
 const TIMEOUT_EVIDENCE_THRESHOLD: f64 = 1.0;
-/// Fraction of the responses that a recovery probe's timeout is based on.
+/// Quantile of a class's response times on which the timeout of recovery probes is based.
 const PROBE_TIMEOUT_QUANTILE: f64 = 0.95;
-/// A recovery probe's timeout, in multiples of the slowest class's response time.
+/// Timeout of a recovery probe, in multiples of the slowest class's quantile.
 const PROBE_TIMEOUT_FACTOR: u64 = 3;
 /// Lower bound of a recovery probe's timeout.
 const MINIMUM_PROBE_TIMEOUT: Nanos = 50 * MILLISECOND;
-/// Upper bound of a recovery probe's timeout, and the timeout while response times are unknown.
+/// Upper bound of a recovery probe's timeout, also used while no response times are known.
 const MAXIMUM_PROBE_TIMEOUT: Nanos = 2 * SECOND;
 
-/// Outstanding attempts, and what ended ones showed about response times.
+/// Tracks outstanding attempts and records response times.
 pub(crate) struct AttemptTracker {
     outstanding: BTreeMap<AttemptKey, OutstandingAttempt>,
     /// Response times by class.
@@ -30,7 +30,7 @@
 }
 
 impl AttemptTracker {
-    /// A tracker without attempts, for this number of request classes.
+    /// Creates a tracker without attempts, for `class_count` request classes.
     pub(crate) fn new(class_count: usize) -> Self {
         Self {
             outstanding: BTreeMap::new(),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Tracks an attempt, unless its class is unknown or too many are outstanding.
+    /// Tracks an attempt, unless the class is unknown or [`MAXIMUM_OUTSTANDING_ATTEMPTS`] are outstanding.
     pub(crate) fn insert(&mut self, key: AttemptKey, attempt: OutstandingAttempt) {
         let is_known_class = attempt.class.position() < self.latencies.len();
         if is_known_class && self.outstanding.len() < MAXIMUM_OUTSTANDING_ATTEMPTS {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Ends the tracking of an attempt; none if it was not tracked.
+    /// Stops tracking an attempt and returns it; none if the attempt was not tracked.
     pub(crate) fn remove(&mut self, key: AttemptKey) -> Option<OutstandingAttempt> {
         self.outstanding.remove(&key)
     }
@@ -66,7 +66,7 @@
             .filter(move |attempt| attempt.zone == zone)
     }
 
-    /// What the silence of a zone with this number of servers is measured against.
+    /// Parameters of the silence test for a zone with `server_count` servers.
     pub(crate) fn silence_test(&self, server_count: u32, slowdown: f64) -> SilenceTest<'_> {
         SilenceTest {
             latencies: &self.latencies,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Records a response time. Returns it relative to the class's median.
+    /// Records a response time. Returns the response time relative to the previous median of the class.
     pub(crate) fn record_latency(&mut self, class: ClassIndex, duration: Nanos) -> f64 {
         let latency = &mut self.latencies[class.position()];
         let median = latency.median().unwrap_or(duration).max(1);
@@ -90,7 +90,7 @@
         evidence > TIMEOUT_EVIDENCE_THRESHOLD
     }
 
-    /// How long a recovery probe waits for its response.
+    /// How long a recovery probe waits for the response.
     pub(crate) fn probe_timeout(&self) -> Nanos {
         self.latencies
             .iter()
--- a/core/zone-health/src/clock.rs
+++ b/core/zone-health/src/clock.rs
@@ -1,26 +1,26 @@
-//! The monitor's clock: the caller's time, the time during which this process was awake, and the pending timer.
+//! The monitor's clocks (the caller's clock and the awake clock) and the pending timer.
 //!
-//! Public instants are on the caller's clock. Instants named `awake_..`, and all instants inside a zone's state and
-//! evidence, are on the awake clock, which stands still while this process is suspended.
+//! Public instants are on the caller's clock. Instants named `awake_..`, and all instants in a zone's state and
+//! evidence, are on the awake clock, which stops while this process is suspended.
 
 use badgerpost_time::{MILLISECOND, Nanos};
 
-/// A timer that fires later than this means that the process was suspended: nothing that happened meanwhile, or
-/// rather did not happen, is evidence about other processes.
+/// Delay of a timer above which the process counts as suspended. Responses that are missing during a suspension are no
+/// evidence about other processes.
 const SUSPENSION_THRESHOLD: Nanos = 20 * MILLISECOND;
 
-/// Keeps the caller's clock from stepping back, and detects suspensions of the process by late timers.
+/// Monotonic view of the caller's clock that detects suspensions of the process by late timers.
 #[derive(Debug)]
 pub(crate) struct MonitorClock {
     now: Nanos,
     /// Total time during which the process was suspended.
     suspended_duration: Nanos,
-    /// When the pending timer fires; an instant in the past means that there is none.
+    /// When the pending timer fires. A timer in the past does not prevent a new one.
     timer_at: Option<Nanos>,
 }
 
 impl MonitorClock {
-    /// A clock that starts at `now`, without a timer.
+    /// Creates a clock that starts at `now`, without a timer.
     pub(crate) fn new(now: Nanos) -> Self {
         Self {
             now,
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Advances to `now`. If the pending timer is overdue, the time since it should have fired counts as suspension.
+    /// Advances to `now`; an earlier instant has no effect. If the pending timer is overdue by more than
+    /// [`SUSPENSION_THRESHOLD`], the time since the timer was due counts as suspension.
     pub(crate) fn advance(&mut self, now: Nanos) {
         self.now = self.now.max(now);
         if let Some(timer_at) = self.timer_at
@@ -40,12 +41,12 @@
         }
     }
 
-    /// The caller's time, which never steps back.
+    /// The latest time on the caller's clock, which never decreases.
     pub(crate) fn now(&self) -> Nanos {
         self.now
     }
 
-    /// The time on the awake clock: the caller's time less all suspensions.
+    /// The time on the awake clock: the caller's time minus all suspensions.
     pub(crate) fn awake_now(&self) -> Nanos {
         self.now - self.suspended_duration.min(self.now)
     }
@@ -55,7 +56,6 @@
         awake_at + self.suspended_duration
     }
 
-    /// Whether a timer is pending.
     pub(crate) fn has_timer(&self) -> bool {
         self.timer_at.is_some()
     }
@@ -65,8 +65,8 @@
         self.timer_at = None;
     }
 
-    /// Moves the timer to `at`, unless the pending one fires earlier or at most `tolerance` later. Returns whether
-    /// the timer was moved.
+    /// Moves the timer to `at`, unless the pending timer fires before `at` or at most `tolerance` later. Returns
+    /// whether the timer was moved.
     pub(crate) fn move_timer(&mut self, at: Nanos, tolerance: Nanos) -> bool {
         let is_needed = self
             .timer_at
--- a/core/zone-health/src/event.rs
+++ b/core/zone-health/src/event.rs
@@ -1,17 +1,17 @@
-//! What the caller tells the monitor: settings and events.
+//! Inputs of the monitor: settings and events.
 
 use crate::ids::{AttemptKey, ClassIndex, GossipZone, MemberId, ServerId, ZoneIndex};
 use crate::observation::ZoneObservation;
 use badgerpost_time::Nanos;
 
-/// Settings of one monitor, fixed from its start.
+/// Settings of one monitor, constant for its lifetime.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// The zone of this node, as a position in the list of zones.
+    /// Index of this node's zone, from 0 to `zone_count` - 1.
     pub local_zone: u32,
-    /// Number of zones.
+    /// Number of configured zones.
     pub zone_count: u32,
-    /// Number of request classes.
+    /// Number of configured request classes.
     pub class_count: u32,
     /// Number of nodes that share the servers, including this one.
     pub node_count: u32,
@@ -19,7 +19,7 @@
     pub seed: u64,
 }
 
-/// How an attempt ended, as far as that is evidence about its zone.
+/// Result of an attempt, as evidence about the server's zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptSignal {
     /// The server sent a usable response.
@@ -30,30 +30,30 @@
     ConnectionFailed,
     /// No response came within the timeout, or before the attempt was cancelled.
     TimedOut,
-    /// The server responded, but not in a way that tells how it is doing: it rejected the request as overloaded, or
-    /// the response was damaged on the way.
+    /// The server responded, but the response does not show whether the server is faulty: the server rejected the
+    /// request as overloaded, or the response was damaged in transit.
     Inconclusive,
-    /// The attempt was never sent, so it is no evidence.
+    /// The attempt was never sent and is no evidence.
     NotSent,
 }
 
 /// A server in service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedServer {
-    /// The server.
+    /// Identifier of the server.
     pub server: ServerId,
-    /// Its zone.
+    /// The zone that the server runs in.
     pub zone: ZoneIndex,
-    /// Its capacity relative to other servers.
+    /// Capacity of the server relative to other servers.
     pub capacity: f64,
 }
 
-/// What operators force a zone to be.
+/// State that operators can force on a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverrideMode {
     /// The zone gets no requests.
     ForceEjected,
-    /// The zone gets its full share, whatever the evidence.
+    /// The zone gets its full share, regardless of the evidence.
     ForceHealthy,
 }
 
@@ -62,12 +62,12 @@
 pub struct ZoneOverride {
     /// The forced state.
     pub mode: OverrideMode,
-    /// When the override ends.
+    /// When the override ends, on the caller's clock.
     pub until: Nanos,
 }
 
 impl ZoneOverride {
-    /// An override until an instant, which ejects the zone or else holds it healthy.
+    /// Creates an override that lasts until `until` and forces the zone ejected if `is_ejected`, or else healthy.
     #[must_use]
     pub fn new(is_ejected: bool, until: Nanos) -> Self {
         let mode = if is_ejected {
@@ -82,55 +82,55 @@
 /// An input of the monitor.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The complete list of servers in service.
+    /// The complete list of servers in service, which replaces the previous list.
     EndpointsListed(Vec<ListedServer>),
     /// An attempt was sent.
     AttemptSent {
-        /// Identifies the attempt until it has ended.
+        /// Identifies the attempt until the attempt has ended.
         attempt: AttemptKey,
-        /// The server it was sent to.
+        /// The server that the attempt was sent to.
         server: ServerId,
-        /// The server's zone.
+        /// The zone that the server runs in.
         zone: ZoneIndex,
-        /// The request's class.
+        /// The class of the request.
         class: ClassIndex,
     },
     /// An attempt ended.
     AttemptEnded {
         /// The key given with [`Event::AttemptSent`].
         attempt: AttemptKey,
-        /// How it ended.
+        /// How the attempt ended.
         signal: AttemptSignal,
-        /// Utilization of the server's cores, from 0 to 1, if the server reported it.
+        /// Utilization of the server's cores, from 0 to 1; none if the server did not report a utilization.
         utilization: Option<f64>,
     },
-    /// The instant requested by [`Action::SetTimer`](crate::Action::SetTimer) has come.
+    /// The instant requested by [`Action::SetTimer`](crate::Action::SetTimer) has been reached.
     TimerFired,
-    /// Operators override a zone's state, or end their override.
+    /// Operators set or end the override of a zone's state.
     OperatorOverride {
-        /// The zone.
+        /// The overridden zone.
         zone: ZoneIndex,
         /// The new override; none ends the previous one.
         zone_override: Option<ZoneOverride>,
     },
     /// Another node joined or left the fleet.
     PeerChanged {
-        /// The node.
+        /// The node that joined or left.
         member: MemberId,
-        /// The zone that it runs in.
+        /// The zone that the node runs in.
         home_zone: GossipZone,
-        /// Whether it is a member now.
+        /// Whether the node is now a member.
         is_up: bool,
     },
-    /// Another node reported what it observes of a zone.
+    /// An observation of a zone arrived from another node.
     PeerObserved {
-        /// The reporting node.
+        /// The node that sent the observation.
         member: MemberId,
-        /// The zone that was observed.
+        /// The observed zone.
         zone: GossipZone,
-        /// When the report was sent, by the reporting node's clock.
+        /// When the observation was sent, by the sender's clock.
         sent_at: Nanos,
-        /// The report.
+        /// The sender's observation.
         observation: ZoneObservation,
     },
 }
--- a/core/zone-health/src/observation_publisher.rs
+++ b/core/zone-health/src/observation_publisher.rs
@@ -1,42 +1,42 @@
-//! Decides when the other nodes are sent this node's observation of a zone, and how coarse its evidence is.
+//! Decides when this node's observation of a zone is sent to the other nodes, and quantizes the evidence that is sent.
 
 use crate::observation::{ObservedState, ZoneObservation, evidence_to_hundredths};
 use badgerpost_time::{MILLISECOND, Nanos};
 
-/// Evidence that is worth sending, in the units of an observation.
+/// Minimum evidence that is sent while the zone is healthy, in hundredths of a nat.
 const MINIMUM_SENT_EVIDENCE_HUNDREDTHS: u16 = 100;
-/// Steps in which sent evidence grows, in the units of an observation: smaller changes cause no message.
+/// Quantization step of sent evidence, in hundredths of a nat. Smaller changes cause no message.
 const SENT_EVIDENCE_STEP_HUNDREDTHS: u16 = 50;
-/// Upper bound of sent evidence, in the units of an observation: a node may contribute less than this.
+/// Upper bound of sent evidence, in hundredths of a nat. Recipients count less than this for one node.
 const MAXIMUM_SENT_EVIDENCE_HUNDREDTHS: u16 = 300;
-/// Time between two reports that a zone responds although other nodes have evidence against it.
+/// Minimum interval between two reports that a zone responds although other nodes have evidence against the zone.
 const RESPONSE_REPORT_INTERVAL: Nanos = 200 * MILLISECOND;
 
-/// Rounds evidence to what is sent, in the units of an observation.
+/// Converts evidence to hundredths of a nat, capped and rounded down to a multiple of the quantization step.
 pub(crate) fn quantize_evidence(evidence: f64) -> u16 {
     evidence_to_hundredths(evidence).min(MAXIMUM_SENT_EVIDENCE_HUNDREDTHS)
         / SENT_EVIDENCE_STEP_HUNDREDTHS
         * SENT_EVIDENCE_STEP_HUNDREDTHS
 }
 
-/// Whether evidence in the units of an observation is too weak to be sent by itself.
+/// Whether evidence in hundredths of a nat is too weak to be sent for a healthy zone.
 pub(crate) fn is_negligible(hundredths: u16) -> bool {
     hundredths < MINIMUM_SENT_EVIDENCE_HUNDREDTHS
 }
 
-/// What the recipients make of an observation.
+/// Properties of the recipients that determine when an observation is sent.
 #[derive(Clone, Copy)]
 pub(crate) struct Recipients {
-    /// Whether any of them has evidence against the zone.
+    /// Whether any recipient has recently reported evidence against the zone, or suspects the zone.
     pub(crate) has_adverse_report: bool,
-    /// How often an observation that is adverse to the zone is repeated.
+    /// Interval at which an observation adverse to the zone is repeated.
     pub(crate) refresh_interval: Nanos,
 }
 
-/// An observation with the time when it was sent.
+/// An observation with the time of sending.
 #[derive(Clone, Copy)]
 struct SentObservation {
-    /// On the caller's clock; 0 if it is to be sent again.
+    /// On the caller's clock; 0 if the observation must be sent again.
     sent_at: Nanos,
     observation: ZoneObservation,
 }
@@ -48,7 +48,7 @@
 }
 
 impl ObservationPublisher {
-    /// Whether the observation is to be sent now; if so, it is recorded as sent.
+    /// Returns whether the observation must be sent now. If so, records the observation as sent.
     pub(crate) fn publish(
         &mut self,
         now: Nanos,
@@ -65,7 +65,7 @@
         is_due
     }
 
-    /// Lets the last observation be repeated at the next occasion.
+    /// Marks the last observation to be sent again if it is adverse to the zone.
     pub(crate) fn expire(&mut self) {
         if let Some(last) = &mut self.last {
             last.sent_at = 0;
@@ -75,7 +75,7 @@
     fn is_due(&self, now: Nanos, observation: &ZoneObservation, recipients: Recipients) -> bool {
         let age = self.last.map_or(Nanos::MAX, |last| now - last.sent_at);
         let is_adverse = is_adverse(observation);
-        // Other nodes have evidence against a zone that responds to this node.
+        // This node has responses from a zone against which other nodes have evidence.
         if !is_adverse && observation.has_recent_success && recipients.has_adverse_report {
             return age >= RESPONSE_REPORT_INTERVAL;
         }
@@ -90,7 +90,7 @@
     }
 }
 
-/// Whether an observation speaks against the zone.
+/// Whether an observation is adverse to the zone, by evidence or by state.
 fn is_adverse(observation: &ZoneObservation) -> bool {
     let evidence = observation
         .silence_evidence
@@ -98,12 +98,12 @@
     !is_negligible(evidence) || observation.state != ObservedState::Healthy
 }
 
-/// Whether the recipients learn anything from the second observation that they can't work out from the first.
+/// Whether the second observation differs from the first in more than the passing of time.
 fn has_new_information(first: &ZoneObservation, second: &ZoneObservation) -> bool {
     without_time_dependent_fields(first) != without_time_dependent_fields(second)
 }
 
-/// The observation without what changes as time passes.
+/// The observation with fixed values in the fields that change as time passes.
 fn without_time_dependent_fields(observation: &ZoneObservation) -> ZoneObservation {
     let state = match observation.state {
         ObservedState::Ejected {
--- a/core/zone-health/src/peer_observations.rs
+++ b/core/zone-health/src/peer_observations.rs
@@ -1,5 +1,4 @@
-//! What the other nodes observe of the zones: keeps each member's latest observations and summarizes them for this
-//! node. No single node's observation has an effect by itself, and outdated ones have none.
+//! Stores each member's latest zone observations until they expire, and summarizes them for this node.
 
 use std::collections::BTreeMap;
 
@@ -8,24 +7,24 @@
 use crate::peer_summary::{OwnObservation, PeerSummary, ReceivedObservation, SummaryBuilder};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
-/// Members whose observations are kept; fleets are smaller.
+/// Maximum number of members whose observations are stored.
 const MAXIMUM_MEMBERS: usize = 4096;
-/// How long an observation is used, at the least.
+/// Lower bound of the lifetime of an observation.
 const MINIMUM_OBSERVATION_LIFETIME: Nanos = 3 * SECOND;
-/// How long an observation is used, in refresh intervals: two lost refreshes do no harm.
+/// Lifetime of an observation in refresh intervals, so that the loss of two refreshes is tolerated.
 const OBSERVATION_LIFETIME_REFRESHES: Nanos = 3;
-/// An observation whose sender's clock differs by more than this from the time of receipt is discarded: the clocks
-/// differ, or it was long on its way.
+/// Maximum difference between the sender's time and the time of receipt. A larger difference is due to different clocks
+/// or a delayed message, and the observation is discarded.
 const MAXIMUM_CLOCK_DIFFERENCE: Nanos = 2 * SECOND;
-/// Time between two refreshes of an observation by one node, at the least.
+/// Lower bound of the interval at which one node refreshes an observation.
 const MINIMUM_REFRESH_INTERVAL: Nanos = SECOND;
-/// Time between two refreshes for each member, so that all members together send a bounded number a second.
+/// Increase of the refresh interval for each member, which bounds the rate of refreshes from all members together.
 const REFRESH_INTERVAL_PER_MEMBER: Nanos = 10 * MILLISECOND;
 
 /// Another node, with its latest observation of each zone.
 struct Member {
     home_zone: GossipZone,
-    /// Whether the membership protocol has reported it as a member.
+    /// Whether the membership protocol has reported the node as a member. False while only an observation has arrived.
     is_up: bool,
     observations: BTreeMap<GossipZone, ReceivedObservation>,
 }
@@ -44,12 +43,13 @@
 #[derive(Default)]
 pub(crate) struct PeerObservations {
     members: BTreeMap<MemberId, Member>,
-    /// How long an observation is used.
+    /// How long a received observation is used.
     observation_lifetime: Nanos,
 }
 
 impl PeerObservations {
-    /// Adds a member, or removes it. A member that is already known has restarted, and its observations are discarded.
+    /// Adds or removes a member. A known member that is reported up again has restarted, and its observations are
+    /// discarded.
     pub(crate) fn update_member(&mut self, member: MemberId, home_zone: GossipZone, is_up: bool) {
         if !is_up {
             self.members.remove(&member);
@@ -60,7 +60,7 @@
         self.observation_lifetime = MINIMUM_OBSERVATION_LIFETIME.max(refreshes);
     }
 
-    /// Stores a member's observation. Returns whether it is used.
+    /// Stores a member's observation. Returns whether the observation was accepted.
     pub(crate) fn record(
         &mut self,
         now: Nanos,
@@ -72,7 +72,7 @@
         if now.abs_diff(sent_at) > MAXIMUM_CLOCK_DIFFERENCE || !self.has_capacity_for(member) {
             return false;
         }
-        // The first observation may arrive before the news that the node is a member.
+        // The first observation may arrive before the membership protocol reports the node.
         let entry = self
             .members
             .entry(member)
@@ -89,7 +89,7 @@
         self.members.len() < MAXIMUM_MEMBERS || self.members.contains_key(&member)
     }
 
-    /// Number of other members in a zone.
+    /// Number of other members whose home zone is `home_zone`.
     pub(crate) fn count_in_zone(&self, home_zone: GossipZone) -> usize {
         self.members
             .values()
@@ -102,15 +102,14 @@
         self.members.len()
     }
 
-    /// Whether there are no other nodes.
     pub(crate) fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Summarizes the observations of a zone for a node of `home_zone`.
+    /// Summarizes the observations of `zone` for a node of `home_zone`.
     ///
-    /// Only nodes of the same home zone count, and those of the observed zone itself: a node elsewhere may observe no
-    /// more than a broken link of its own.
+    /// Only nodes of the same home zone and of the observed zone count: a node elsewhere may observe only the failure
+    /// of its own zone's link to the observed zone.
     pub(crate) fn summarize(
         &self,
         now: Nanos,
@@ -136,7 +135,7 @@
     }
 }
 
-/// How often a node repeats its observation of a zone that is not healthy, in a fleet with this many other nodes.
+/// Interval at which a node repeats an observation that is adverse to a zone, in a fleet with `members` other nodes.
 pub(crate) fn refresh_interval(members: usize) -> Nanos {
     MINIMUM_REFRESH_INTERVAL.max(members as Nanos * REFRESH_INTERVAL_PER_MEMBER)
 }
--- a/core/zone-health/src/peer_summary.rs
+++ b/core/zone-health/src/peer_summary.rs
@@ -1,90 +1,91 @@
-//! Summary of the other nodes' observations of one zone: adds up bounded evidence, and forms a quorum over states.
+//! Summary of the other nodes' observations of one zone: the sum of their bounded evidence, and quorums over their
+//! states.
 
 use crate::observation::{ObservedState, ZoneObservation, evidence_from_hundredths};
 use badgerpost_time::{MILLISECOND, Nanos};
 
-/// Upper bound of the evidence from another node: that of one attempt.
+/// Upper bound of the evidence counted from one other node, equal to that of a single attempt.
 const MAXIMUM_PEER_EVIDENCE: f64 = 2.5;
-/// Evidence at which a node counts as a witness against a zone. Chance produces that in one attempt of seven.
+/// Evidence at which a node counts as adverse to a zone, in nats.
 const ADVERSE_REPORT_THRESHOLD: f64 = 2.0;
-/// Witnesses needed against a zone, at the least.
+/// Lower bound of the number of nodes in a quorum.
 const MINIMUM_QUORUM: u32 = 2;
-/// Witnesses needed against a zone, as a fraction of the nodes of the home zone.
+/// Number of nodes in a quorum as a fraction of the nodes of the home zone.
 const QUORUM_FRACTION: f64 = 0.25;
-/// Witnesses needed against a zone, as a fraction of the nodes that either are one or have responses from the zone.
+/// Minimum fraction of adverse nodes among the nodes that are adverse or have recent responses from the zone.
 const MINIMUM_ADVERSE_FRACTION: f64 = 0.6;
-/// Evidence is used for a shorter time than a state: outstanding attempts are answered or grow older meanwhile.
+/// How long received evidence stays valid. A received state stays valid for longer, because evidence changes as soon as
+/// outstanding attempts end or age.
 pub(crate) const EVIDENCE_LIFETIME: Nanos = 500 * MILLISECOND;
-/// Answered recovery probes that count for each node.
+/// Maximum number of successful recovery probes counted for one node.
 const MAXIMUM_PROBES_PER_PEER: u32 = 2;
-/// Recovering nodes needed for a common recovery step.
+/// Minimum number of recovering nodes for a median recovery step.
 const MINIMUM_RECOVERING_PEERS: usize = 2;
 
-/// An observation with the time of its receipt.
+/// An observation from another node, with the time of receipt.
 #[derive(Clone, Copy)]
 pub(crate) struct ReceivedObservation {
-    /// When this node received it.
     pub(crate) received_at: Nanos,
-    /// What the other node observed.
     pub(crate) observation: ZoneObservation,
 }
 
-/// What this node itself observes of a zone.
+/// This node's own observation of a zone.
 #[derive(Clone, Copy)]
 pub(crate) struct OwnObservation {
     /// Evidence of silence.
     pub(crate) silence: f64,
     /// Evidence of failures.
     pub(crate) failures: f64,
-    /// Whether it had a usable response a moment ago.
+    /// Whether this node recently had a usable response from the zone.
     pub(crate) has_recent_success: bool,
 }
 
-/// What the other nodes observe of one zone, as far as it is relevant for nodes of one home zone.
+/// Summary of the observations of one zone by the nodes of one home zone and of the observed zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct PeerSummary {
-    /// Evidence of silence, bounded for each node; 0 without a quorum of witnesses.
+    /// Evidence of silence, bounded for each node; 0 without a quorum of adverse nodes.
     pub(crate) silence: f64,
-    /// Evidence of failures, bounded for each node; 0 without a quorum of witnesses.
+    /// Evidence of failures, bounded for each node; 0 without a quorum of adverse nodes.
     pub(crate) failures: f64,
-    /// Whether any node has recent evidence against the zone, or suspects it.
+    /// Whether any node has recently reported evidence against the zone, or suspects the zone.
     pub(crate) has_adverse_report: bool,
-    /// Whether any node suspects the zone or has ejected it, on its own evidence.
+    /// Whether any node suspects the zone or has ejected the zone on its own evidence.
     pub(crate) is_suspected_first_hand: bool,
-    /// Whether a quorum suspects the zone or has ejected it, each on its own evidence, and no node has responses.
+    /// Whether a quorum suspects the zone or has ejected the zone, each node on its own evidence, and no node has
+    /// recent responses from the zone.
     pub(crate) is_ejected_by_quorum: bool,
-    /// Whether a quorum is recovering the zone.
+    /// Whether a quorum has the zone in recovery.
     pub(crate) is_recovering_by_quorum: bool,
-    /// The median recovery step of the recovering nodes, if there are enough.
+    /// Median recovery step of the recovering nodes; none with fewer than [`MINIMUM_RECOVERING_PEERS`].
     pub(crate) median_step: Option<usize>,
-    /// Whether any node has had responses in that step or a later one.
+    /// Whether any node has had a usable response in the median step or a later one.
     pub(crate) has_success_at_step: bool,
-    /// Recently answered recovery probes, bounded for each node.
+    /// Successful recovery probes, bounded for each node.
     pub(crate) successful_probes: u32,
-    /// Nodes with answered recovery probes.
+    /// Number of nodes with successful recovery probes.
     pub(crate) probing_peers: u32,
-    /// Age of the last failed recovery probe; the largest value if there is none.
+    /// Age of the last failed recovery probe; `Nanos::MAX` if there is none.
     pub(crate) failed_probe_age: Nanos,
 }
 
-/// The recovery step of one node. The order, by step first, is that in which the median is taken.
+/// Recovery step of one node. The derived order, by step first, determines the median.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PeerStep {
     step: usize,
     has_success: bool,
 }
 
-/// Accumulates the observations of one zone.
+/// Builds the summary of one zone from the observations of individual nodes.
 pub(crate) struct SummaryBuilder {
     now: Nanos,
     summary: PeerSummary,
     silence: f64,
     failures: f64,
-    /// Nodes with evidence against the zone.
+    /// Nodes with evidence against the zone, including this node.
     adverse_nodes: u32,
-    /// Nodes with responses from the zone and no evidence against it.
+    /// Nodes with recent responses from the zone and without evidence against it, including this node.
     responding_nodes: u32,
-    /// Nodes of the home zone, including this one.
+    /// Nodes of the home zone, including this node.
     home_zone_nodes: u32,
     ejecting_nodes: u32,
     recovering_nodes: u32,
@@ -92,7 +93,7 @@
 }
 
 impl SummaryBuilder {
-    /// Starts with what this node itself observes.
+    /// Creates a builder with this node's own observation.
     pub(crate) fn new(now: Nanos, own: OwnObservation) -> Self {
         let is_adverse = own.silence.max(own.failures) >= ADVERSE_REPORT_THRESHOLD;
         Self {
@@ -112,12 +113,12 @@
         }
     }
 
-    /// Counts another node of the home zone, whether or not it has an observation.
+    /// Counts another node of the home zone, whether or not an observation from that node is known.
     pub(crate) fn count_home_zone_node(&mut self) {
         self.home_zone_nodes += 1;
     }
 
-    /// Adds another node's observation.
+    /// Adds another node's observation, without the evidence if it has expired.
     pub(crate) fn add_observation(&mut self, received: &ReceivedObservation) {
         let age = self.now.saturating_sub(received.received_at);
         if age < EVIDENCE_LIFETIME {
@@ -126,7 +127,7 @@
         self.add_state(&received.observation, age);
     }
 
-    /// Adds the evidence of a recent observation.
+    /// Adds the evidence of an observation that has not expired.
     fn add_evidence(&mut self, observation: &ZoneObservation) {
         let silence = bounded_evidence(observation.silence_evidence);
         let failures = bounded_evidence(observation.failure_evidence);
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Adds the zone's state for the other node, from an observation of this age.
+    /// Adds the zone's state at another node, from an observation received `age` ago.
     fn add_state(&mut self, observation: &ZoneObservation, age: Nanos) {
         match observation.state {
             ObservedState::Healthy => {}
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Adds a node that suspects the zone or has ejected it; only its own evidence makes it count.
+    /// Counts a node that suspects the zone or has ejected the zone, if on its own evidence.
     fn count_ejecting_node(&mut self, is_first_hand: bool) {
         if is_first_hand {
             self.ejecting_nodes += 1;
@@ -179,15 +180,15 @@
         }
     }
 
-    /// Adds the answered recovery probes of one node.
-    fn add_probes(&mut self, answered: u32) {
-        self.summary.successful_probes += answered;
-        if answered > 0 {
+    /// Adds the successful recovery probes of one node.
+    fn add_probes(&mut self, successful: u32) {
+        self.summary.successful_probes += successful;
+        if successful > 0 {
             self.summary.probing_peers += 1;
         }
     }
 
-    /// The summary of all that was added.
+    /// Completes the summary.
     pub(crate) fn build(mut self) -> PeerSummary {
         let quorum = self.quorum();
         if self.adverse_nodes >= quorum && self.has_adverse_majority() {
@@ -201,7 +202,7 @@
         self.summary
     }
 
-    /// Nodes that must agree.
+    /// Number of nodes in a quorum.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -211,13 +212,13 @@
         MINIMUM_QUORUM.max((QUORUM_FRACTION * f64::from(self.home_zone_nodes)).ceil() as u32)
     }
 
-    /// Whether enough of the nodes that can tell are witnesses against the zone.
+    /// Whether the adverse nodes reach [`MINIMUM_ADVERSE_FRACTION`].
     fn has_adverse_majority(&self) -> bool {
         let reporting_nodes = self.adverse_nodes + self.responding_nodes;
         f64::from(self.adverse_nodes) >= MINIMUM_ADVERSE_FRACTION * f64::from(reporting_nodes)
     }
 
-    /// Sets the median step, if there are enough recovering nodes.
+    /// Sets the median step and the presence of a success at that step, if enough nodes are recovering.
     fn set_median_step(&mut self) {
         if self.steps.len() < MINIMUM_RECOVERING_PEERS {
             return;
@@ -232,7 +233,7 @@
     }
 }
 
-/// A node's evidence in the units of an observation, bounded to what one node may contribute.
+/// Converts a node's evidence from hundredths to nats, at most [`MAXIMUM_PEER_EVIDENCE`].
 fn bounded_evidence(hundredths: u16) -> f64 {
     evidence_from_hundredths(hundredths).min(MAXIMUM_PEER_EVIDENCE)
 }
--- a/core/zone-health/src/share_publisher.rs
+++ b/core/zone-health/src/share_publisher.rs
@@ -1,11 +1,11 @@
-//! Tells the caller a zone's share and the reason of its state, when either has changed enough.
+//! Publishes a zone's share and the reason of the zone's state to the caller when either has changed sufficiently.
 
 use crate::action::{Action, ZoneStateReason};
 use crate::ids::ZoneIndex;
 
-/// Change of a share below which it is not published, unless it starts or stops being 0.
+/// Change of a share below which the share is not published, unless the change is from or to 0.
 const MINIMUM_SHARE_CHANGE: f64 = 0.05;
-/// The share that a zone has for the caller before anything is published.
+/// Share that the caller assumes for a zone before the first publication.
 const INITIAL_SHARE: f64 = 1.0;
 
 /// A zone's share with the reason of its state.
@@ -13,17 +13,16 @@
 pub(crate) struct ZoneShare {
     /// From 0 to 1, as in [`Action::SetShare`].
     pub(crate) share: f64,
-    /// Why the zone gets this share.
     pub(crate) reason: ZoneStateReason,
     /// Number of servers in service in the zone.
     pub(crate) server_count: u32,
 }
 
-/// What was last published of one zone.
+/// The last published share and reason of one zone.
 #[derive(Debug)]
 pub(crate) struct SharePublisher {
     share: f64,
-    /// The reason's name; a change of its evidence alone is not published.
+    /// Name of the reason. A change of the reason's evidence alone is not published.
     reason_name: &'static str,
 }
 
@@ -37,7 +36,7 @@
 }
 
 impl SharePublisher {
-    /// Emits the actions for a zone's current share, if it has changed enough since the last time.
+    /// Emits the actions for a zone's current share, if the share or the reason has changed sufficiently.
     pub(crate) fn publish(
         &mut self,
         zone: ZoneIndex,
