--- a/core/zone-health/src/decaying_cusum.rs
+++ b/core/zone-health/src/decaying_cusum.rs
@@ -1,11 +1,11 @@
-//! A CUSUM statistic that decays with time, and the decay that all evidence shares.
+//! A CUSUM statistic with exponential decay, and the decay factor that all evidence shares.
 
 use badgerpost_time::{Nanos, SECOND};
 
 /// Time constant of the exponential decay of evidence.
 const DECAY_TIME_CONSTANT: Nanos = 2 * SECOND;
 
-/// The factor by which evidence of `recorded_at` has decayed by `now`, from 1 down to 0.
+/// Factor from 0 to 1 by which evidence recorded at `recorded_at` has decayed by `now`.
 pub(crate) fn decay_factor(now: Nanos, recorded_at: Nanos) -> f64 {
     (-(now.saturating_sub(recorded_at) as f64) / DECAY_TIME_CONSTANT as f64).exp()
 }
@@ -23,7 +23,7 @@
         self.value * decay_factor(now, self.updated_at)
     }
 
-    /// Adds a log-likelihood ratio; the sum stays between 0 and `maximum`.
+    /// Adds a log-likelihood ratio. The sum is clamped to the range from 0 to `maximum`.
     pub(crate) fn add(&mut self, now: Nanos, log_ratio: f64, maximum: f64) {
         self.value = (self.value_at(now) + log_ratio).clamp(0.0, maximum);
         self.updated_at = now;
--- a/core/zone-health/src/ids.rs
+++ b/core/zone-health/src/ids.rs
@@ -2,18 +2,18 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A zone's position in the settings, counted from 0.
+/// Index of a zone in the settings, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneIndex(pub u32);
 
 impl ZoneIndex {
-    /// The zone's position in a vector with one element per zone.
+    /// Index into a vector with one element per zone.
     pub(crate) fn position(self) -> usize {
         self.0 as usize
     }
 }
 
-/// A zone's position as nodes gossip it: the low eight bits of a [`ZoneIndex`].
+/// Index of a zone in gossip: the low eight bits of a [`ZoneIndex`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GossipZone(pub u8);
 
@@ -33,25 +33,25 @@
     }
 }
 
-/// A backend server, by the number that the caller gave it.
+/// Identifier of a backend server, assigned by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerId(pub u32);
 
-/// A request class's position in the settings, counted from 0.
+/// Index of a request class in the settings, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassIndex(pub u32);
 
 impl ClassIndex {
-    /// The class's position in a vector with one element per class.
+    /// Index into a vector with one element per class.
     pub(crate) fn position(self) -> usize {
         self.0 as usize
     }
 }
 
-/// An attempt, by a number that no other outstanding attempt has.
+/// Identifier of an attempt, assigned by the caller and unique among the outstanding attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey(pub u64);
 
-/// Another node of the fleet, by its identifier in the membership protocol.
+/// Identifier of another node of the fleet in the membership protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberId(pub u64);
--- a/core/zone-health/src/latency_histogram.rs
+++ b/core/zone-health/src/latency_histogram.rs
@@ -1,22 +1,22 @@
-//! Response times of one request class: a histogram with logarithmic buckets, which tells how likely a response is
-//! still to come after a given wait.
+//! Histogram of the response times of one request class, with logarithmic buckets. Estimates how likely a response is
+//! to take longer than a given time.
 
 use badgerpost_time::{MILLISECOND, Nanos, nanos_from_f64};
 
-/// Buckets for each doubling of the response time.
+/// Number of buckets for each doubling of the response time.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
-/// Number of buckets: from 0.1 ms to about 100 s.
+/// Number of buckets, which cover 0.1 ms to about 100 s.
 const BUCKET_COUNT: usize = 80;
 /// Lower bound of the first bucket, in nanoseconds.
 const FIRST_BUCKET_NANOS: f64 = 0.1 * MILLISECOND as f64;
-/// Weight of all samples at which every count is halved, so that old samples fade.
+/// Total weight of the samples above which all counts are halved, so that old samples lose weight.
 const MAXIMUM_WEIGHT: f64 = 2000.0;
-/// Weight of all samples below which the histogram is not used.
+/// Total weight of the samples below which the histogram yields no estimates.
 const MINIMUM_WEIGHT: f64 = 20.0;
 /// Weight of the pseudo-sample that keeps the estimated probability above zero.
 const PSEUDO_SAMPLE_WEIGHT: f64 = 0.5;
-/// Upper bound of the evidence of one silent attempt, as a log-likelihood. Responses that take forever, because one
-/// request got stuck or a packet was lost, are no rarer than one in twelve.
+/// Upper bound of the evidence from one silent attempt, in nats. A single missing response may be due to a stuck
+/// request or a lost packet.
 const MAXIMUM_EVIDENCE: f64 = 2.5;
 
 /// Histogram of one class's response times.
@@ -27,7 +27,6 @@
 }
 
 impl LatencyHistogram {
-    /// An empty histogram.
     pub(crate) fn new() -> Self {
         Self {
             counts: [0.0; BUCKET_COUNT],
@@ -47,8 +46,8 @@
         }
     }
 
-    /// Evidence that no response has come after `duration`, if responses take `slowdown` times as long as usual:
-    /// minus the logarithm of the fraction of responses that take longer, from 0 to [`MAXIMUM_EVIDENCE`].
+    /// Evidence from the absence of a response after `duration`, tolerating responses `slowdown` times as slow as
+    /// recorded: the negative logarithm of the fraction of responses that take longer, from 0 to [`MAXIMUM_EVIDENCE`].
     pub(crate) fn silence_evidence(&self, duration: Nanos, slowdown: f64) -> f64 {
         if self.total < MINIMUM_WEIGHT {
             return 0.0;
@@ -59,7 +58,7 @@
         -probability.ln().max(-MAXIMUM_EVIDENCE)
     }
 
-    /// The response time that `fraction` of the responses did not exceed; none with too few samples.
+    /// Upper bound of the response times of `fraction` of the responses; none with too few samples.
     pub(crate) fn quantile(&self, fraction: f64) -> Option<Nanos> {
         if self.total < MINIMUM_WEIGHT {
             return None;
--- a/core/zone-health/src/latency_histogram/tests.rs
+++ b/core/zone-health/src/latency_histogram/tests.rs
@@ -1,4 +1,4 @@
-//! Evidence and quantiles of a histogram that is filled with known response times.
+//! Evidence and quantiles of histograms of known response times.
 
 use super::*;
 
@@ -8,7 +8,7 @@
     assert_eq!(
         histogram.silence_evidence(1000 * MILLISECOND, 2.0),
         0.0,
-        "nothing is known yet"
+        "an empty histogram yields no evidence"
     );
     for number in 0..500 {
         histogram.record((20 + number % 40) * MILLISECOND);
--- a/core/zone-health/src/monitor.rs
+++ b/core/zone-health/src/monitor.rs
@@ -1,4 +1,4 @@
-//! One node's monitor of all zones: takes events in, assesses the zones, and emits their shares, recovery probes and
+//! The zone health monitor of one node: handles events, assesses the zones, and emits shares, recovery probes and
 //! gossip.
 
 mod gossip;
@@ -18,25 +18,26 @@
 use crate::zone_table::ZoneTable;
 use badgerpost_time::{MILLISECOND, Nanos};
 
-/// How often the zones are assessed while attempts are outstanding.
+/// Interval between assessments of the zones while attempts are outstanding.
 const ASSESSMENT_INTERVAL: Nanos = 25 * MILLISECOND;
-/// A timer is left as it is if it fires at most this much later than needed.
+/// A pending timer is kept if it fires at most this much later than needed.
 const TIMER_TOLERANCE: Nanos = ASSESSMENT_INTERVAL / 2;
-/// A timer that is due already fires after this time.
+/// Delay of a timer whose instant has already passed.
 const MINIMUM_TIMER_DELAY: Nanos = MILLISECOND;
-/// Time between two assessments in a burst of ended attempts or of gossip.
+/// Minimum interval between two assessments in a burst of ended attempts or of gossip.
 const MINIMUM_ASSESSMENT_INTERVAL: Nanos = MILLISECOND;
-/// Upper bound of the nodes assumed to share recovery probes without gossip, where no other node's probe helps.
+/// Upper bound of the number of nodes assumed to share recovery probes without gossip, where each node depends on its
+/// own probes.
 const MAXIMUM_PROBING_NODES_WITHOUT_GOSSIP: f64 = 8.0;
 
-/// When the zones are assessed after an event.
+/// Whether an event requires an assessment of the zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AssessmentNeed {
-    /// Not because of this event.
+    /// The event requires no assessment.
     None,
-    /// Now, unless they were assessed a moment ago and a timer is pending.
+    /// The event requires an assessment, unless the last one is recent and a timer is pending.
     RateLimited,
-    /// Now.
+    /// The event always requires an assessment.
     Immediate,
 }
 
@@ -51,13 +52,13 @@
     /// Whether no zone responded at the last assessment, and no response has come since.
     is_isolated: bool,
     peers: PeerObservations,
-    /// Whether gossip has arrived, or must be repeated, since the last assessment.
+    /// Whether gossip has arrived, or must be sent again, since the last assessment.
     has_pending_gossip: bool,
     random: LinearCongruentialGenerator,
 }
 
 impl ZoneMonitor {
-    /// A monitor that has observed nothing yet: all zones are healthy.
+    /// Creates a monitor without observations, in which all zones are healthy.
     #[must_use]
     pub fn new(settings: Settings, now: Nanos) -> Self {
         let class_count = settings.class_count as usize;
@@ -74,7 +75,8 @@
         }
     }
 
-    /// Handles one event and appends what the caller has to do. If `now` steps back, the monitor's clock stands still.
+    /// Handles one event and appends the resulting actions. An earlier `now` than in the last call leaves the monitor's
+    /// clock unchanged.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.clock.advance(now);
         let is_needed = match self.apply(event) {
@@ -88,13 +90,13 @@
         self.schedule_timer(actions);
     }
 
-    /// Whether the zones were assessed a moment ago and will be again by the pending timer.
+    /// Whether the last assessment is recent and a pending timer will cause the next one.
     fn is_recently_assessed(&self) -> bool {
         self.clock.now() < self.last_assessment_at + MINIMUM_ASSESSMENT_INTERVAL
             && self.clock.has_timer()
     }
 
-    /// Updates the state by an event.
+    /// Updates the state by an event. Returns whether the zones must be assessed.
     fn apply(&mut self, event: Event) -> AssessmentNeed {
         match event {
             Event::EndpointsListed(servers) => {
@@ -153,12 +155,11 @@
         }
     }
 
-    /// The zone of this node.
     fn local_zone(&self) -> ZoneIndex {
         ZoneIndex(self.settings.local_zone)
     }
 
-    /// Number of nodes that share the recovery probes to a zone.
+    /// Number of nodes that share the recovery probes to a zone, including this one.
     fn probing_nodes(&self) -> f64 {
         if self.peers.is_empty() {
             let nodes_per_zone =
@@ -169,7 +170,7 @@
         (peers_in_zone + 1) as f64
     }
 
-    /// The context of a decision on recovery probes; draws a random number.
+    /// Inputs to the scheduling of recovery probes, with a new random number.
     fn draw_probe_context(&mut self) -> ProbeContext {
         ProbeContext {
             probing_nodes: self.probing_nodes(),
@@ -177,14 +178,14 @@
         }
     }
 
-    /// Tracks an attempt, if its zone is known.
+    /// Tracks an attempt, if the settings include its zone.
     fn track_attempt(&mut self, key: AttemptKey, attempt: OutstandingAttempt) {
         if self.zones.contains(attempt.zone) {
             self.attempts.insert(key, attempt);
         }
     }
 
-    /// Takes the end of an attempt into account.
+    /// Records the end of an attempt.
     fn end_attempt(
         &mut self,
         key: AttemptKey,
@@ -195,7 +196,7 @@
             return AssessmentNeed::None;
         };
         let probes = self.draw_probe_context();
-        // Computed first: a reconnection discards the evidence.
+        // Computed before `end_isolation`, which discards the evidence.
         let baseline_failure_rate =
             self.zones
                 .failure_rate_elsewhere(self.clock.awake_now(), attempt.zone, attempt.class);
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Ends the time during which this node was cut off: the silence of that time is evidence against no zone.
+    /// Ends the isolation of this node and discards the evidence, which includes silence due to the isolation.
     fn end_isolation(&mut self) {
         self.is_isolated = false;
         self.zones.restore_all(self.clock.awake_now());
@@ -293,7 +294,7 @@
     }
 
     /// Whether the zones must be assessed at regular intervals: evidence grows while attempts are outstanding, and the
-    /// other nodes' state matters while a zone is not healthy.
+    /// other nodes' states matter while a zone is not healthy.
     fn needs_regular_assessment(&self) -> bool {
         let follows_peers = !self.peers.is_empty()
             && !self
@@ -305,7 +306,7 @@
     }
 }
 
-/// Whether a server responded.
+/// Whether the attempt ended with a response of any kind.
 fn is_response(signal: AttemptSignal) -> bool {
     matches!(
         signal,
--- a/core/zone-health/src/monitor/gossip.rs
+++ b/core/zone-health/src/monitor/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: the other members and their observations, and what this node tells them.
+//! Gossip: the other members, the observations received from them, and the observations sent to them.
 
 use super::{AssessmentNeed, ZoneMonitor};
 use crate::action::Action;
@@ -10,11 +10,11 @@
 use crate::zone_state::SLOWDOWN_TOLERANCE;
 use badgerpost_time::Nanos;
 
-/// Number of members, on average, that repeat their observations for a new member.
+/// Expected number of members that send their observations again for a new member.
 const EXPECTED_RESENDING_MEMBERS: f64 = 8.0;
 
 impl ZoneMonitor {
-    /// Adds or removes a member. Some members, drawn at random, repeat their observations for a new one.
+    /// Adds or removes a member. Randomly selected members send their observations again for a new one.
     pub(super) fn update_peer(&mut self, member: MemberId, home_zone: GossipZone, is_up: bool) {
         self.peers.update_member(member, home_zone, is_up);
         if !is_up {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Stores another node's observation. A burst of them is assessed once.
+    /// Stores another node's observation. A burst of observations causes one assessment.
     pub(super) fn record_peer_observation(
         &mut self,
         member: MemberId,
@@ -44,7 +44,7 @@
         AssessmentNeed::RateLimited
     }
 
-    /// The other nodes' observations of a zone; none without other nodes.
+    /// Summary of the other nodes' observations of a zone; none without other nodes.
     pub(super) fn summarize_peers(
         &self,
         zone: ZoneIndex,
@@ -59,7 +59,7 @@
         Some(summary)
     }
 
-    /// What this node observes of a zone, as it is sent to the other nodes.
+    /// This node's observation of a zone, as sent to the other nodes.
     fn observation(&self, zone: ZoneIndex) -> ZoneObservation {
         let awake_now = self.clock.awake_now();
         let entry = self.zones.entry(zone);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Sends the other nodes this node's observation of a zone, if it is news to them.
+    /// Sends this node's observation of a zone to the other nodes, if due.
     pub(super) fn publish_observation(
         &mut self,
         zone: ZoneIndex,
--- a/core/zone-health/src/monitor/tests.rs
+++ b/core/zone-health/src/monitor/tests.rs
@@ -1,4 +1,4 @@
-//! The monitor of one node against a small model of three zones, event by event.
+//! Runs the monitor of one node against simulated servers in three zones.
 
 use std::collections::BTreeMap;
 
@@ -7,30 +7,30 @@
 use crate::ids::{ClassIndex, ServerId};
 use badgerpost_time::SECOND;
 
-/// How a zone's servers respond.
+/// How the servers of a zone respond.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Behaviour {
     /// Almost all requests succeed.
     Healthy,
-    /// No responses.
+    /// No request gets a response.
     Silent,
-    /// Responses take this many times as long.
+    /// Response times are multiplied by this factor.
     Slow(u64),
-    /// This percentage of the requests of each class fails.
+    /// This percentage of requests gets an error response, in every class.
     Failing(u64),
-    /// Connections are refused.
+    /// All connections are refused.
     Refusing,
-    /// All requests of class 1 fail.
+    /// All requests of class 1 get an error response.
     FailingOneClass,
 }
 
 const SERVERS_PER_ZONE: u32 = 10;
-/// The zone of the node under test.
+/// Zone of the simulated node.
 const LOCAL_ZONE: usize = 1;
 /// Mean time between two requests.
 const REQUEST_INTERVAL: Nanos = 17 * MILLISECOND;
 
-/// An outstanding attempt of the simulation, in the order in which they end.
+/// The scheduled end of an outstanding attempt, ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PendingEnd {
     ends_at: Nanos,
@@ -45,7 +45,7 @@
     reason: &'static str,
 }
 
-/// A node that sends requests to three zones as its monitor says.
+/// A node that distributes requests over three zones according to the monitor's actions.
 struct Simulation {
     monitor: ZoneMonitor,
     now: Nanos,
@@ -97,7 +97,7 @@
         simulation
     }
 
-    /// A simulation that has run for 10 s without any fault.
+    /// A simulation that has run for 10 s without a fault.
     fn after_warm_up(seed: u64) -> Self {
         let mut simulation = Self::new(seed);
         simulation.run(10 * SECOND);
@@ -116,7 +116,7 @@
         (self.draw() % 1000) as f64 / 1000.0
     }
 
-    /// Passes an event to the monitor and carries out its actions.
+    /// Passes an event to the monitor and executes the resulting actions.
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.monitor.handle(self.now, event, &mut actions);
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Chooses a zone for a request, by the requested probe or the shares.
+    /// Selects the zone of a request: that of a requested probe, or else one by the shares.
     fn choose_zone(&mut self) -> u32 {
         if let Some(zone) = self.requested_probe.take() {
             return zone;
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Sends a request and schedules the end of its attempt.
+    /// Sends a request and schedules the end of the attempt.
     fn send_request(&mut self) {
         let zone = self.choose_zone();
         let drawn_server = u32::try_from(self.draw()).unwrap();
@@ -227,7 +227,7 @@
         });
     }
 
-    /// The reasons that were logged for the local zone.
+    /// The reasons logged for the local zone, in order.
     fn local_reasons(&self) -> Vec<&'static str> {
         self.changes
             .iter()
@@ -320,7 +320,7 @@
 fn an_interruption_of_200_ms_ejects_no_zone() {
     for_each_seed(|seed| {
         let mut simulation = Simulation::after_warm_up(seed);
-        // All responses that were due during the interruption come at its end.
+        // All responses that were due during the interruption arrive when it ends.
         let ends_at = simulation.now + 200 * MILLISECOND;
         let delayed: Vec<_> = simulation
             .pending
@@ -352,7 +352,7 @@
 fn a_suspended_or_isolated_node_ejects_no_zone() {
     for_each_seed(|seed| {
         let mut simulation = Simulation::after_warm_up(seed);
-        // Suspended: all events of that time come at once, the timer first.
+        // After a suspension, all delayed events arrive at once, beginning with the timer.
         simulation.now += 3 * SECOND;
         simulation.handle(Event::TimerFired);
         simulation.run(SECOND);
@@ -394,7 +394,7 @@
             simulation.run(SECOND);
             sent.push(simulation.sent[LOCAL_ZONE] - sent_before);
         }
-        // Of the 60 that the zone would get in each second of silence.
+        // A healthy zone gets about 60 requests per second.
         assert!(sent.iter().sum::<u32>() <= 90, "{sent:?}");
     });
 }
@@ -409,7 +409,7 @@
     assert_eq!(simulation.local_reasons(), ["by-hand"]);
     simulation.run(2 * SECOND);
     assert_eq!(simulation.share[LOCAL_ZONE], 1.0);
-    // Forced healthy, the zone gets its full share whatever the evidence.
+    // An override to healthy keeps the full share regardless of the evidence.
     simulation.behaviour[LOCAL_ZONE] = Behaviour::Silent;
     simulation.override_local_zone(false);
     simulation.run(SECOND);
--- a/core/zone-health/src/monitor/zone_assessment.rs
+++ b/core/zone-health/src/monitor/zone_assessment.rs
@@ -1,4 +1,4 @@
-//! Assessment of the zones: the evidence about each, the transition that follows from it, and the actions.
+//! Assessment of the zones: collects the evidence about each zone, applies the resulting transition, and emits actions.
 
 use super::ZoneMonitor;
 use crate::action::Action;
@@ -7,11 +7,11 @@
 use crate::ids::ZoneIndex;
 use crate::peer_summary::OwnObservation;
 
-/// Slowdown of responses that does not count as silence when it comes to suspecting a zone.
+/// Slowdown of responses that does not count as silence in the decision to suspect a zone.
 const SUSPICION_SLOWDOWN_TOLERANCE: f64 = 2.0;
 
 impl ZoneMonitor {
-    /// Assesses all zones and emits what has changed.
+    /// Assesses all zones and emits the changes.
     pub(super) fn assess_zones(&mut self, actions: &mut Vec<Action>) {
         self.last_assessment_at = self.clock.now();
         self.has_pending_gossip = false;
@@ -25,7 +25,7 @@
             .publish_shares(self.clock.now(), self.is_isolated, actions);
     }
 
-    /// Assesses one zone, unless it is overridden.
+    /// Assesses one zone, unless an operators' override is in force.
     fn assess_zone(&mut self, zone: ZoneIndex, actions: &mut Vec<Action>) {
         let probes = self.draw_probe_context();
         if self
@@ -61,8 +61,8 @@
         }
     }
 
-    /// If no zone is left that can take requests, makes all healthy: either this node itself is cut off, or nothing is
-    /// gained by avoiding them.
+    /// Makes all zones healthy if no zone can take requests. Either this node is isolated, or all zones are faulty and
+    /// none is worth avoiding.
     fn detect_isolation(&mut self) {
         if self.zones.can_any_take_traffic(self.clock.now()) {
             return;
@@ -71,7 +71,7 @@
         self.zones.restore_all(self.clock.awake_now());
     }
 
-    /// Evidence of a zone's silence, allowing for responses `slowdown` times as slow as usual.
+    /// Evidence of silence from this node's attempts, tolerating responses `slowdown` times as slow as recorded.
     pub(super) fn silence_evidence(&self, zone: ZoneIndex, slowdown: f64) -> SilenceEvidence {
         let entry = self.zones.entry(zone);
         entry.state.evidence.silence_evidence(
@@ -81,7 +81,7 @@
         )
     }
 
-    /// All evidence about a zone, of this node and of the others.
+    /// All evidence about a zone, from this node and from the other nodes.
     fn evidence_snapshot(&self, zone: ZoneIndex) -> EvidenceSnapshot {
         let awake_now = self.clock.awake_now();
         let entry = self.zones.entry(zone);
@@ -96,7 +96,7 @@
             has_recent_success,
         };
         let peers = self.summarize_peers(zone, own);
-        // A node with recent responses from the zone believes no other that it is silent.
+        // Recent usable responses to this node refute the other nodes' evidence of silence.
         let peers_silence = peers
             .filter(|_| !has_recent_success)
             .map_or(0.0, |peers| peers.silence);
--- a/core/zone-health/src/observation/tests.rs
+++ b/core/zone-health/src/observation/tests.rs
@@ -1,4 +1,4 @@
-//! The wire format of observations.
+//! Encoding and decoding of observations.
 
 use super::*;
 
@@ -25,7 +25,7 @@
     assert_eq!(ZoneObservation::from_bytes(&with_trailing_byte), None);
 }
 
-/// The form on the wire, byte for byte: nodes of two releases gossip with each other.
+/// Guards against incompatible encodings between releases whose nodes gossip with each other.
 #[test]
 fn encodes_to_the_recorded_bytes() {
     let observation = |state| ZoneObservation {
--- a/core/zone-health/src/peer_observations/tests.rs
+++ b/core/zone-health/src/peer_observations/tests.rs
@@ -8,14 +8,14 @@
 const ZONE_A: GossipZone = GossipZone(0);
 const ZONE_B: GossipZone = GossipZone(1);
 const ZONE_C: GossipZone = GossipZone(2);
-/// A node without evidence or responses of its own.
+/// Observation of a node that has neither evidence nor responses of its own.
 const NO_OWN_OBSERVATION: OwnObservation = OwnObservation {
     silence: 0.0,
     failures: 0.0,
     has_recent_success: false,
 };
 
-/// An observation of a node of `observer_zone`: with responses, unless there is evidence of silence.
+/// An observation by a node of `observer_zone`, with a recent success unless there is evidence of silence.
 fn observation(observer_zone: GossipZone, silence: f64) -> ZoneObservation {
     let silence_evidence = evidence_to_hundredths(silence);
     ZoneObservation {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Other nodes of zone A, numbered from 1.
+/// Observations of `count` other members in zone A, numbered from 1.
 fn peers_in_zone_a(count: u64) -> PeerObservations {
     let mut peers = PeerObservations::default();
     for member in 1..=count {
@@ -37,12 +37,12 @@
     peers
 }
 
-/// Records what a member observes of zone A now.
+/// Records a member's observation of zone A, sent and received at [`NOW`].
 fn record(peers: &mut PeerObservations, member: u64, observation: ZoneObservation) -> bool {
     peers.record(NOW, MemberId(member), ZONE_A, NOW, observation)
 }
 
-/// The summary of zone A for a node of `home_zone`.
+/// Summary of the observations of zone A for a node of `home_zone`.
 fn summary_of_zone_a(peers: &PeerObservations, now: Nanos, home_zone: GossipZone) -> PeerSummary {
     peers.summarize(now, ZONE_A, home_zone, NO_OWN_OBSERVATION)
 }
@@ -54,13 +54,13 @@
     assert_eq!(
         summary_of_zone_a(&peers, NOW, ZONE_A).silence,
         0.0,
-        "a liar alone"
+        "evidence from a single node does not count"
     );
     record(&mut peers, 2, observation(ZONE_A, 2.4));
     record(&mut peers, 3, observation(ZONE_A, 2.4));
     let summary = summary_of_zone_a(&peers, NOW, ZONE_A);
     assert!((summary.silence - 7.3).abs() < 1e-9, "{summary:?}");
-    // Nodes with responses from the zone outvote the witnesses.
+    // Nodes with recent responses outnumber the nodes with evidence against the zone.
     for member in 4..=6 {
         record(&mut peers, member, observation(ZONE_A, 0.0));
     }
@@ -93,15 +93,15 @@
     assert_eq!(
         summary_of_zone_a(&peers, NOW, ZONE_A).silence,
         0.0,
-        "zone B does not reach zone A"
+        "observations from zone B do not count for nodes of zone A"
     );
     assert_eq!(
         summary_of_zone_a(&peers, NOW, ZONE_C).silence,
         0.0,
-        "zone C has a link of its own"
+        "observations from zone B do not count for nodes of zone C"
     );
     assert!(summary_of_zone_a(&peers, NOW, ZONE_B).silence > 5.0);
-    // What a zone's own nodes observe of it counts for all.
+    // Observations by nodes of the observed zone count for nodes of every zone.
     for member in 1..4 {
         record(&mut peers, member, observation(ZONE_A, 2.5));
     }
@@ -125,7 +125,7 @@
             one_recovering.probing_peers
         ),
         (None, false, 1),
-        "one alone leads nobody"
+        "a single recovering node determines no common step"
     );
     record(&mut peers, 2, recovering(1, false));
     record(&mut peers, 3, recovering(0, true));
--- a/core/zone-health/src/random.rs
+++ b/core/zone-health/src/random.rs
@@ -1,6 +1,6 @@
-//! A small deterministic random number generator, so that a run repeats exactly from its seed.
+//! A deterministic random number generator: equal seeds yield equal sequences.
 
-/// Mixed into the seed so that monitors with small seeds start far apart.
+/// Combined with the seed by XOR, so that small seeds do not lead to small initial states.
 const SEED_MASK: u64 = 0x2545_f491_4f6c_dd1d;
 /// Multiplier of the generator, from Knuth's MMIX.
 const MULTIPLIER: u64 = 0x5851_f42d_4c95_7f2d;
@@ -9,14 +9,14 @@
 /// Bits of precision of an `f64`.
 const FRACTION_BITS: u32 = 53;
 
-/// A 64-bit linear congruential generator. Not for secrets.
+/// A 64-bit linear congruential generator, not suitable for cryptography.
 #[derive(Debug)]
 pub(crate) struct LinearCongruentialGenerator {
     state: u64,
 }
 
 impl LinearCongruentialGenerator {
-    /// A generator that is fully determined by the seed.
+    /// Creates a generator whose sequence is determined by the seed.
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             state: seed ^ SEED_MASK,
--- a/core/zone-health/src/random/tests.rs
+++ b/core/zone-health/src/random/tests.rs
@@ -1,4 +1,4 @@
-//! Recorded draws: reproducible runs depend on them.
+//! Guards against a change of the random sequence, which would make recorded runs irreproducible.
 
 use super::*;
 
--- a/core/zone-health/src/suspicion.rs
+++ b/core/zone-health/src/suspicion.rs
@@ -1,15 +1,16 @@
-//! Suspicion against one zone: whether it is withdrawn, or confirmed so that the zone is ejected. All instants are on
-//! the awake clock.
+//! Suspicion against one zone, until the suspicion is withdrawn or is confirmed and ejects the zone. All instants are
+//! on the awake clock.
 
 use crate::action::ZoneStateReason;
 use crate::assessment::{EvidenceSnapshot, SUSPECT_THRESHOLD};
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
-/// A suspicion of silence that peers alone caused is withdrawn below this evidence.
+/// Evidence of silence below which a suspicion is withdrawn if no peer holds the suspicion first-hand.
 const WITHDRAWAL_THRESHOLD: f64 = SUSPECT_THRESHOLD / 2.0;
-/// How long a suspicion must last before the zone is ejected: a short network interruption ends within this time.
+/// Minimum duration of a suspicion before the zone is ejected, longer than a brief network interruption.
 pub(crate) const SUSPICION_PERIOD: Nanos = 300 * MILLISECOND;
-/// How long a suspicion lasts if too few outstanding attempts are left to tell a silent zone from a slow one.
+/// Duration after which a suspicion is confirmed although too few outstanding attempts are left to distinguish a silent
+/// zone from a slow one.
 pub(crate) const MAXIMUM_SUSPICION_PERIOD: Nanos = SECOND;
 
 /// A suspicion against a zone.
@@ -19,19 +20,19 @@
     reason: ZoneStateReason,
 }
 
-/// What follows from the evidence about a suspected zone.
+/// Result of the assessment of a suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SuspicionOutcome {
     /// The zone stays suspected.
     Continue,
-    /// The zone is healthy.
+    /// The zone becomes healthy.
     Withdraw,
     /// The zone is ejected.
     Confirm,
 }
 
 impl Suspicion {
-    /// A suspicion that begins now.
+    /// Creates a suspicion that begins at `now`.
     pub(crate) fn new(now: Nanos, reason: ZoneStateReason) -> Self {
         Self { since: now, reason }
     }
@@ -41,12 +42,13 @@
         self.reason
     }
 
-    /// When the suspicion may be confirmed.
+    /// Earliest instant at which the suspicion can be confirmed.
     pub(crate) fn next_assessment_at(&self) -> Nanos {
         self.since + SUSPICION_PERIOD
     }
 
-    /// What follows from the evidence now, and from the usable responses since the suspicion began.
+    /// Decides about the suspicion at `now`. `success_count` is the number of usable responses since the suspicion
+    /// began.
     pub(crate) fn assess(
         &self,
         now: Nanos,
@@ -66,9 +68,11 @@
     }
 }
 
-/// Whether a suspicion of silence is refuted by a response, or no longer held by any peer with own evidence.
+/// Whether a usable response refutes a suspicion of silence, or no peer holds the suspicion on first-hand evidence and
+/// little evidence is left.
 ///
-/// Peers' evidence expires once they send the zone nothing, so its absence alone withdraws nothing.
+/// The peers' evidence expires once they send the zone no requests, so missing evidence alone does not withdraw a
+/// suspicion.
 fn is_withdrawn(snapshot: &EvidenceSnapshot, success_count: u32) -> bool {
     let is_unsupported_by_peers = snapshot
         .peers
--- a/core/zone-health/src/traffic_division.rs
+++ b/core/zone-health/src/traffic_division.rs
@@ -1,23 +1,23 @@
-//! Divides the traffic that the local zone does not take among the other zones, in proportion to their free capacity.
+//! Divides the requests that spill from the local zone among the other zones, in proportion to their free capacity.
 
-/// A zone that may take traffic of the local zone.
+/// Capacity of a zone for requests that spill from the local zone.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZoneCapacity {
-    /// Sum of the sizes of its servers, less what its state withholds.
+    /// Sum of the relative capacities of the zone's servers, multiplied by the fraction that the zone's state allows.
     pub(crate) capacity: f64,
-    /// Utilization of its cores, from 0 to 1, if recently reported.
+    /// Utilization of the zone's cores, from 0 to 1; none without a recent report.
     pub(crate) utilization: Option<f64>,
-    /// Whether the zone may take any traffic.
+    /// Whether the zone may take spilled requests.
     pub(crate) is_available: bool,
 }
 
-/// Utilization assumed for a zone that has not reported any.
+/// Utilization assumed for a zone without a recent report.
 const DEFAULT_UTILIZATION: f64 = 0.5;
-/// Fraction of its size that counts as free at the least: an outdated report must not exclude a zone.
+/// Lower bound of the free fraction of a zone's capacity, so that an outdated report cannot exclude a zone.
 const MINIMUM_FREE_FRACTION: f64 = 0.05;
 
 impl ZoneCapacity {
-    /// The capacity left for more traffic, in units of size.
+    /// Capacity left for spilled requests, in units of relative server capacity.
     fn free_capacity(&self) -> f64 {
         if !self.is_available {
             return 0.0;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Each zone's fraction of the traffic. The fractions add up to 1, or are all 0 if no zone has free capacity.
+/// Each zone's fraction of the spilled requests. The fractions add up to 1, or are all 0 without free capacity.
 pub(crate) fn divide_traffic(zones: &[ZoneCapacity]) -> Vec<f64> {
     let total: f64 = zones.iter().map(ZoneCapacity::free_capacity).sum();
     zones
--- a/core/zone-health/src/traffic_division/tests.rs
+++ b/core/zone-health/src/traffic_division/tests.rs
@@ -1,4 +1,4 @@
-//! Division among zones with different utilization and availability.
+//! Division of requests among zones with different utilization and availability.
 
 use super::*;
 
--- a/core/zone-health/src/zone_state/tests.rs
+++ b/core/zone-health/src/zone_state/tests.rs
@@ -1,4 +1,4 @@
-//! Each transition of the state diagram, caused by hand-made evidence.
+//! Transitions of the state machine, caused by constructed evidence snapshots.
 
 use super::*;
 use crate::recovery::{RECOVERY_FRACTIONS, STEP_BACK_DELAY, STEP_BACK_THRESHOLD, STEP_PERIOD};
@@ -6,7 +6,7 @@
 use badgerpost_time::MILLISECOND;
 
 const START: Nanos = 100 * SECOND;
-/// A node that shares the recovery probes with nobody and draws no delay.
+/// Context of a node that shares the recovery probes with no other node and adds no random delay.
 const PROBES: ProbeContext = ProbeContext {
     probing_nodes: 1.0,
     random_fraction: 0.0,
@@ -32,7 +32,7 @@
     ZoneState::new(1)
 }
 
-/// A zone that became suspected of silence at [`START`].
+/// A zone that is suspected of silence from [`START`].
 fn suspected_zone() -> ZoneState {
     let mut zone = healthy_zone();
     zone.assess(START, SILENCE, PROBES);
@@ -40,7 +40,7 @@
     zone
 }
 
-/// A zone that was ejected for silence, with the time of its ejection.
+/// A zone that is ejected for silence, with the time of the ejection.
 fn ejected_zone() -> (ZoneState, Nanos) {
     let mut zone = suspected_zone();
     let ejected_at = START + SUSPICION_PERIOD;
