--- a/core/zone-health/src/assessment.rs
+++ b/core/zone-health/src/assessment.rs
@@ -44,7 +44,7 @@
 }
 
 impl Assessment {
-    /// Assesses a snapshot. Evidence of failures counts as 0 if `is_ignoring_failures`.
+    /// Assesses a snapshot. Evidence of failures counts as 0 if `is_ignoring_failures` is set.
     pub(crate) fn new(snapshot: &EvidenceSnapshot, is_ignoring_failures: bool) -> Self {
         let failures = if is_ignoring_failures {
             0.0
--- a/core/zone-health/src/evidence.rs
+++ b/core/zone-health/src/evidence.rs
@@ -135,7 +135,8 @@
 /// Evidence that a zone is silent.
 #[derive(Clone, Copy)]
 pub(crate) struct SilenceEvidence {
-    /// Sum of the evidence over the servers, without the server with the most evidence if there are enough.
+    /// Sum of the evidence over the servers, without the worst server if there are more than
+    /// [`LEAVE_ONE_OUT_SERVER_THRESHOLD`].
     pub(crate) evidence: f64,
     /// When the oldest silent attempt was sent; the present if no attempt is silent.
     pub(crate) first_sent_at: Nanos,
--- a/core/zone-health/src/monitor.rs
+++ b/core/zone-health/src/monitor.rs
@@ -261,7 +261,7 @@
         self.zones.restore_all(self.clock.awake_now());
     }
 
-    /// Moves the timer to when the zones must be assessed next, if that is earlier than the pending timer.
+    /// Moves the timer to the next required assessment, if that is earlier than the pending timer.
     fn schedule_timer(&mut self, actions: &mut Vec<Action>) {
         let now = self.clock.now();
         let next_assessment_at = self
--- a/core/zone-health/src/monitor/zone_assessment.rs
+++ b/core/zone-health/src/monitor/zone_assessment.rs
@@ -62,7 +62,7 @@
     }
 
     /// Makes all zones healthy if no zone can take requests. Either this node is isolated, or all zones are faulty and
-    /// none is worth avoiding.
+    /// avoiding them has no benefit.
     fn detect_isolation(&mut self) {
         if self.zones.can_any_take_traffic(self.clock.now()) {
             return;
--- a/core/zone-health/src/observation_publisher.rs
+++ b/core/zone-health/src/observation_publisher.rs
@@ -65,7 +65,7 @@
         is_due
     }
 
-    /// Marks the last observation to be sent again if it is adverse to the zone.
+    /// Marks the last observation to be sent again. Only an observation adverse to the zone is repeated.
     pub(crate) fn expire(&mut self) {
         if let Some(last) = &mut self.last {
             last.sent_at = 0;
--- a/core/zone-health/src/recovery_probes.rs
+++ b/core/zone-health/src/recovery_probes.rs
@@ -29,12 +29,12 @@
 const MINIMUM_INTERVAL_FRACTION: f64 = 0.5;
 /// Expected number of nodes that probe a zone at once to confirm a peer's successful probe.
 const EXPECTED_CONFIRMING_NODES: f64 = 6.0;
-/// Minimum number of peers with successful probes for an ejection to end by the peers' probes.
+/// Minimum number of peers with successful probes before the peers' probes can end an ejection.
 const MINIMUM_PROBING_PEERS: u32 = 2;
-/// Minimum time since the last failed probe for an ejection for silence to end by the peers' probes.
+/// Minimum time since the last failed probe before the peers' probes can end an ejection for silence.
 const MINIMUM_FAILED_PROBE_AGE_AFTER_SILENCE: Nanos = 500 * MILLISECOND;
-/// Minimum time since the last failed probe for an ejection for failures to end by the peers' probes. The time is
-/// longer because a failing zone passes single probes by chance.
+/// Minimum time since the last failed probe before the peers' probes can end an ejection for failures. The time is
+/// longer than for silence, because a failing zone passes single probes by chance.
 const MINIMUM_FAILED_PROBE_AGE_AFTER_FAILURES: Nanos = 4 * SECOND;
 
 /// Inputs to the scheduling of recovery probes.
--- a/core/zone-health/src/suspicion.rs
+++ b/core/zone-health/src/suspicion.rs
@@ -9,7 +9,7 @@
 const WITHDRAWAL_THRESHOLD: f64 = SUSPECT_THRESHOLD / 2.0;
 /// Minimum duration of a suspicion before the zone is ejected, longer than a brief network interruption.
 pub(crate) const SUSPICION_PERIOD: Nanos = 300 * MILLISECOND;
-/// Duration after which a suspicion is confirmed although too few outstanding attempts are left to distinguish a silent
+/// Duration after which a suspicion is confirmed even if too few outstanding attempts are left to distinguish a silent
 /// zone from a slow one.
 pub(crate) const MAXIMUM_SUSPICION_PERIOD: Nanos = SECOND;
 
@@ -68,8 +68,8 @@
     }
 }
 
-/// Whether a usable response refutes a suspicion of silence, or no peer holds the suspicion on first-hand evidence and
-/// little evidence is left.
+/// Whether a suspicion of silence is withdrawn: a usable response has come, or no peer holds the suspicion first-hand
+/// and the evidence is below [`WITHDRAWAL_THRESHOLD`].
 ///
 /// The peers' evidence expires once they send the zone no requests, so missing evidence alone does not withdraw a
 /// suspicion.
--- a/core/zone-health/src/zone_state.rs
+++ b/core/zone-health/src/zone_state.rs
@@ -1,4 +1,4 @@
-//! The state of one zone for this node, and its transitions.
+//! State machine of one zone at this node.
 //!
 //! ```text
 //!           evidence, or quorum of peers              confirmed
@@ -38,11 +38,11 @@
 const EJECTION_COUNT_RESET_PERIOD: Nanos = 60 * SECOND;
 /// Lower bound of the failure rate in other zones from which a zone's failures count as common.
 const COMMON_FAILURE_RATE: f64 = 0.15;
-/// The same limit as a fraction of the failure rate at which the zone was suspected; the greater limit applies.
+/// Replaces [`COMMON_FAILURE_RATE`] if greater: this fraction of the failure rate at which the zone was suspected.
 const COMMON_FAILURE_FRACTION: f64 = 0.5;
 /// How long evidence of failures is ignored after the zone's failures counted as common.
 const IGNORED_FAILURES_PERIOD: Nanos = 10 * SECOND;
-/// How long a node that completed a zone's recovery ignores the states reported by peers that have not.
+/// How long a node that completed a zone's recovery ignores peers that report the zone as not healthy.
 const RECENT_RECOVERY_PERIOD: Nanos = 4 * SECOND;
 
 /// A state of the state machine in the module's diagram.
@@ -250,7 +250,7 @@
         self.ejection_count += 1;
     }
 
-    /// Ejected → Recovering if the peers' recovery probes suffice. Otherwise may schedule a probe that confirms theirs.
+    /// Ejected → Recovering if the peers' recovery probes suffice. Otherwise may schedule a probe that confirms them.
     fn assess_ejected(
         &mut self,
         now: Nanos,
@@ -318,7 +318,6 @@
         }
     }
 
-    /// Begins a recovery step.
     fn enter_step(&mut self, now: Nanos, step: usize) {
         let success_count = self.evidence.success_count();
         self.stage = ZoneStage::Recovering(Recovery::at_step(step, now, success_count));
