--- a/core/zone-health/src/monitor.rs
+++ b/core/zone-health/src/monitor.rs
@@ -1,4 +1,4 @@
-//! One node's monitor of all zones: takes events in, assesses the zones, and emits their shares, recovery probes and
+//! The zone health monitor of one node: handles events, assesses the zones, and emits shares, recovery probes and
 //! gossip.
 
 mod gossip;
@@ -18,25 +18,26 @@
 use crate::zone_table::ZoneTable;
 use badgerpost_time::{MILLISECOND, Nanos};
 
-/// How often the zones are assessed while attempts are outstanding.
+/// Interval between assessments of the zones while attempts are outstanding.
 const ASSESSMENT_INTERVAL: Nanos = 25 * MILLISECOND;
-/// A timer is left as it is if it fires at most this much later than needed.
+/// A pending timer is kept if it fires at most this much later than needed.
 const TIMER_TOLERANCE: Nanos = ASSESSMENT_INTERVAL / 2;
-/// A timer that is due already fires after this time.
+/// Delay of a timer whose instant has already passed.
 const MINIMUM_TIMER_DELAY: Nanos = MILLISECOND;
-/// Time between two assessments in a burst of ended attempts or of gossip.
+/// Minimum interval between two assessments in a burst of ended attempts or of gossip.
 const MINIMUM_ASSESSMENT_INTERVAL: Nanos = MILLISECOND;
-/// Upper bound of the nodes assumed to share recovery probes without gossip, where no other node's probe helps.
+/// Upper bound of the number of nodes assumed to share recovery probes without gossip, where each node depends on its
+/// own probes.
 const MAXIMUM_PROBING_NODES_WITHOUT_GOSSIP: f64 = 8.0;
 
-/// When the zones are assessed after an event.
+/// Whether an event requires an assessment of the zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AssessmentNeed {
-    /// Not because of this event.
+    /// The event requires no assessment.
     None,
-    /// Now, unless they were assessed a moment ago and a timer is pending.
-    UnlessJustDone,
-    /// Now.
+    /// The event requires an assessment, unless the last one is recent and a timer is pending.
+    RateLimited,
+    /// The event always requires an assessment.
     Immediate,
 }
 
@@ -49,15 +50,15 @@
     /// On the caller's clock.
     last_assessment_at: Nanos,
     /// Whether no zone responded at the last assessment, and no response has come since.
-    is_cut_off: bool,
+    is_isolated: bool,
     peers: PeerObservations,
-    /// Whether gossip has arrived, or must be repeated, since the last assessment.
+    /// Whether gossip has arrived, or must be sent again, since the last assessment.
     has_pending_gossip: bool,
     random: LinearCongruentialGenerator,
 }
 
 impl ZoneMonitor {
-    /// A monitor that has observed nothing yet: all zones are healthy.
+    /// Creates a monitor without observations, in which all zones are healthy.
     #[must_use]
     pub fn new(settings: Settings, now: Nanos) -> Self {
         let class_count = settings.class_count as usize;
@@ -66,7 +67,7 @@
             attempts: AttemptTracker::new(class_count),
             clock: MonitorClock::new(now),
             last_assessment_at: 0,
-            is_cut_off: false,
+            is_isolated: false,
             peers: PeerObservations::default(),
             has_pending_gossip: false,
             random: LinearCongruentialGenerator::new(settings.seed),
@@ -74,12 +75,13 @@
         }
     }
 
-    /// Handles one event and appends what the caller has to do. If `now` steps back, the monitor's clock stands still.
+    /// Handles one event and appends the resulting actions. An earlier `now` than in the last call leaves the monitor's
+    /// clock unchanged.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.clock.advance(now);
         let is_needed = match self.apply(event) {
             AssessmentNeed::None => false,
-            AssessmentNeed::UnlessJustDone => !self.is_just_assessed(),
+            AssessmentNeed::RateLimited => !self.is_recently_assessed(),
             AssessmentNeed::Immediate => true,
         };
         if is_needed {
@@ -88,13 +90,13 @@
         self.schedule_timer(actions);
     }
 
-    /// Whether the zones were assessed a moment ago and will be again by the pending timer.
-    fn is_just_assessed(&self) -> bool {
+    /// Whether the last assessment is recent and a pending timer will cause the next one.
+    fn is_recently_assessed(&self) -> bool {
         self.clock.now() < self.last_assessment_at + MINIMUM_ASSESSMENT_INTERVAL
             && self.clock.has_timer()
     }
 
-    /// Updates the state by an event.
+    /// Updates the state by an event. Returns whether the zones must be assessed.
     fn apply(&mut self, event: Event) -> AssessmentNeed {
         match event {
             Event::EndpointsListed(servers) => {
@@ -115,14 +117,14 @@
                     class,
                     sent_at,
                 };
-                self.attempt_sent(attempt, outstanding);
+                self.track_attempt(attempt, outstanding);
                 AssessmentNeed::None
             }
             Event::AttemptEnded {
                 attempt,
                 signal,
                 utilization,
-            } => self.attempt_ended(attempt, signal, utilization),
+            } => self.end_attempt(attempt, signal, utilization),
             Event::TimerFired => {
                 self.clock.clear_timer();
                 AssessmentNeed::Immediate
@@ -141,7 +143,7 @@
                 home_zone,
                 is_up,
             } => {
-                self.peer_changed(member, home_zone, is_up);
+                self.update_peer(member, home_zone, is_up);
                 AssessmentNeed::None
             }
             Event::PeerObserved {
@@ -149,16 +151,15 @@
                 zone,
                 sent_at,
                 observation,
-            } => self.peer_observed(member, zone, sent_at, observation),
+            } => self.record_peer_observation(member, zone, sent_at, observation),
         }
     }
 
-    /// The zone of this node.
     fn local_zone(&self) -> ZoneIndex {
         ZoneIndex(self.settings.local_zone)
     }
 
-    /// Number of nodes that share the recovery probes to a zone.
+    /// Number of nodes that share the recovery probes to a zone, including this one.
     fn probing_nodes(&self) -> f64 {
         if self.peers.is_empty() {
             let nodes_per_zone =
@@ -169,23 +170,23 @@
         (peers_in_zone + 1) as f64
     }
 
-    /// The context of a decision on recovery probes; draws a random number.
+    /// Inputs to the scheduling of recovery probes, with a new random number.
     fn draw_probe_context(&mut self) -> ProbeContext {
         ProbeContext {
-            sharing_nodes: self.probing_nodes(),
+            probing_nodes: self.probing_nodes(),
             random_fraction: self.random.next_fraction(),
         }
     }
 
-    /// Tracks an attempt, if its zone is known.
-    fn attempt_sent(&mut self, key: AttemptKey, attempt: OutstandingAttempt) {
+    /// Tracks an attempt, if the settings include its zone.
+    fn track_attempt(&mut self, key: AttemptKey, attempt: OutstandingAttempt) {
         if self.zones.contains(attempt.zone) {
             self.attempts.insert(key, attempt);
         }
     }
 
-    /// Takes the end of an attempt into account.
-    fn attempt_ended(
+    /// Records the end of an attempt.
+    fn end_attempt(
         &mut self,
         key: AttemptKey,
         signal: AttemptSignal,
@@ -195,8 +196,8 @@
             return AssessmentNeed::None;
         };
         let probes = self.draw_probe_context();
-        // Computed first: a reconnection discards the evidence.
-        let usual_failure_rate =
+        // Computed before `end_isolation`, which discards the evidence.
+        let baseline_failure_rate =
             self.zones
                 .failure_rate_elsewhere(self.clock.awake_now(), attempt.zone, attempt.class);
         if let Some(utilization) = utilization {
@@ -204,18 +205,18 @@
             let entry = self.zones.entry_mut(attempt.zone);
             entry.record_utilization(now, utilization);
         }
-        if is_response(signal) && self.is_cut_off {
-            self.reconnected();
+        if is_response(signal) && self.is_isolated {
+            self.end_isolation();
         }
         if signal == AttemptSignal::NotSent {
             return AssessmentNeed::None;
         }
-        self.record_evidence(attempt, signal, usual_failure_rate, probes);
+        self.record_evidence(attempt, signal, baseline_failure_rate, probes);
         let is_healthy = self.zones.entry(attempt.zone).state.is_healthy();
-        if signal == AttemptSignal::Answered && is_healthy {
+        if signal == AttemptSignal::Success && is_healthy {
             return AssessmentNeed::None;
         }
-        AssessmentNeed::UnlessJustDone
+        AssessmentNeed::RateLimited
     }
 
     /// Records the end of an attempt as evidence about its zone.
@@ -223,22 +224,22 @@
         &mut self,
         attempt: OutstandingAttempt,
         signal: AttemptSignal,
-        usual_failure_rate: f64,
+        baseline_failure_rate: f64,
         probes: ProbeContext,
     ) {
         let awake_now = self.clock.awake_now();
         let duration = awake_now.saturating_sub(attempt.sent_at);
         let entry = self.zones.entry_mut(attempt.zone);
         match signal {
-            AttemptSignal::Answered => {
+            AttemptSignal::Success => {
                 let slowdown = self.attempts.record_latency(attempt.class, duration);
-                entry.record_success(awake_now, &attempt, slowdown, usual_failure_rate);
+                entry.record_success(awake_now, &attempt, slowdown, baseline_failure_rate);
             }
-            AttemptSignal::Failed => {
-                entry.record_error(awake_now, &attempt, usual_failure_rate, probes);
+            AttemptSignal::ErrorResponse => {
+                entry.record_error(awake_now, &attempt, baseline_failure_rate, probes);
             }
             AttemptSignal::ConnectionFailed => {
-                entry.record_connection_failure(awake_now, &attempt, usual_failure_rate, probes);
+                entry.record_connection_failure(awake_now, &attempt, baseline_failure_rate, probes);
             }
             AttemptSignal::TimedOut => {
                 entry.state.evidence.record_timeout(attempt, awake_now);
@@ -246,7 +247,7 @@
                     .attempts
                     .is_significant_timeout(attempt.class, duration)
                 {
-                    entry.state.attempt_failed(awake_now, probes);
+                    entry.state.record_failed_attempt(awake_now, probes);
                 }
             }
             AttemptSignal::Inconclusive => entry.state.evidence.record_response(awake_now),
@@ -254,13 +255,13 @@
         }
     }
 
-    /// Ends the time during which this node was cut off: the silence of that time is evidence against no zone.
-    fn reconnected(&mut self) {
-        self.is_cut_off = false;
+    /// Ends the isolation of this node and discards the evidence, which includes silence due to the isolation.
+    fn end_isolation(&mut self) {
+        self.is_isolated = false;
         self.zones.restore_all(self.clock.awake_now());
     }
 
-    /// Moves the timer to when the zones must be assessed next, if that is earlier than the pending timer.
+    /// Moves the timer to the next required assessment, if that is earlier than the pending timer.
     fn schedule_timer(&mut self, actions: &mut Vec<Action>) {
         let now = self.clock.now();
         let next_assessment_at = self
@@ -293,7 +294,7 @@
     }
 
     /// Whether the zones must be assessed at regular intervals: evidence grows while attempts are outstanding, and the
-    /// other nodes' state matters while a zone is not healthy.
+    /// other nodes' states matter while a zone is not healthy.
     fn needs_regular_assessment(&self) -> bool {
         let follows_peers = !self.peers.is_empty()
             && !self
@@ -305,11 +306,11 @@
     }
 }
 
-/// Whether a server responded.
+/// Whether the attempt ended with a response of any kind.
 fn is_response(signal: AttemptSignal) -> bool {
     matches!(
         signal,
-        AttemptSignal::Answered | AttemptSignal::Failed | AttemptSignal::Inconclusive
+        AttemptSignal::Success | AttemptSignal::ErrorResponse | AttemptSignal::Inconclusive
     )
 }
 
--- a/core/zone-health/src/observation/tests.rs
+++ b/core/zone-health/src/observation/tests.rs
@@ -1,16 +1,16 @@
-//! The wire format of observations.
+//! Encoding and decoding of observations.
 
 use super::*;
 
 #[test]
-fn an_observation_is_small_and_decodes_to_itself() {
+fn an_observation_takes_at_most_16_bytes_and_decodes_only_from_all_of_them() {
     let observation = ZoneObservation {
         observer_zone: GossipZone(2),
         silence_evidence: 512,
-        failure_evidence: evidence_to_units(1e9),
-        has_answers: false,
+        failure_evidence: evidence_to_hundredths(1e9),
+        has_recent_success: false,
         state: ObservedState::Ejected {
-            answered_probes: 3,
+            successful_probes: 3,
             failed_probe_age_ms: 800,
         },
         is_first_hand: true,
@@ -25,14 +25,14 @@
     assert_eq!(ZoneObservation::from_bytes(&with_trailing_byte), None);
 }
 
-/// The form on the wire, byte for byte: nodes of two releases gossip with each other.
+/// Guards against incompatible encodings between releases whose nodes gossip with each other.
 #[test]
 fn encodes_to_the_recorded_bytes() {
     let observation = |state| ZoneObservation {
         observer_zone: GossipZone(2),
         silence_evidence: 512,
         failure_evidence: 7,
-        has_answers: true,
+        has_recent_success: true,
         state,
         is_first_hand: false,
     };
@@ -41,7 +41,7 @@
         (ObservedState::Suspected, &[2, 0x80, 0x04, 7, 1, 1, 0]),
         (
             ObservedState::Ejected {
-                answered_probes: 200,
+                successful_probes: 200,
                 failed_probe_age_ms: u16::MAX,
             },
             &[2, 0x80, 0x04, 7, 1, 2, 200, 0xff, 0xff, 0x03, 0],
@@ -49,7 +49,7 @@
         (
             ObservedState::Recovering {
                 step: 4,
-                has_answers: true,
+                has_success: true,
             },
             &[2, 0x80, 0x04, 7, 1, 3, 4, 1, 0],
         ),
--- a/core/zone-health/src/peer_observations/tests.rs
+++ b/core/zone-health/src/peer_observations/tests.rs
@@ -1,34 +1,34 @@
 //! Summaries of observations from several nodes, zones and ages.
 
 use super::*;
-use crate::observation::{ObservedState, evidence_to_units};
+use crate::observation::{ObservedState, evidence_to_hundredths};
 use crate::peer_summary::EVIDENCE_LIFETIME;
 
 const NOW: Nanos = 100 * SECOND;
 const ZONE_A: GossipZone = GossipZone(0);
 const ZONE_B: GossipZone = GossipZone(1);
 const ZONE_C: GossipZone = GossipZone(2);
-/// A node without evidence or responses of its own.
+/// Observation of a node that has neither evidence nor responses of its own.
 const NO_OWN_OBSERVATION: OwnObservation = OwnObservation {
     silence: 0.0,
     failures: 0.0,
-    has_answers: false,
+    has_recent_success: false,
 };
 
-/// An observation of a node of `observer_zone`: with responses, unless there is evidence of silence.
+/// An observation by a node of `observer_zone`, with a recent success unless there is evidence of silence.
 fn observation(observer_zone: GossipZone, silence: f64) -> ZoneObservation {
-    let silence_evidence = evidence_to_units(silence);
+    let silence_evidence = evidence_to_hundredths(silence);
     ZoneObservation {
         observer_zone,
         silence_evidence,
         failure_evidence: 0,
-        has_answers: silence_evidence == 0,
+        has_recent_success: silence_evidence == 0,
         state: ObservedState::Healthy,
         is_first_hand: silence_evidence > 0,
     }
 }
 
-/// Other nodes of zone A, numbered from 1.
+/// Observations of `count` other members in zone A, numbered from 1.
 fn peers_in_zone_a(count: u64) -> PeerObservations {
     let mut peers = PeerObservations::default();
     for member in 1..=count {
@@ -37,12 +37,12 @@
     peers
 }
 
-/// Records what a member observes of zone A now.
+/// Records a member's observation of zone A, sent and received at [`NOW`].
 fn record(peers: &mut PeerObservations, member: u64, observation: ZoneObservation) -> bool {
     peers.record(NOW, MemberId(member), ZONE_A, NOW, observation)
 }
 
-/// The summary of zone A for a node of `home_zone`.
+/// Summary of the observations of zone A for a node of `home_zone`.
 fn summary_of_zone_a(peers: &PeerObservations, now: Nanos, home_zone: GossipZone) -> PeerSummary {
     peers.summarize(now, ZONE_A, home_zone, NO_OWN_OBSERVATION)
 }
@@ -54,13 +54,13 @@
     assert_eq!(
         summary_of_zone_a(&peers, NOW, ZONE_A).silence,
         0.0,
-        "a liar alone"
+        "evidence from a single node does not count"
     );
     record(&mut peers, 2, observation(ZONE_A, 2.4));
     record(&mut peers, 3, observation(ZONE_A, 2.4));
     let summary = summary_of_zone_a(&peers, NOW, ZONE_A);
     assert!((summary.silence - 7.3).abs() < 1e-9, "{summary:?}");
-    // Nodes with responses from the zone outvote the witnesses.
+    // Nodes with recent responses outnumber the nodes with evidence against the zone.
     for member in 4..=6 {
         record(&mut peers, member, observation(ZONE_A, 0.0));
     }
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn delayed_observations_and_those_over_another_zones_link_do_not_count() {
+fn delayed_observations_and_those_from_third_zones_do_not_count() {
     let mut peers = peers_in_zone_a(4);
     let delayed_at = NOW - 5 * SECOND;
     assert!(!peers.record(
@@ -93,15 +93,15 @@
     assert_eq!(
         summary_of_zone_a(&peers, NOW, ZONE_A).silence,
         0.0,
-        "zone B does not reach zone A"
+        "observations from zone B do not count for nodes of zone A"
     );
     assert_eq!(
         summary_of_zone_a(&peers, NOW, ZONE_C).silence,
         0.0,
-        "zone C has a link of its own"
+        "observations from zone B do not count for nodes of zone C"
     );
     assert!(summary_of_zone_a(&peers, NOW, ZONE_B).silence > 5.0);
-    // What a zone's own nodes observe of it counts for all.
+    // Observations by nodes of the observed zone count for nodes of every zone.
     for member in 1..4 {
         record(&mut peers, member, observation(ZONE_A, 2.5));
     }
@@ -109,13 +109,13 @@
 }
 
 #[test]
-fn the_median_node_leads_the_recovery_if_at_least_two_are_recovering() {
+fn the_common_recovery_step_is_the_median_of_at_least_two_recovering_nodes() {
     let mut peers = peers_in_zone_a(5);
     let in_state = |state| ZoneObservation {
         state,
         ..observation(ZONE_A, 0.0)
     };
-    let recovering = |step, has_answers| in_state(ObservedState::Recovering { step, has_answers });
+    let recovering = |step, has_success| in_state(ObservedState::Recovering { step, has_success });
     record(&mut peers, 1, recovering(4, true));
     let one_recovering = summary_of_zone_a(&peers, NOW, ZONE_A);
     assert_eq!(
@@ -125,7 +125,7 @@
             one_recovering.probing_peers
         ),
         (None, false, 1),
-        "one alone leads nobody"
+        "a single recovering node determines no common step"
     );
     record(&mut peers, 2, recovering(1, false));
     record(&mut peers, 3, recovering(0, true));
@@ -133,20 +133,20 @@
     assert_eq!(
         (
             three_recovering.median_step,
-            three_recovering.has_answers_at_step,
+            three_recovering.has_success_at_step,
             three_recovering.is_recovering_by_quorum
         ),
         (Some(1), true, true)
     );
     let ejected = in_state(ObservedState::Ejected {
-        answered_probes: 9,
+        successful_probes: 9,
         failed_probe_age_ms: 40,
     });
     record(&mut peers, 4, ejected);
     let with_ejected = summary_of_zone_a(&peers, NOW + MILLISECOND, ZONE_A);
     assert_eq!(
         (
-            with_ejected.answered_probes,
+            with_ejected.successful_probes,
             with_ejected.probing_peers,
             with_ejected.failed_probe_age
         ),
--- a/core/zone-health/src/traffic_division/tests.rs
+++ b/core/zone-health/src/traffic_division/tests.rs
@@ -1,11 +1,11 @@
-//! Division among zones with different utilization and availability.
+//! Division of requests among zones with different utilization and availability.
 
 use super::*;
 
 #[test]
 fn fractions_follow_free_capacity_and_unavailable_zones_get_none() {
-    let zone = |size, utilization, is_available| ZoneCapacity {
-        size,
+    let zone = |capacity, utilization, is_available| ZoneCapacity {
+        capacity,
         utilization,
         is_available,
     };
