--- a/balancer/tests/any_sequence.rs
+++ b/balancer/tests/any_sequence.rs
@@ -1,5 +1,5 @@
-//! Arbitrary legal sequences of events, with fixed seeds; the four rules are checked over the actions.
-//! No server is modelled: outcomes are drawn at random.
+//! Feeds random legal event sequences with fixed seeds to the balancer and checks its final answers, retries and
+//! choice of backends. Backends are not modelled: outcomes are random.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -12,9 +12,9 @@
 use common::*;
 use std::collections::BTreeMap;
 
-struct Draw(u64);
+struct Random(u64);
 
-impl Draw {
+impl Random {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
@@ -37,27 +37,29 @@
 ];
 
 #[derive(Default)]
-struct Tracked {
+struct TrackedRequest {
     class: usize,
     expires_at: Nanos,
+    /// Backend, start and outcome of each attempt; the outcome is `None` while the attempt is in flight.
     attempts: Vec<(BackendId, Nanos, Option<Outcome>)>,
     ended: bool,
-    /// Whether its body is on the way.
+    /// Whether part of the body is still to arrive.
     uploading: bool,
-    /// Whether part of its body can't be sent again.
+    /// Whether part of the body was sent and discarded, so that the request can't be sent again.
     is_body_consumed: bool,
 }
 
-struct Run {
+/// What the test knows of the requests and endpoints, to check the balancer's actions against.
+struct Model {
     now: Nanos,
     class_idempotency: Vec<Idempotency>,
     listed: BTreeMap<BackendId, Endpoint>,
-    requests: BTreeMap<RequestId, Tracked>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     max_attempts: usize,
     hedging: bool,
 }
 
-impl Run {
+impl Model {
     fn check(&mut self, actions: &[Action]) {
         for action in actions {
             match *action {
@@ -66,11 +68,11 @@
                 } => self.check_send(request, backend),
                 Action::Reject { request, .. } => {
                     let tracked = self.requests.get_mut(&request).expect("a known request");
-                    let ran = tracked
+                    let may_have_run = tracked
                         .attempts
                         .iter()
                         .any(|a| a.2.is_none_or(Outcome::may_have_run));
-                    let free = matches!(
+                    let is_retry_safe = matches!(
                         self.class_idempotency[tracked.class],
                         Idempotency::Idempotent
                             | Idempotency::Keyed {
@@ -78,17 +80,20 @@
                                 ..
                             }
                     );
-                    assert!(free || !ran, "rejected what may have run");
+                    assert!(
+                        is_retry_safe || !may_have_run,
+                        "rejected after it may have run"
+                    );
                     assert!(
                         !std::mem::replace(&mut tracked.ended, true),
-                        "two final answers"
+                        "more than one final answer"
                     );
                 }
                 Action::Fail { request } => {
                     let tracked = self.requests.get_mut(&request).expect("a known request");
                     assert!(
                         !std::mem::replace(&mut tracked.ended, true),
-                        "two final answers"
+                        "more than one final answer"
                     );
                 }
                 _ => {}
@@ -98,42 +103,39 @@
 
     fn check_send(&mut self, request: RequestId, backend: BackendId) {
         let tracked = self.requests.get_mut(&request).expect("a known request");
-        assert!(!tracked.ended, "sent after its end");
-        assert!(self.now < tracked.expires_at, "sent after it expired");
+        assert!(!tracked.ended, "sent after the request ended");
+        assert!(self.now < tracked.expires_at, "sent after the deadline");
         assert!(
             !tracked.is_body_consumed,
-            "sent though its body can't be sent again"
+            "sent although part of the body is no longer available"
         );
         assert!(
             tracked.attempts.len() < self.max_attempts,
-            "more than the maximum of attempts"
+            "more attempts than allowed"
         );
         let endpoint = self.listed[&backend];
         assert_eq!(
             endpoint.state,
             EndpointState::InService,
-            "sent to a drained backend"
+            "sent to a backend that is not in service"
         );
         assert!(
             self.hedging || tracked.attempts.iter().all(|a| a.2.is_some()),
-            "two attempts in flight"
+            "two attempts in flight without hedging"
         );
-        let ran: Vec<_> = tracked
+        let may_have_run: Vec<_> = tracked
             .attempts
             .iter()
             .filter(|a| a.2.is_none_or(Outcome::may_have_run))
             .collect();
-        if let Some(&&(first, at, _)) = ran.first() {
+        if let Some(&&(first, started_at, _)) = may_have_run.first() {
             match self.class_idempotency[tracked.class] {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => panic!("a non-idempotent request was sent again"),
-                Idempotency::Keyed {
-                    scope: group,
-                    window,
-                } => {
-                    assert!(self.now <= at + window, "past the window");
+                Idempotency::Keyed { scope, window } => {
+                    assert!(self.now <= started_at + window, "sent after the window");
                     let first = self.listed[&first];
-                    assert!(match group {
+                    assert!(match scope {
                         DedupScope::All => true,
                         DedupScope::Zone => first.zone == endpoint.zone,
                         DedupScope::Cell => first.cell == endpoint.cell,
@@ -149,9 +151,9 @@
     clippy::too_many_lines,
     reason = "one scenario, read from top to bottom"
 )]
-fn drive(seed: u64) {
-    let mut draw = Draw(seed);
-    let window = (1 + draw.below(400)) * MILLISECOND;
+fn check_random_events(seed: u64) {
+    let mut rng = Random(seed);
+    let window = (1 + rng.below(400)) * MILLISECOND;
     let class_idempotency = vec![
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
@@ -168,57 +170,57 @@
             window,
         },
     ];
-    let mut given = Settings::new(ZoneId(0), 1 + draw.below(3) as u32);
-    given.classes = class_idempotency
+    let mut node_settings = Settings::new(ZoneId(0), 1 + rng.below(3) as u32);
+    node_settings.classes = class_idempotency
         .iter()
-        .map(|&idempotency| class(50 + draw.below(500), 600, idempotency))
+        .map(|&idempotency| class(50 + rng.below(500), 600, idempotency))
         .collect();
-    given.node_count = [1, 3, 1000][draw.below(3) as usize];
-    given.weight_source = if draw.below(2) == 0 {
+    node_settings.node_count = [1, 3, 1000][rng.below(3) as usize];
+    node_settings.weight_source = if rng.below(2) == 0 {
         WeightSource::LoadAdjusted
     } else {
         WeightSource::Registered
     };
-    given.limits.max_attempts = 1 + draw.below(4) as u32;
-    given.limits.hedging = draw.below(2) == 0;
-    given.limits.cancellation = draw.below(2) == 0;
-    given.discovery = if draw.below(2) == 0 {
+    node_settings.limits.max_attempts = 1 + rng.below(4) as u32;
+    node_settings.limits.hedging = rng.below(2) == 0;
+    node_settings.limits.cancellation = rng.below(2) == 0;
+    node_settings.discovery = if rng.below(2) == 0 {
         Discovery::Polled
     } else {
         Discovery::Pushed
     };
-    let mut run = Run {
+    let mut model = Model {
         now: SECOND,
         class_idempotency,
         listed: BTreeMap::new(),
         requests: BTreeMap::new(),
-        max_attempts: given.limits.max_attempts as usize,
-        hedging: given.limits.hedging,
+        max_attempts: node_settings.limits.max_attempts as usize,
+        hedging: node_settings.limits.hedging,
     };
-    let zones = given.zone_count;
-    let mut node = Node::new(given, vec![]);
+    let zones = node_settings.zone_count;
+    let mut node = Node::new(node_settings, vec![]);
     for step in 0..2000u64 {
-        let event = match draw.below(15) {
+        let event = match rng.below(15) {
             0..=3 => {
                 let request = RequestId(step);
-                let class = draw.below(5) as usize;
-                let uploading = draw.below(3) == 0;
+                let class = rng.below(5) as usize;
+                let uploading = rng.below(3) == 0;
                 let expires_at =
-                    run.now + draw.below(if uploading { 1500 } else { 900 }) * MILLISECOND;
-                run.requests.insert(
+                    model.now + rng.below(if uploading { 1500 } else { 900 }) * MILLISECOND;
+                model.requests.insert(
                     request,
-                    Tracked {
+                    TrackedRequest {
                         class,
                         expires_at,
                         uploading,
-                        ..Tracked::default()
+                        ..TrackedRequest::default()
                     },
                 );
-                let hint = (draw.below(2) == 0).then(|| draw.below(90) * MILLISECOND);
+                let hint = (rng.below(2) == 0).then(|| rng.below(90) * MILLISECOND);
                 let arrival = RequestArrival {
                     request,
                     class: ClassId(class as u32),
-                    affinity_key: (draw.below(2) == 0).then(|| draw.below(6)),
+                    affinity_key: (rng.below(2) == 0).then(|| rng.below(6)),
                     expected_service_time: hint,
                     is_retry: false,
                     tenant: None,
@@ -230,19 +232,19 @@
                     Event::RequestArrived(arrival)
                 }
             }
-            // The body of an upload is complete, or part of it is consumed; also of requests that are no uploads or
-            // have ended.
+            // An upload is complete, or part of a body is consumed. The request may not be an upload, or may have
+            // ended.
             12 | 13 => {
-                let request = RequestId(draw.below(step + 1));
+                let request = RequestId(rng.below(step + 1));
                 let (is_complete, expires_at) =
-                    (draw.below(2) == 0, run.now + draw.below(900) * MILLISECOND);
-                let now = run.now;
-                if let Some(tracked) = run.requests.get_mut(&request) {
+                    (rng.below(2) == 0, model.now + rng.below(900) * MILLISECOND);
+                let now = model.now;
+                if let Some(tracked) = model.requests.get_mut(&request) {
                     if !is_complete {
                         tracked.is_body_consumed = true;
                     } else if std::mem::take(&mut tracked.uploading) && !tracked.ended {
                         tracked.expires_at = expires_at;
-                        // The server has the request, and remembers its key, from now on.
+                        // The deduplication window starts when the backend has the complete request.
                         tracked
                             .attempts
                             .iter_mut()
@@ -260,26 +262,26 @@
                 }
             }
             14 => Event::ResponseAborted {
-                backend: BackendId(draw.below(12) as u32),
+                backend: BackendId(rng.below(12) as u32),
             },
             4..=7 => {
-                let out: Vec<(RequestId, usize)> = run
+                let in_flight: Vec<(RequestId, usize)> = model
                     .requests
                     .iter()
                     .flat_map(|(&id, t)| (0..t.attempts.len()).map(move |a| (id, a)))
-                    .filter(|(id, a)| run.requests[id].attempts[*a].2.is_none())
+                    .filter(|(id, a)| model.requests[id].attempts[*a].2.is_none())
                     .collect();
-                if out.is_empty() {
+                if in_flight.is_empty() {
                     continue;
                 }
-                let (request, attempt) = out[draw.below(out.len() as u64) as usize];
-                let outcome = OUTCOMES[draw.below(9) as usize];
-                let tracked = run.requests.get_mut(&request).unwrap();
+                let (request, attempt) = in_flight[rng.below(in_flight.len() as u64) as usize];
+                let outcome = OUTCOMES[rng.below(9) as usize];
+                let tracked = model.requests.get_mut(&request).unwrap();
                 tracked.attempts[attempt].2 = Some(outcome);
                 let ended = tracked.ended || outcome == Outcome::Success;
                 tracked.ended = ended;
-                let elapsed = run.now - tracked.attempts[attempt].1;
-                let figure = [0.1, 0.7, 0.99, f64::NAN, -2.0, 1e300][draw.below(6) as usize];
+                let elapsed = model.now - tracked.attempts[attempt].1;
+                let utilization = [0.1, 0.7, 0.99, f64::NAN, -2.0, 1e300][rng.below(6) as usize];
                 let attempt = attempt as u32;
                 Event::AttemptEnded(AttemptResult {
                     request,
@@ -287,60 +289,58 @@
                     outcome,
                     elapsed: Some(elapsed),
                     request_ended: ended,
-                    report: utilization_report(figure),
+                    report: utilization_report(utilization),
                 })
             }
             8 => {
-                let endpoints: Vec<Endpoint> = (0..draw.below(8))
+                let endpoints: Vec<Endpoint> = (0..rng.below(8))
                     .map(|_| {
-                        let backend = draw.below(8) as u32;
-                        let stage = [
+                        let backend = rng.below(8) as u32;
+                        let states = [
                             EndpointState::InService,
                             EndpointState::InService,
                             EndpointState::Draining,
                             EndpointState::Removed,
                         ];
                         Endpoint {
-                            state: stage[draw.below(4) as usize],
+                            state: states[rng.below(4) as usize],
                             cell: u64::from(backend % 3),
-                            started_at: (draw.below(3) == 0).then_some(run.now),
-                            size: [1.0, 2.0, 0.0, f64::NAN][draw.below(4) as usize],
+                            started_at: (rng.below(3) == 0).then_some(model.now),
+                            size: [1.0, 2.0, 0.0, f64::NAN][rng.below(4) as usize],
                             ..endpoint(backend, backend % (zones + 1))
                         }
                     })
                     .collect();
-                let full = draw.below(3) == 0;
-                if full {
-                    run.listed
+                let is_snapshot = rng.below(3) == 0;
+                if is_snapshot {
+                    model
+                        .listed
                         .values_mut()
                         .for_each(|endpoint| endpoint.state = EndpointState::Removed);
                 }
-                run.listed.extend(
+                model.listed.extend(
                     endpoints
                         .iter()
                         .map(|endpoint| (endpoint.backend, *endpoint)),
                 );
-                let scope = if full {
+                let update = if is_snapshot {
                     EndpointUpdate::Snapshot
                 } else {
                     EndpointUpdate::Delta
                 };
-                Event::EndpointsUpdated {
-                    update: scope,
-                    endpoints,
-                }
+                Event::EndpointsUpdated { update, endpoints }
             }
-            9 => match draw.below(4) {
+            9 => match rng.below(4) {
                 0 => Event::DiscoveryFailed,
                 1 => {
-                    let request = RequestId(draw.below(step + 1));
-                    if let Some(tracked) = run.requests.get_mut(&request) {
+                    let request = RequestId(rng.below(step + 1));
+                    if let Some(tracked) = model.requests.get_mut(&request) {
                         tracked.ended = true;
                     }
                     Event::ClientDisconnected { request }
                 }
                 2 => {
-                    let (request, attempt) = (RequestId(draw.below(step + 1) + 90_000), 3);
+                    let (request, attempt) = (RequestId(rng.below(step + 1) + 90_000), 3);
                     let (outcome, report) = (Outcome::Success, utilization_report(0.5));
                     Event::AttemptEnded(AttemptResult {
                         request,
@@ -352,35 +352,35 @@
                     })
                 }
                 _ => Event::HealthCheckEnded {
-                    backend: BackendId(draw.below(12) as u32),
+                    backend: BackendId(rng.below(12) as u32),
                     outcome: Outcome::Success,
                     elapsed: MILLISECOND,
                     report: utilization_report(0.2),
                 },
             },
             _ => {
-                run.now += draw.below(20) * MILLISECOND;
+                model.now += rng.below(20) * MILLISECOND;
                 Event::TimerFired {
-                    token: draw.below(3),
+                    token: rng.below(3),
                 }
             }
         };
-        // Time may step back; the module's time must stand still then.
-        node.now = if draw.below(50) == 0 {
-            run.now / 2
+        // The clock may step back; the balancer must then keep its latest time.
+        node.now = if rng.below(50) == 0 {
+            model.now / 2
         } else {
-            run.now
+            model.now
         };
         let actions = node.handle(event);
-        run.check(&actions);
+        model.check(&actions);
     }
-    // At the end every attempt times out; then all requests must have a final answer.
+    // Every attempt still in flight times out; after that each request must have a final answer.
     for _ in 0..200 {
-        run.now += 10 * MILLISECOND;
-        node.now = run.now;
+        model.now += 10 * MILLISECOND;
+        node.now = model.now;
         let actions = node.handle(Event::TimerFired { token: 0 });
-        run.check(&actions);
-        let due: Vec<(RequestId, usize)> = run
+        model.check(&actions);
+        let due: Vec<(RequestId, usize)> = model
             .requests
             .iter()
             .flat_map(|(&id, t)| {
@@ -389,13 +389,13 @@
                     .enumerate()
                     .map(move |(n, a)| (id, n, a.2, t.expires_at))
             })
-            .filter(|(_, _, outcome, end)| outcome.is_none() && *end <= run.now)
+            .filter(|(_, _, outcome, end)| outcome.is_none() && *end <= model.now)
             .map(|(id, n, _, _)| (id, n))
             .collect();
         for (request, attempt) in due {
-            let tracked = run.requests.get_mut(&request).unwrap();
+            let tracked = model.requests.get_mut(&request).unwrap();
             tracked.attempts[attempt].2 = Some(Outcome::TimedOut);
-            let (ended, elapsed) = (tracked.ended, run.now - tracked.attempts[attempt].1);
+            let (ended, elapsed) = (tracked.ended, model.now - tracked.attempts[attempt].1);
             let (attempt, report) = (attempt as u32, LoadReport::default());
             let outcome = Outcome::TimedOut;
             let actions = node.handle(Event::AttemptEnded(AttemptResult {
@@ -406,37 +406,37 @@
                 request_ended: ended,
                 report,
             }));
-            run.check(&actions);
+            model.check(&actions);
         }
     }
-    let open = run
+    let unanswered = model
         .requests
         .values()
         .filter(|tracked| !tracked.ended)
         .count();
-    assert_eq!(open, 0, "seed {seed}: requests without a final answer");
+    assert_eq!(unanswered, 0, "seed {seed}: no final answer");
     assert_eq!(
         node.balancer.open_requests(),
         0,
-        "seed {seed}: ended requests are kept"
+        "seed {seed}: the balancer still holds ended requests"
     );
 }
 
 #[test]
-fn the_rules_hold_on_arbitrary_sequences() {
+fn random_event_sequences_violate_no_safety_rule() {
     for seed in 1..40 {
-        drive(seed);
+        check_random_events(seed);
     }
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let run = || {
+    let serve = || {
         let mut node = Node::new(
             settings(Idempotency::Idempotent),
             (0..9).map(|b| endpoint(b, b % 3)).collect(),
         );
         node.serve_requests(300, |to| utilization_report(0.3 + 0.08 * f64::from(to.0)))
     };
-    assert_eq!(run(), run());
+    assert_eq!(serve(), serve());
 }
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A balancer under test, with its clock, and helpers that feed it events.
+//! A balancer with a manually advanced clock, and helpers that feed events to the balancer.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -10,14 +10,14 @@
 use badgerpost_balancer::*;
 pub use badgerpost_time::{MILLISECOND, SECOND};
 
-/// One node: a balancer, its time, and the id of the next request.
+/// A node under test: a balancer, the current time, and the next unused request id.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Nanos,
-    pub next: u64,
+    pub next_request_id: u64,
 }
 
-/// A class with defaults for the rest.
+/// A class with this latency objective, deadline and idempotency, and defaults for the rest.
 pub fn class(objective_ms: u64, deadline_ms: u64, idempotency: Idempotency) -> ClassSettings {
     ClassSettings {
         latency_objective: objective_ms * MILLISECOND,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Settings of one of two nodes in three zones, with one class.
+/// Settings of a node in zone 0 of three zones, one of two nodes, with a single class.
 pub fn settings(idempotency: Idempotency) -> Settings {
     Settings {
         classes: vec![class(400, 1000, idempotency)],
@@ -36,7 +36,7 @@
     }
 }
 
-/// A backend in service; its cell is its zone.
+/// An endpoint in service, whose cell has the same number as its zone.
 pub fn endpoint(backend: u32, zone: u32) -> Endpoint {
     Endpoint {
         backend: BackendId(backend),
@@ -47,7 +47,7 @@
     }
 }
 
-/// A report of this utilization.
+/// A load report that contains only a utilization.
 pub fn utilization_report(utilization: f64) -> LoadReport {
     LoadReport {
         utilization: Some(utilization),
@@ -56,18 +56,18 @@
 }
 
 impl Node {
-    /// A node that has started, with these endpoints in its cache.
+    /// A node that has handled [`Event::Start`] and a cached list of these endpoints.
     pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
         Self::seeded(7, settings, endpoints)
     }
 
-    /// The same with a seed.
+    /// Like [`Node::new`], with a seed for the balancer's random numbers.
     pub fn seeded(seed: u64, settings: Settings, endpoints: Vec<Endpoint>) -> Self {
-        let balancer = Balancer::new(settings, seed, SECOND).expect("usable settings");
+        let balancer = Balancer::new(settings, seed, SECOND).expect("valid settings");
         let mut node = Self {
             balancer,
             now: SECOND,
-            next: 0,
+            next_request_id: 0,
         };
         node.handle(Event::Start);
         node.handle(Event::EndpointsUpdated {
@@ -77,14 +77,14 @@
         node
     }
 
-    /// Handles an event now and returns the actions.
+    /// Hands an event to the balancer at the current time and returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Delivers a list of endpoints.
+    /// Delivers an endpoint list from discovery.
     pub fn update_endpoints(
         &mut self,
         update: EndpointUpdate,
@@ -93,19 +93,19 @@
         self.handle(Event::EndpointsUpdated { update, endpoints })
     }
 
-    /// A request of class 0 that its client gives up after `client_timeout`.
+    /// Lets a request of class 0 arrive whose client gives up after `client_timeout`.
     pub fn arrive(&mut self, client_timeout: Nanos) -> (RequestId, Vec<Action>) {
         self.arrive_marked(client_timeout, false)
     }
 
-    /// The same, marked as a client's retry.
+    /// Like [`Node::arrive`], with the request marked as a client's retry.
     pub fn arrive_as_retry(&mut self, client_timeout: Nanos) -> (RequestId, Vec<Action>) {
         self.arrive_marked(client_timeout, true)
     }
 
     fn arrive_marked(&mut self, client_timeout: Nanos, is_retry: bool) -> (RequestId, Vec<Action>) {
-        let request = RequestId(self.next);
-        self.next += 1;
+        let request = RequestId(self.next_request_id);
+        self.next_request_id += 1;
         let expires_at = self.now + client_timeout;
         let arrival = RequestArrival {
             request,
@@ -119,7 +119,7 @@
         (request, self.handle(Event::RequestArrived(arrival)))
     }
 
-    /// Ends an attempt after 30 ms; a success ends the request.
+    /// Ends an attempt 30 ms after the send. A success also ends the request.
     pub fn end_attempt(
         &mut self,
         request: RequestId,
@@ -130,7 +130,7 @@
         self.end_attempt_after(request, attempt, outcome, 30 * MILLISECOND, report)
     }
 
-    /// Ends an attempt with a response that came at an unknown time: the node stood still.
+    /// Ends an attempt with a success of unknown duration, as reported after the node's process was paused.
     pub fn end_attempt_at_unknown_time(&mut self, request: RequestId, attempt: u32) -> Vec<Action> {
         self.handle(Event::AttemptEnded(AttemptResult {
             request,
@@ -142,7 +142,7 @@
         }))
     }
 
-    /// Ends an attempt after this time; a success ends the request.
+    /// Ends an attempt `elapsed` after the send. A success also ends the request.
     pub fn end_attempt_after(
         &mut self,
         request: RequestId,
@@ -162,7 +162,7 @@
         }))
     }
 
-    /// Advances the time in steps of 10 ms, each with a fired timer.
+    /// Advances the clock in steps of 10 ms and fires the timer at each step.
     pub fn advance(&mut self, duration: Nanos) -> Vec<Action> {
         let end = self.now + duration;
         let mut actions = Vec::new();
@@ -173,15 +173,15 @@
         actions
     }
 
-    /// Sends `count` requests, one in 10 ms; every attempt succeeds after 40 ms with the report of its backend. Returns
-    /// the backends of the attempts, in the order of their ends.
+    /// Lets `count` requests arrive, one every 10 ms. Every attempt succeeds after 40 ms with the load report that
+    /// `report` gives for the backend. Returns the backends in the order in which the attempts ended.
     pub fn serve_requests(
         &mut self,
         count: usize,
         report: impl Fn(BackendId) -> LoadReport,
     ) -> Vec<BackendId> {
-        let mut used = Vec::new();
-        let mut out: Vec<(RequestId, u32, BackendId, Nanos)> = Vec::new();
+        let mut backends = Vec::new();
+        let mut in_flight: Vec<(RequestId, u32, BackendId, Nanos)> = Vec::new();
         for turn in 0..count + 40 {
             let mut actions = if turn < count {
                 self.arrive(SECOND).1
@@ -189,12 +189,12 @@
                 Vec::new()
             };
             actions.extend(self.advance(10 * MILLISECOND));
-            let (due, rest) = out
+            let (due, rest) = in_flight
                 .into_iter()
                 .partition(|send| self.now >= send.3 + 40 * MILLISECOND);
-            out = rest;
+            in_flight = rest;
             for (request, attempt, to, _) in Vec::from_iter::<Vec<_>>(due) {
-                used.push(to);
+                backends.push(to);
                 actions.extend(self.end_attempt_after(
                     request,
                     attempt,
@@ -208,37 +208,37 @@
                     request, backend, ..
                 } = action
                 {
-                    let attempt = out.iter().filter(|send| send.0 == request).count() as u32;
-                    out.push((request, attempt, backend, self.now));
+                    let attempt = in_flight.iter().filter(|send| send.0 == request).count() as u32;
+                    in_flight.push((request, attempt, backend, self.now));
                 }
             }
         }
-        used
+        backends
     }
 }
 
-/// The backends of all sends.
+/// The backend of each [`Action::Send`], in order.
 pub fn sends(actions: &[Action]) -> Vec<BackendId> {
-    let to = |action: &Action| match action {
+    let backend_of = |action: &Action| match action {
         Action::Send { backend, .. } => Some(*backend),
         _ => None,
     };
-    actions.iter().filter_map(to).collect()
+    actions.iter().filter_map(backend_of).collect()
 }
 
-/// The backend of the first send.
+/// The backend of the first [`Action::Send`], if there is any.
 pub fn first_send(actions: &[Action]) -> Option<BackendId> {
     sends(actions).first().copied()
 }
 
-/// Whether a request was rejected.
+/// Whether any action rejects a request.
 pub fn has_rejection(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Reject { .. }))
 }
 
-/// Whether a request failed.
+/// Whether any action fails a request.
 pub fn has_failure(actions: &[Action]) -> bool {
     actions
         .iter()
--- a/balancer/tests/contract.rs
+++ b/balancer/tests/contract.rs
@@ -1,21 +1,21 @@
-//! The four rules, one by one.
+//! The balancer's safety rules for final answers, retries, draining backends and slow start.
 
 mod common;
 use badgerpost_balancer::*;
 use common::*;
 
-const RAN: [Outcome; 5] = [
+const MAY_HAVE_RUN: [Outcome; 5] = [
     Outcome::Error,
     Outcome::InvalidResponse,
     Outcome::TimedOut,
     Outcome::Reset,
     Outcome::Cancelled,
 ];
-const NOT_RAN: [Outcome; 3] = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
+const NEVER_RAN: [Outcome; 3] = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
 
-fn keyed(group: DedupScope) -> Idempotency {
+fn keyed(scope: DedupScope) -> Idempotency {
     Idempotency::Keyed {
-        scope: group,
+        scope,
         window: 200 * MILLISECOND,
     }
 }
@@ -35,20 +35,20 @@
     let (_, actions) = node.arrive(300 * MILLISECOND);
     assert!(
         first_send(&actions).is_none() && !has_rejection(&actions) && !has_failure(&actions),
-        "queued at first"
+        "the request must be queued at first"
     );
     assert!(has_rejection(&node.advance(300 * MILLISECOND)));
 }
 
 #[test]
-fn the_request_deadline_binds_and_not_the_class_deadline() {
+fn a_client_timeout_shorter_than_the_class_deadline_applies() {
     let mut node = Node::new(settings(Idempotency::Idempotent), vec![]);
     node.arrive(50 * MILLISECOND);
     assert!(has_rejection(&node.advance(60 * MILLISECOND)));
 }
 
 #[test]
-fn a_time_out_at_the_deadline_gets_a_final_answer() {
+fn a_request_whose_attempt_times_out_at_the_deadline_fails() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
     let (request, actions) = node.arrive(100 * MILLISECOND);
     assert!(first_send(&actions).is_some());
@@ -74,15 +74,15 @@
         node.handle(Event::ClientDisconnected { request })
             .is_empty()
     );
-    let (gone, _) = node.arrive(SECOND);
-    node.handle(Event::ClientDisconnected { request: gone });
-    let actions = node.end_attempt(gone, 0, Outcome::Error, utilization_report(0.1));
+    let (other, _) = node.arrive(SECOND);
+    node.handle(Event::ClientDisconnected { request: other });
+    let actions = node.end_attempt(other, 0, Outcome::Error, utilization_report(0.1));
     assert!(first_send(&actions).is_none() && !has_rejection(&actions) && !has_failure(&actions));
 }
 
 #[test]
 fn a_non_idempotent_request_is_retried_only_when_it_never_ran() {
-    for outcome in NOT_RAN {
+    for outcome in NEVER_RAN {
         let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
         let (request, _) = node.arrive(SECOND);
         assert!(
@@ -90,7 +90,7 @@
             "{outcome:?}"
         );
     }
-    for outcome in RAN {
+    for outcome in MAY_HAVE_RUN {
         let mut node = Node::new(settings(Idempotency::NonIdempotent), three_zones());
         let (request, _) = node.arrive(SECOND);
         let actions = node.end_attempt(request, 0, outcome, LoadReport::default());
@@ -101,17 +101,17 @@
     }
 }
 
-/// A connection can be established after the window: a retry decided within it is not written after it.
+/// Guards against a retry written after the deduplication window because its connection was established late.
 #[test]
 fn a_keyed_request_is_written_again_within_its_window_only() {
-    for outcome in RAN {
+    for outcome in MAY_HAVE_RUN {
         let mut node = Node::new(settings(keyed(DedupScope::Zone)), three_zones());
         let (request, _) = node.arrive(SECOND);
         let first = node.now;
         assert!(
             node.balancer
                 .may_write(first + 300 * MILLISECOND, request, 0),
-            "nothing has run before it"
+            "the window applies to retries only"
         );
         node.now += 150 * MILLISECOND;
         assert!(
@@ -119,7 +119,7 @@
         );
         assert!(
             !node.balancer.may_write(node.now, request, 0),
-            "that one has ended"
+            "attempt 0 has ended"
         );
         assert!(
             node.balancer
@@ -135,10 +135,10 @@
         node.handle(Event::ClientDisconnected { request });
         assert!(
             !node.balancer.may_write(node.now, request, 1),
-            "its client has disconnected"
+            "the client has disconnected"
         );
     }
-    for outcome in NOT_RAN {
+    for outcome in NEVER_RAN {
         let mut node = Node::new(settings(keyed(DedupScope::Zone)), three_zones());
         let (request, _) = node.arrive(SECOND);
         let first = node.now;
@@ -153,25 +153,25 @@
 
 #[test]
 fn a_keyed_request_stays_in_its_dedup_scope_and_window() {
-    for outcome in RAN {
+    for outcome in MAY_HAVE_RUN {
         let mut node = Node::new(settings(keyed(DedupScope::Zone)), three_zones());
         let (request, first) = node.arrive(SECOND);
-        let again = first_send(&node.end_attempt(request, 0, outcome, LoadReport::default()));
-        assert_ne!(again, None, "{outcome:?}");
+        let retry_to = first_send(&node.end_attempt(request, 0, outcome, LoadReport::default()));
+        assert_ne!(retry_to, None, "{outcome:?}");
         assert!(
-            again.is_none_or(|to| to.0 < 2),
-            "left its zone after {first:?}"
+            retry_to.is_none_or(|to| to.0 < 2),
+            "retried outside the zone of the first attempt: {first:?}"
         );
 
-        let mut single = settings(keyed(DedupScope::Zone));
-        single.limits.hedging = false;
-        let mut node = Node::new(single, three_zones());
+        let mut without_hedging = settings(keyed(DedupScope::Zone));
+        without_hedging.limits.hedging = false;
+        let mut node = Node::new(without_hedging, three_zones());
         let (request, _) = node.arrive(SECOND);
         node.advance(200 * MILLISECOND);
         let late = node.end_attempt(request, 0, outcome, LoadReport::default());
         assert!(
             first_send(&late).is_none() && has_failure(&late),
-            "sent past the window after {outcome:?}"
+            "retried after the deduplication window on {outcome:?}"
         );
     }
 }
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_request_keyed_for_all_may_be_rejected_after_it_ran() {
+fn a_request_deduplicated_by_all_backends_may_be_rejected_after_it_ran() {
     let mut node = Node::new(settings(keyed(DedupScope::All)), vec![endpoint(0, 0)]);
     let (request, _) = node.arrive(SECOND);
     node.update_endpoints(
@@ -222,9 +222,9 @@
 
 #[test]
 fn attempts_stop_at_the_cap() {
-    let mut limits = settings(Idempotency::Idempotent);
-    limits.limits.max_attempts = 2;
-    let mut node = Node::new(limits, three_zones());
+    let mut node_settings = settings(Idempotency::Idempotent);
+    node_settings.limits.max_attempts = 2;
+    let mut node = Node::new(node_settings, three_zones());
     let (request, _) = node.arrive(SECOND);
     assert!(
         first_send(&node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default()))
@@ -238,19 +238,19 @@
 
 #[test]
 fn nothing_is_sent_to_a_backend_listed_as_draining_or_removed() {
-    let two = vec![endpoint(0, 0), endpoint(1, 1)];
-    let changes = |stage| {
+    let two_zones = vec![endpoint(0, 0), endpoint(1, 1)];
+    let changed_state = |state| {
         (
             EndpointUpdate::Delta,
             vec![Endpoint {
-                state: stage,
+                state,
                 ..endpoint(0, 0)
             }],
         )
     };
     let lists = [
-        changes(EndpointState::Draining),
-        changes(EndpointState::Removed),
+        changed_state(EndpointState::Draining),
+        changed_state(EndpointState::Removed),
         (EndpointUpdate::Snapshot, vec![endpoint(1, 1)]),
         (
             EndpointUpdate::Cached,
@@ -263,14 +263,14 @@
             ],
         ),
     ];
-    for (scope, endpoints) in lists {
-        let mut node = Node::new(settings(Idempotency::Idempotent), two.clone());
-        node.update_endpoints(scope, endpoints);
+    for (update, endpoints) in lists {
+        let mut node = Node::new(settings(Idempotency::Idempotent), two_zones.clone());
+        node.update_endpoints(update, endpoints);
         for _ in 0..20 {
             assert_ne!(
                 first_send(&node.arrive(SECOND).1),
                 Some(BackendId(0)),
-                "{scope:?}"
+                "{update:?}"
             );
         }
     }
@@ -278,9 +278,9 @@
 
 #[test]
 fn a_polling_node_watches_and_polls_again_well_within_the_poll_interval() {
-    let mut given = settings(Idempotency::Idempotent);
-    given.discovery = Discovery::Polled;
-    let mut node = Node::new(given, three_zones());
+    let mut node_settings = settings(Idempotency::Idempotent);
+    node_settings.discovery = Discovery::Polled;
+    let mut node = Node::new(node_settings, three_zones());
     for _ in 0..8 {
         node.handle(Event::DiscoveryFailed);
         let actions = node.advance(8 * SECOND);
@@ -294,7 +294,6 @@
     }
 }
 
-/// Requests of about 30 ms each, all backends half used: a warming one must get few of them.
 #[test]
 fn a_warming_backend_gets_its_slow_start_budget_and_no_more() {
     let mut node = Node::new(
@@ -302,20 +301,20 @@
         vec![endpoint(0, 0), endpoint(1, 0)],
     );
     node.serve_requests(200, |_| utilization_report(0.5));
-    let cold = Endpoint {
+    let warming = Endpoint {
         started_at: Some(node.now),
         ..endpoint(9, 0)
     };
-    node.update_endpoints(EndpointUpdate::Delta, vec![cold]);
-    let mut to_cold = 0;
+    node.update_endpoints(EndpointUpdate::Delta, vec![warming]);
+    let mut sent_to_warming = 0;
     for _ in 0..40 {
-        to_cold += usize::from(first_send(&node.arrive(SECOND).1) == Some(BackendId(9)));
+        sent_to_warming += usize::from(first_send(&node.arrive(SECOND).1) == Some(BackendId(9)));
     }
-    // Two half-used backends serve 33 requests a second together, so the capacity of one is about 33 a second; a
-    // tenth of it over 2 s is about 7, and the rule's limit for all nodes twice that.
+    // The budget is a tenth of a backend's capacity of about 33 requests a second, over 2 s: about 7 requests. The
+    // overload limit, for all nodes together, is twice that.
     assert!(
-        (1..=7).contains(&to_cold),
-        "{to_cold} to the warming backend"
+        (1..=7).contains(&sent_to_warming),
+        "{sent_to_warming} requests sent to the warming backend"
     );
 }
 
@@ -335,22 +334,22 @@
         .count();
     assert!(
         (1..=4).contains(&burst),
-        "{burst} at once to a restarted backend"
+        "{burst} requests sent at once to a restarted backend"
     );
 }
 
-/// Incident i911ba9: only requests with low hints fitted into the slow-start budget. Hints are rough, so their service
-/// times were much longer than counted.
+/// Guards against a slow-start budget that fills up with requests whose service time hints are too low, and whose
+/// actual work is far more than counted.
 #[test]
 fn low_service_time_hints_do_not_stretch_the_slow_start_budget() {
-    let given = Settings {
+    let node_settings = Settings {
         classes: vec![class(60_000, 90_000, Idempotency::Idempotent)],
         ..settings(Idempotency::Idempotent)
     };
-    let mut node = Node::new(given, vec![endpoint(0, 0), endpoint(1, 0)]);
-    let ask = |node: &mut Node, hint| {
-        let request = RequestId(node.next);
-        node.next += 1;
+    let mut node = Node::new(node_settings, vec![endpoint(0, 0), endpoint(1, 0)]);
+    let arrive_with_hint = |node: &mut Node, hint| {
+        let request = RequestId(node.next_request_id);
+        node.next_request_id += 1;
         let (class, expires_at) = (ClassId(0), node.now + 90 * SECOND);
         (
             request,
@@ -366,7 +365,7 @@
         )
     };
     for _ in 0..600 {
-        let (request, _) = ask(&mut node, Some(20 * MILLISECOND));
+        let (request, _) = arrive_with_hint(&mut node, Some(20 * MILLISECOND));
         node.advance(20 * MILLISECOND);
         node.end_attempt(request, 0, Outcome::Success, utilization_report(0.5));
     }
@@ -377,11 +376,11 @@
             ..endpoint(9, 0)
         }],
     );
-    let cold = |actions: Vec<Action>| usize::from(first_send(&actions) == Some(BackendId(9)));
-    let taken: usize = (0..500)
+    let to_warming = |actions: Vec<Action>| usize::from(first_send(&actions) == Some(BackendId(9)));
+    let sent: usize = (0..500)
         .map(|turn| {
-            cold(
-                ask(
+            to_warming(
+                arrive_with_hint(
                     &mut node,
                     Some(if turn % 2 == 0 {
                         MILLISECOND
@@ -393,7 +392,7 @@
             )
         })
         .sum();
-    // Half-used backends get a second of service time per second, so the budget is 0.4 x 2 x 0.34 x 2: in 2 s that
-    // is 1.07 s of service time, 18 pairs counted as 20 and 39 ms.
-    assert!((1..=40).contains(&taken), "{taken} to the warming backend");
+    // Half-used backends get 1 s of service time per second, so the budget over 2 s is about 1.07 s: 18 pairs of
+    // requests, counted as 20 ms and 39 ms.
+    assert!((1..=40).contains(&sent), "{sent} to the warming backend");
 }
--- a/balancer/tests/endpoint_selection.rs
+++ b/balancer/tests/endpoint_selection.rs
@@ -1,11 +1,11 @@
-//! Zone routing: the local zone below the spill threshold, one best zone for overflow, the local zone where none
-//! qualifies.
+//! Zone routing: the local zone serves below the spill threshold, the best other zone takes the overflow, and the
+//! local zone serves where no other zone qualifies.
 
 mod common;
 use badgerpost_balancer::*;
 use common::*;
 
-fn zones() -> Vec<Endpoint> {
+fn endpoints() -> Vec<Endpoint> {
     (0..6)
         .map(|backend| endpoint(backend, backend / 2))
         .collect()
@@ -15,38 +15,39 @@
     backend.0 / 2
 }
 
-/// A node with reports of this utilization from each zone; it gets those of remote zones while the list has no other.
-fn node_with_utilizations(utils: [f64; 3]) -> Node {
-    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
-    for remote in [1, 2, 0] {
-        let only = zones()
+/// A node with load reports of these utilizations from zones 0 to 2. Each zone serves while the endpoint list
+/// contains no other zone.
+fn node_with_utilizations(utilizations: [f64; 3]) -> Node {
+    let mut node = Node::new(settings(Idempotency::Idempotent), endpoints());
+    for listed_zone in [1, 2, 0] {
+        let in_listed_zone = endpoints()
             .into_iter()
-            .filter(|endpoint| endpoint.zone == ZoneId(remote))
+            .filter(|endpoint| endpoint.zone == ZoneId(listed_zone))
             .collect();
-        node.update_endpoints(EndpointUpdate::Snapshot, only);
+        node.update_endpoints(EndpointUpdate::Snapshot, in_listed_zone);
         node.update_endpoints(
             EndpointUpdate::Snapshot,
-            zones()
+            endpoints()
                 .into_iter()
-                .filter(|m| m.zone == ZoneId(remote))
+                .filter(|endpoint| endpoint.zone == ZoneId(listed_zone))
                 .collect(),
         );
-        node.serve_requests(10, |to| utilization_report(utils[zone(to) as usize]));
+        node.serve_requests(10, |to| utilization_report(utilizations[zone(to) as usize]));
     }
     node
 }
 
 #[test]
 fn the_local_zone_serves_below_the_spill_threshold() {
-    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), endpoints());
     let used = node.serve_requests(50, |_| utilization_report(0.5));
-    // The first sends count in full until the first reports have arrived.
+    // Until the first load reports arrive, sends count in full towards the utilization.
     assert!(used[25..].iter().all(|&to| zone(to) == 0), "{used:?}");
 }
 
 #[test]
-fn an_unseen_zone_gets_the_first_overflow() {
-    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
+fn overflow_goes_to_a_zone_without_load_reports() {
+    let mut node = Node::new(settings(Idempotency::Idempotent), endpoints());
     let used = node.serve_requests(50, |to| {
         utilization_report(if zone(to) == 0 { 0.95 } else { 0.3 })
     });
@@ -55,14 +56,16 @@
 
 #[test]
 fn overflow_goes_to_the_zone_with_headroom() {
-    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
-    let load = [0.95, 0.7, 0.2];
-    let used = node.serve_requests(200, |to| utilization_report(load[zone(to) as usize]));
-    let late = &used[50..];
-    let count = |z| late.iter().filter(|&&to| zone(to) == z).count();
+    let mut node = Node::new(settings(Idempotency::Idempotent), endpoints());
+    let utilizations = [0.95, 0.7, 0.2];
+    let used = node.serve_requests(200, |to| {
+        utilization_report(utilizations[zone(to) as usize])
+    });
+    let later = &used[50..];
+    let count = |z| later.iter().filter(|&&to| zone(to) == z).count();
     assert!(
         count(2) > 3 * count(1).max(1),
-        "{} to zone 1, {} to zone 2",
+        "{} requests to zone 1, {} to zone 2",
         count(1),
         count(2)
     );
@@ -70,10 +73,13 @@
 
 #[test]
 fn the_local_zone_serves_when_no_zone_qualifies() {
-    let mut node = Node::new(settings(Idempotency::Idempotent), zones());
+    let mut node = Node::new(settings(Idempotency::Idempotent), endpoints());
     let used = node.serve_requests(200, |_| utilization_report(0.95));
     let local = used[50..].iter().filter(|&&to| zone(to) == 0).count();
-    assert!(local > 100, "{local} of 150 stayed in the local zone");
+    assert!(
+        local > 100,
+        "{local} of 150 requests stayed in the local zone"
+    );
 }
 
 #[test]
@@ -81,9 +87,9 @@
     let mut node = node_with_utilizations([0.1, 0.2, 0.3]);
     node.update_endpoints(
         EndpointUpdate::Snapshot,
-        zones()
+        endpoints()
             .into_iter()
-            .filter(|m| m.zone != ZoneId(0))
+            .filter(|endpoint| endpoint.zone != ZoneId(0))
             .collect(),
     );
     assert!(first_send(&node.arrive(SECOND).1).is_some_and(|to| zone(to) != 0));
@@ -92,7 +98,7 @@
 #[test]
 fn sends_since_the_last_report_raise_the_utilization() {
     let mut node = node_with_utilizations([0.6, 0.1, 0.1]);
-    node.update_endpoints(EndpointUpdate::Snapshot, zones());
+    node.update_endpoints(EndpointUpdate::Snapshot, endpoints());
     node.serve_requests(20, |to| {
         utilization_report(if zone(to) == 0 { 0.6 } else { 0.1 })
     });
@@ -103,15 +109,19 @@
     assert_eq!(used[0], 0);
     assert!(
         used.iter().any(|&z| z != 0),
-        "a burst stayed in the local zone by an old report: {used:?}"
+        "the whole burst went to the local zone on an outdated load report: {used:?}"
     );
 }
 
 #[test]
-fn impossible_load_reports_are_ignored() {
-    for figure in [f64::NAN, f64::INFINITY, -1.0] {
-        let mut node = Node::new(settings(Idempotency::Idempotent), zones());
-        let used = node.serve_requests(30, |_| utilization_report(figure));
-        assert!(used.len() >= 30, "{figure}: {}", used.len());
+fn invalid_utilizations_in_load_reports_are_ignored() {
+    for utilization in [f64::NAN, f64::INFINITY, -1.0] {
+        let mut node = Node::new(settings(Idempotency::Idempotent), endpoints());
+        let used = node.serve_requests(30, |_| utilization_report(utilization));
+        assert!(
+            used.len() >= 30,
+            "utilization {utilization}: {} requests sent",
+            used.len()
+        );
     }
 }
--- a/balancer/tests/uploads.rs
+++ b/balancer/tests/uploads.rs
@@ -1,13 +1,14 @@
-//! Requests whose body is still on the way: when their time begins, what counts as load, and when they may be retried.
+//! Uploads whose body has not arrived in full: when the client's timeout starts, what counts as load, and when an
+//! upload may be retried.
 
 mod common;
 use badgerpost_balancer::*;
 use common::*;
 
 fn upload(node: &mut Node) -> (RequestId, Vec<Action>) {
-    let request = RequestId(node.next);
-    node.next += 1;
-    // The body may take this long; the client's time has not begun.
+    let request = RequestId(node.next_request_id);
+    node.next_request_id += 1;
+    // The time allowed for the body; the client's timeout starts with its last byte.
     let expires_at = node.now + 3600 * SECOND;
     let arrival = RequestArrival {
         request,
@@ -21,18 +22,21 @@
     (request, node.handle(Event::UploadStarted(arrival)))
 }
 
-fn two(idempotency: Idempotency) -> Node {
+fn node_with_two_backends(idempotency: Idempotency) -> Node {
     Node::new(settings(idempotency), vec![endpoint(0, 0), endpoint(1, 0)])
 }
 
 #[test]
-fn an_upload_that_never_got_further_goes_elsewhere() {
-    let mut node = two(Idempotency::NonIdempotent);
+fn an_upload_is_retried_at_another_backend_if_no_connection_was_made() {
+    let mut node = node_with_two_backends(Idempotency::NonIdempotent);
     let (request, actions) = upload(&mut node);
-    let first = first_send(&actions).expect("it is sent while its body comes");
-    let again = node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default());
-    assert_ne!(first_send(&again), Some(first));
-    assert!(first_send(&again).is_some(), "nothing of it is lost");
+    let first = first_send(&actions).expect("the upload is sent before its body is complete");
+    let retry = node.end_attempt(request, 0, Outcome::ConnectFailed, LoadReport::default());
+    assert_ne!(first_send(&retry), Some(first));
+    assert!(
+        first_send(&retry).is_some(),
+        "no part of the body was consumed"
+    );
 }
 
 #[test]
@@ -42,7 +46,7 @@
         (Outcome::Rejected, true),
         (Outcome::Reset, false),
     ] {
-        let mut node = two(Idempotency::NonIdempotent);
+        let mut node = node_with_two_backends(Idempotency::NonIdempotent);
         let (request, _) = upload(&mut node);
         node.handle(Event::BodyConsumed { request });
         let end = node.end_attempt(request, 0, outcome, LoadReport::default());
@@ -53,8 +57,8 @@
             "{outcome:?}"
         );
     }
-    // Idempotent, but its body can't be sent again.
-    let mut node = two(Idempotency::Idempotent);
+    // The request is idempotent, but its body can't be sent again.
+    let mut node = node_with_two_backends(Idempotency::Idempotent);
     let (request, _) = upload(&mut node);
     node.handle(Event::BodyConsumed { request });
     assert!(has_rejection(&node.end_attempt(
@@ -65,10 +69,10 @@
     )));
 }
 
-/// Bodies that arrive slowly must not cause rejections of others: no server works on them yet.
+/// Guards against rejecting other requests because of slow uploads, on which no backend works yet.
 #[test]
-fn a_body_on_its_way_is_no_load() {
-    let send_beside_uploads = |are_complete: bool| {
+fn an_incomplete_upload_does_not_count_as_load() {
+    let send_during_uploads = |are_complete: bool| {
         let mut node = Node::new(settings(Idempotency::Idempotent), vec![endpoint(0, 0)]);
         for _ in 0..50 {
             let (request, _) = upload(&mut node);
@@ -82,32 +86,39 @@
         }
         first_send(&node.arrive(SECOND).1)
     };
-    assert_eq!(send_beside_uploads(false), Some(BackendId(0)));
-    assert_eq!(send_beside_uploads(true), None, "complete ones are load");
+    assert_eq!(send_during_uploads(false), Some(BackendId(0)));
+    assert_eq!(
+        send_during_uploads(true),
+        None,
+        "complete uploads count as load"
+    );
 }
 
-/// The client's time runs from the last byte, so a slow upload does not expire.
+/// Guards against slow uploads that expire before the body is complete.
 #[test]
-fn the_time_of_an_upload_begins_with_its_last_byte() {
-    let mut node = two(Idempotency::Idempotent);
+fn the_client_timeout_of_an_upload_starts_with_the_last_byte() {
+    let mut node = node_with_two_backends(Idempotency::Idempotent);
     let (request, _) = upload(&mut node);
-    let slow = node.advance(20 * SECOND);
+    let during_upload = node.advance(20 * SECOND);
     assert!(
-        !has_rejection(&slow) && !has_failure(&slow),
-        "its body is on the way"
+        !has_rejection(&during_upload) && !has_failure(&during_upload),
+        "an upload must not expire before its body is complete"
     );
     let expires_at = node.now + SECOND;
     node.handle(Event::UploadComplete {
         request,
         expires_at,
     });
-    let again = node.end_attempt(request, 0, Outcome::Rejected, LoadReport::default());
-    assert!(first_send(&again).is_some(), "all of its time is left");
+    let retry = node.end_attempt(request, 0, Outcome::Rejected, LoadReport::default());
+    assert!(
+        first_send(&retry).is_some(),
+        "the whole client timeout is left"
+    );
 }
 
-/// Without a backend it is rejected while a rejection is early, not when the body would have had to be complete.
+/// Guards against a rejection that comes only when the time allowed for the body has passed.
 #[test]
-fn an_upload_that_no_backend_takes_is_rejected_in_time() {
+fn an_upload_without_a_backend_is_rejected_in_time() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), vec![]);
     let (_, actions) = upload(&mut node);
     assert_eq!(first_send(&actions), None);
@@ -117,9 +128,8 @@
     );
 }
 
-/// A server that breaks off its answers is an outlier like one that resets connections.
 #[test]
-fn a_server_whose_answers_break_off_is_ejected() {
+fn a_backend_that_aborts_responses_is_ejected() {
     let endpoints = (0..3).map(|backend| endpoint(backend, 0)).collect();
     let mut node = Node::new(settings(Idempotency::Idempotent), endpoints);
     node.serve_requests(60, |_| utilization_report(0.3));
@@ -130,7 +140,7 @@
             })
         })
         .collect();
-    let ejected = |action: &Action| {
+    let is_ejection = |action: &Action| {
         matches!(
             action,
             Action::Log(LogEvent::Ejected {
@@ -139,10 +149,10 @@
             })
         )
     };
-    assert!(actions.iter().any(ejected), "{actions:?}");
+    assert!(actions.iter().any(is_ejection), "{actions:?}");
 }
 
-/// A node whose only backend warms up; an hour long, so that its budget stays the same.
+/// A node whose only backend is warming. Slow start takes an hour, so that the budget stays the same.
 fn one_warming_backend() -> Node {
     let mut settings = Settings {
         node_count: 1,
@@ -159,7 +169,7 @@
         started_at: Some(node.now),
         ..endpoint(0, 0)
     };
-    // The others leave, so that all goes to this one.
+    // The other backends are removed, so that all requests go to the warming one.
     node.update_endpoints(EndpointUpdate::Snapshot, vec![warming]);
     node
 }
@@ -172,8 +182,8 @@
     });
 }
 
-/// How many requests of this kind the warming backend is sent in one window.
-fn sent_in_a_window(
+/// Number of requests that the warming backend gets in one window. `send` lets a request arrive.
+fn count_sends_in_a_window(
     node: &mut Node,
     mut send: impl FnMut(&mut Node) -> (RequestId, Vec<Action>),
 ) -> usize {
@@ -189,37 +199,37 @@
     sent
 }
 
-/// The work of an upload was charged when it was sent and again when its body was complete: a server that warms up got
-/// half of what it bears.
+/// Guards against charging an upload to the slow-start budget twice, when it is sent and when its body is complete.
 #[test]
 fn an_upload_takes_as_much_of_a_slow_start_budget_as_another_request() {
-    let plain = sent_in_a_window(&mut one_warming_backend(), |node| node.arrive(SECOND));
-    let uploaded = sent_in_a_window(&mut one_warming_backend(), |node| {
+    let plain = count_sends_in_a_window(&mut one_warming_backend(), |node| node.arrive(SECOND));
+    let uploaded = count_sends_in_a_window(&mut one_warming_backend(), |node| {
         let (request, actions) = upload(node);
         complete(node, request);
         (request, actions)
     });
-    assert!(plain >= 4, "{plain}");
+    assert!(plain >= 4, "{plain} requests sent");
     assert_eq!(uploaded, plain);
 }
 
-/// Bodies that are on their way for longer than a window would all be complete in another one.
+/// Guards against uploads that last longer than a window, lose their part of the budget, and are all completed in a
+/// later one.
 #[test]
-fn an_upload_on_its_way_keeps_its_part_of_the_slow_start_budget() {
+fn an_incomplete_upload_keeps_its_part_of_the_slow_start_budget() {
     let mut node = one_warming_backend();
-    let mut under_way = Vec::new();
+    let mut incomplete = Vec::new();
     loop {
         let (request, actions) = upload(&mut node);
         if first_send(&actions).is_none() {
             break;
         }
-        under_way.push(request);
+        incomplete.push(request);
     }
     node.advance(2 * SECOND);
     assert_eq!(first_send(&node.arrive(SECOND).1), None);
-    // One that breaks off never was any work: what waits goes out instead.
+    // An aborted upload returns its part of the budget, so that queued requests are sent instead.
     let mut sent = Vec::new();
-    for request in &under_way {
+    for request in &incomplete {
         node.handle(Event::BodyConsumed { request: *request });
         let actions = node.end_attempt(*request, 0, Outcome::NotSent, LoadReport::default());
         sent.extend(sends(&actions));
