--- a/balancer/tests/faults.rs
+++ b/balancer/tests/faults.rs
@@ -1,4 +1,4 @@
-//! A small reproduction of each fault found in incidents and simulated days.
+//! Regression tests for faults found in incidents and simulations.
 
 mod common;
 use badgerpost_balancer::*;
@@ -8,16 +8,16 @@
     (0..count).map(|backend| endpoint(backend, 0)).collect()
 }
 
-/// Incident idbb93b: a server that rejected requests within a millisecond got nearly all sends.
+/// Guards against preferring a backend that rejects requests at once and therefore has few in flight.
 #[test]
-fn a_backend_that_rejects_at_once_does_not_look_idle() {
+fn a_backend_that_rejects_at_once_is_not_preferred() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(3));
-    let mut away = 0;
+    let mut rejected = 0;
     for _ in 0..200 {
         let (request, actions) = node.arrive(SECOND);
         let (mut to, mut attempt) = (first_send(&actions), 0);
         while to == Some(BackendId(0)) {
-            away += 1;
+            rejected += 1;
             to = first_send(&node.end_attempt_after(
                 request,
                 attempt,
@@ -30,20 +30,19 @@
         node.advance(30 * MILLISECOND);
         node.end_attempt(request, attempt, Outcome::Success, utilization_report(0.4));
     }
-    assert!(away < 20, "{away} sends to the backend that is full");
+    assert!(rejected < 20, "{rejected} sent to the rejecting backend");
 }
 
-/// A backend that returns errors at once must be ejected, then be tried and readmitted.
 #[test]
 fn a_backend_that_fails_fast_is_ejected_and_readmitted() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(4));
-    let run = |node: &mut Node, rounds: usize, broken: bool| {
-        let mut bad = 0;
+    let count_sends = |node: &mut Node, rounds: usize, is_failing: bool| {
+        let mut sent = 0;
         for _ in 0..rounds {
             let (request, actions) = node.arrive(SECOND);
             let (mut to, mut attempt) = (first_send(&actions), 0);
-            while to == Some(BackendId(0)) && broken {
-                bad += 1;
+            while to == Some(BackendId(0)) && is_failing {
+                sent += 1;
                 to = first_send(&node.end_attempt_after(
                     request,
                     attempt,
@@ -53,20 +52,20 @@
                 ));
                 attempt += 1;
             }
-            bad += usize::from(to == Some(BackendId(0)));
+            sent += usize::from(to == Some(BackendId(0)));
             node.advance(30 * MILLISECOND);
             node.end_attempt(request, attempt, Outcome::Success, utilization_report(0.4));
         }
-        bad
+        sent
     };
-    assert!(run(&mut node, 200, true) < 20);
+    assert!(count_sends(&mut node, 200, true) < 20);
     node.advance(40 * SECOND);
-    assert!(run(&mut node, 200, false) > 20, "never readmitted");
+    assert!(count_sends(&mut node, 200, false) > 20, "never readmitted");
 }
 
-/// Incident idbb93b: with many nodes, one request of each to a backend where it has none overloads that backend.
+/// Guards against many nodes together overloading a backend that seems idle because each has no request there.
 #[test]
-fn a_backend_without_own_requests_does_not_count_as_idle() {
+fn a_backend_without_requests_of_this_node_does_not_count_as_idle() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
     node.serve_requests(100, |_| utilization_report(0.5));
     for _ in 0..40 {
@@ -82,30 +81,30 @@
             );
         }
     }
-    let taken = (0..20)
+    let sent = (0..20)
         .filter(|_| first_send(&node.arrive(SECOND).1).is_some())
         .count();
-    assert!(taken <= 1, "{taken} sent to overloaded backends");
+    assert!(sent <= 1, "{sent} requests sent to overloaded backends");
 }
 
-/// Incident if301ed: the most valuable class, with the tightest objective, found all capacity taken by the others.
+/// Guards against other classes taking all capacity from the class with the highest priority weight.
 #[test]
-fn the_class_of_higher_value_has_precedence() {
-    let mut given = settings(Idempotency::Idempotent);
-    let wide = ClassSettings {
+fn the_class_with_the_higher_priority_weight_has_precedence() {
+    let mut node_settings = settings(Idempotency::Idempotent);
+    let low_priority = ClassSettings {
         latency_objective: 800 * MILLISECOND,
         ..class(800, 2000, Idempotency::Idempotent)
     };
-    given.classes = vec![
-        wide,
+    node_settings.classes = vec![
+        low_priority,
         ClassSettings {
             priority_weight: 5.0,
             ..class(500, 2000, Idempotency::Idempotent)
         },
     ];
-    let mut node = Node::new(given, fleet(2));
-    let mut taken = [0, 0];
-    let mut out = Vec::new();
+    let mut node = Node::new(node_settings, fleet(2));
+    let mut sent = [0, 0];
+    let mut in_flight = Vec::new();
     for turn in 0..2000u64 {
         let id = RequestId(1_000_000 + turn);
         let class = ClassId((turn % 2) as u32);
@@ -120,15 +119,15 @@
         };
         for action in node.handle(Event::RequestArrived(arrival)) {
             if let Action::Send { request, .. } = action {
-                taken[(request.0 % 2) as usize] += 1;
-                out.push(request);
+                sent[(request.0 % 2) as usize] += 1;
+                in_flight.push(request);
             }
         }
         node.now += 5 * MILLISECOND;
-        // The fleet serves one request in 15 ms, in turn.
-        if turn % 3 == 0 && !out.is_empty() {
-            let request = out.remove(0);
-            let elapsed = 15 * MILLISECOND * (out.len() as u64 + 1);
+        // The backends together serve one request every 15 ms, in the order of the sends.
+        if turn % 3 == 0 && !in_flight.is_empty() {
+            let request = in_flight.remove(0);
+            let elapsed = 15 * MILLISECOND * (in_flight.len() as u64 + 1);
             for action in node.end_attempt_after(
                 request,
                 0,
@@ -137,20 +136,20 @@
                 utilization_report(0.99),
             ) {
                 if let Action::Send { request, .. } = action {
-                    taken[(request.0 % 2) as usize] += 1;
-                    out.push(request);
+                    sent[(request.0 % 2) as usize] += 1;
+                    in_flight.push(request);
                 }
             }
         }
         node.handle(Event::TimerFired { token: 0 });
     }
-    assert!(taken[1] > taken[0], "{taken:?}");
+    assert!(sent[1] > sent[0], "{sent:?}");
 }
 
 #[test]
 fn retries_stay_within_their_budget() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(6));
-    let mut extra = 0;
+    let mut retries = 0;
     for _ in 0..500 {
         let (request, actions) = node.arrive(SECOND);
         let (mut to, mut attempt) = (first_send(&actions), 0);
@@ -162,16 +161,16 @@
                 5 * MILLISECOND,
                 LoadReport::default(),
             ));
-            extra += usize::from(to.is_some());
+            retries += usize::from(to.is_some());
             attempt += 1;
         }
         node.advance(10 * MILLISECOND);
     }
-    assert!(extra <= 500 / 5 + 11, "{extra} retries of 500 requests");
+    assert!(retries <= 500 / 5 + 11, "{retries} retries of 500 requests");
 }
 
 #[test]
-fn most_of_the_fleet_failing_does_not_empty_it() {
+fn requests_are_still_sent_when_every_backend_fails() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(6));
     let mut sent_late = 0;
     for turn in 0..300 {
@@ -190,75 +189,75 @@
         }
         node.advance(20 * MILLISECOND);
     }
-    assert!(sent_late > 50, "{sent_late} of 99 were sent at all");
+    assert!(sent_late > 50, "{sent_late} of 99 requests were sent");
 }
 
-/// Incident if301ed: three nodes a zone, each filling the servers as if it were the only one.
+/// Guards against each of several nodes in a zone filling the backends as if it were the only node.
 #[test]
 fn nodes_that_share_a_zone_leave_capacity_for_each_other() {
-    let taken = |nodes| {
-        let given = Settings {
+    let sent = |nodes| {
+        let node_settings = Settings {
             node_count: nodes,
             ..settings(Idempotency::Idempotent)
         };
-        let mut node = Node::new(given, fleet(2));
+        let mut node = Node::new(node_settings, fleet(2));
         node.serve_requests(200, |_| utilization_report(0.5));
         (0..60)
             .filter(|_| first_send(&node.arrive(SECOND).1).is_some())
             .count()
     };
-    let (alone, crowded) = (taken(3), taken(12));
+    let (as_only_node, as_one_of_four) = (sent(3), sent(12));
     assert!(
-        crowded < alone,
-        "{alone} alone, {crowded} among four a zone"
+        as_one_of_four < as_only_node,
+        "{as_only_node} requests sent as the only node of the zone, {as_one_of_four} as one of four"
     );
 }
 
-/// Incidents idbcff6 and i9be87d: a timer that always ran on every node cost more CPU than all requests.
+/// Guards against the CPU cost of a timer that runs although nothing is queued.
 #[test]
 fn a_node_with_nothing_queued_sets_no_timer() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
     let (request, actions) = node.arrive(SECOND);
     assert_eq!(sends(&actions).len(), 1);
-    let timer = |actions: &[Action]| {
+    let has_timer = |actions: &[Action]| {
         actions
             .iter()
             .any(|action| matches!(action, Action::SetTimer { .. }))
     };
     assert!(
-        !timer(&actions)
-            && !timer(&node.end_attempt(request, 0, Outcome::Success, utilization_report(0.1)))
+        !has_timer(&actions)
+            && !has_timer(&node.end_attempt(request, 0, Outcome::Success, utilization_report(0.1)))
     );
     assert!(
-        timer(
+        has_timer(
             &Node::new(settings(Idempotency::Idempotent), vec![])
                 .arrive(SECOND)
                 .1
         ),
-        "a queued request needs one"
+        "a queued request needs a timer"
     );
 }
 
-/// A client's first attempt with a short timeout must not be taken for a late retry: a retry may get all that is left of
-/// the client's time, which is more than the first attempt had.
+/// Guards against mistaking a first attempt with a short client timeout for a late retry, where clients mark their
+/// retries and a retry may have more time left than a first attempt.
 #[test]
-fn a_first_attempt_shorter_than_retries_is_admitted() {
-    let marked = |retries_marked| Settings {
+fn a_first_attempt_with_less_time_than_a_retry_is_admitted_where_retries_are_marked() {
+    let settings_with = |retries_marked| Settings {
         retries_marked,
         ..settings(Idempotency::Idempotent)
     };
-    for (retries_marked, taken) in [(true, true), (false, false)] {
-        let mut node = Node::new(marked(retries_marked), vec![endpoint(1, 0)]);
+    for (retries_marked, is_admitted) in [(true, true), (false, false)] {
+        let mut node = Node::new(settings_with(retries_marked), vec![endpoint(1, 0)]);
         node.arrive_as_retry(950 * MILLISECOND);
         let (_, actions) = node.arrive(400 * MILLISECOND);
         assert_eq!(
             (first_send(&actions).is_some(), has_rejection(&actions)),
-            (taken, !taken)
+            (is_admitted, !is_admitted)
         );
     }
 }
 
-/// Retries were given up with time left, as no backend had capacity at that moment.
+/// Guards against giving up a retry that has time left because no backend has capacity at the moment.
 #[test]
 fn a_retry_that_finds_no_capacity_is_queued() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(1));
@@ -275,21 +274,21 @@
     assert_eq!(
         first_send(&node.advance(150 * MILLISECOND)),
         Some(BackendId(0)),
-        "sent once the backend takes requests again"
+        "the retry is sent once the backend takes requests again"
     );
 }
 
-/// Each simulated day began with rejections: against the first guess of the base time every backend looked slow.
+/// Guards against rejections after the start, when the base response time is only an initial estimate.
 #[test]
-fn first_answers_make_no_backend_slow() {
+fn first_responses_do_not_make_a_backend_count_as_slow() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(3));
-    let mut open = Vec::new();
+    let mut in_flight = Vec::new();
     for _ in 0..3 {
         let (request, actions) = node.arrive(SECOND);
-        open.push((request, first_send(&actions)));
+        in_flight.push((request, first_send(&actions)));
     }
     node.advance(200 * MILLISECOND);
-    for (request, to) in open {
+    for (request, to) in in_flight {
         assert!(to.is_some());
         node.end_attempt_after(
             request,
@@ -301,37 +300,37 @@
     }
     assert!(
         first_send(&node.arrive(SECOND).1).is_some(),
-        "idle backends take the next one"
+        "idle backends take the next request"
     );
 }
 
-/// A request that was never sent is rejected while the client has half of its time left for another attempt.
+/// The rejection leaves the client half of the request's time for another attempt.
 #[test]
-fn a_request_never_sent_is_rejected_by_half_of_its_time() {
+fn a_request_that_was_never_sent_is_rejected_by_half_of_its_time() {
     let mut node = Node::new(settings(Idempotency::NonIdempotent), Vec::new());
-    for wait in [100 * MILLISECOND, 300 * MILLISECOND, SECOND] {
-        let came = node.now;
-        let (_, mut actions) = node.arrive(wait);
+    for timeout in [100 * MILLISECOND, 300 * MILLISECOND, SECOND] {
+        let arrived_at = node.now;
+        let (_, mut actions) = node.arrive(timeout);
         while !has_rejection(&actions) {
-            assert!(node.now < came + wait / 2, "{wait}");
+            assert!(node.now < arrived_at + timeout / 2, "timeout {timeout} ns");
             actions = node.advance(10 * MILLISECOND);
         }
     }
 }
 
-/// Most clients of a simulated day had less time than a request takes. Their time-outs ejected healthy backends.
+/// Guards against ejecting healthy backends for timeouts of clients that allow less time than a request takes.
 #[test]
-fn clients_with_little_time_eject_no_backend() {
-    let marked = Settings {
+fn short_client_timeouts_eject_no_backend() {
+    let node_settings = Settings {
         retries_marked: true,
         ..settings(Idempotency::Idempotent)
     };
-    let mut node = Node::new(marked, fleet(3));
+    let mut node = Node::new(node_settings, fleet(3));
     node.serve_requests(200, |_| utilization_report(0.3));
-    let mut tried = 0;
+    let mut sent = 0;
     for _ in 0..60 {
         let (request, actions) = node.arrive(20 * MILLISECOND);
-        tried += usize::from(first_send(&actions).is_some());
+        sent += usize::from(first_send(&actions).is_some());
         node.advance(20 * MILLISECOND);
         let actions = node.end_attempt_after(
             request,
@@ -340,54 +339,54 @@
             20 * MILLISECOND,
             LoadReport::default(),
         );
-        let ejects = |action: &Action| matches!(action, Action::Log(LogEvent::Ejected { .. }));
-        assert!(!actions.iter().any(ejects));
+        let is_ejection = |action: &Action| matches!(action, Action::Log(LogEvent::Ejected { .. }));
+        assert!(!actions.iter().any(is_ejection));
     }
     assert!(
-        tried > 50,
-        "{tried} were sent, with capacity on every backend"
+        sent > 50,
+        "{sent} of 60 requests sent, with capacity on every backend"
     );
 }
 
-/// Where reports show capacity, a request that may be late takes it from no other: half of such requests were queued
-/// in vain.
+/// Guards against queueing a request with little time left while load reports show spare capacity, which the request
+/// takes from no other.
 #[test]
-fn a_request_with_little_time_is_sent_where_reports_show_capacity() {
-    let wide = Endpoint {
+fn a_request_with_little_time_left_is_sent_where_load_reports_show_capacity() {
+    let large_backend = Endpoint {
         size: 2.0,
         ..endpoint(1, 0)
     };
-    for (used, taken) in [(0.6, true), (0.9, false)] {
-        let given = Settings {
+    for (utilization, is_sent) in [(0.6, true), (0.9, false)] {
+        let node_settings = Settings {
             retries_marked: true,
             ..settings(Idempotency::Idempotent)
         };
-        let mut node = Node::new(given, vec![wide]);
-        node.serve_requests(100, |_| utilization_report(used));
+        let mut node = Node::new(node_settings, vec![large_backend]);
+        node.serve_requests(100, |_| utilization_report(utilization));
         assert!(first_send(&node.arrive(SECOND).1).is_some());
         assert_eq!(
             first_send(&node.arrive(20 * MILLISECOND).1).is_some(),
-            taken,
-            "{used}"
+            is_sent,
+            "utilization {utilization}"
         );
     }
 }
 
-/// With every eighth connection reset, three in a row happened by chance, and most of a zone was ejected.
+/// Guards against ejecting a backend when a few resets happen in a row by chance.
 #[test]
-fn connections_that_break_by_chance_eject_nobody() {
+fn a_few_resets_in_a_row_eject_no_backend() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(2));
     node.serve_requests(100, |_| utilization_report(0.3));
-    let open: Vec<(RequestId, Option<BackendId>)> = (0..6)
+    let in_flight: Vec<(RequestId, Option<BackendId>)> = (0..6)
         .map(|_| node.arrive(SECOND))
         .map(|(request, actions)| (request, first_send(&actions)))
         .collect();
-    let broken: Vec<_> = open
+    let to_first_backend: Vec<_> = in_flight
         .iter()
         .filter(|(_, to)| *to == Some(BackendId(0)))
         .collect();
-    assert!(broken.len() >= 3, "{open:?}");
-    for (request, _) in broken {
+    assert!(to_first_backend.len() >= 3, "{in_flight:?}");
+    for (request, _) in to_first_backend {
         let actions = node.end_attempt_after(
             *request,
             0,
@@ -395,15 +394,15 @@
             10 * MILLISECOND,
             LoadReport::default(),
         );
-        let ejects = |action: &Action| matches!(action, Action::Log(LogEvent::Ejected { .. }));
-        assert!(!actions.iter().any(ejects));
+        let is_ejection = |action: &Action| matches!(action, Action::Log(LogEvent::Ejected { .. }));
+        assert!(!actions.iter().any(is_ejection));
         node.now += 2 * SECOND;
     }
 }
 
-/// On the same day the retry budget ran out: it was a tenth of the arrivals, less than the resets.
+/// Guards against a retry budget that is too small for one reset in six requests.
 #[test]
-fn one_broken_attempt_in_six_leaves_retries_for_all() {
+fn the_retry_budget_covers_a_reset_of_one_request_in_six() {
     let mut node = Node::new(settings(Idempotency::Idempotent), fleet(3));
     node.serve_requests(100, |_| utilization_report(0.3));
     for turn in 0..400 {
--- a/balancer/tests/size.rs
+++ b/balancer/tests/size.rs
@@ -1,4 +1,4 @@
-//! The decision module as its users see it: where decisions stand, and what the deploy file names.
+//! Checks the deploy file's list of policy source files and its programs, and the length of the source files.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -10,13 +10,13 @@
     std::fs::read_to_string(format!("{}/../{path}", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
 
-/// The files that the deploy file names as the policy.
-fn policy() -> Vec<String> {
+/// The source files in the deploy file's `policy` list.
+fn policy_files() -> Vec<String> {
     let deploy = read("deploy/balancer.toml");
     let line = deploy
         .lines()
         .find(|line| line.starts_with("policy = "))
-        .expect("a policy");
+        .expect("a line with the policy");
     line.split('"')
         .skip(1)
         .step_by(2)
@@ -24,8 +24,9 @@
         .collect()
 }
 
-/// Source files that decide nothing: the interface, state with its accessors, measurements, event dispatch, and helpers.
-const FILES_WITHOUT_DECISIONS: [&str; 25] = [
+/// Source files outside the policy: the interface, state with its accessors, measurements, event dispatch, and
+/// helpers.
+const FILES_OUTSIDE_POLICY: [&str; 25] = [
     "balancer/src/admission.rs",
     "balancer/src/api.rs",
     "balancer/src/api/actions.rs",
@@ -53,10 +54,9 @@
     "balancer/src/zones.rs",
 ];
 
-/// The longest source file that a reader is expected to follow.
 const MAX_FILE_LINES: usize = 400;
 
-/// The package's source files, relative to the workspace, sorted.
+/// Paths of the package's source files, relative to the workspace, in alphabetical order.
 fn source_files() -> Vec<String> {
     let workspace = format!("{}/..", env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
@@ -77,8 +77,8 @@
 }
 
 #[test]
-fn every_file_that_decides_is_named_in_the_policy_and_none_is_long() {
-    let policy = policy();
+fn every_source_file_is_in_exactly_one_list_and_none_is_too_long() {
+    let policy = policy_files();
     assert!(
         policy.contains(&"balancer/src/endpoint_selection.rs".to_owned()),
         "{policy:?}"
@@ -87,22 +87,25 @@
     for named in policy
         .iter()
         .map(String::as_str)
-        .chain(FILES_WITHOUT_DECISIONS)
+        .chain(FILES_OUTSIDE_POLICY)
     {
         assert!(
             files.iter().any(|file| file == named),
-            "there is no {named}"
+            "{named} is listed but does not exist"
         );
     }
     for file in &files {
-        let decides = policy.contains(file);
-        let is_exempt = FILES_WITHOUT_DECISIONS.contains(&file.as_str());
+        let is_policy = policy.contains(file);
+        let is_outside_policy = FILES_OUTSIDE_POLICY.contains(&file.as_str());
         assert!(
-            decides != is_exempt,
-            "{file} must stand either in the policy or among the files without decisions"
+            is_policy != is_outside_policy,
+            "{file} must be listed either in the deploy file's policy or in FILES_OUTSIDE_POLICY"
         );
         let lines = read(file).lines().count();
-        assert!(lines <= MAX_FILE_LINES, "{file}: {lines} lines");
+        assert!(
+            lines <= MAX_FILE_LINES,
+            "{file} has {lines} lines, but at most {MAX_FILE_LINES} are allowed"
+        );
     }
 }
 
@@ -121,9 +124,10 @@
     );
 }
 
-/// Standing terms of the fleet trial: one process, by exec, and nothing that is refused there.
+/// The deployment platform runs the node as a single process, started with `exec`, and refuses programs with these
+/// calls.
 #[test]
-fn the_program_keeps_to_the_terms_of_the_fleet_trial() {
+fn the_node_runs_as_one_process_and_uses_no_refused_call() {
     let text = read("deploy/balancer.toml");
     let line = |name: &str| {
         text.lines()
@@ -139,17 +143,17 @@
         .step_by(2)
         .map(str::to_owned)
         .collect();
-    let mut seen = 0;
-    let mut left: Vec<_> = folders
+    let mut file_count = 0;
+    let mut pending: Vec<_> = folders
         .iter()
         .map(|folder| format!("{}/../{folder}", env!("CARGO_MANIFEST_DIR")))
         .collect();
-    while let Some(folder) = left.pop() {
+    while let Some(folder) = pending.pop() {
         for entry in std::fs::read_dir(&folder).unwrap_or_else(|error| panic!("{folder}: {error}"))
         {
             let path = entry.unwrap().path();
             if path.is_dir() {
-                left.push(path.display().to_string());
+                pending.push(path.display().to_string());
                 continue;
             }
             let text = std::fs::read_to_string(&path).unwrap();
@@ -160,10 +164,14 @@
                 "splice(",
                 "sendfile",
             ] {
-                assert!(!text.contains(refused), "{}: {refused}", path.display());
+                assert!(
+                    !text.contains(refused),
+                    "{} contains {refused}",
+                    path.display()
+                );
             }
-            seen += 1;
+            file_count += 1;
         }
     }
-    assert!(seen > 40, "{seen} files");
+    assert!(file_count > 40, "only {file_count} files checked");
 }
--- a/balancer/tests/slow_start.rs
+++ b/balancer/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! A warming server and what all nodes together send to it: whatever each of them knows, and however unequal their
-//! traffic, no window of the rule's length gets more than the settings allow, apart from what chance explains.
+//! Simulates a warming server in a fleet of nodes with unequal traffic. All nodes together must not send the
+//! server more than its slow-start budget in any overload window, apart from random variation.
 
 mod common;
 use std::collections::{BTreeMap, VecDeque};
@@ -7,13 +7,11 @@
 use badgerpost_balancer::*;
 use common::*;
 
-const STEP: Nanos = 5 * MILLISECOND;
-/// Requests a second that a warm server serves.
-const RATE: f64 = 60.0;
-/// Service time of a request.
+const TIME_STEP: Nanos = 5 * MILLISECOND;
+const REQUESTS_PER_SECOND_OF_WARM_SERVER: f64 = 60.0;
 const SERVICE_TIME: Nanos = 30 * MILLISECOND;
-const WARMING: BackendId = BackendId(0);
-const STARTS_AT: Nanos = 20 * SECOND;
+const WARMING_SERVER: BackendId = BackendId(0);
+const WARMING_STARTS_AT: Nanos = 20 * SECOND;
 
 #[derive(Clone, Copy)]
 struct Case {
@@ -21,25 +19,28 @@
     servers: u32,
     /// Load as a fraction of the capacity of all servers.
     load: f64,
-    /// Time over which the nodes are notified of the start.
+    /// Nodes are notified of the server's start at random times within this duration.
     notification_spread: Nanos,
-    /// When half of the nodes restart without state; none for never.
-    restart: Option<Nanos>,
-    /// When half of the nodes are killed and the others get their requests.
-    killed: Option<Nanos>,
+    /// When half of the nodes restart and lose their state, if they do.
+    restarted_at: Option<Nanos>,
+    /// When half of the nodes are killed and the others get their traffic, if they are.
+    killed_at: Option<Nanos>,
     seed: u64,
 }
 
 struct Server {
-    /// Ends of its requests, in order.
-    ends: VecDeque<Nanos>,
+    /// When the server's open requests end, in order.
+    request_ends: VecDeque<Nanos>,
+    /// When the server's queue is empty, in nanoseconds.
     free_at: f64,
-    util: f64,
+    utilization: f64,
 }
 
-struct Draws(u64);
+/// A linear congruential random number generator.
+struct Random(u64);
 
-impl Draws {
+impl Random {
+    /// A number between 0 and 1.
     fn next(&mut self) -> f64 {
         self.0 = self
             .0
@@ -49,45 +50,47 @@
     }
 }
 
-fn given(case: Case) -> Settings {
-    let mut given = Settings {
+fn settings_of(case: Case) -> Settings {
+    let mut node_settings = Settings {
         node_count: case.nodes,
         ..settings(Idempotency::Idempotent)
     };
-    given.rules.slow_start_capacity = 0.15;
-    given.rules.slow_start_duration = 20 * SECOND;
-    given.rules.overload_multiple = 2.5;
-    given.rules.overload_window = 1500 * MILLISECOND;
-    given
+    node_settings.rules.slow_start_capacity = 0.15;
+    node_settings.rules.slow_start_duration = 20 * SECOND;
+    node_settings.rules.overload_multiple = 2.5;
+    node_settings.rules.overload_window = 1500 * MILLISECOND;
+    node_settings
 }
 
-fn ramp(now: Nanos) -> f64 {
-    (0.15 + 0.85 * now.saturating_sub(STARTS_AT) as f64 / (20.0 * SECOND as f64)).clamp(0.15, 1.0)
+/// Fraction of its capacity that the warming server has.
+fn warming_capacity(now: Nanos) -> f64 {
+    (0.15 + 0.85 * now.saturating_sub(WARMING_STARTS_AT) as f64 / (20.0 * SECOND as f64))
+        .clamp(0.15, 1.0)
 }
 
-/// What the worst window got beyond its budget, relative to what chance may add; and the part of the budget used during
-/// slow start.
+/// Simulates a case. Returns the largest excess of any window over the budget, as a multiple of the allowed random
+/// variation, and the fraction of the budget used during slow start.
 #[expect(
     clippy::too_many_lines,
     reason = "one scenario, read from top to bottom"
 )]
-fn run(case: Case) -> (f64, f64) {
-    let mut draws = Draws(case.seed * 2 + 1);
-    let endpoints = |cold: bool| -> Vec<Endpoint> {
-        let online = |b| (b == 0).then_some(STARTS_AT + SECOND);
-        let all = (0..case.servers).filter(|&b| cold || b > 0);
+fn simulate(case: Case) -> (f64, f64) {
+    let mut rng = Random(case.seed * 2 + 1);
+    let endpoints = |with_warming: bool| -> Vec<Endpoint> {
+        let started_at = |b| (b == 0).then_some(WARMING_STARTS_AT + SECOND);
+        let all = (0..case.servers).filter(|&b| with_warming || b > 0);
         all.map(|b| Endpoint {
-            started_at: online(b),
+            started_at: started_at(b),
             ..endpoint(b, b % 3)
         })
         .collect()
     };
-    let start = |seed: u64, now: Nanos, cold: bool, home: u32| {
-        let given = Settings {
-            local_zone: ZoneId(home),
-            ..given(case)
+    let start = |seed: u64, now: Nanos, with_warming: bool, local_zone: u32| {
+        let node_settings = Settings {
+            local_zone: ZoneId(local_zone),
+            ..settings_of(case)
         };
-        let mut node = Node::seeded(seed, given, endpoints(cold));
+        let mut node = Node::seeded(seed, node_settings, endpoints(with_warming));
         node.now = now;
         node
     };
@@ -96,61 +99,70 @@
         .map(|n| start(case.seed * 1000 + n as u64, SECOND, false, n as u32 % 3))
         .collect();
     // Some nodes get several times the traffic of others.
-    let parts: Vec<f64> = (0..count)
-        .map(|_| 0.25 + 3.0 * draws.next().powi(3))
+    let traffic_weights: Vec<f64> = (0..count)
+        .map(|_| 0.25 + 3.0 * rng.next().powi(3))
         .collect();
-    let mut alive: Vec<bool> = vec![true; count];
+    let mut is_alive: Vec<bool> = vec![true; count];
     let mut is_notified: Vec<bool> = vec![false; count];
     let notified_at: Vec<Nanos> = (0..count)
-        .map(|_| STARTS_AT + SECOND + (draws.next() * case.notification_spread as f64) as Nanos)
+        .map(|_| {
+            WARMING_STARTS_AT + SECOND + (rng.next() * case.notification_spread as f64) as Nanos
+        })
         .collect();
     let mut servers: Vec<Server> = (0..case.servers)
         .map(|_| Server {
-            ends: VecDeque::new(),
+            request_ends: VecDeque::new(),
             free_at: 0.0,
-            util: 0.5,
+            utilization: 0.5,
         })
         .collect();
-    // Ends of attempts: time, node, request, attempt and server.
-    let mut ends: BTreeMap<(Nanos, u64), (usize, RequestId, u32, BackendId)> = BTreeMap::new();
-    let mut arrivals: Vec<Nanos> = Vec::new();
+    // Attempts in flight: end, serial number, node, request, attempt and server.
+    let mut attempt_ends: BTreeMap<(Nanos, u64), (usize, RequestId, u32, BackendId)> =
+        BTreeMap::new();
+    let mut warming_sends: Vec<Nanos> = Vec::new();
     let mut serial = 0;
-    let rate = case.load * RATE * f64::from(case.servers - 1);
+    let rate = case.load * REQUESTS_PER_SECOND_OF_WARM_SERVER * f64::from(case.servers - 1);
     let mut now = SECOND;
-    while now < STARTS_AT + 22 * SECOND {
-        now += STEP;
-        if case.killed.is_some_and(|at| now >= at && now < at + STEP) {
-            (0..count / 2).for_each(|n| alive[n] = false);
+    while now < WARMING_STARTS_AT + 22 * SECOND {
+        now += TIME_STEP;
+        if case
+            .killed_at
+            .is_some_and(|at| now >= at && now < at + TIME_STEP)
+        {
+            (0..count / 2).for_each(|n| is_alive[n] = false);
         }
-        if case.restart.is_some_and(|at| now >= at && now < at + STEP) {
+        if case
+            .restarted_at
+            .is_some_and(|at| now >= at && now < at + TIME_STEP)
+        {
             for n in 0..count / 2 {
                 nodes[n] = start(case.seed * 7000 + n as u64, now, true, n as u32 % 3);
-                (is_notified[n], _) = (true, ends.retain(|_, end| end.0 != n));
+                (is_notified[n], _) = (true, attempt_ends.retain(|_, end| end.0 != n));
             }
         }
         let mut actions: Vec<(usize, Vec<Action>)> = Vec::new();
-        while let Some((&(at, _), _)) = ends.first_key_value()
+        while let Some((&(at, _), _)) = attempt_ends.first_key_value()
             && at <= now
-            && let Some((_, (n, request, attempt, to))) = ends.pop_first()
+            && let Some((_, (n, request, attempt, to))) = attempt_ends.pop_first()
         {
             let server = &mut servers[to.0 as usize];
-            server.ends.pop_front();
+            server.request_ends.pop_front();
             nodes[n].now = now;
-            let report = utilization_report(server.util);
+            let report = utilization_report(server.utilization);
             let elapsed = SERVICE_TIME;
             actions.push((
                 n,
                 nodes[n].end_attempt_after(request, attempt, Outcome::Success, elapsed, report),
             ));
         }
-        let shares: f64 = parts
+        let total_weight: f64 = traffic_weights
             .iter()
-            .zip(&alive)
-            .filter(|(_, alive)| **alive)
-            .map(|(part, _)| part)
+            .zip(&is_alive)
+            .filter(|(_, is_alive)| **is_alive)
+            .map(|(weight, _)| weight)
             .sum();
         for n in 0..count {
-            if !alive[n] {
+            if !is_alive[n] {
                 continue;
             }
             nodes[n].now = now;
@@ -158,12 +170,13 @@
                 is_notified[n] = true;
                 let started = endpoints(true)
                     .into_iter()
-                    .filter(|m| m.backend == WARMING)
+                    .filter(|endpoint| endpoint.backend == WARMING_SERVER)
                     .collect();
                 actions.push((n, nodes[n].update_endpoints(EndpointUpdate::Delta, started)));
             }
-            let expected = rate * parts[n] / shares * STEP as f64 / SECOND as f64;
-            if draws.next() < expected {
+            let expected =
+                rate * traffic_weights[n] / total_weight * TIME_STEP as f64 / SECOND as f64;
+            if rng.next() < expected {
                 actions.push((n, nodes[n].arrive(SECOND).1));
             }
             if now.is_multiple_of(20 * MILLISECOND) {
@@ -179,44 +192,49 @@
                     continue;
                 };
                 let server = &mut servers[backend.0 as usize];
-                let capacity = if backend == WARMING { ramp(now) } else { 1.0 };
-                let free = server.free_at.max(now as f64) + SECOND as f64 / (RATE * capacity);
+                let capacity = if backend == WARMING_SERVER {
+                    warming_capacity(now)
+                } else {
+                    1.0
+                };
+                let free = server.free_at.max(now as f64)
+                    + SECOND as f64 / (REQUESTS_PER_SECOND_OF_WARM_SERVER * capacity);
                 server.free_at = free;
                 let end = (free as Nanos).max(now) + SERVICE_TIME;
-                server.ends.push_back(end);
+                server.request_ends.push_back(end);
                 serial += 1;
-                ends.insert((end, serial), (n, request, 0, backend));
-                if backend == WARMING {
-                    arrivals.push(now);
+                attempt_ends.insert((end, serial), (n, request, 0, backend));
+                if backend == WARMING_SERVER {
+                    warming_sends.push(now);
                 }
             }
         }
         for server in &mut servers {
-            // Busy while its queue is not empty.
+            // A server is busy while its queue is not empty.
             let busy = f64::from(u8::from(server.free_at > now as f64));
-            server.util += (busy - server.util) * 0.02;
+            server.utilization += (busy - server.utilization) * 0.02;
         }
     }
     let window = 1500 * MILLISECOND;
     let (mut worst, mut used, mut budget) = (f64::MIN, 0.0, 0.0);
-    for (first, &at) in arrivals.iter().enumerate() {
-        let got = arrivals[first..]
+    for (first, &at) in warming_sends.iter().enumerate() {
+        let sends_in_window = warming_sends[first..]
             .iter()
             .take_while(|&&other| other < at + window)
             .count() as f64;
-        let most = 2.5 * ramp(at) * RATE * 1.5;
-        worst = worst.max((got - most) / (2.0 * most.sqrt() + 2.0));
+        let max_sends = 2.5 * warming_capacity(at) * REQUESTS_PER_SECOND_OF_WARM_SERVER * 1.5;
+        worst = worst.max((sends_in_window - max_sends) / (2.0 * max_sends.sqrt() + 2.0));
     }
     for second in 1..20 {
         let (from, to) = (
-            STARTS_AT + second * SECOND,
-            STARTS_AT + (second + 1) * SECOND,
+            WARMING_STARTS_AT + second * SECOND,
+            WARMING_STARTS_AT + (second + 1) * SECOND,
         );
-        used += arrivals
+        used += warming_sends
             .iter()
             .filter(|&&at| (from..to).contains(&at))
             .count() as f64;
-        budget += 2.5 * ramp(from) * RATE;
+        budget += 2.5 * warming_capacity(from) * REQUESTS_PER_SECOND_OF_WARM_SERVER;
     }
     (worst, used / budget)
 }
@@ -227,79 +245,79 @@
         servers,
         load: 0.6,
         notification_spread: 0,
-        restart: None,
-        killed: None,
+        restarted_at: None,
+        killed_at: None,
         seed: 1,
     };
-    let ramp = STARTS_AT + 6 * SECOND;
+    let during_slow_start = WARMING_STARTS_AT + 6 * SECOND;
     vec![
         ("plain", plain),
         (
-            "the only one with capacity",
+            "no capacity on the other servers",
             Case {
                 load: 1.15,
                 ..plain
             },
         ),
         (
-            "notified over 3 s",
+            "nodes notified over 3 s",
             Case {
                 notification_spread: 3 * SECOND,
                 ..plain
             },
         ),
         (
-            "half restart",
+            "half of the nodes restart",
             Case {
-                restart: Some(ramp),
+                restarted_at: Some(during_slow_start),
                 ..plain
             },
         ),
         (
-            "half restart, no capacity",
+            "half of the nodes restart, no capacity on the other servers",
             Case {
-                restart: Some(ramp),
+                restarted_at: Some(during_slow_start),
                 load: 1.15,
                 ..plain
             },
         ),
         (
-            "half are killed",
+            "half of the nodes are killed",
             Case {
-                killed: Some(ramp),
+                killed_at: Some(during_slow_start),
                 ..plain
             },
         ),
     ]
 }
 
-fn assert_never_beyond_chance(nodes: u32, servers: u32, seeds: u64) {
-    for (what, case) in cases(nodes, servers) {
+fn assert_slow_start_budget_is_kept(nodes: u32, servers: u32, seeds: u64) {
+    for (case_name, case) in cases(nodes, servers) {
         for seed in 1..=seeds {
-            let (worst, used) = run(Case { seed, ..case });
+            let (worst, used) = simulate(Case { seed, ..case });
             println!(
-                "{nodes} nodes, {what}, seed {seed}: {worst:.2} of chance, {:.0}% of the budget used",
+                "{nodes} nodes, {case_name}, seed {seed}: largest excess {worst:.2} of the allowed variation, {:.0}% of the budget used",
                 used * 100.0
             );
             assert!(
                 worst <= 1.0,
-                "{nodes} nodes, {what}, seed {seed}: {worst:.2} times what chance may add"
+                "{nodes} nodes, {case_name}, seed {seed}: largest excess {worst:.2} times the allowed variation"
             );
         }
     }
 }
 
 #[test]
-fn twenty_nodes_together_keep_the_slow_start_budget() {
-    assert_never_beyond_chance(20, 12, 3);
+fn twenty_nodes_together_stay_within_the_slow_start_budget() {
+    assert_slow_start_budget_is_kept(20, 12, 3);
 }
 
 #[test]
-fn thirty_nodes_together_keep_the_slow_start_budget() {
-    assert_never_beyond_chance(30, 15, 3);
+fn thirty_nodes_together_stay_within_the_slow_start_budget() {
+    assert_slow_start_budget_is_kept(30, 15, 3);
 }
 
 #[test]
-fn three_hundred_nodes_together_keep_the_slow_start_budget() {
-    assert_never_beyond_chance(300, 60, 1);
+fn three_hundred_nodes_together_stay_within_the_slow_start_budget() {
+    assert_slow_start_budget_is_kept(300, 60, 1);
 }
