--- a/simulator/src/error.rs
+++ b/simulator/src/error.rs
@@ -1,5 +1,5 @@
-//! Errors that end the program. The simulator's input is either right or a bug on one of the two sides, so no error
-//! is recovered from.
+//! Errors that end the program. Invalid input is a bug in the simulator or in this program, so the program recovers
+//! from no error.
 
 use std::io;
 
@@ -9,17 +9,17 @@
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
     /// Standard input can't be read.
-    #[error("standard input: {0}")]
+    #[error("reading standard input failed: {0}")]
     Input(#[source] io::Error),
     /// Standard output can't be written.
-    #[error("standard output: {0}")]
+    #[error("writing standard output failed: {0}")]
     Output(#[source] io::Error),
-    /// A line of input can't be used.
+    /// A line of input is invalid.
     #[error("line {line}: {problem}")]
     Line {
-        /// The line, from 1.
+        /// The number of the line, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// What is wrong with the line.
         #[source]
         problem: LineError,
     },
@@ -28,13 +28,13 @@
 /// What is wrong with a line of input.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// It is not JSON.
-    #[error("{0}")]
+    /// The line is not JSON.
+    #[error("invalid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// It is not an object with the message's name as its only key.
-    #[error("not an object with a single key")]
+    /// The line is not an object with the message's name as its only key.
+    #[error("expected an object with the message's name as its only key")]
     NotAMessage,
-    /// The message's body, or one of its fields, can't be used.
+    /// The message's body, or one of its fields, is missing or invalid.
     #[error(transparent)]
     Body(#[from] ObjectError),
 }
--- a/simulator/src/host.rs
+++ b/simulator/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of the balancer that the simulator runs, and what they share: the time and the endpoint lists.
+//! The balancer instances that the simulator runs, and the state they share: the time and the endpoint lists.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -17,24 +17,24 @@
 pub struct Host {
     now: Nanos,
     instances: BTreeMap<InstanceId, Instance>,
-    /// The last list under each id; the simulator uses ids again.
+    /// The latest list under each id; the simulator reuses ids.
     endpoint_lists: HashMap<ListId, Vec<ListedEndpoint>>,
     replies: Vec<Reply>,
 }
 
 impl Host {
-    /// Sets the time, in nanoseconds of the simulation, for all that follows in this batch.
+    /// Sets the time of the batch that starts, in nanoseconds of simulated time.
     pub fn start_batch(&mut self, now: Nanos) {
         self.now = now;
     }
 
-    /// Stores an endpoint list for the events that refer to it, in place of an earlier one with this id.
+    /// Stores an endpoint list for the events that refer to its id, and replaces an earlier list with the same id.
     pub fn store_endpoint_list(&mut self, list: ListId, endpoints: Vec<ListedEndpoint>) {
         self.endpoint_lists.insert(list, endpoints);
     }
 
-    /// Starts an instance, in place of an earlier one with this id. Settings that can't be used are reported to the
-    /// simulator and start nothing.
+    /// Starts an instance and replaces an earlier one with the same id. Invalid settings change no instance; they are
+    /// reported to the simulator in a [`Reply::StartFailed`].
     pub fn start_instance(&mut self, start: &InstanceStart) {
         match Instance::new(start, self.now) {
             Ok(mut instance) => {
@@ -48,17 +48,17 @@
         }
     }
 
-    /// Drops an instance with all that it knows.
+    /// Removes an instance with all of its state. An unknown id is ignored.
     pub fn stop_instance(&mut self, instance: InstanceId) {
         self.instances.remove(&instance);
     }
 
-    /// Hands an event to its instance. Events for instances that do not run are ignored without being parsed: the
-    /// simulator may send them after it has stopped one.
+    /// Passes an event to its instance. Events for an instance that is not running are ignored without being parsed,
+    /// because the simulator may send them after it has stopped the instance.
     ///
     /// # Errors
     ///
-    /// The event has a field that can't be used, or refers to an unknown class or endpoint list.
+    /// A field of the event is missing or invalid, or refers to an unknown class or endpoint list.
     pub fn handle_event(
         &mut self,
         instance: InstanceId,
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    /// The replies collected since the last call, in order.
+    /// Removes and returns the replies collected since the last call, in order.
     pub fn take_replies(&mut self) -> Vec<Reply> {
         std::mem::take(&mut self.replies)
     }
--- a/simulator/src/instance.rs
+++ b/simulator/src/instance.rs
@@ -16,45 +16,45 @@
 /// Why an instance can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A key of the settings object is missing or of the wrong type.
+    /// A field of the settings object is missing or of the wrong type.
     #[error(transparent)]
     Object(#[from] ObjectError),
-    /// The settings contradict themselves or have values out of range.
+    /// A setting is out of range or contradicts another one.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// A balancer and its names. Instances share nothing.
+/// A balancer, with the names behind its ids. Instances share no state.
 pub struct Instance {
     id: InstanceId,
     balancer: Balancer,
     names: NameTable,
     backends: BackendTable,
     requests: RequestTable,
-    /// Empty between events; kept for its memory.
+    /// Buffer for the actions of one event; empty between events.
     actions: Vec<Action>,
 }
 
 impl Instance {
-    /// An instance that has not yet seen [`Event::Start`], at a time in nanoseconds.
+    /// Creates an instance that has not yet handled [`Event::Start`]. `now` is in nanoseconds of simulated time.
     pub fn new(start: &InstanceStart, now: Nanos) -> Result<Self, StartError> {
-        let site = badgerpost_settings::read(start.settings)?;
+        let parsed = badgerpost_settings::read(start.settings)?;
         Ok(Self {
             id: start.instance,
-            balancer: Balancer::new(site.settings, start.seed, now)?,
-            names: site.names,
+            balancer: Balancer::new(parsed.settings, start.seed, now)?,
+            names: parsed.names,
             backends: BackendTable::default(),
             requests: RequestTable::default(),
             actions: Vec::new(),
         })
     }
 
-    /// The names in the instance's settings.
+    /// The names of zones, classes, tenants and machine kinds in the instance's settings.
     pub fn names(&self) -> &NameTable {
         &self.names
     }
 
-    /// Hands an event to the balancer and appends what it does to `replies`.
+    /// Passes an event to the balancer and appends the resulting actions to `replies`.
     pub fn handle(&mut self, now: Nanos, event: Event, replies: &mut Vec<Reply>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(now, event, &mut actions);
@@ -62,7 +62,7 @@
         self.actions = actions;
     }
 
-    /// Translates an event of the simulator and handles it. Events of requests that have ended are ignored.
+    /// Translates and handles an event from the simulator. Events about requests that are not open are ignored.
     pub fn handle_wire_event(
         &mut self,
         now: Nanos,
@@ -104,7 +104,7 @@
 
     fn endpoint(&mut self, listed: &ListedEndpoint) -> Endpoint {
         Endpoint {
-            backend: self.backends.id(&listed.backend),
+            backend: self.backends.get_or_insert(&listed.backend),
             zone: self.names.zone(&listed.zone),
             machine_kind: self.names.kind(&listed.machine_kind),
             cell: listed.cell,
@@ -129,7 +129,7 @@
 
     fn health_check_ended(&mut self, check: &EndedHealthCheck) -> Event {
         Event::HealthCheckEnded {
-            backend: self.backends.id(check.backend),
+            backend: self.backends.get_or_insert(check.backend),
             outcome: check.outcome,
             elapsed: check.elapsed,
             report: check.report,
@@ -148,7 +148,7 @@
             request_ended: attempt.request_ended,
             report: attempt.report,
         });
-        // The balancer goes first: its actions may still name this request.
+        // The balancer handles the event first, because its actions may refer to the request by name.
         self.handle(now, event, replies);
         self.requests.attempt_ended(request, attempt.request_ended);
     }
@@ -157,12 +157,12 @@
         let Some(request) = self.requests.id(request) else {
             return;
         };
-        // The balancer goes first: its actions may still name this request.
+        // The balancer handles the event first, because its actions may refer to the request by name.
         self.handle(now, Event::ClientDisconnected { request }, replies);
         self.requests.end(request);
     }
 
-    /// Translates an action of the balancer, and counts the attempts and ends of requests.
+    /// Translates an action of the balancer, and records attempts sent and requests ended.
     fn reply(&mut self, action: &Action) -> Reply {
         let instance = self.id;
         match *action {
@@ -170,7 +170,7 @@
                 request,
                 backend,
                 timeout,
-            } => self.send(request, backend, timeout),
+            } => self.send_reply(request, backend, timeout),
             Action::Reject {
                 request,
                 retry_after,
@@ -209,7 +209,12 @@
         }
     }
 
-    fn send(&mut self, request: RequestId, backend: BackendId, timeout: Option<Nanos>) -> Reply {
+    fn send_reply(
+        &mut self,
+        request: RequestId,
+        backend: BackendId,
+        timeout: Option<Nanos>,
+    ) -> Reply {
         self.requests.attempt_sent(request);
         Reply::Send {
             backend: self.backends.name(backend).to_owned(),
@@ -219,7 +224,7 @@
         }
     }
 
-    /// Marks a request as ended and returns its name.
+    /// Marks a request as ended and returns the request's name.
     fn end_request(&mut self, request: RequestId) -> String {
         let name = self.requests.name(request);
         self.requests.end(request);
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -1,5 +1,6 @@
-//! Puts `badgerpost-balancer` on the simulator's protocol: reads batches of messages from standard input, writes the
-//! replies to standard output. It translates names and messages and decides nothing.
+//! Runs instances of `badgerpost-balancer` for the simulator: reads batches of messages from standard input and
+//! writes the replies to standard output. The program translates names and messages; the balancer makes all
+//! decisions.
 
 mod error;
 mod host;
--- a/simulator/src/name_ids.rs
+++ b/simulator/src/name_ids.rs
@@ -1,20 +1,20 @@
-//! The ids that an instance gives to backends and requests, which the simulator knows by name.
+//! Translation between the simulator's names and the balancer's ids, for backends and requests.
 
 use std::collections::{BTreeMap, HashMap};
 
 use badgerpost_balancer::{BackendId, RequestId};
 
-/// Backends by name and by id. Ids are never given up: a backend that restarts keeps its id.
+/// Backends by name and by id. Entries are never removed, so a backend that restarts keeps its id.
 #[derive(Default)]
 pub struct BackendTable {
     ids: HashMap<String, BackendId>,
-    /// The names, by id.
+    /// Names of the backends, in the order of the ids.
     names: Vec<String>,
 }
 
 impl BackendTable {
-    /// A backend's id; a new name gets the next one.
-    pub fn id(&mut self, name: &str) -> BackendId {
+    /// Returns the id of a backend. A new name gets the next id.
+    pub fn get_or_insert(&mut self, name: &str) -> BackendId {
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
@@ -24,18 +24,17 @@
         id
     }
 
-    /// The name behind an id that [`Self::id`] gave out.
+    /// The name of a backend, by an id from [`Self::get_or_insert`].
     pub fn name(&self, id: BackendId) -> &str {
         &self.names[id.0 as usize]
     }
 }
 
-/// A request that the balancer or the simulator may still name.
+/// A request that the balancer or the simulator may still refer to.
 struct OpenRequest {
     name: String,
-    /// Attempts that were sent and have not ended.
     attempts_in_flight: u32,
-    /// The client has its final answer or has disconnected.
+    /// Whether the client has its final answer or has disconnected.
     is_ended: bool,
 }
 
@@ -52,7 +51,7 @@
 }
 
 impl RequestTable {
-    /// Adds a request under the next id. A request with the same name is no longer found by it.
+    /// Adds a request under the next id. An earlier request with the same name can no longer be looked up by name.
     pub fn insert(&mut self, name: &str) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -66,12 +65,12 @@
         id
     }
 
-    /// The id behind a name, or `None` where there is no open request of that name.
+    /// The id of a request by name, or `None` where no open request has the name.
     pub fn id(&self, name: &str) -> Option<RequestId> {
         self.ids.get(name).copied()
     }
 
-    /// The name behind an id; empty for a request that has been removed.
+    /// The name of a request; empty if the request has been removed.
     pub fn name(&self, id: RequestId) -> String {
         self.open
             .get(&id)
@@ -79,12 +78,12 @@
             .unwrap_or_default()
     }
 
-    /// Counts an attempt that was sent.
+    /// Records that an attempt was sent.
     pub fn attempt_sent(&mut self, id: RequestId) {
         self.update(id, |request| request.attempts_in_flight += 1);
     }
 
-    /// Counts an attempt that ended, and with it the request where `request_ended` says so.
+    /// Records the end of an attempt, and of the request if `request_ended` is set.
     pub fn attempt_ended(&mut self, id: RequestId, request_ended: bool) {
         self.update(id, |request| {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
@@ -92,11 +91,12 @@
         });
     }
 
-    /// Marks a request as ended. It is removed once no attempt is in flight.
+    /// Marks a request as ended. The request is removed once no attempt is in flight.
     pub fn end(&mut self, id: RequestId) {
         self.update(id, |request| request.is_ended = true);
     }
 
+    /// Changes an open request, and removes the request if that was the end of it.
     fn update(&mut self, id: RequestId, change: impl FnOnce(&mut OpenRequest)) {
         let Some(request) = self.open.get_mut(&id) else {
             return;
--- a/simulator/src/session.rs
+++ b/simulator/src/session.rs
@@ -1,10 +1,10 @@
-//! The conversation with the simulator: lines in, and at the end of each batch the replies out.
+//! A session with the simulator: reads messages, one per line, and writes the replies at the end of each batch.
 //!
 //! ```text
 //! BATCH  →  any number of other messages  →  GO  →  replies, the last one YIELD  →  BATCH ...
 //! ```
 //!
-//! Nothing is written before a batch is complete, so a line that can't be used leaves no partial reply.
+//! Nothing is written before a batch is complete, so an invalid line leaves no partial reply.
 
 use std::io::{self, BufRead, Write};
 
@@ -22,13 +22,13 @@
     Complete,
 }
 
-/// One conversation, from the first line to the end of input.
+/// One session, from the first line to the end of input.
 pub struct Session<W> {
     host: Host,
     output: W,
-    /// The current line of input, from 1.
+    /// The number of the current line of input, from 1; 0 before the first.
     line: u64,
-    has_warned_of_unknown: bool,
+    has_warned_of_unknown_message: bool,
 }
 
 impl<W: Write> Session<W> {
@@ -38,15 +38,15 @@
             host: Host::default(),
             output,
             line: 0,
-            has_warned_of_unknown: false,
+            has_warned_of_unknown_message: false,
         }
     }
 
-    /// Handles all lines of `input`.
+    /// Reads and handles `input` up to its end.
     ///
     /// # Errors
     ///
-    /// The first line that can't be used, and any error of input or output, ends the session.
+    /// The first invalid line and any failure to read or write end the session.
     pub fn run(mut self, mut input: impl BufRead) -> Result<(), HostError> {
         let mut text = String::new();
         loop {
@@ -90,18 +90,22 @@
                 self.host.handle_event(instance, &event)?;
             }
             Message::PeerGossip => {}
-            Message::Unknown { name } => self.warn_of_unknown(name),
+            Message::Unknown { name } => self.warn_of_unknown_message(name),
         }
         Ok(BatchProgress::Incomplete)
     }
 
-    /// Reports the first unknown message; a newer simulator may send many.
-    fn warn_of_unknown(&mut self, name: &str) {
-        if self.has_warned_of_unknown {
+    /// Warns of the first unknown message only, since a newer simulator may send many.
+    fn warn_of_unknown_message(&mut self, name: &str) {
+        if self.has_warned_of_unknown_message {
             return;
         }
-        self.has_warned_of_unknown = true;
-        eprintln!("line {}: skipped an unknown event {name}", self.line);
+        self.has_warned_of_unknown_message = true;
+        eprintln!(
+            "badgerpost-wirehost: line {}: unknown message {name} skipped; \
+             later unknown messages are skipped without a warning",
+            self.line
+        );
     }
 
     fn write_replies(&mut self) -> io::Result<()> {
--- a/simulator/src/wire.rs
+++ b/simulator/src/wire.rs
@@ -1,8 +1,8 @@
 //! The simulator's protocol: lines of JSON, each an object whose only key is the message's name.
 //!
-//! The simulator's words stay on the wire; within the program the standard terms are used:
+//! Names on the wire are the simulator's; the program uses the balancer's terms:
 //!
-//! | wire | here |
+//! | wire | program |
 //! | --- | --- |
 //! | `who` | instance |
 //! | `MANIFEST`, `list` | endpoint list and its id |
@@ -21,11 +21,11 @@
 
 use serde::Serialize;
 
-/// One instance of the balancer, numbered by the simulator.
+/// The number of a balancer instance, set by the simulator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(transparent)]
 pub struct InstanceId(pub i64);
 
-/// An endpoint list, numbered by the simulator; a later list may have the same id.
+/// The number of an endpoint list, set by the simulator, which may reuse it for a later list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ListId(pub i64);
--- a/simulator/src/wire/endpoint_list.rs
+++ b/simulator/src/wire/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists, which events refer to by their ids.
+//! Endpoint lists, which events refer to by id.
 
 use badgerpost_balancer::{EndpointState, Nanos};
 use badgerpost_settings::{ObjectError, ObjectReader};
@@ -10,26 +10,26 @@
 pub struct ListedEndpoint {
     /// The backend's name.
     pub backend: String,
-    /// Its zone's name.
+    /// The name of the backend's zone.
     pub zone: String,
-    /// The name of its machine kind.
+    /// The name of the backend's machine kind.
     pub machine_kind: String,
-    /// Its cell.
+    /// The number of the backend's cell; 0 where the entry has none.
     pub cell: u64,
-    /// Whether it may be sent requests.
+    /// Whether the backend is in service, draining or removed.
     pub state: EndpointState,
-    /// Its size against the others'.
+    /// The backend's size relative to others; 1 where the entry has none.
     pub size: f64,
-    /// When it last started, in nanoseconds of the simulation, if known.
+    /// When the backend last started, in nanoseconds of simulated time, if known.
     pub started_at: Option<Nanos>,
 }
 
-/// The id in a message about an endpoint list.
+/// Reads the id in a message that contains or refers to an endpoint list.
 pub(super) fn read_list_id(fields: &ObjectReader) -> Result<ListId, ObjectError> {
     fields.signed_integer("list").map(ListId)
 }
 
-/// The entries of an endpoint list.
+/// Reads the entries of an endpoint list.
 pub(super) fn read_endpoints(fields: &ObjectReader) -> Result<Vec<ListedEndpoint>, ObjectError> {
     let mut endpoints = Vec::new();
     for value in fields.array("members-list")? {
@@ -61,7 +61,7 @@
     }
 }
 
-/// When an endpoint started; 0 and null stand for a time that is not known.
+/// Reads when an endpoint started; 0 and null mean that the time is unknown.
 fn read_started_at(entry: &ObjectReader) -> Result<Option<Nanos>, ObjectError> {
     let started_at = entry.unsigned_integer_or("online-since-ns", 0)?;
     Ok((started_at > 0).then_some(started_at))
--- a/simulator/src/wire/events.rs
+++ b/simulator/src/wire/events.rs
@@ -1,4 +1,4 @@
-//! The messages from the simulator that concern one instance.
+//! The messages from the simulator about one instance.
 
 use std::collections::HashMap;
 
@@ -8,12 +8,12 @@
 use super::ListId;
 use super::endpoint_list::{ListedEndpoint, read_list_id};
 
-/// Bit of `options`: the field `weight-hint-ns` holds the expected work.
-const OPTION_EXPECTED_SERVICE_TIME: u64 = 1;
+/// Bit of `options`: the field `weight-hint-ns` holds the expected service time.
+const OPTION_HAS_EXPECTED_SERVICE_TIME: u64 = 1;
 /// Bit of `options`: the client marks the request as a retry.
-const OPTION_RETRY: u64 = 2;
+const OPTION_IS_RETRY: u64 = 2;
 
-/// The kinds of events that concern one instance.
+/// The kind of an event about one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EventKind {
     EndpointsUpdated,
@@ -40,31 +40,32 @@
     }
 }
 
-/// An event whose fields have not been read. It is parsed once its instance is known to run, since its names are those
-/// of the instance's settings and events for other instances are ignored, whatever their fields.
+/// An event whose fields have not been read. The event is parsed once its instance is known to be running: parsing
+/// needs the names in the instance's settings, and events for other instances are ignored even if their fields are
+/// invalid.
 #[derive(Clone, Copy, Debug)]
 pub struct UnparsedEvent<'a> {
     kind: EventKind,
     fields: ObjectReader<'a>,
 }
 
-/// An event that concerns one instance. Backends and requests have the simulator's names.
+/// An event about one instance, with the simulator's names of backends and requests.
 #[derive(Clone, Copy, Debug)]
 pub enum InstanceEvent<'a> {
-    /// Discovery sent endpoints.
+    /// Discovery delivered endpoints.
     EndpointsUpdated {
-        /// Whether these are changes or a complete list.
+        /// Whether the endpoints are changes, a complete list or a cached list.
         update: EndpointUpdate,
-        /// The endpoints.
+        /// Changed entries, or all entries, of the endpoint list.
         endpoints: &'a [ListedEndpoint],
     },
-    /// A call to discovery failed or the watch ended.
+    /// A call to discovery failed, or the watch ended.
     DiscoveryFailed,
     /// A request arrived.
     RequestArrived(ArrivedRequest<'a>),
     /// An attempt ended.
     AttemptEnded(EndedAttempt<'a>),
-    /// The first byte of a response was passed on to the client.
+    /// The first byte of a response was forwarded to the client.
     ResponseStarted {
         /// The request's name.
         request: &'a str,
@@ -86,19 +87,19 @@
 /// A request that arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct ArrivedRequest<'a> {
-    /// Its name.
+    /// The request's name.
     pub name: &'a str,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Hash of the key that it concerns, if it has one.
+    /// Hash of the request's key, if the request has one.
     pub affinity_key: Option<u64>,
-    /// Expected work in nanoseconds on a standard core, if known.
+    /// Expected service time on a standard core, in nanoseconds, if known.
     pub expected_service_time: Option<Nanos>,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// Its tenant, if it has one that the settings list.
+    /// The request's tenant, if the settings list it.
     pub tenant: Option<u32>,
-    /// When the client gives up, in nanoseconds of the simulation.
+    /// When the client gives up, in nanoseconds of simulated time.
     pub expires_at: Nanos,
 }
 
@@ -107,15 +108,15 @@
 pub struct EndedAttempt<'a> {
     /// The request's name.
     pub request: &'a str,
-    /// The attempt, from 0 in the order of the sends.
+    /// The number of the attempt, from 0 in the order of the sends.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
     /// Time since the send, in nanoseconds.
     pub elapsed: Nanos,
-    /// Whether the request has ended, by this attempt or before.
+    /// Whether the request has ended, with this attempt or before.
     pub request_ended: bool,
-    /// The backend's load, where it was reported.
+    /// The backend's load; empty where none was reported.
     pub report: LoadReport,
 }
 
@@ -124,27 +125,27 @@
 pub struct EndedHealthCheck<'a> {
     /// The backend's name.
     pub backend: &'a str,
-    /// How it ended.
+    /// How the health check ended.
     pub outcome: Outcome,
-    /// Time since it was sent, in nanoseconds.
+    /// Time since the health check was sent, in nanoseconds.
     pub elapsed: Nanos,
-    /// The backend's load, where it was reported.
+    /// The backend's load; empty where none was reported.
     pub report: LoadReport,
 }
 
 impl<'a> UnparsedEvent<'a> {
-    /// The event in a message's body, or `None` where the message's name is not that of an event.
+    /// The event in a message's body, or `None` if the message's name is not the name of an event.
     pub fn new(fields: ObjectReader<'a>) -> Option<Self> {
         let kind = EventKind::from_name(fields.name())?;
         Some(Self { kind, fields })
     }
 
-    /// Parses the event for an instance whose settings have these names.
+    /// Reads the event's fields, with the names in the settings of the event's instance.
     ///
     /// # Errors
     ///
-    /// A field is missing or of the wrong type, or refers to a class that is not among `names` or to a list that is
-    /// not among `endpoint_lists`.
+    /// A field is missing or invalid, or refers to a class that `names` does not contain or to a list that
+    /// `endpoint_lists` does not contain.
     pub fn parse(
         &self,
         names: &NameTable,
@@ -200,14 +201,14 @@
         .ok_or_else(|| fields.invalid("band"))?;
     let options = fields.unsigned_integer_or("options", 0)?;
     let expected_service_time = fields.unsigned_integer_or("weight-hint-ns", 0)?;
-    let has_expected_service_time = options & OPTION_EXPECTED_SERVICE_TIME != 0;
+    let has_expected_service_time = options & OPTION_HAS_EXPECTED_SERVICE_TIME != 0;
     Ok(ArrivedRequest {
         expires_at: fields.unsigned_integer("not-after-ns")?,
         name: fields.string("request-id")?,
         class: ClassId(class),
         affinity_key: fields.lenient_string("key").map(name_hash),
         expected_service_time: has_expected_service_time.then_some(expected_service_time),
-        is_retry: options & OPTION_RETRY != 0,
+        is_retry: options & OPTION_IS_RETRY != 0,
         tenant: names.tenant(fields.lenient_string("org")),
     })
 }
@@ -254,7 +255,7 @@
     }
 }
 
-/// The load report in a message; empty where there is none. Figures of a wrong type count as absent.
+/// Reads the load report in a message; empty where there is none. Values of a wrong type count as absent.
 fn read_load_report(fields: &ObjectReader) -> Result<LoadReport, ObjectError> {
     if fields.optional("usage").is_none() {
         return Ok(LoadReport::default());
--- a/simulator/src/wire/input.rs
+++ b/simulator/src/wire/input.rs
@@ -1,7 +1,6 @@
 //! The messages from the simulator.
 //!
-//! Unknown fields are ignored. Where several fields can't be used, the error names the first in the order in which they
-//! are read here.
+//! Unknown fields are ignored. Where several fields are invalid, the error names the one that is read first.
 
 use badgerpost_balancer::Nanos;
 use badgerpost_settings::{ObjectError, ObjectReader};
@@ -17,16 +16,16 @@
 pub enum Message<'a> {
     /// A batch of messages starts.
     BatchStarted {
-        /// The time of all its messages, in nanoseconds of the simulation.
+        /// The time of all messages in the batch, in nanoseconds of simulated time.
         now: Nanos,
     },
     /// The batch is complete; the simulator waits for the replies.
     BatchEnded,
-    /// An endpoint list that events of this and later batches refer to.
+    /// An endpoint list that events of this and later batches may refer to.
     EndpointList {
-        /// Its id.
+        /// The id of the list.
         list: ListId,
-        /// Its entries.
+        /// The entries of the list.
         endpoints: Vec<ListedEndpoint>,
     },
     /// An instance starts.
@@ -36,18 +35,18 @@
         /// The instance.
         instance: InstanceId,
     },
-    /// Something happened that concerns one instance.
+    /// An event about one instance.
     InstanceEvent {
         /// The instance.
         instance: InstanceId,
-        /// What happened.
+        /// The event, whose fields have not been read.
         event: UnparsedEvent<'a>,
     },
-    /// A message from another instance; the balancer neither sends nor needs any.
+    /// A message from another instance, which is ignored: the balancer does not use messages between instances.
     PeerGossip,
-    /// A message that this version does not know.
+    /// A message of a kind that this version does not support.
     Unknown {
-        /// Its name.
+        /// The message's name.
         name: &'a str,
     },
 }
@@ -57,14 +56,14 @@
 pub struct InstanceStart<'a> {
     /// The instance.
     pub instance: InstanceId,
-    /// Seed of its random numbers.
+    /// Seed of the instance's random numbers.
     pub seed: u64,
-    /// Its settings object.
+    /// The instance's settings object.
     pub settings: &'a Value,
 }
 
 impl<'a> Message<'a> {
-    /// Parses a line's object. The fields of an [`UnparsedEvent`] are left to [`UnparsedEvent::parse`].
+    /// Parses a line's JSON value. The fields of an [`UnparsedEvent`] are read later, by [`UnparsedEvent::parse`].
     pub fn parse(line: &'a Value) -> Result<Self, LineError> {
         let fields = read_body(line)?;
         Ok(Self::from_fields(fields)?)
@@ -100,7 +99,7 @@
     }
 }
 
-/// The body of a message, under the message's name.
+/// Reads the name and the body of a message.
 fn read_body(line: &Value) -> Result<ObjectReader<'_>, LineError> {
     let message = line.as_object().ok_or(LineError::NotAMessage)?;
     let mut entries = message.iter();
--- a/simulator/src/wire/output.rs
+++ b/simulator/src/wire/output.rs
@@ -5,9 +5,9 @@
 
 use super::InstanceId;
 
-/// A message to the simulator; serialized it is the line's object. Times are in nanoseconds.
+/// A message to the simulator, serialized as the JSON object of one line. Times are in nanoseconds.
 ///
-/// The fields stand in the alphabetical order of their names on the wire, which is the order in the line.
+/// Fields are declared in alphabetical order of their names on the wire, because they are serialized in this order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum Reply {
     /// Start an attempt.
@@ -15,7 +15,7 @@
     Send {
         /// The backend's name.
         backend: String,
-        /// The attempt's timeout; 0 until the client gives up.
+        /// The attempt's timeout; 0 to wait until the client gives up.
         #[serde(rename = "max-wait-ns")]
         timeout: Nanos,
         /// The request's name.
@@ -25,10 +25,10 @@
         #[serde(rename = "who")]
         instance: InstanceId,
     },
-    /// Final answer: rejected; a retry does no harm.
+    /// Final answer: rejected; the client may safely retry.
     #[serde(rename = "DECLINE")]
     Reject {
-        /// How long the client should wait before a retry; 0 for no advice.
+        /// How long the client should wait before a retry; 0 where nothing is advised.
         #[serde(rename = "pause-ns")]
         retry_after: Nanos,
         /// The request's name.
@@ -38,7 +38,7 @@
         #[serde(rename = "who")]
         instance: InstanceId,
     },
-    /// Final answer: failed; the request may have taken effect.
+    /// Final answer: failed; the request may have run.
     #[serde(rename = "END_FAILED")]
     Fail {
         /// The request's name.
@@ -54,7 +54,7 @@
         /// The request's name.
         #[serde(rename = "request-id")]
         request: String,
-        /// The attempt, from 0 in the order of the sends.
+        /// The number of the attempt, from 0 in the order of the sends.
         #[serde(rename = "try")]
         attempt: u32,
         /// The instance.
@@ -73,7 +73,7 @@
     /// Start to watch the endpoint list.
     #[serde(rename = "SUBSCRIBE")]
     WatchEndpoints {
-        /// Whether the watch starts; it is never stopped.
+        /// Whether the watch starts; always true, since a watch is never stopped.
         #[serde(rename = "on")]
         is_active: bool,
         /// The instance.
@@ -90,10 +90,10 @@
     /// Set a timer.
     #[serde(rename = "DEFER")]
     SetTimer {
-        /// Time from now.
+        /// Time from now until the timer fires.
         #[serde(rename = "from-now-ns")]
         after: Nanos,
-        /// Comes back when the timer fires.
+        /// Returned in the event when the timer fires.
         #[serde(rename = "name")]
         token: u64,
         /// The instance.
@@ -103,7 +103,7 @@
     /// A log line.
     #[serde(rename = "REMARK")]
     Log {
-        /// Its text.
+        /// The text of the log line.
         #[serde(rename = "note-text")]
         text: String,
         /// The instance.
@@ -113,14 +113,14 @@
     /// The instance can't be started.
     #[serde(rename = "DIE")]
     StartFailed {
-        /// Why.
+        /// Why the instance can't be started.
         #[serde(rename = "note-text")]
         problem: String,
         /// The instance.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
-    /// The batch has been handled; always the last line of a reply.
+    /// The batch has been handled; always the last message of a batch's replies.
     #[serde(rename = "YIELD")]
     BatchDone {},
 }
--- a/simulator/src/wire/output/tests.rs
+++ b/simulator/src/wire/output/tests.rs
@@ -5,18 +5,18 @@
 }
 
 #[test]
-fn a_cancelled_attempt_is_a_recall() {
+fn a_cancelled_attempt_is_written_as_recall() {
     let reply = Reply::Cancel {
         request: "r\"1".to_owned(),
         attempt: 2,
         instance: InstanceId(-1),
     };
-    let wanted = r#"{"RECALL":{"request-id":"r\"1","try":2,"who":-1}}"#;
-    assert_eq!(line(&reply), wanted);
+    let expected = r#"{"RECALL":{"request-id":"r\"1","try":2,"who":-1}}"#;
+    assert_eq!(line(&reply), expected);
 }
 
 #[test]
-fn a_fetched_snapshot_is_a_query_of_all() {
+fn a_snapshot_fetch_is_written_as_query_all() {
     let reply = Reply::FetchSnapshot {
         instance: InstanceId(3),
     };
--- a/simulator/tests/common/mod.rs
+++ b/simulator/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! Runs the simulator host as a process and builds its input lines.
+//! Runs `badgerpost-wirehost` as a process and builds lines of input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Settings of an instance.
+/// A valid settings object of an instance.
 pub const CONFIG: &str = r#"{"az":"a","zones":["a","b"],"kinds":["k"],"n-instances":2,"discovery":"pushed","unknown":1,
 "classes":[{"name":"read","effect":"repeatable","on-time-ns":200000000,"deadline-ns":500000000,"importance":1.0}],
 "policy-limits":{"attempts-cap":3,"may-cancel":true,"second-copies":true,"probes":false},
@@ -11,7 +11,7 @@
 "rules":{"answer-slack-ns":20000000,"ask-within-ns":10000000000,"drain-grace-ns":500000000,"fall-ns":1500000000,
 "start-capacity":0.1,"tip-multiple":2.5,"warm-after-ns":20000000000}}"#;
 
-/// Runs the simulator host on this input.
+/// Runs the program on this input and waits until it ends.
 pub fn run(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_badgerpost-wirehost"))
         .stdin(Stdio::piped())
@@ -25,7 +25,7 @@
     child.wait_with_output().expect("the program ends")
 }
 
-/// Its output on this input, which must be good.
+/// The program's output on valid input.
 pub fn reply(input: &str) -> String {
     let output = run(input);
     assert!(
@@ -44,13 +44,13 @@
     )
 }
 
-/// A line that starts an instance.
+/// An `OPEN_INSTANCE` line, which starts an instance.
 pub fn open(who: u32) -> String {
     let config = CONFIG.replace('\n', "");
     format!("{{\"OPEN_INSTANCE\":{{\"who\":{who},\"nonce64\":{who}9,\"config\":{config}}}}}\n")
 }
 
-/// A line with an endpoint list of one backend.
+/// A `MANIFEST` line, with an endpoint list of one backend.
 pub fn manifest(list: u32, backend: &str) -> String {
     format!(
         "{{\"MANIFEST\":{{\"list\":{list},\"members-list\":[{{\"backend\":\"{backend}\",\"hall\":\"a\",\"type\":\"k\",\
@@ -58,12 +58,12 @@
     )
 }
 
-/// A line that hands an endpoint list to an instance.
+/// A `FLEET` line, which delivers an endpoint list to an instance.
 pub fn fleet(who: u32, list: u32) -> String {
     format!("{{\"FLEET\":{{\"who\":{who},\"mode\":\"cached\",\"seq-no\":1,\"list\":{list}}}}}\n")
 }
 
-/// A line with a request.
+/// An `INCOMING` line, which lets a request arrive.
 pub fn incoming(who: u32, id: &str) -> String {
     format!(
         "{{\"INCOMING\":{{\"who\":{who},\"request-id\":\"{id}\",\"options\":0,\"band\":\"read\",\"org\":null,\
--- a/simulator/tests/process.rs
+++ b/simulator/tests/process.rs
@@ -1,4 +1,4 @@
-//! The simulator host as a process, on small batches written by hand.
+//! Runs `badgerpost-wirehost` as a process on small batches.
 
 #![allow(
     clippy::unwrap_used,
@@ -11,11 +11,12 @@
 
 use common::{batch, fleet, incoming, manifest, open, reply, run};
 
-fn placed(reply: &str, who: u32) -> Vec<String> {
-    let mark = format!("\"who\":{who}");
+/// The `PLACE` lines of one instance.
+fn place_lines(reply: &str, who: u32) -> Vec<String> {
+    let instance_field = format!("\"who\":{who}");
     reply
         .lines()
-        .filter(|line| line.contains("PLACE") && line.contains(&mark))
+        .filter(|line| line.contains("PLACE") && line.contains(&instance_field))
         .map(str::to_owned)
         .collect()
 }
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn an_endpoint_list_id_used_twice_in_a_batch_means_the_latest_list() {
+fn an_endpoint_list_id_reused_in_a_batch_refers_to_the_latest_list() {
     let lines = [
         open(1),
         open(2),
@@ -38,7 +39,7 @@
     let requests = [incoming(1, "r1"), incoming(2, "r2")];
     let out = reply(&(batch(0, &lines) + &batch(1_000_000, &requests)));
     assert!(
-        placed(&out, 1)[0].contains("b-one") && placed(&out, 2)[0].contains("b-two"),
+        place_lines(&out, 1)[0].contains("b-one") && place_lines(&out, 2)[0].contains("b-two"),
         "{out}"
     );
 }
@@ -55,12 +56,12 @@
         incoming(1, "r"),
     ];
     let out = reply(&(batch(0, &first) + &batch(1_000_000, &second)));
-    assert_eq!(placed(&out, 1).len(), 1);
-    assert!(placed(&out, 1)[0].contains("b-new"), "{out}");
+    assert_eq!(place_lines(&out, 1).len(), 1);
+    assert!(place_lines(&out, 1)[0].contains("b-new"), "{out}");
 }
 
 #[test]
-fn instances_in_one_process_act_as_in_processes_of_their_own() {
+fn instances_in_one_process_act_as_in_separate_processes() {
     let lines = |who: u32| {
         let start = vec![open(who), manifest(0, "b-one"), fleet(who, 0)];
         let requests: Vec<String> = (0..3)
@@ -69,19 +70,26 @@
         (start, requests)
     };
     let ((start1, requests1), (start2, requests2)) = (lines(1), lines(2));
-    let apart = |start: &[String], requests: &[String]| {
+    let in_own_process = |start: &[String], requests: &[String]| {
         reply(&(batch(0, start) + &batch(1_000_000, requests)))
     };
-    let mixed: Vec<String> = requests1
+    let interleaved: Vec<String> = requests1
         .iter()
         .zip(&requests2)
         .flat_map(|(a, b)| [a.clone(), b.clone()])
         .collect();
-    let both =
-        reply(&(batch(0, &[start1.clone(), start2.clone()].concat()) + &batch(1_000_000, &mixed)));
-    assert_eq!(placed(&both, 1), placed(&apart(&start1, &requests1), 1));
-    assert_eq!(placed(&both, 2), placed(&apart(&start2, &requests2), 2));
-    assert_eq!(placed(&both, 1).len(), 3);
+    let together = reply(
+        &(batch(0, &[start1.clone(), start2.clone()].concat()) + &batch(1_000_000, &interleaved)),
+    );
+    assert_eq!(
+        place_lines(&together, 1),
+        place_lines(&in_own_process(&start1, &requests1), 1)
+    );
+    assert_eq!(
+        place_lines(&together, 2),
+        place_lines(&in_own_process(&start2, &requests2), 2)
+    );
+    assert_eq!(place_lines(&together, 1).len(), 3);
 }
 
 #[test]
@@ -95,7 +103,7 @@
         ),
         ("[1]\n", "line 1"),
     ];
-    for (input, named) in cases {
+    for (input, expected) in cases {
         let output = run(input);
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
@@ -103,14 +111,14 @@
             "{input}"
         );
         assert!(
-            stderr.contains(named) && stderr.contains("line"),
+            stderr.contains(expected) && stderr.contains("line"),
             "{stderr}"
         );
     }
 }
 
 #[test]
-fn an_unknown_event_is_skipped_with_one_warning() {
+fn unknown_messages_are_skipped_with_a_single_warning() {
     let unknown = "{\"NOVELTY\":{\"who\":1}}\n".to_owned();
     let output = run(&batch(1, &[unknown.clone(), unknown]));
     assert!(output.status.success());
@@ -123,7 +131,7 @@
 }
 
 #[test]
-fn unusable_settings_are_reported_with_the_field() {
+fn invalid_settings_are_reported_with_the_field() {
     for (from, to, field) in [
         ("\"zones\":[\"a\",\"b\"]", "\"zones\":[]", "az"),
         ("\"repeatable\"", "\"sometimes\"", "effect"),
--- a/simulator/tests/wire_format.rs
+++ b/simulator/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The exact lines that the simulator host reads and writes, and its exact error texts.
+//! Checks the exact lines that `badgerpost-wirehost` reads and writes, and the exact error texts.
 
 #![allow(
     clippy::unwrap_used,
@@ -16,27 +16,27 @@
     format!("{text}\n")
 }
 
-/// Standard error of a run that fails.
-fn failure(input: &str) -> String {
+/// Runs the program on input that must make it fail without output, and returns standard error.
+fn error_output(input: &str) -> String {
     let output = run(input);
     assert!(!output.status.success(), "{input}");
     assert!(output.stdout.is_empty(), "{input}");
     String::from_utf8(output.stderr).expect("UTF-8")
 }
 
-/// Instance 1 with the backend `b-one`, at time 0.
-fn started() -> String {
+/// A batch that starts instance 1 with the backend `b-one` at time 0.
+fn start_instance() -> String {
     batch(0, &[open(1), manifest(0, "b-one"), fleet(1, 0)])
 }
 
-/// A line with the end of an attempt that took 1 microsecond.
+/// A `SETTLED` line, which ends an attempt after 1 microsecond.
 fn settled(instance: u32, request: &str, attempt: u32, disposition: &str) -> String {
     line(&format!(
         r#"{{"SETTLED":{{"who":{instance},"request-id":"{request}","try":{attempt},"disposition":"{disposition}","elapsed-ns":1000,"no-more":false,"usage":null}}}}"#
     ))
 }
 
-/// The lines of the reply to the last of the batches in `input`, without the closing one.
+/// The replies to the last batch in `input`, without the `YIELD` line.
 fn last_reply(input: &str) -> Vec<String> {
     let mut lines: Vec<String> = reply(input).lines().map(str::to_owned).collect();
     assert_eq!(lines.pop().as_deref(), Some(r#"{"YIELD":{}}"#));
@@ -48,7 +48,7 @@
 
 #[test]
 fn replies_about_requests_have_their_exact_form() {
-    let idempotent = started() + &batch(1_000_000, &[incoming(1, "r\\\"1")]);
+    let idempotent = start_instance() + &batch(1_000_000, &[incoming(1, "r\\\"1")]);
     assert_eq!(
         last_reply(&idempotent),
         [r#"{"PLACE":{"backend":"b-one","max-wait-ns":0,"request-id":"r\"1","who":1}}"#]
@@ -100,10 +100,10 @@
 }
 
 #[test]
-fn a_log_event_is_a_remark() {
+fn a_log_event_is_written_as_remark() {
     let second = manifest(1, "b-two").replace("\"hall\":\"a\"", "\"hall\":\"b\"");
     let added = fleet(1, 1).replace("cached", "delta");
-    let mut input = started() + &batch(1_000, &[second, added]);
+    let mut input = start_instance() + &batch(1_000, &[second, added]);
     for n in 0..40u64 {
         let id = format!("r{n}");
         let attempts = [0, 1, 2].map(|attempt| settled(1, &id, attempt, "E"));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn unusable_settings_are_answered_with_the_error_text() {
+fn invalid_settings_are_answered_with_the_error_text() {
     for (from, to, text) in [
         (
             "\"fall-ns\":1500000000,",
@@ -132,32 +132,42 @@
         ),
     ] {
         let input = batch(1, &[open(1).replace(from, to)]);
-        let wanted = format!(r#"{{"DIE":{{"note-text":"{text}","who":1}}}}"#);
-        assert_eq!(last_reply(&input), [wanted]);
+        let expected = format!(r#"{{"DIE":{{"note-text":"{text}","who":1}}}}"#);
+        assert_eq!(last_reply(&input), [expected]);
     }
 }
 
 #[test]
 fn error_texts_name_the_line_and_what_is_wrong_with_it() {
     for (text, problem) in [
-        (r##"nonsense"##, "expected ident at line 1 column 2"),
-        (r##"[1]"##, "not an object with a single key"),
-        (r##"{}"##, "not an object with a single key"),
+        (
+            r##"nonsense"##,
+            "invalid JSON: expected ident at line 1 column 2",
+        ),
+        (
+            r##"[1]"##,
+            "expected an object with the message's name as its only key",
+        ),
+        (
+            r##"{}"##,
+            "expected an object with the message's name as its only key",
+        ),
         (
             r##"{"GO":{},"BATCH":{}}"##,
-            "not an object with a single key",
+            "expected an object with the message's name as its only key",
         ),
         (r##"{"GO":1}"##, "GO: not an object"),
     ] {
-        let found = failure(&(open(1) + &line(text)));
+        let found = error_output(&(open(1) + &line(text)));
         assert_eq!(found, format!("badgerpost-wirehost: line 2: {problem}\n"));
     }
 }
 
-/// Checks that a message with each of these bodies ends the program with an error about the field.
+/// Checks that a message with each of these bodies ends the program with an error that names the message and the
+/// field.
 fn assert_field_errors(message: &str, bodies: &[(&str, &str)]) {
     for (body, field) in bodies {
-        let found = failure(&(open(1) + &line(&format!(r#"{{"{message}":{body}}}"#))));
+        let found = error_output(&(open(1) + &line(&format!(r#"{{"{message}":{body}}}"#))));
         let problem = format!("field {field} is missing or of the wrong type");
         assert_eq!(
             found,
@@ -304,7 +314,7 @@
 }
 
 #[test]
-fn odd_lines_are_accepted() {
+fn unusual_but_valid_lines_are_accepted() {
     let lines = [
         "",
         "   ",
@@ -324,12 +334,12 @@
     ];
     let lines: Vec<String> = lines.into_iter().map(line).collect();
     assert_eq!(
-        last_reply(&(started() + &batch(1, &lines))),
+        last_reply(&(start_instance() + &batch(1, &lines))),
         [r#"{"DEFER":{"from-now-ns":253992287,"name":0,"who":1}}"#]
     );
     let key_and_tenant = incoming(1, "r")
         .replace("\"org\":null", "\"org\":7")
         .replace("\"key\":null", "\"key\":[]");
-    let placed = last_reply(&(started() + &batch(1_000_000, &[key_and_tenant])));
+    let placed = last_reply(&(start_instance() + &batch(1_000_000, &[key_and_tenant])));
     assert!(placed[0].starts_with(r#"{"PLACE""#), "{placed:?}");
 }
