--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -127,12 +127,12 @@
 
     /// How many listed backends get no new requests now: those that drain, are ejected or on trial, or have
     /// rejected a request a moment ago.
-    pub fn avoided(&self, now: Nanos) -> usize {
+    pub fn avoided_backend_count(&self, now: Nanos) -> usize {
         self.fleet.backends.count_avoided(now)
     }
 
     /// Requests that the node still keeps: open ones, and ended ones with an attempt in flight.
-    pub fn open_requests(&self) -> usize {
+    pub fn tracked_request_count(&self) -> usize {
         self.requests.len()
     }
 
--- a/balancer/tests/any_sequence.rs
+++ b/balancer/tests/any_sequence.rs
@@ -416,7 +416,7 @@
         .count();
     assert_eq!(open, 0, "seed {seed}: requests without a final answer");
     assert_eq!(
-        node.balancer.open_requests(),
+        node.balancer.tracked_request_count(),
         0,
         "seed {seed}: ended requests are kept"
     );
--- a/engine/src/driver/endpoints.rs
+++ b/engine/src/driver/endpoints.rs
@@ -59,7 +59,7 @@
 
     /// Brings the metrics' backend counts up to date. The number of avoided backends changes with time alone.
     pub(crate) fn update_backend_counts(&self) {
-        let avoided = self.balancer.avoided(self.clock.now());
+        let avoided = self.balancer.avoided_backend_count(self.clock.now());
         self.metrics.set_backend_counts(BackendCounts {
             listed: self.backends.len() as u64,
             avoided: avoided as u64,
--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -117,7 +117,10 @@
 /// The numbers of requests that the driver and the balancer have open.
 fn open_requests(engine: &Engine<TestProtocol>) -> (usize, usize) {
     let driver = engine.driver.borrow();
-    (driver.requests.len(), driver.balancer.open_requests())
+    (
+        driver.requests.len(),
+        driver.balancer.tracked_request_count(),
+    )
 }
 
 fn has_backstop_timer(engine: &Engine<TestProtocol>) -> bool {
