--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -46,7 +46,7 @@
     /// Requests of each tenant, per second.
     tenants: Vec<DecayingRate>,
     /// Fraction of the requests beyond their tenants' quotas that is admitted.
-    over_quota_admitted: f64,
+    over_quota_admitted_fraction: f64,
     /// Fraction of all arrivals that is admitted, by the shared figures.
     admitted_fraction: f64,
     /// Fraction of the arrivals that goes to another zone, in a large fleet.
@@ -64,7 +64,7 @@
         Self {
             classes: vec![open; settings.classes.len()],
             tenants: vec![DecayingRate::default(); settings.tenant_quotas.len()],
-            over_quota_admitted: 1.0,
+            over_quota_admitted_fraction: 1.0,
             admitted_fraction: 1.0,
             spill_fraction: 0.0,
         }
@@ -100,7 +100,7 @@
     }
 
     /// The classes, the most valuable for each unit of work first.
-    fn by_value(&self) -> Vec<ClassId> {
+    fn classes_by_value(&self) -> Vec<ClassId> {
         let mut order: Vec<ClassId> = (0..).map(ClassId).take(self.classes.len()).collect();
         order.sort_by(|&a, &b| self.value(b).total_cmp(&self.value(a)));
         order
--- a/balancer/src/admission/class_values.rs
+++ b/balancer/src/admission/class_values.rs
@@ -7,7 +7,7 @@
 use crate::tuning::{MIN_ARRIVAL_RATE, MIN_DIVISOR, OBJECTIVE_FRACTION};
 
 /// A class of lower value leaves at least this fraction of the delay allowed to the next more valuable one.
-const PRECEDENCE: f64 = 0.8;
+const LOWER_VALUE_STRETCH_FACTOR: f64 = 0.8;
 
 /// What the values of all classes are measured against.
 struct ValueScale {
@@ -68,14 +68,14 @@
     /// to a valuable one with a tight objective.
     fn update_max_stretches(&mut self, fleet: &Fleet, rates: &[ClassRates]) {
         let mut max_stretch = f64::INFINITY;
-        for class in self.by_value() {
+        for class in self.classes_by_value() {
             if rates[class.index()].arrivals <= MIN_ARRIVAL_RATE {
                 continue;
             }
             let objective = fleet.settings.class(class).latency_objective as f64;
             let base_time = fleet.classes.get(class).base_time().max(1.0);
             let own_stretch = OBJECTIVE_FRACTION * objective / base_time;
-            max_stretch = (max_stretch * PRECEDENCE).min(own_stretch);
+            max_stretch = (max_stretch * LOWER_VALUE_STRETCH_FACTOR).min(own_stretch);
             self.classes[class.index()].max_stretch = max_stretch;
         }
     }
--- a/balancer/src/admission/objective.rs
+++ b/balancer/src/admission/objective.rs
@@ -31,8 +31,9 @@
         }
         let load = backend.load(settings);
         // A warming backend has its own budget; a fast one's queue is as crowded as another's of that length.
-        let crowding = (slowness * backend.warm_up_fraction(fleet.now, &settings.rules)).max(1.0);
-        let queue = crowding * (load - IDLE_LOAD);
+        let relative_slowness =
+            (slowness * backend.warm_up_fraction(fleet.now, &settings.rules)).max(1.0);
+        let queue = relative_slowness * (load - IDLE_LOAD);
         slowness * load <= self.max_stretch(fleet, request)
             && queue <= max_own_queue(settings, backend.zone())
     }
@@ -69,9 +70,9 @@
     // Where there is capacity by its own report, a client with little time takes it from nobody. Not in a large
     // fleet: all nodes would send to the few backends that a late report shows as free.
     let utilization = backend.utilization();
-    let reports_spare = utilization.is_younger_than(fleet.now, UTILIZATION_MAX_AGE)
+    let reports_spare_capacity = utilization.is_younger_than(fleet.now, UTILIZATION_MAX_AGE)
         && utilization.value() < SPARE_UTILIZATION;
-    reports_spare && !is_large_fleet && f64::from(backend.in_flight()) < backend.size()
+    reports_spare_capacity && !is_large_fleet && f64::from(backend.in_flight()) < backend.size()
 }
 
 /// The longest queue of this node's own requests at a backend of a zone, for each unit of size.
--- a/balancer/src/admission/overload.rs
+++ b/balancer/src/admission/overload.rs
@@ -14,23 +14,23 @@
 /// The admitted queue is at most this multiple of [`SPILL_QUEUE`]: one node measures few response times.
 const MAX_QUEUE_MULTIPLE: f64 = 1.5;
 /// Below this part of [`SPILL_QUEUE`] the node's own bound on arrivals does not apply: it sees few answers.
-const CALM_QUEUE_FRACTION: f64 = 0.5;
+const SHORT_QUEUE_FRACTION: f64 = 0.5;
 /// Part of the mean objective that a zone's load may fill before arrivals are rejected.
 const MAX_LOAD_FRACTION: f64 = 0.7;
 /// Arrivals admitted for each one recently answered in time (adaptive throttling).
-const OVERDRAW: f64 = 1.15;
+const ADMITTED_PER_SERVED: f64 = 1.15;
 /// Added to both rates of that ratio, in requests per second, so that few requests don't decide.
-const RATE_PRIOR: f64 = 0.5;
+const PRIOR_REQUESTS_PER_SECOND: f64 = 0.5;
 /// Part of the difference to the wanted load that is corrected after one list.
-const GAIN: f64 = 0.5;
+const CORRECTION_GAIN: f64 = 0.5;
 /// Least fraction that is admitted, so that the end of an overload is seen.
-const MIN_ADMITTED: f64 = 0.05;
+const MIN_ADMITTED_FRACTION: f64 = 0.05;
 /// Fewest arrivals for each backend until the next figures: a node that has just started has counted none.
 const MIN_UPCOMING_ARRIVALS: f64 = 10.0;
 /// A node sees few requests of a tenant: this multiple of its quota may be chance.
 const QUOTA_TOLERANCE: f64 = 1.5;
 /// Least fraction of the arrivals that counts as within quotas.
-const MIN_WITHIN_QUOTA: f64 = 0.1;
+const MIN_WITHIN_QUOTA_FRACTION: f64 = 0.1;
 
 impl Admission {
     /// In a large fleet: moves the fractions that spill and that are admitted at all by what would even out the
@@ -48,8 +48,9 @@
         self.update_spill_fraction(local_queue, target_queue, upcoming_arrivals);
         // The local zone spills first; only what no zone has capacity for is rejected.
         let queue = target_queue.map_or(local_queue, |other| 0.5 * (local_queue + other));
-        let correction = GAIN * (max_queue(fleet) - queue) / upcoming_arrivals;
-        self.admitted_fraction = (self.admitted_fraction + correction).clamp(MIN_ADMITTED, 1.0);
+        let correction = CORRECTION_GAIN * (max_queue(fleet) - queue) / upcoming_arrivals;
+        self.admitted_fraction =
+            (self.admitted_fraction + correction).clamp(MIN_ADMITTED_FRACTION, 1.0);
     }
 
     /// Moves the fraction that spills, by the queues per core of the local zone and of the zone to spill to.
@@ -63,7 +64,7 @@
         let spill_queue =
             target_queue.map_or(f64::INFINITY, |queue| (queue + 1.0).max(SPILL_QUEUE));
         let excess = (local_queue - spill_queue).max(-local_queue);
-        let correction = GAIN * excess / upcoming_arrivals;
+        let correction = CORRECTION_GAIN * excess / upcoming_arrivals;
         self.spill_fraction = (self.spill_fraction + correction).clamp(0.0, 1.0);
     }
 
@@ -78,8 +79,8 @@
             return 0.0;
         }
         let node_quota = quota / f64::from(settings.node_count);
-        let within = node_quota / rate.per_second(now).max(MIN_DIVISOR);
-        (1.0 - QUOTA_TOLERANCE * within).max(0.0)
+        let quota_fraction = node_quota / rate.per_second(now).max(MIN_DIVISOR);
+        (1.0 - QUOTA_TOLERANCE * quota_fraction).max(0.0)
     }
 
     /// Requests per second of all tenants that are beyond their quotas.
@@ -91,7 +92,7 @@
     }
 
     /// The fraction by which an arrival is admitted: that of its class, or of the arrivals beyond quotas.
-    pub(crate) fn draw_fraction(
+    pub(crate) fn draw_admitted_fraction(
         &self,
         fleet: &Fleet,
         tenant: usize,
@@ -101,7 +102,7 @@
         let over_quota = self.over_quota_fraction(&fleet.settings, fleet.now, tenant);
         let is_over_quota = over_quota > 0.0 && random.draw() < over_quota;
         if is_over_quota {
-            self.over_quota_admitted
+            self.over_quota_admitted_fraction
         } else {
             class_fraction
         }
@@ -111,27 +112,34 @@
     /// are rejected first.
     pub(crate) fn update_admitted_fractions(&mut self, fleet: &Fleet, feedback: &LoadFeedback) {
         let arrivals = fleet.classes.total_arrivals(fleet.now);
-        let fraction = self.admitted_fraction.min(own_bound(fleet, feedback));
+        let fraction = self
+            .admitted_fraction
+            .min(local_admission_bound(fleet, feedback));
         let over_quota = self.over_quota_rate(&fleet.settings, fleet.now);
-        let within = (1.0 - over_quota / arrivals.max(MIN_DIVISOR)).clamp(MIN_WITHIN_QUOTA, 1.0);
-        self.over_quota_admitted = if within < 1.0 {
-            ((fraction - within) / (1.0 - within)).clamp(0.0, 1.0)
+        let within_quota =
+            (1.0 - over_quota / arrivals.max(MIN_DIVISOR)).clamp(MIN_WITHIN_QUOTA_FRACTION, 1.0);
+        self.over_quota_admitted_fraction = if within_quota < 1.0 {
+            ((fraction - within_quota) / (1.0 - within_quota)).clamp(0.0, 1.0)
         } else {
             fraction
         };
-        let within_admitted = (fraction / within).min(1.0);
-        self.divide_among_classes(fleet, within_admitted, within_admitted * arrivals);
+        let within_quota_admitted = (fraction / within_quota).min(1.0);
+        self.divide_among_classes(
+            fleet,
+            within_quota_admitted,
+            within_quota_admitted * arrivals,
+        );
     }
 
     /// Admits `rate` requests per second, the given fraction of all arrivals, class by class in the order of value.
     fn divide_among_classes(&mut self, fleet: &Fleet, fraction: f64, rate: f64) {
         let mut remaining = rate;
-        for class in self.by_value() {
+        for class in self.classes_by_value() {
             let class_arrivals = fleet.classes.get(class).arrivals(fleet.now);
             // A class without recent arrivals is not one that there is no capacity for.
             let is_bounded = fraction < 1.0 && class_arrivals > MIN_ARRIVAL_RATE;
             self.classes[class.index()].admitted_fraction = if is_bounded {
-                (remaining / class_arrivals).clamp(MIN_ADMITTED, 1.0)
+                (remaining / class_arrivals).clamp(MIN_ADMITTED_FRACTION, 1.0)
             } else {
                 1.0
             };
@@ -150,25 +158,26 @@
 /// Queue per core at which the mean unit of value would still be answered in time; at least that of the spill
 /// threshold, up to which the local zone serves all requests.
 fn max_queue(fleet: &Fleet) -> f64 {
-    let (mut total_weight, mut fitting) = (MIN_DIVISOR, 0.0);
+    let (mut total_weight, mut weighted_stretch) = (MIN_DIVISOR, 0.0);
     for (class, settings) in fleet.classes_with_settings() {
         let weight = class.arrivals(fleet.now) * settings.priority_weight;
         total_weight += weight;
-        fitting += weight * settings.latency_objective as f64 / class.base_time().max(1.0);
+        weighted_stretch += weight * settings.latency_objective as f64 / class.base_time().max(1.0);
     }
-    let queue = MAX_LOAD_FRACTION * fitting / total_weight - IDLE_LOAD;
+    let queue = MAX_LOAD_FRACTION * weighted_stretch / total_weight - IDLE_LOAD;
     queue.clamp(SPILL_QUEUE, MAX_QUEUE_MULTIPLE * SPILL_QUEUE)
 }
 
 /// Fraction of the arrivals that may be admitted by this node's own answers: the shared figures are late, or absent
 /// while discovery is down.
-fn own_bound(fleet: &Fleet, feedback: &LoadFeedback) -> f64 {
+fn local_admission_bound(fleet: &Fleet, feedback: &LoadFeedback) -> f64 {
     let local = fleet.zones.get(fleet.local_zone());
-    let is_queue_short = local.mean_queue() < CALM_QUEUE_FRACTION * SPILL_QUEUE;
+    let is_queue_short = local.mean_queue() < SHORT_QUEUE_FRACTION * SPILL_QUEUE;
     if feedback.is_fresh(fleet.now) && is_queue_short {
         return 1.0;
     }
     let arrivals = fleet.classes.total_arrivals(fleet.now);
     let served = fleet.classes.total_served_in_time(fleet.now);
-    OVERDRAW * (served + RATE_PRIOR) / (arrivals + RATE_PRIOR)
+    ADMITTED_PER_SERVED * (served + PRIOR_REQUESTS_PER_SECOND)
+        / (arrivals + PRIOR_REQUESTS_PER_SECOND)
 }
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -175,7 +175,7 @@
 
     /// Updates the fractions that spill and that are admitted, in a large fleet.
     fn update_spill_and_admission(&mut self) {
-        let target = self.routing.best_target();
+        let target = self.routing.best_overflow_zone();
         self.admission
             .update_spill_and_admission(&self.fleet, &self.load_feedback, target);
     }
@@ -220,7 +220,7 @@
         }
         self.refresh(actions);
         self.dispatch_queued(actions);
-        self.reject_expired(actions);
+        self.end_expired(actions);
     }
 
     /// Updates what is derived from measurements: values, capacities, the zones' scores, admission.
--- a/balancer/src/balancer/attempts.rs
+++ b/balancer/src/balancer/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::Balancer;
 use crate::api::{Action, AttemptResult, BackendId, LogEvent, Nanos, Outcome, RequestId};
-use crate::deadlines::{attempt_timeout, is_overdue};
+use crate::deadlines::{attempt_timeout, is_backend_timeout};
 use crate::learning::AttemptObservation;
 use crate::outlier_detection::OutcomeEffect;
 use crate::request::{Attempt, Phase, Placement, Request};
@@ -61,7 +61,7 @@
             sent_at: now,
             load: backend.load(settings),
             outcome: None,
-            is_counted: !request.is_uploading,
+            is_counted_as_load: !request.is_uploading,
             reserved,
         });
         backend.outlier.on_send();
@@ -83,14 +83,14 @@
         request.objective_deadline = expires_at.min(now + objective);
         request.early_rejection_until = now + expires_at.saturating_sub(now) / 2;
         let cost = request.slow_start_cost;
-        for attempt in request.uploads_mut() {
+        for attempt in request.uploading_attempts_mut() {
             let zone = attempt.placement.zone;
             self.fleet
                 .end_upload(attempt.backend, std::mem::take(&mut attempt.reserved));
             let Some(load) = self.fleet.start_attempt(attempt.backend, zone, cost) else {
                 continue;
             };
-            attempt.is_counted = true;
+            attempt.is_counted_as_load = true;
             attempt.sent_at = now;
             attempt.load = load;
         }
@@ -107,7 +107,7 @@
         let class = request.class;
         let is_open = request.phase != Phase::Ended;
         self.fleet.end_upload(attempt.backend, attempt.reserved);
-        if attempt.is_counted {
+        if attempt.is_counted_as_load {
             let service_time = request.service_time;
             self.fleet.end_attempt(
                 attempt.placement.zone,
@@ -121,17 +121,17 @@
                 },
             );
         }
-        let is_overdue = result
+        let is_backend_timeout = result
             .elapsed
-            .is_some_and(|elapsed| is_overdue(&self.fleet, class, elapsed));
-        if result.outcome != Outcome::TimedOut || is_overdue {
+            .is_some_and(|elapsed| is_backend_timeout(&self.fleet, class, elapsed));
+        if result.outcome != Outcome::TimedOut || is_backend_timeout {
             self.record_for_outlier_detection(attempt.backend, result.outcome, actions);
         }
         if let Some(backend) = self.fleet.backends.get_mut(attempt.backend) {
             backend.record_report(self.fleet.now, result.report);
         }
         if is_open && !result.request_ended {
-            self.retry(result.request, actions);
+            self.retry_or_end(result.request, actions);
         } else {
             self.finish(result, actions);
         }
@@ -144,7 +144,7 @@
             return;
         };
         if request.phase != Phase::Ended {
-            if result.outcome == Outcome::Success && self.counts_as_in_time(request) {
+            if result.outcome == Outcome::Success && self.is_answered_in_time(request) {
                 let now = self.fleet.now;
                 let class = self.fleet.classes.get_mut(request.class);
                 class.record_served_in_time(now);
@@ -155,7 +155,7 @@
     }
 
     /// Whether an answer now counts as one in time. In a small fleet late ones count too.
-    fn counts_as_in_time(&self, request: &Request) -> bool {
+    fn is_answered_in_time(&self, request: &Request) -> bool {
         !self.fleet.settings.is_large_fleet() || self.fleet.now <= request.objective_deadline
     }
 
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use crate::api::{Action, BackendId, ClassId, Nanos, RequestArrival, RequestId};
 use crate::class_statistics::ClassStatistics;
-use crate::deadlines::{is_expired, is_past_objective, objective_start};
+use crate::deadlines::{has_no_remaining_value, is_expired, objective_start};
 use crate::dispatch_order::{MAX_DISPATCH_MISSES, dispatch_order};
 use crate::request::{Phase, Request};
 use crate::retry_safety::may_reject;
@@ -19,20 +19,20 @@
         actions: &mut Vec<Action>,
     ) {
         let id = arrival.request;
-        let class = self.fleet.classes.known_id(arrival.class);
+        let class = self.fleet.classes.id_or_last(arrival.class);
         let request = self.new_request(arrival, class, is_upload);
-        let is_late = is_past_objective(&self.fleet, &request);
+        let is_late = has_no_remaining_value(&self.fleet, &request);
         // Admitted by the figures of the last refresh, not of the one that this arrival may cause.
         let class_fraction = self.admission.admitted_fraction(class);
         self.requests.insert(id, request);
-        self.retry_budget.earn();
-        self.health_checks.earn();
+        self.retry_budget.deposit();
+        self.health_checks.deposit();
         self.refresh(actions);
         if self.admit(arrival, class, class_fraction, is_late) {
             self.dispatch(id, actions);
         } else {
             let retry_after = self.fleet.settings.limits.max_retry_after;
-            self.end(id, retry_after, actions);
+            self.reject_or_fail(id, retry_after, actions);
         }
     }
 
@@ -52,9 +52,12 @@
             self.fleet.classes.get_mut(class).record_arrival(now);
             self.admission.record_tenant_arrival(now, tenant);
         }
-        let fraction =
-            self.admission
-                .draw_fraction(&self.fleet, tenant, class_fraction, &mut self.random);
+        let fraction = self.admission.draw_admitted_fraction(
+            &self.fleet,
+            tenant,
+            class_fraction,
+            &mut self.random,
+        );
         !is_late && (fraction >= 1.0 || self.random.draw() < fraction)
     }
 
@@ -105,7 +108,7 @@
 
     /// Sends a request where it may go now, or queues it.
     pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        if self.send_zone_probe(id, actions) || self.send_to_chosen(id, actions) {
+        if self.send_zone_probe(id, actions) || self.choose_and_send(id, actions) {
             return;
         }
         self.requests.enqueue(id);
@@ -126,27 +129,27 @@
     }
 
     /// Sends a request to the chosen backend; false if there is none.
-    pub(super) fn send_to_chosen(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(backend) = self.choose(id) else {
+    pub(super) fn choose_and_send(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(backend) = self.choose_backend(id) else {
             return false;
         };
         self.send(id, backend, None, actions)
     }
 
     /// The backend for a request, or none if it is better queued.
-    fn choose(&mut self, id: RequestId) -> Option<BackendId> {
+    fn choose_backend(&mut self, id: RequestId) -> Option<BackendId> {
         let spill_fraction = self.admission.spill_fraction();
         let prefers_local = prefers_local_zone(&self.fleet, spill_fraction, &mut self.random);
         let request = self.requests.get(id)?;
         self.routing
-            .choose(&self.selection(), id, request, prefers_local)
+            .choose_backend(&self.selection(), id, request, prefers_local)
     }
 
     /// Sends queued requests while backends have capacity, the most valuable first.
     pub(super) fn dispatch_queued(&mut self, actions: &mut Vec<Action>) {
         let mut misses = 0;
         for id in dispatch_order(&self.selection(), &self.requests) {
-            if self.send_to_chosen(id, actions) {
+            if self.choose_and_send(id, actions) {
                 continue;
             }
             misses += 1;
@@ -158,10 +161,10 @@
 
     /// Ends the queued requests that can no longer be answered in time, or that were never sent, while a
     /// rejection is still early.
-    pub(super) fn reject_expired(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn end_expired(&mut self, actions: &mut Vec<Action>) {
         let retry_after = self.fleet.settings.limits.max_retry_after;
         for id in self.expired_requests() {
-            self.end(id, retry_after, actions);
+            self.reject_or_fail(id, retry_after, actions);
         }
     }
 
@@ -177,7 +180,12 @@
     }
 
     /// The one place that ends requests: rejected where a retry by the client does no harm, failed otherwise.
-    pub(super) fn end(&mut self, id: RequestId, retry_after: Nanos, actions: &mut Vec<Action>) {
+    pub(super) fn reject_or_fail(
+        &mut self,
+        id: RequestId,
+        retry_after: Nanos,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
--- a/balancer/src/balancer/retries.rs
+++ b/balancer/src/balancer/retries.rs
@@ -10,7 +10,7 @@
 
 impl Balancer {
     /// After an attempt that did not succeed: another one, or the end of the request.
-    pub(super) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn retry_or_end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -20,20 +20,20 @@
         if self.fleet.now >= request.objective_deadline {
             // As for a request that expires in the queue.
             let retry_after = self.fleet.settings.limits.max_retry_after;
-            self.end(id, retry_after, actions);
+            self.reject_or_fail(id, retry_after, actions);
             return;
         }
-        if !self.can_pay_for_retry(request) || !self.has_retry_target(request) {
-            self.end(id, NO_RETRY_AFTER, actions);
+        if !self.is_within_retry_budget(request) || !self.has_retry_target(request) {
+            self.reject_or_fail(id, NO_RETRY_AFTER, actions);
             return;
         }
         // Queued where no backend has capacity now: most have some before the objective's end.
-        self.retry_budget.spend();
+        self.retry_budget.withdraw();
         self.dispatch(id, actions);
     }
 
     /// Whether the retry budget allows a retry of this request.
-    fn can_pay_for_retry(&self, request: &Request) -> bool {
+    fn is_within_retry_budget(&self, request: &Request) -> bool {
         // What was rejected at once has cost little: its first retry is free.
         let is_free = self.fleet.settings.is_large_fleet()
             && request.attempts.len() == 1
@@ -56,7 +56,7 @@
         let waiting = self
             .requests
             .iter()
-            .filter(|(_, request)| self.is_hedged_out_of(request, zone));
+            .filter(|(_, request)| self.needs_hedge_out_of(request, zone));
         let ids: Vec<RequestId> = waiting.map(|(id, _)| id).collect();
         for id in ids {
             if !self.retry_budget.has_token() {
@@ -65,16 +65,16 @@
             if !self.fleet.settings.limits.hedging {
                 // The end of its attempt makes the retry.
                 self.cancel_in_flight(id, actions);
-            } else if self.send_to_chosen(id, actions) {
-                self.retry_budget.spend();
+            } else if self.choose_and_send(id, actions) {
+                self.retry_budget.withdraw();
             }
         }
     }
 
     /// Whether a request waits for an answer from a closed zone only, and may run twice.
-    fn is_hedged_out_of(&self, request: &Request, zone: ZoneId) -> bool {
+    fn needs_hedge_out_of(&self, request: &Request, zone: ZoneId) -> bool {
         let class = self.fleet.settings.class(request.class);
-        request.waits_only_for(zone)
+        request.waits_only_in(zone)
             && class.idempotency == Idempotency::Idempotent
             && request.phase == Phase::Open
             && self.fleet.now < request.objective_deadline
--- a/balancer/src/class_statistics.rs
+++ b/balancer/src/class_statistics.rs
@@ -55,11 +55,11 @@
     }
 
     /// Adds the response time of a served attempt, divided by its backend's load, in nanoseconds.
-    pub(crate) fn record_served(&mut self, unit_time: f64) {
+    pub(crate) fn record_served(&mut self, normalized_time: f64) {
         self.samples = (self.samples + 1.0).min(MAX_SAMPLES);
-        let rises_slowly = unit_time > self.base_time && self.samples > SLOW_RISE_SAMPLES;
+        let rises_slowly = normalized_time > self.base_time && self.samples > SLOW_RISE_SAMPLES;
         let weight = if rises_slowly { RISE_WEIGHT } else { 1.0 };
-        let sample = unit_time.min(MAX_OBSERVATION_RATIO * self.base_time);
+        let sample = normalized_time.min(MAX_OBSERVATION_RATIO * self.base_time);
         self.base_time += (sample - self.base_time) * weight / (self.samples + PRIOR_SAMPLES);
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// The class of that id, or the last one where there is none of it.
-    pub(crate) fn known_id(&self, id: ClassId) -> ClassId {
+    pub(crate) fn id_or_last(&self, id: ClassId) -> ClassId {
         if id.index() < self.classes.len() {
             return id;
         }
--- a/balancer/src/deadlines.rs
+++ b/balancer/src/deadlines.rs
@@ -12,19 +12,19 @@
 /// Least service time of a request that is still answered, as a fraction of the time on an idle backend.
 const MIN_SERVICE_TIME_FRACTION: f64 = 0.5;
 /// A time-out after at least this many base times counts against its backend.
-const OVERDUE_BASE_TIMES: f64 = 3.0;
+const MIN_BACKEND_TIMEOUT_BASE_TIMES: f64 = 3.0;
 /// Under overload, an attempt ends at the objective if a later answer keeps at most this fraction of its value.
-const MAX_DROPPED_LATE_VALUE: f64 = 0.5;
+const MAX_DROPPED_LATE_VALUE_FRACTION: f64 = 0.5;
 
 /// Whether an answer of this class after its objective is worth nothing.
-fn is_worthless_late(fleet: &Fleet, class: ClassId) -> bool {
+fn has_no_late_value(fleet: &Fleet, class: ClassId) -> bool {
     fleet.settings.class(class).late_value_fraction == 0.0
 }
 
 /// Whether a request has expired, or is past its objective and would be answered for nothing.
-pub(crate) fn is_past_objective(fleet: &Fleet, request: &Request) -> bool {
+pub(crate) fn has_no_remaining_value(fleet: &Fleet, request: &Request) -> bool {
     let is_late = request.objective_deadline <= fleet.now;
-    request.expires_at <= fleet.now || (is_late && is_worthless_late(fleet, request.class))
+    request.expires_at <= fleet.now || (is_late && has_no_late_value(fleet, request.class))
 }
 
 /// The time from which a request's objective counts.
@@ -41,7 +41,7 @@
     let may_be_retry = arrival.is_retry || !fleet.settings.retries_marked;
     let longest = fleet.classes.get(class).longest_client_timeout();
     let is_short = client_timeout < longest - longest / SHORTER_TIMEOUT_DIVISOR;
-    if !may_be_retry || !is_short || !is_worthless_late(fleet, class) {
+    if !may_be_retry || !is_short || !has_no_late_value(fleet, class) {
         return fleet.now;
     }
     let deadline = fleet.settings.class(class).deadline;
@@ -61,7 +61,7 @@
     let late_value = fleet.settings.class(request.class).late_value_fraction;
     let is_overloaded = admitted_fraction < 1.0;
     let has_little_late_value =
-        late_value == 0.0 || (late_value <= MAX_DROPPED_LATE_VALUE && is_overloaded);
+        late_value == 0.0 || (late_value <= MAX_DROPPED_LATE_VALUE_FRACTION && is_overloaded);
     let has_timeout = fleet.settings.is_large_fleet()
         && has_little_late_value
         && !request.is_uploading
@@ -70,8 +70,8 @@
 }
 
 /// Whether a time-out counts against the backend: a client with little time ends an attempt early.
-pub(crate) fn is_overdue(fleet: &Fleet, class: ClassId, elapsed: Nanos) -> bool {
-    elapsed as f64 >= OVERDUE_BASE_TIMES * fleet.classes.get(class).base_time()
+pub(crate) fn is_backend_timeout(fleet: &Fleet, class: ClassId, elapsed: Nanos) -> bool {
+    elapsed as f64 >= MIN_BACKEND_TIMEOUT_BASE_TIMES * fleet.classes.get(class).base_time()
 }
 
 /// Whether a queued request is better ended now than at the next check, a period from now.
@@ -82,7 +82,7 @@
     let base_time = fleet.classes.get(request.class).base_time();
     let min_service_time = nanos_from_f64(base_time * IDLE_LOAD * MIN_SERVICE_TIME_FRACTION);
     let next_check_at = fleet.now + period;
-    let was_never_sent = request.attempts.iter().all(Attempt::has_missed_backend);
+    let was_never_sent = request.attempts.iter().all(Attempt::is_undelivered);
     let end = if was_never_sent {
         request.early_rejection_until
     } else {
--- a/balancer/src/dispatch_order.rs
+++ b/balancer/src/dispatch_order.rs
@@ -37,7 +37,7 @@
         Some(QueuedRequest {
             id,
             value: selection.admission.value(request.class),
-            has_affinity: selection.could_use_affinity(request),
+            has_affinity: selection.can_use_affinity_backend(request),
         })
     });
     let mut order: Vec<QueuedRequest> = queued.collect();
--- a/balancer/src/endpoint_selection.rs
+++ b/balancer/src/endpoint_selection.rs
@@ -45,18 +45,18 @@
 
     /// The backend with the least expected delay.
     fn pick_by_delay(&self, id: RequestId, request: &Request, zone: ZoneId) -> Option<BackendId> {
-        let affine = request
+        let affinity_backend = request
             .affinity_key
-            .and_then(|key| self.affine_backend(key, zone));
+            .and_then(|key| self.affinity_backend(key, zone));
         let mut jitter = self.random.jitter(id);
         let mut best: Option<(f64, BackendId)> = None;
         for (candidate, backend) in self.fleet.backends.in_zone(zone) {
-            if !self.can_take(request, backend) {
+            if !self.is_candidate(request, backend) {
                 continue;
             }
             let spread = 1.0 + DELAY_JITTER * jitter.draw();
             let mut delay = self.expected_delay(request, candidate, backend) * spread;
-            if affine == Some(candidate) {
+            if affinity_backend == Some(candidate) {
                 delay *= AFFINITY_DELAY_FACTOR;
             }
             if best.is_none_or(|(least, _)| delay < least) {
@@ -85,7 +85,7 @@
         let mut picked = None;
         let mut total = 0.0;
         for (candidate, backend) in self.fleet.backends.in_zone(zone) {
-            if backend.subset_rank() > max_rank || !self.can_take(request, backend) {
+            if backend.subset_rank() > max_rank || !self.is_candidate(request, backend) {
                 continue;
             }
             let chance = jitter.draw();
@@ -126,12 +126,12 @@
     }
 
     /// Whether a backend is available, would answer in time, and may get the request.
-    fn can_take(&self, request: &Request, backend: &Backend) -> bool {
-        self.could_answer(request, backend) && is_eligible(self.fleet, request, backend)
+    fn is_candidate(&self, request: &Request, backend: &Backend) -> bool {
+        self.can_answer_in_time(request, backend) && is_eligible(self.fleet, request, backend)
     }
 
     /// Whether a backend is available and would answer in time.
-    fn could_answer(&self, request: &Request, backend: &Backend) -> bool {
+    fn can_answer_in_time(&self, request: &Request, backend: &Backend) -> bool {
         backend
             .outlier
             .is_available(self.fleet.now, backend.in_flight())
@@ -139,30 +139,30 @@
     }
 
     /// Whether the backend of the local zone that the request's key goes to would answer it in time.
-    pub(crate) fn could_use_affinity(&self, request: &Request) -> bool {
+    pub(crate) fn can_use_affinity_backend(&self, request: &Request) -> bool {
         let local = self.fleet.local_zone();
-        let affine = request
+        let affinity_backend = request
             .affinity_key
-            .and_then(|key| self.affine_backend(key, local));
-        let backend = affine.and_then(|id| self.fleet.backends.get(id));
-        backend.is_some_and(|backend| self.could_answer(request, backend))
+            .and_then(|key| self.affinity_backend(key, local));
+        let backend = affinity_backend.and_then(|id| self.fleet.backends.get(id));
+        backend.is_some_and(|backend| self.can_answer_in_time(request, backend))
     }
 
     /// The backend of a zone that a key goes to first, the same at every node (rendezvous hashing).
-    fn affine_backend(&self, key: u64, zone: ZoneId) -> Option<BackendId> {
-        let listed = self
+    fn affinity_backend(&self, key: u64, zone: ZoneId) -> Option<BackendId> {
+        let in_service = self
             .fleet
             .backends
             .in_zone(zone)
             .filter(|(_, backend)| backend.is_in_service());
-        listed
+        in_service
             .max_by_key(|(_, backend)| rendezvous_score(backend.entry().name_hash, key))
             .map(|(id, _)| id)
     }
 
     /// The zone probe that a request makes, if one is wanted: only an idempotent request without attempts so far.
     pub(crate) fn zone_probe(&self, id: RequestId, request: &Request) -> Option<ZoneProbe> {
-        let wanted = self.fleet.zones.wanted_probe()?;
+        let requested = self.fleet.zones.requested_probe()?;
         let class = self.fleet.settings.class(request.class);
         let is_idempotent = class.idempotency == Idempotency::Idempotent;
         if !is_idempotent || !request.attempts.is_empty() || request.is_uploading {
@@ -170,13 +170,13 @@
         }
         // Half of its client's time at most: the rest is for another attempt.
         let time_left = request.expires_at.saturating_sub(self.fleet.now);
-        let timeout = wanted.timeout.min(time_left / 2);
+        let timeout = requested.timeout.min(time_left / 2);
         if timeout == 0 {
             return None;
         }
-        let backend = self.probe_backend(id, request, wanted.zone)?;
+        let backend = self.probe_backend(id, request, requested.zone)?;
         Some(ZoneProbe {
-            zone: wanted.zone,
+            zone: requested.zone,
             backend,
             timeout,
         })
--- a/balancer/src/expected_delay.rs
+++ b/balancer/src/expected_delay.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Nanos, Settings};
 use crate::backend::Backend;
-use crate::tuning::{IDLE_LOAD, SLOWNESS_FORGET_TIME};
+use crate::tuning::{IDLE_DECAY_TIME_CONSTANT, IDLE_LOAD};
 
 impl Backend {
     /// Load in requests for each unit of size: this node's, times the nodes that send there likewise; in a large
@@ -22,6 +22,6 @@
     pub(crate) fn expected_slowness(&self, now: Nanos, settings: &Settings) -> f64 {
         let prior = 1.0 / self.warm_up_fraction(now, &settings.rules);
         self.measured_slowness()
-            .decayed_towards(prior, now, SLOWNESS_FORGET_TIME)
+            .decayed_towards(prior, now, IDLE_DECAY_TIME_CONSTANT)
     }
 }
--- a/balancer/src/health_checks.rs
+++ b/balancer/src/health_checks.rs
@@ -7,7 +7,7 @@
 use badgerpost_time::MILLISECOND;
 
 /// Checks that each arrival pays for, so that their number does not grow with nodes times backends.
-const CHECKS_PER_ARRIVAL: f64 = 0.2;
+const TOKENS_PER_ARRIVAL: f64 = 0.2;
 /// Shortest time between two checks of a backend: reports are refreshed no more often.
 const CHECK_INTERVAL: Nanos = 800 * MILLISECOND;
 /// A backend of another zone is checked less often than one of the local zone, by this factor.
@@ -31,8 +31,8 @@
     }
 
     /// Each arrival pays for a part of a check.
-    pub(crate) fn earn(&mut self) {
-        self.tokens = (self.tokens + CHECKS_PER_ARRIVAL).min(MAX_TOKENS);
+    pub(crate) fn deposit(&mut self) {
+        self.tokens = (self.tokens + TOKENS_PER_ARRIVAL).min(MAX_TOKENS);
     }
 
     /// Checks the backends whose figures are oldest, as far as the budget goes.
@@ -41,7 +41,7 @@
             return;
         }
         while self.tokens >= 1.0 {
-            let Some(backend) = next_due(fleet) else {
+            let Some(backend) = most_overdue_backend(fleet) else {
                 return;
             };
             self.tokens -= 1.0;
@@ -54,23 +54,23 @@
 }
 
 /// The backend whose check is longest overdue.
-fn next_due(fleet: &Fleet) -> Option<BackendId> {
+fn most_overdue_backend(fleet: &Fleet) -> Option<BackendId> {
     let due_backends = fleet
         .backends
         .iter()
         .filter(|(_, backend)| backend.is_in_service() && is_check_due(fleet, backend));
     due_backends
-        .max_by_key(|(_, backend)| (weighted_age(fleet, backend), backend.subset_rank()))
+        .max_by_key(|(_, backend)| (weighted_check_age(fleet, backend), backend.subset_rank()))
         .map(|(id, _)| id)
 }
 
 /// Whether a backend has not been checked yet, or not for the check interval.
 fn is_check_due(fleet: &Fleet, backend: &Backend) -> bool {
-    backend.health_checked_at().is_none() || weighted_age(fleet, backend) >= CHECK_INTERVAL
+    backend.health_checked_at().is_none() || weighted_check_age(fleet, backend) >= CHECK_INTERVAL
 }
 
 /// Time since a backend's last check, divided by a factor for other zones.
-fn weighted_age(fleet: &Fleet, backend: &Backend) -> Nanos {
+fn weighted_check_age(fleet: &Fleet, backend: &Backend) -> Nanos {
     let checked_at = backend.health_checked_at().unwrap_or(0);
     let age = fleet.now.saturating_sub(checked_at);
     if backend.zone() == fleet.local_zone() {
--- a/balancer/src/learning.rs
+++ b/balancer/src/learning.rs
@@ -80,17 +80,17 @@
             return;
         };
         let class = self.classes.get_mut(observation.class);
-        let unit_time = elapsed / observation.load;
+        let normalized_time = elapsed / observation.load;
         let known_slowness = backend.measured_slowness().value();
         let max_slowness = MAX_OBSERVATION_RATIO * known_slowness.max(1.0);
-        let slowness = (unit_time / class.base_time().max(1.0)).min(max_slowness);
+        let slowness = (normalized_time / class.base_time().max(1.0)).min(max_slowness);
         match observation.outcome {
             Outcome::Success => {
                 // Against a base time that is not known yet every backend would look slow, for seconds.
                 if class.is_base_time_reliable() {
                     backend.record_slowness(self.now, slowness);
                 }
-                class.record_served(unit_time);
+                class.record_served(normalized_time);
                 if let Some(zone) = self.zones.get_mut(backend.zone()) {
                     zone.record_latency(elapsed);
                 }
@@ -122,7 +122,7 @@
         let measured = self
             .backends
             .values()
-            .filter(|backend| self.shows_capacity(backend));
+            .filter(|backend| self.is_capacity_measurable(backend));
         for backend in measured {
             if let Some(sample) = samples.get_mut(backend.zone().index()) {
                 let utilization = backend.utilization().value().max(MIN_USED_UTILIZATION);
@@ -134,7 +134,7 @@
     }
 
     /// Whether a backend's figures tell of its full capacity: it is warm and has reported lately.
-    fn shows_capacity(&self, backend: &Backend) -> bool {
+    fn is_capacity_measurable(&self, backend: &Backend) -> bool {
         let is_warm = backend.warm_up_fraction(self.now, &self.settings.rules) >= 1.0;
         let utilization = backend.utilization();
         is_warm && utilization.is_younger_than(self.now, UTILIZATION_MAX_AGE)
--- a/balancer/src/load_feedback.rs
+++ b/balancer/src/load_feedback.rs
@@ -33,7 +33,7 @@
 
 /// When figures of the shared load came.
 pub(crate) struct LoadFeedback {
-    listed_at: Option<Nanos>,
+    last_list_at: Option<Nanos>,
     refresh_interval_seconds: f64,
     next_report_feedback_at: Nanos,
 }
@@ -42,7 +42,7 @@
     /// No figures so far.
     pub(crate) fn new() -> Self {
         Self {
-            listed_at: None,
+            last_list_at: None,
             refresh_interval_seconds: INITIAL_REFRESH_INTERVAL_SECONDS,
             next_report_feedback_at: 0,
         }
@@ -55,7 +55,7 @@
 
     /// Whether a list has arrived recently.
     pub(crate) fn is_fresh(&self, now: Nanos) -> bool {
-        self.listed_at
+        self.last_list_at
             .is_some_and(|at| now.saturating_sub(at) < UTILIZATION_MAX_AGE)
     }
 
@@ -87,12 +87,12 @@
     /// Updates the refresh interval by the gap since the last list.
     fn measure_refresh_interval(&mut self, now: Nanos) {
         let gap = self
-            .listed_at
+            .last_list_at
             .map_or(1.0, |at| now.saturating_sub(at) as f64 / SECOND as f64);
         let sample = gap.min(MAX_REFRESH_INTERVAL_SECONDS);
         let difference = sample - self.refresh_interval_seconds;
         self.refresh_interval_seconds += difference * REFRESH_INTERVAL_WEIGHT;
-        self.listed_at = Some(now);
+        self.last_list_at = Some(now);
     }
 
     /// Whether the zones' queues are to be derived from reports now: in a large fleet without load-adjusted
--- a/balancer/src/outlier_detection.rs
+++ b/balancer/src/outlier_detection.rs
@@ -4,7 +4,7 @@
 
 use crate::api::Nanos;
 use crate::ewma::Ewma;
-use crate::tuning::SLOWNESS_FORGET_TIME;
+use crate::tuning::IDLE_DECAY_TIME_CONSTANT;
 
 /// Whether a backend is ejected.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
@@ -63,7 +63,7 @@
 
     /// Its failure rate, decayed since its last outcome, so that it is tried again.
     pub(crate) fn decayed_failure_rate(&self, now: Nanos) -> f64 {
-        self.failure_rate.decayed(now, SLOWNESS_FORGET_TIME)
+        self.failure_rate.decayed(now, IDLE_DECAY_TIME_CONSTANT)
     }
 
     /// Forgets failures and ejection.
--- a/balancer/src/outlier_detection/transitions.rs
+++ b/balancer/src/outlier_detection/transitions.rs
@@ -88,7 +88,7 @@
         if outcome == Outcome::Success {
             return self.record_success();
         }
-        self.consecutive_failures += failure_count(outcome);
+        self.consecutive_failures += consecutive_failure_weight(outcome);
         OutcomeEffect::Failed
     }
 
@@ -145,7 +145,7 @@
 
 /// How many failures in a row an outcome counts as. A connection may break between two healthy ends; a refused one
 /// tells more.
-fn failure_count(outcome: Outcome) -> u32 {
+fn consecutive_failure_weight(outcome: Outcome) -> u32 {
     if outcome == Outcome::ConnectFailed {
         2
     } else {
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -31,7 +31,7 @@
     /// How it ended; `None` while it is in flight.
     pub(crate) outcome: Option<Outcome>,
     /// Whether its backend has the complete request, so that it counts as load there.
-    pub(crate) is_counted: bool,
+    pub(crate) is_counted_as_load: bool,
     /// What it has reserved of its backend's slow-start budget, in nanoseconds of service time; 0 once it is counted.
     pub(crate) reserved: f64,
 }
@@ -48,7 +48,7 @@
     }
 
     /// Whether it has ended without reaching its backend.
-    pub(crate) fn has_missed_backend(&self) -> bool {
+    pub(crate) fn is_undelivered(&self) -> bool {
         matches!(
             self.outcome,
             Some(Outcome::ConnectFailed | Outcome::NotSent)
@@ -119,10 +119,10 @@
     }
 
     /// The attempts in flight that do not count as load yet.
-    pub(crate) fn uploads_mut(&mut self) -> impl Iterator<Item = &mut Attempt> {
+    pub(crate) fn uploading_attempts_mut(&mut self) -> impl Iterator<Item = &mut Attempt> {
         self.attempts
             .iter_mut()
-            .filter(|attempt| attempt.is_in_flight() && !attempt.is_counted)
+            .filter(|attempt| attempt.is_in_flight() && !attempt.is_counted_as_load)
     }
 
     /// Whether an attempt was sent to this backend.
@@ -133,14 +133,14 @@
     }
 
     /// Whether its only attempt in flight is in this zone.
-    pub(crate) fn waits_only_for(&self, zone: ZoneId) -> bool {
+    pub(crate) fn waits_only_in(&self, zone: ZoneId) -> bool {
         let mut in_flight = self
             .attempts
             .iter()
             .filter(|attempt| attempt.is_in_flight());
-        let is_there = in_flight
+        let is_in_zone = in_flight
             .next()
             .is_some_and(|attempt| attempt.placement.zone == zone);
-        is_there && in_flight.next().is_none()
+        is_in_zone && in_flight.next().is_none()
     }
 }
--- a/balancer/src/retry_budget.rs
+++ b/balancer/src/retry_budget.rs
@@ -3,9 +3,9 @@
 use crate::api::Settings;
 
 /// Retries that each arrival earns.
-const RETRIES_PER_ARRIVAL: f64 = 0.2;
+const TOKENS_PER_ARRIVAL: f64 = 0.2;
 /// Most retries that can be saved up, by all nodes that share a zone's backends together.
-const MAX_SAVED_RETRIES: f64 = 10.0;
+const MAX_TOKENS_PER_ZONE: f64 = 10.0;
 /// Retries before the node starts.
 const INITIAL_TOKENS: f64 = 1.0;
 
@@ -18,7 +18,7 @@
 impl RetryBudget {
     /// A budget with a bound for this size of the fleet: many nodes together must not save up a retry storm.
     pub(crate) fn new(settings: &Settings) -> Self {
-        let max_tokens = (MAX_SAVED_RETRIES / settings.nodes_per_zone()).max(1.0);
+        let max_tokens = (MAX_TOKENS_PER_ZONE / settings.nodes_per_zone()).max(1.0);
         Self {
             tokens: INITIAL_TOKENS,
             max_tokens,
@@ -31,8 +31,8 @@
     }
 
     /// An arrival earns its part of a retry.
-    pub(crate) fn earn(&mut self) {
-        self.tokens = (self.tokens + RETRIES_PER_ARRIVAL).min(self.max_tokens);
+    pub(crate) fn deposit(&mut self) {
+        self.tokens = (self.tokens + TOKENS_PER_ARRIVAL).min(self.max_tokens);
     }
 
     /// Whether a retry can be paid for.
@@ -41,7 +41,7 @@
     }
 
     /// Pays for a retry, as far as the budget goes.
-    pub(crate) fn spend(&mut self) {
+    pub(crate) fn withdraw(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 }
--- a/balancer/src/retry_safety.rs
+++ b/balancer/src/retry_safety.rs
@@ -45,20 +45,20 @@
         .iter()
         .enumerate()
         .filter(|(number, _)| excluded != Some(*number));
-    let mut ran = others
+    let mut possibly_run = others
         .map(|(_, attempt)| attempt)
         .filter(|attempt| attempt.may_have_run())
         .peekable();
-    if ran.peek().is_none() {
+    if possibly_run.peek().is_none() {
         return true;
     }
     match settings.class(request.class).idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
-        Idempotency::Keyed { scope, window } => ran.all(|other| {
-            let is_remembered =
+        Idempotency::Keyed { scope, window } => possibly_run.all(|other| {
+            let is_key_retained =
                 at + settings.timer_resolution < other.sent_at.saturating_add(window);
-            is_remembered && is_same_dedup_scope(scope, other.placement, target)
+            is_key_retained && is_same_dedup_scope(scope, other.placement, target)
         }),
     }
 }
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -23,7 +23,7 @@
     let window = settings.rules.overload_window;
     let window_start = fleet.now.saturating_sub(window + settings.timer_resolution);
     let consumed = backend.warming_sends().consumed_since(window_start);
-    let budget = budget(fleet, backend);
+    let budget = node_budget(fleet, backend);
     if consumed + cost <= budget {
         return true;
     }
@@ -35,7 +35,7 @@
 }
 
 /// This node's part of a warming backend's budget for one window, in nanoseconds of service time.
-fn budget(fleet: &Fleet, backend: &Backend) -> f64 {
+fn node_budget(fleet: &Fleet, backend: &Backend) -> f64 {
     let rules = &fleet.settings.rules;
     let zone = fleet.zones.get(backend.zone());
     let window_seconds = rules.overload_window as f64 / SECOND as f64;
--- a/balancer/src/tuning.rs
+++ b/balancer/src/tuning.rs
@@ -6,7 +6,7 @@
 /// A utilization older than this is not used; a zone without a younger one counts as unseen.
 pub(crate) const UTILIZATION_MAX_AGE: Nanos = 4 * SECOND;
 /// An unused backend's slowness is forgotten with this time constant, so that it is tried again.
-pub(crate) const SLOWNESS_FORGET_TIME: Nanos = 3 * SECOND;
+pub(crate) const IDLE_DECAY_TIME_CONSTANT: Nanos = 3 * SECOND;
 /// Load of an idle backend in the expected delay, in requests; small, as the load by other nodes grows with this
 /// node's.
 pub(crate) const IDLE_LOAD: f64 = 0.7;
--- a/balancer/src/zone.rs
+++ b/balancer/src/zone.rs
@@ -4,10 +4,10 @@
 use crate::ewma::{Ewma, UTILIZATION_TIME_CONSTANT};
 
 /// Fraction by which the measured capacity rises in a refresh: in about 2 s.
-const CAPACITY_RISE: f64 = 0.05;
+const CAPACITY_RISE_WEIGHT: f64 = 0.05;
 /// Fraction by which it falls: in about a minute. Under overload little is served, and the budget of warming backends,
 /// which would relieve it, must not fall with that.
-const CAPACITY_FALL: f64 = 0.002;
+const CAPACITY_FALL_WEIGHT: f64 = 0.002;
 /// Growth of the least response time in a refresh, so that a link that has become slow shows.
 const MIN_LATENCY_GROWTH: f64 = 1.002;
 
@@ -115,9 +115,9 @@
     pub(crate) fn update_capacity(&mut self, measured: f64) {
         let change = measured - self.capacity;
         let weight = if change > 0.0 {
-            CAPACITY_RISE
+            CAPACITY_RISE_WEIGHT
         } else {
-            CAPACITY_FALL
+            CAPACITY_FALL_WEIGHT
         };
         self.capacity += change * weight;
     }
--- a/balancer/src/zone_routing.rs
+++ b/balancer/src/zone_routing.rs
@@ -10,14 +10,14 @@
 struct ScoredZone {
     zone: ZoneId,
     /// Whether it is under the spill threshold.
-    qualifies: bool,
+    is_below_threshold: bool,
     score: f64,
 }
 
 /// The other zones in the order in which overflow goes there.
 pub(crate) struct ZoneRouting {
-    overflow: Vec<ZoneId>,
-    qualified: usize,
+    overflow_order: Vec<ZoneId>,
+    below_threshold_count: usize,
     is_spilling: bool,
     next_scoring_at: Nanos,
 }
@@ -26,8 +26,8 @@
     /// No zone scored yet; the first scoring is due now.
     pub(crate) fn new(now: Nanos) -> Self {
         Self {
-            overflow: Vec::new(),
-            qualified: 0,
+            overflow_order: Vec::new(),
+            below_threshold_count: 0,
             is_spilling: false,
             next_scoring_at: now,
         }
@@ -39,10 +39,10 @@
     }
 
     /// The best-scored other zone, if it is under the threshold.
-    pub(crate) fn best_target(&self) -> Option<ZoneId> {
-        self.overflow
+    pub(crate) fn best_overflow_zone(&self) -> Option<ZoneId> {
+        self.overflow_order
             .first()
             .copied()
-            .filter(|_| self.qualified > 0)
+            .filter(|_| self.below_threshold_count > 0)
     }
 }
--- a/balancer/src/zone_routing/decisions.rs
+++ b/balancer/src/zone_routing/decisions.rs
@@ -1,5 +1,5 @@
 //! Zone routing: the local zone first below the spill threshold, otherwise the best-scored other zone, and the local
-//! zone again where none qualifies.
+//! zone again where none is_below_threshold.
 
 use std::cmp::Ordering;
 
@@ -24,9 +24,9 @@
 /// Weight of the latency saved in a zone's score.
 const LATENCY_WEIGHT: f64 = 0.3;
 /// Score of a zone without figures: it qualifies lowest, so that one send learns them.
-const UNSEEN_SCORE: f64 = -1.0;
+const UNMEASURED_SCORE: f64 = -1.0;
 /// Salt of the draw that divides the requests which the local zone does not take.
-const DIVISION_SALT: u64 = u64::MAX;
+const REMOTE_ZONE_SALT: u64 = u64::MAX;
 
 impl ZoneRouting {
     /// Sets the time of the next scoring.
@@ -40,14 +40,17 @@
         let latencies = fleet
             .remote_zones()
             .filter_map(|zone| fleet.zones.get(zone).min_latency());
-        let farthest = latencies.fold(1.0, f64::max);
+        let max_latency = latencies.fold(1.0, f64::max);
         let mut scored: Vec<ScoredZone> = fleet
             .remote_zones()
-            .map(|zone| score_zone(fleet, zone, farthest))
+            .map(|zone| score_zone(fleet, zone, max_latency))
             .collect();
         scored.sort_by(ScoredZone::preference_cmp);
-        self.qualified = scored.iter().filter(|scored| scored.qualifies).count();
-        self.overflow = scored.into_iter().map(|scored| scored.zone).collect();
+        self.below_threshold_count = scored
+            .iter()
+            .filter(|scored| scored.is_below_threshold)
+            .count();
+        self.overflow_order = scored.into_iter().map(|scored| scored.zone).collect();
     }
 
     /// Updates whether the local zone spills; returns a change as an event for the log.
@@ -59,7 +62,7 @@
             return None;
         }
         self.is_spilling = is_spilling;
-        let to = self.overflow.first().copied().unwrap_or(local);
+        let to = self.overflow_order.first().copied().unwrap_or(local);
         Some(LogEvent::ZoneSpill {
             active: is_spilling,
             to,
@@ -68,7 +71,7 @@
 
     /// The backend for a request, or none if it is better queued. `prefers_local` is the answer of
     /// [`prefers_local_zone`].
-    pub(crate) fn choose(
+    pub(crate) fn choose_backend(
         &self,
         selection: &EndpointSelection,
         id: RequestId,
@@ -77,18 +80,18 @@
     ) -> Option<BackendId> {
         let pick = |zone| selection.pick(id, request, zone);
         let local = selection.fleet.local_zone();
-        let is_local_open = takes_request(selection, id, local);
-        if is_local_open
+        let is_within_local_share = is_within_traffic_share(selection, id, local);
+        if is_within_local_share
             && prefers_local
             && let Some(backend) = pick(local)
         {
             return Some(backend);
         }
-        let target = self.overflow_target(selection, id, is_local_open);
+        let target = self.overflow_target(selection, id, is_within_local_share);
         if let Some(backend) = target.and_then(pick) {
             return Some(backend);
         }
-        if is_local_open
+        if is_within_local_share
             && !prefers_local
             && let Some(backend) = pick(local)
         {
@@ -103,19 +106,19 @@
         &self,
         selection: &EndpointSelection,
         id: RequestId,
-        is_local_open: bool,
+        is_within_local_share: bool,
     ) -> Option<ZoneId> {
-        if !is_local_open {
+        if !is_within_local_share {
             // What a closed zone does not take would overload the best zone: it is divided among the others.
             return draw_zone_by_traffic_share(selection, id);
         }
-        self.best_target()
+        self.best_overflow_zone()
             .filter(|&zone| selection.fleet.zones.traffic_share(zone) > 0.0)
     }
 
     /// The other zones that take requests, the best first.
     fn open_overflow_zones(&self, fleet: &Fleet) -> impl Iterator<Item = ZoneId> {
-        self.overflow
+        self.overflow_order
             .iter()
             .copied()
             .filter(|&zone| fleet.zones.traffic_share(zone) > 0.0)
@@ -125,11 +128,9 @@
 impl ScoredZone {
     /// Those that qualify first, then by score, then by id.
     fn preference_cmp(&self, other: &Self) -> Ordering {
-        let by_qualification = other.qualifies.cmp(&self.qualifies);
+        let by_threshold = other.is_below_threshold.cmp(&self.is_below_threshold);
         let by_score = other.score.total_cmp(&self.score);
-        by_qualification
-            .then(by_score)
-            .then(self.zone.cmp(&other.zone))
+        by_threshold.then(by_score).then(self.zone.cmp(&other.zone))
     }
 }
 
@@ -175,28 +176,28 @@
     Some(used_size / size * growth.max(1.0))
 }
 
-/// Scores a zone against the one that is farthest away, by its least response time in nanoseconds.
-fn score_zone(fleet: &Fleet, zone: ZoneId, farthest: f64) -> ScoredZone {
+/// Scores a zone against the one that is max_latency away, by its least response time in nanoseconds.
+fn score_zone(fleet: &Fleet, zone: ZoneId, max_latency: f64) -> ScoredZone {
     let Some(utilization) = utilization(fleet, zone) else {
         return ScoredZone {
             zone,
-            qualifies: true,
-            score: UNSEEN_SCORE,
+            is_below_threshold: true,
+            score: UNMEASURED_SCORE,
         };
     };
     let headroom = 1.0 - utilization;
     let latency = fleet.zones.get(zone).min_latency();
-    let saved = (farthest - latency.unwrap_or(farthest)) / farthest;
-    let score = HEADROOM_WEIGHT * headroom + LATENCY_WEIGHT * saved;
+    let latency_advantage = (max_latency - latency.unwrap_or(max_latency)) / max_latency;
+    let score = HEADROOM_WEIGHT * headroom + LATENCY_WEIGHT * latency_advantage;
     ScoredZone {
         zone,
-        qualifies: utilization < spill_threshold(fleet),
+        is_below_threshold: utilization < spill_threshold(fleet),
         score,
     }
 }
 
 /// Whether a zone's traffic share covers this request; the answer for a request changes with the share only.
-fn takes_request(selection: &EndpointSelection, id: RequestId, zone: ZoneId) -> bool {
+fn is_within_traffic_share(selection: &EndpointSelection, id: RequestId, zone: ZoneId) -> bool {
     let share = selection.fleet.zones.traffic_share(zone);
     share >= 1.0 || selection.random.request_draw(id, u64::from(zone.0)) < share
 }
@@ -208,7 +209,7 @@
         .remote_zones()
         .map(|zone| fleet.zones.traffic_share(zone))
         .sum();
-    let mut remaining = selection.random.request_draw(id, DIVISION_SALT) * total;
+    let mut remaining = selection.random.request_draw(id, REMOTE_ZONE_SALT) * total;
     fleet
         .remote_zones()
         .filter(|&zone| fleet.zones.traffic_share(zone) > 0.0)
--- a/balancer/src/zones.rs
+++ b/balancer/src/zones.rs
@@ -5,7 +5,7 @@
 
 /// A zone that is to be probed.
 #[derive(Clone, Copy)]
-pub(crate) struct WantedProbe {
+pub(crate) struct RequestedProbe {
     /// The zone.
     pub(crate) zone: ZoneId,
     /// How long to wait for the answer.
@@ -61,11 +61,11 @@
     }
 
     /// The first zone that is to be probed.
-    pub(crate) fn wanted_probe(&self) -> Option<WantedProbe> {
+    pub(crate) fn requested_probe(&self) -> Option<RequestedProbe> {
         let ids = (0..).map(ZoneId);
         ids.zip(&self.zones).find_map(|(zone, state)| {
             let timeout = state.probe_timeout()?;
-            Some(WantedProbe { zone, timeout })
+            Some(RequestedProbe { zone, timeout })
         })
     }
 }
