--- a/balancer/src/admission.rs
+++ b/balancer/src/admission.rs
@@ -1,7 +1,7 @@
-//! Admission state: the fractions of the arrivals that are admitted and that spill, and the classes' values.
+//! Admission state: the admitted and the spilled fraction of the arrivals, and the value of each request class.
 //!
-//! [`overload`] and [`class_values`] change it, [`objective`] says whether a request would be answered in
-//! time.
+//! [`overload`] and [`class_values`] update this state; [`objective`] decides whether a backend would answer a
+//! request in time.
 
 mod class_values;
 mod objective;
@@ -11,18 +11,18 @@
 use crate::ewma::DecayingRate;
 use crate::fleet::Fleet;
 
-/// Decisions on one class.
+/// Admission state of one class.
 #[derive(Clone, Copy)]
 struct ClassAdmission {
-    /// What a unit of its work (of service time) adds to the goal.
+    /// Contribution of a unit of the class's work (service time) to the optimization goal.
     value: f64,
-    /// The largest stretch (slowness times load) that its requests are sent at.
+    /// The largest stretch (slowness times load) at which a request of the class is sent.
     max_stretch: f64,
-    /// Fraction of its arrivals that is admitted.
+    /// Fraction of the class's arrivals that is admitted, 0 to 1.
     admitted_fraction: f64,
 }
 
-/// Arrivals and answers of one class, per second.
+/// Arrivals and requests answered in time of one class, per second.
 #[derive(Clone, Copy)]
 struct ClassRates {
     arrivals: f64,
@@ -30,7 +30,7 @@
 }
 
 impl ClassRates {
-    /// Fraction of the arrivals that was answered in time.
+    /// Fraction of the arrivals that was answered in time; 1 without arrivals.
     fn served_fraction(self) -> f64 {
         if self.arrivals > 0.0 {
             self.served / self.arrivals
@@ -40,21 +40,21 @@
     }
 }
 
-/// Fractions of the arrivals that are admitted and that spill, and the classes' values.
+/// Admitted and spilled fractions of the arrivals, and the state of each class.
 pub(crate) struct Admission {
     classes: Vec<ClassAdmission>,
-    /// Requests of each tenant, per second.
+    /// Arrival rate of each tenant, in the order of [`Settings::tenant_quotas`].
     tenants: Vec<DecayingRate>,
-    /// Fraction of the requests beyond their tenants' quotas that is admitted.
+    /// Admitted fraction of the requests beyond their tenants' quotas.
     over_quota_admitted_fraction: f64,
-    /// Fraction of all arrivals that is admitted, by the shared figures.
+    /// Admitted fraction of all arrivals, by the zones' mean queues.
     admitted_fraction: f64,
-    /// Fraction of the arrivals that goes to another zone, in a large fleet.
+    /// Fraction of the arrivals sent to another zone; stays 0 in a small fleet.
     spill_fraction: f64,
 }
 
 impl Admission {
-    /// Admits everything.
+    /// Creates a state that admits all requests and spills none.
     pub(crate) fn new(settings: &Settings) -> Self {
         let open = ClassAdmission {
             value: 0.0,
@@ -70,36 +70,34 @@
         }
     }
 
-    /// Fraction of the arrivals that goes to another zone, in a large fleet.
+    /// Fraction of the arrivals sent to another zone; 0 in a small fleet.
     pub(crate) fn spill_fraction(&self) -> f64 {
         self.spill_fraction
     }
 
-    /// Fraction of a class's arrivals that is admitted.
     pub(crate) fn admitted_fraction(&self, class: ClassId) -> f64 {
         self.classes[class.index()].admitted_fraction
     }
 
-    /// What a unit of a class's work adds to the goal.
+    /// Contribution of a unit of the class's work to the optimization goal.
     pub(crate) fn value(&self, class: ClassId) -> f64 {
         self.classes[class.index()].value
     }
 
-    /// Counts an arrival of a tenant.
     pub(crate) fn record_tenant_arrival(&mut self, now: Nanos, tenant: usize) {
         if let Some(rate) = self.tenants.get_mut(tenant) {
             rate.add(now, 1.0);
         }
     }
 
-    /// Admits all requests of all classes again.
+    /// Admits all requests of all classes until the next update.
     pub(crate) fn reset_admitted_fractions(&mut self) {
         for class in &mut self.classes {
             class.admitted_fraction = 1.0;
         }
     }
 
-    /// The classes, the most valuable for each unit of work first.
+    /// The classes in descending order of value.
     fn classes_by_value(&self) -> Vec<ClassId> {
         let mut order: Vec<ClassId> = (0..).map(ClassId).take(self.classes.len()).collect();
         order.sort_by(|&a, &b| self.value(b).total_cmp(&self.value(a)));
@@ -107,7 +105,7 @@
     }
 }
 
-/// Arrivals and answers of all classes, by id.
+/// Rates of all classes, by class id.
 fn class_rates(fleet: &Fleet) -> Vec<ClassRates> {
     let rates = fleet.classes.iter().map(|class| ClassRates {
         arrivals: class.arrivals(fleet.now),
--- a/balancer/src/admission/class_values.rs
+++ b/balancer/src/admission/class_values.rs
@@ -1,4 +1,5 @@
-//! Values of the classes: which requests are worth most, and the delay that less valuable classes are bound to.
+//! Class values: the contribution of each class to the optimization goal, and the stretch limit of less valuable
+//! classes.
 
 use super::{Admission, ClassRates, class_rates};
 use crate::api::{ClassSettings, Settings};
@@ -6,23 +7,23 @@
 use crate::fleet::Fleet;
 use crate::tuning::{MIN_ARRIVAL_RATE, MIN_DIVISOR, OBJECTIVE_FRACTION};
 
-/// A class of lower value leaves at least this fraction of the delay allowed to the next more valuable one.
+/// Factor between the stretch limit of a class and that of the next more valuable class.
 const LOWER_VALUE_STRETCH_FACTOR: f64 = 0.8;
 
-/// What the values of all classes are measured against.
+/// Totals that the class values are computed from.
 struct ValueScale {
-    /// Fraction of the goal that the worst-served class decides, 0 to 1.
+    /// Weight of the worst-served class in the optimization goal, 0 to 1.
     worst_class_goal: f64,
-    /// Arrivals per second of all classes, each times its priority weight.
+    /// Sum over the classes of arrivals per second times priority weight.
     total_weight: f64,
     /// Fraction of the arrivals answered in time in the worst-served class.
     worst_served_fraction: f64,
-    /// Whether priority weights count for each unit of work.
+    /// Whether a priority weight applies to a unit of work rather than to a request.
     is_weight_per_work: bool,
 }
 
 impl ValueScale {
-    /// The scale by the classes' current rates.
+    /// Computes the totals from the classes' current rates.
     fn new(settings: &Settings, rates: &[ClassRates]) -> Self {
         let weights = rates
             .iter()
@@ -37,7 +38,8 @@
         }
     }
 
-    /// What a unit of a class's work adds to the goal: its weight, and more for the worst-served class.
+    /// Contribution of a unit of a class's work to the optimization goal: the priority weight, plus a bonus for the
+    /// worst-served class.
     fn value(&self, class: &ClassSettings, statistics: &ClassStatistics, rate: &ClassRates) -> f64 {
         let goal = self.worst_class_goal;
         let mut value = (1.0 - goal) * class.priority_weight / self.total_weight.max(MIN_DIVISOR);
@@ -53,7 +55,7 @@
 }
 
 impl Admission {
-    /// Updates the value of each class and the delay that its requests are bound to.
+    /// Updates the value and the stretch limit of each class.
     pub(crate) fn update_class_values(&mut self, fleet: &Fleet) {
         let rates = class_rates(fleet);
         let scale = ValueScale::new(&fleet.settings, &rates);
@@ -64,8 +66,8 @@
         self.update_max_stretches(fleet, &rates);
     }
 
-    /// Bounds the delay of less valuable classes with a wide objective, which would otherwise leave no capacity
-    /// to a valuable one with a tight objective.
+    /// Lowers the stretch limit of less valuable classes. A class with a loose objective would otherwise fill the
+    /// queues and leave no capacity to a more valuable class with a tight objective.
     fn update_max_stretches(&mut self, fleet: &Fleet, rates: &[ClassRates]) {
         let mut max_stretch = f64::INFINITY;
         for class in self.classes_by_value() {
--- a/balancer/src/admission/overload.rs
+++ b/balancer/src/admission/overload.rs
@@ -1,4 +1,4 @@
-//! Overload control: which part of the arrivals is admitted or spills, by class and tenant.
+//! Overload control: which fraction of the arrivals is admitted or spills, by class and tenant.
 
 use super::Admission;
 use crate::api::{Nanos, Settings, ZoneId};
@@ -9,32 +9,35 @@
     FEEDBACK_DELAY_INTERVALS, IDLE_LOAD, LARGE_FLEET_SPILL_THRESHOLD, MIN_ARRIVAL_RATE, MIN_DIVISOR,
 };
 
-/// Queue per core of a zone at the spill threshold.
+/// Queue per core at which a zone reaches the spill threshold.
 const SPILL_QUEUE: f64 = LARGE_FLEET_SPILL_THRESHOLD / (1.0 - LARGE_FLEET_SPILL_THRESHOLD);
-/// The admitted queue is at most this multiple of [`SPILL_QUEUE`]: one node measures few response times.
+/// Upper bound of the admitted queue, as a multiple of [`SPILL_QUEUE`]; one node measures too few response times to
+/// justify a longer queue.
 const MAX_QUEUE_MULTIPLE: f64 = 1.5;
-/// Below this part of [`SPILL_QUEUE`] the node's own bound on arrivals does not apply: it sees few answers.
+/// Fraction of [`SPILL_QUEUE`] below which the node's own admission bound does not apply: at low load one node sees
+/// too few responses.
 const SHORT_QUEUE_FRACTION: f64 = 0.5;
-/// Part of the mean objective that a zone's load may fill before arrivals are rejected.
+/// Fraction of the mean latency objective that a zone's load may fill before arrivals are rejected.
 const MAX_LOAD_FRACTION: f64 = 0.7;
-/// Arrivals admitted for each one recently answered in time (adaptive throttling).
+/// Arrivals admitted per request recently answered in time (adaptive throttling).
 const ADMITTED_PER_SERVED: f64 = 1.15;
-/// Added to both rates of that ratio, in requests per second, so that few requests don't decide.
+/// Added to the rates of arrivals and of requests answered in time, so that few requests do not decide the ratio.
 const PRIOR_REQUESTS_PER_SECOND: f64 = 0.5;
-/// Part of the difference to the wanted load that is corrected after one list.
+/// Fraction of the deviation from the target load that one correction makes up for.
 const CORRECTION_GAIN: f64 = 0.5;
-/// Least fraction that is admitted, so that the end of an overload is seen.
+/// Minimum admitted fraction: some requests must pass to detect the end of an overload.
 const MIN_ADMITTED_FRACTION: f64 = 0.05;
-/// Fewest arrivals for each backend until the next figures: a node that has just started has counted none.
+/// Lower bound of the expected arrivals per backend within the feedback delay; a node that has just started has not
+/// measured an arrival rate.
 const MIN_UPCOMING_ARRIVALS: f64 = 10.0;
-/// A node sees few requests of a tenant: this multiple of its quota may be chance.
+/// Multiple of a tenant's quota that is tolerated: one node sees few requests of a tenant, so its rate fluctuates.
 const QUOTA_TOLERANCE: f64 = 1.5;
-/// Least fraction of the arrivals that counts as within quotas.
+/// Lower bound of the fraction of the arrivals that counts as within quotas.
 const MIN_WITHIN_QUOTA_FRACTION: f64 = 0.1;
 
 impl Admission {
-    /// In a large fleet: moves the fractions that spill and that are admitted at all by what would even out the
-    /// load figures over the arrivals until the next figures. `target` is the zone to spill to.
+    /// Corrects the spilled and the admitted fraction in a large fleet. Each correction would remove the deviation
+    /// of the queues over the arrivals within the feedback delay. `target` is the zone to spill to.
     pub(crate) fn update_spill_and_admission(
         &mut self,
         fleet: &Fleet,
@@ -46,21 +49,21 @@
         let target_queue = target.map(|zone| fleet.zones.get(zone).mean_queue());
         let upcoming_arrivals = upcoming_arrivals(fleet, feedback, local.endpoint_count());
         self.update_spill_fraction(local_queue, target_queue, upcoming_arrivals);
-        // The local zone spills first; only what no zone has capacity for is rejected.
+        // Overload spills first; only load beyond the capacity of both zones is rejected.
         let queue = target_queue.map_or(local_queue, |other| 0.5 * (local_queue + other));
         let correction = CORRECTION_GAIN * (max_queue(fleet) - queue) / upcoming_arrivals;
         self.admitted_fraction =
             (self.admitted_fraction + correction).clamp(MIN_ADMITTED_FRACTION, 1.0);
     }
 
-    /// Moves the fraction that spills, by the queues per core of the local zone and of the zone to spill to.
+    /// Corrects the spilled fraction by the queues per core of the local zone and of the zone to spill to.
     fn update_spill_fraction(
         &mut self,
         local_queue: f64,
         target_queue: Option<f64>,
         upcoming_arrivals: f64,
     ) {
-        // Another zone is farther away: its queue must be shorter by at least one request a core.
+        // A remote zone has a higher latency, so its queue must be shorter by at least one request per core.
         let spill_queue =
             target_queue.map_or(f64::INFINITY, |queue| (queue + 1.0).max(SPILL_QUEUE));
         let excess = (local_queue - spill_queue).max(-local_queue);
@@ -68,7 +71,7 @@
         self.spill_fraction = (self.spill_fraction + correction).clamp(0.0, 1.0);
     }
 
-    /// Part of a tenant's requests that is beyond this node's part of its quota.
+    /// Fraction of a tenant's requests beyond this node's part of the tenant's quota.
     fn over_quota_fraction(&self, settings: &Settings, now: Nanos, tenant: usize) -> f64 {
         let (Some(rate), Some(quota)) =
             (self.tenants.get(tenant), settings.tenant_quotas.get(tenant))
@@ -83,7 +86,7 @@
         (1.0 - QUOTA_TOLERANCE * quota_fraction).max(0.0)
     }
 
-    /// Requests per second of all tenants that are beyond their quotas.
+    /// Requests per second beyond the quotas, over all tenants.
     fn over_quota_rate(&self, settings: &Settings, now: Nanos) -> f64 {
         let rates = self.tenants.iter().enumerate().map(|(tenant, rate)| {
             self.over_quota_fraction(settings, now, tenant) * rate.per_second(now)
@@ -91,7 +94,8 @@
         rates.sum()
     }
 
-    /// The fraction by which an arrival is admitted: that of its class, or of the arrivals beyond quotas.
+    /// The admitted fraction that applies to an arrival: that of the arrival's class, or that of the requests
+    /// beyond quotas, drawn by the tenant's excess.
     pub(crate) fn draw_admitted_fraction(
         &self,
         fleet: &Fleet,
@@ -108,8 +112,8 @@
         }
     }
 
-    /// Divides what is admitted among the classes, the most valuable first. Requests beyond their tenants' quotas
-    /// are rejected first.
+    /// Updates the admitted fraction of each class: less valuable classes are rejected before more valuable ones,
+    /// and requests beyond their tenants' quotas before all others.
     pub(crate) fn update_admitted_fractions(&mut self, fleet: &Fleet, feedback: &LoadFeedback) {
         let arrivals = fleet.classes.total_arrivals(fleet.now);
         let fraction = self
@@ -131,12 +135,13 @@
         );
     }
 
-    /// Admits `rate` requests per second, the given fraction of all arrivals, class by class in the order of value.
+    /// Admits `rate` requests per second, the given fraction of all arrivals, in descending order of the classes'
+    /// values.
     fn divide_among_classes(&mut self, fleet: &Fleet, fraction: f64, rate: f64) {
         let mut remaining = rate;
         for class in self.classes_by_value() {
             let class_arrivals = fleet.classes.get(class).arrivals(fleet.now);
-            // A class without recent arrivals is not one that there is no capacity for.
+            // Without recent arrivals the division says nothing about the class, so all its requests are admitted.
             let is_bounded = fraction < 1.0 && class_arrivals > MIN_ARRIVAL_RATE;
             self.classes[class.index()].admitted_fraction = if is_bounded {
                 (remaining / class_arrivals).clamp(MIN_ADMITTED_FRACTION, 1.0)
@@ -148,15 +153,15 @@
     }
 }
 
-/// Arrivals for each backend of the local zone until the next load figures, from all nodes.
+/// Arrivals per backend of the local zone, from all nodes, until the next load data reflects them.
 fn upcoming_arrivals(fleet: &Fleet, feedback: &LoadFeedback, backend_count: f64) -> f64 {
     let rate = fleet.classes.total_arrivals(fleet.now) * fleet.settings.nodes_per_zone();
     let arrivals = rate * FEEDBACK_DELAY_INTERVALS * feedback.refresh_interval_seconds();
     (arrivals / backend_count.max(1.0)).max(MIN_UPCOMING_ARRIVALS)
 }
 
-/// Queue per core at which the mean unit of value would still be answered in time; at least that of the spill
-/// threshold, up to which the local zone serves all requests.
+/// Queue per core at which the average request, weighted by value, is still answered in time; at least
+/// [`SPILL_QUEUE`], below which the local zone serves all requests.
 fn max_queue(fleet: &Fleet) -> f64 {
     let (mut total_weight, mut weighted_stretch) = (MIN_DIVISOR, 0.0);
     for (class, settings) in fleet.classes_with_settings() {
@@ -168,8 +173,8 @@
     queue.clamp(SPILL_QUEUE, MAX_QUEUE_MULTIPLE * SPILL_QUEUE)
 }
 
-/// Fraction of the arrivals that may be admitted by this node's own answers: the shared figures are late, or absent
-/// while discovery is down.
+/// Upper bound of the admitted fraction by this node's own responses, for when the zones' queue data is outdated or
+/// discovery is down.
 fn local_admission_bound(fleet: &Fleet, feedback: &LoadFeedback) -> f64 {
     let local = fleet.zones.get(fleet.local_zone());
     let is_queue_short = local.mean_queue() < SHORT_QUEUE_FRACTION * SPILL_QUEUE;
--- a/balancer/src/endpoint_selection.rs
+++ b/balancer/src/endpoint_selection.rs
@@ -1,4 +1,4 @@
-//! Endpoint selection in a zone: by least expected delay, or by weighted chance in a large fleet.
+//! Endpoint selection within a zone: least expected delay in a small fleet, weighted random choice in a large one.
 
 use crate::admission::Admission;
 use crate::api::{BackendId, Idempotency, RequestId, ZoneId};
@@ -9,20 +9,21 @@
 use crate::retry_safety::is_eligible;
 use crate::zones::ZoneProbe;
 
-/// Jitter of the expected delay as a fraction of it, so that nodes with the same view do not herd.
+/// Upper bound of the jitter added to an expected delay, as a fraction of that delay; prevents herding by nodes
+/// with the same view of the fleet.
 const DELAY_JITTER: f64 = 0.1;
-/// Factor on the expected delay at the backend that the request's key has affinity to.
+/// Factor on the expected delay at the backend preferred by the request's affinity key.
 const AFFINITY_DELAY_FACTOR: f64 = 0.5;
-/// Delay added for a failure rate of 1, in units of the delay without failures.
+/// Penalty at a failure rate of 1, as a multiple of the expected delay.
 const FAILURE_PENALTY: f64 = 8.0;
-/// Delay added at a backend to which the request was sent before, in the same unit.
+/// Penalty at a backend that an earlier attempt of the request was sent to, as a multiple of the expected delay.
 const TRIED_PENALTY: f64 = 4.0;
-/// Least slowness by which a weighted pick divides.
+/// Lower bound of the slowness that divides a weight in the weighted choice.
 const MIN_PICK_SLOWNESS: f64 = 0.5;
-/// Salt of the draw that picks a backend for a zone probe.
+/// Salt of the draw that picks the backend of a zone probe.
 const PROBE_SALT: u64 = 1;
 
-/// What the selection reads: the fleet's state, which backends would answer in time, and the random numbers.
+/// State that endpoint selection reads.
 pub(crate) struct EndpointSelection<'a> {
     pub(crate) fleet: &'a Fleet,
     pub(crate) admission: &'a Admission,
@@ -30,20 +31,21 @@
 }
 
 impl EndpointSelection<'_> {
-    /// Picks among the eligible backends that would answer in time: in a small fleet the one with the least expected
-    /// delay; in a large one by chance, weighted by size and by the load that the list has shown all nodes.
+    /// Picks an eligible backend of a zone that would answer in time: by least expected delay in a small fleet; in
+    /// a large one at random, weighted by size and by the load in the endpoint list.
     pub(crate) fn pick(&self, id: RequestId, request: &Request, zone: ZoneId) -> Option<BackendId> {
         if !self.fleet.settings.is_large_fleet() {
             return self.pick_by_delay(id, request, zone);
         }
-        // If all nodes used every backend, its table of connections would fill up, and opening them costs: each node
-        // keeps to its subset, and goes beyond it only when no backend of the subset can take the request.
+        // Connections to every backend from all nodes would fill the backends' connection tables and cost many
+        // handshakes. Each node therefore uses a subset, and other backends only if none in the subset can take the
+        // request.
         let max_rank = self.fleet.zones.get(zone).max_subset_rank();
         self.pick_by_weight(id, request, zone, max_rank)
             .or_else(|| self.pick_by_weight(id, request, zone, u64::MAX))
     }
 
-    /// The backend with the least expected delay.
+    /// Picks the candidate with the least expected delay.
     fn pick_by_delay(&self, id: RequestId, request: &Request, zone: ZoneId) -> Option<BackendId> {
         let affinity_backend = request
             .affinity_key
@@ -66,14 +68,14 @@
         best.map(|(_, backend)| backend)
     }
 
-    /// Expected delay at a backend, in units of an idle backend's base time.
+    /// Expected delay at a backend including penalties, in multiples of the class's base time.
     fn expected_delay(&self, request: &Request, id: BackendId, backend: &Backend) -> f64 {
         let slowness = backend.expected_slowness(self.fleet.now, &self.fleet.settings);
         let load = backend.load(&self.fleet.settings);
         slowness * load * self.penalty(request, id, backend)
     }
 
-    /// A backend up to a rank, drawn by weight (weighted reservoir sampling).
+    /// Picks a candidate with a subset rank up to `max_rank` at random by weight (weighted reservoir sampling).
     fn pick_by_weight(
         &self,
         id: RequestId,
@@ -98,10 +100,11 @@
         picked
     }
 
-    /// Weight of a backend in the weighted pick.
+    /// Weight of a backend in the weighted random choice.
     fn weight(&self, request: &Request, id: BackendId, backend: &Backend) -> f64 {
         let feedback = &backend.feedback;
-        // Where the list shows the load, the few answers of one node would only add noise.
+        // If the endpoint list shows the queue, the slowness measured from this node's few responses would only add
+        // noise.
         let slowness = if feedback.reported_queue().is_some() {
             1.0 / backend.warm_up_fraction(self.fleet.now, &self.fleet.settings.rules)
         } else {
@@ -113,8 +116,8 @@
         capacity / (self.penalty(request, id, backend) * slowness)
     }
 
-    /// Factor on the delay for failures and for earlier attempts: a backend that fails fast must not look idle. The
-    /// failure rate decays, or the backend would never be tried again.
+    /// Factor on the expected delay for failures and earlier attempts: without this penalty, a backend that fails
+    /// fast would appear idle. The failure rate decays over time so that the backend is tried again.
     fn penalty(&self, request: &Request, id: BackendId, backend: &Backend) -> f64 {
         let failure_rate = backend.outlier.decayed_failure_rate(self.fleet.now);
         let tried = if request.has_tried(id) {
@@ -125,12 +128,12 @@
         1.0 + FAILURE_PENALTY * failure_rate + tried
     }
 
-    /// Whether a backend is available, would answer in time, and may get the request.
+    /// Whether a backend would answer in time and is eligible for the request.
     fn is_candidate(&self, request: &Request, backend: &Backend) -> bool {
         self.can_answer_in_time(request, backend) && is_eligible(self.fleet, request, backend)
     }
 
-    /// Whether a backend is available and would answer in time.
+    /// Whether a backend is available (not ejected or paused) and would answer within the objective.
     fn can_answer_in_time(&self, request: &Request, backend: &Backend) -> bool {
         backend
             .outlier
@@ -138,7 +141,7 @@
             && self.admission.meets_objective(self.fleet, request, backend)
     }
 
-    /// Whether the backend of the local zone that the request's key goes to would answer it in time.
+    /// Whether the local backend preferred by the request's affinity key is available and would answer in time.
     pub(crate) fn can_use_affinity_backend(&self, request: &Request) -> bool {
         let local = self.fleet.local_zone();
         let affinity_backend = request
@@ -148,7 +151,8 @@
         backend.is_some_and(|backend| self.can_answer_in_time(request, backend))
     }
 
-    /// The backend of a zone that a key goes to first, the same at every node (rendezvous hashing).
+    /// The backend in service of a zone that an affinity key prefers, by rendezvous hashing; the same at every
+    /// node.
     fn affinity_backend(&self, key: u64, zone: ZoneId) -> Option<BackendId> {
         let in_service = self
             .fleet
@@ -160,7 +164,8 @@
             .map(|(id, _)| id)
     }
 
-    /// The zone probe that a request makes, if one is wanted: only an idempotent request without attempts so far.
+    /// The zone probe to send this request as, if a probe has been requested. Only an idempotent request without
+    /// earlier attempts and with a complete body is used.
     pub(crate) fn zone_probe(&self, id: RequestId, request: &Request) -> Option<ZoneProbe> {
         let requested = self.fleet.zones.requested_probe()?;
         let class = self.fleet.settings.class(request.class);
@@ -168,7 +173,7 @@
         if !is_idempotent || !request.attempts.is_empty() || request.is_uploading {
             return None;
         }
-        // Half of its client's time at most: the rest is for another attempt.
+        // A probe takes at most half of the client's remaining time, which leaves the other half for a retry.
         let time_left = request.expires_at.saturating_sub(self.fleet.now);
         let timeout = requested.timeout.min(time_left / 2);
         if timeout == 0 {
@@ -182,7 +187,8 @@
         })
     }
 
-    /// A backend that has none of this node's requests, by chance: figures from before its zone closed say nothing.
+    /// A random eligible backend of the zone without requests from this node in flight. Measurements from before
+    /// the zone closed are outdated, so they don't affect the choice.
     fn probe_backend(&self, id: RequestId, request: &Request, zone: ZoneId) -> Option<BackendId> {
         let idle = self
             .fleet
--- a/balancer/src/load_feedback.rs
+++ b/balancer/src/load_feedback.rs
@@ -1,4 +1,5 @@
-//! Load feedback: what the lists' load-adjusted sizes, or the reports, tell of the load of all nodes together.
+//! Load feedback: the load from all nodes, derived from load-adjusted sizes in the endpoint list or from load
+//! reports.
 
 use crate::api::{Nanos, Settings, WeightSource};
 use crate::backends::QueueTotals;
@@ -7,31 +8,29 @@
 use crate::tuning::{FEEDBACK_DELAY_INTERVALS, MIN_DIVISOR, UTILIZATION_MAX_AGE};
 use badgerpost_time::SECOND;
 
-/// Interval between two lists until it is measured.
+/// Interval between two endpoint lists, assumed before any has been measured.
 const INITIAL_REFRESH_INTERVAL_SECONDS: f64 = 1.0;
-/// Longest gap between two lists that counts as a refresh interval.
+/// Upper bound of a measured interval between two endpoint lists.
 const MAX_REFRESH_INTERVAL_SECONDS: f64 = 3.0;
-/// Weight of one gap in the measured refresh interval.
+/// Weight of one sample in the smoothed refresh interval.
 const REFRESH_INTERVAL_WEIGHT: f64 = 0.2;
-/// Period of the zones' queues as derived from reports.
+/// Period of deriving the zones' queues from load reports.
 const REPORT_FEEDBACK_PERIOD: Nanos = SECOND;
-/// Utilization above which a zone's queue is not estimated any longer.
+/// Upper bound of the utilization that a zone's queue is derived from.
 const MAX_QUEUE_UTILIZATION: f64 = 0.95;
 
-/// Lower bound of the factor by which one late figure changes a backend's part of the picks.
+/// Lower bound of a backend's feedback weight.
 const MIN_FEEDBACK_WEIGHT: f64 = 0.1;
-/// Upper bound of that factor.
+/// Upper bound of a backend's feedback weight.
 const MAX_FEEDBACK_WEIGHT: f64 = 2.0;
-/// How far one list changes a backend's learned weight, at most, as an exponent.
+/// Maximum change of a learned weight by one endpoint list, as an exponent.
 const LEARNING_STEP: f64 = 0.15;
-/// Lower bound of the learned weight.
 const MIN_LEARNED_WEIGHT: f64 = 0.1;
-/// Upper bound of the learned weight.
 const MAX_LEARNED_WEIGHT: f64 = 4.0;
-/// Shortest mean queue per core that a backend is measured against.
+/// Lower bound of the target queue, in requests per core.
 const MIN_MEAN_QUEUE: f64 = 0.2;
 
-/// When figures of the shared load came.
+/// Arrival times of load data, and the refresh interval of the endpoint list.
 pub(crate) struct LoadFeedback {
     last_list_at: Option<Nanos>,
     refresh_interval_seconds: f64,
@@ -39,7 +38,7 @@
 }
 
 impl LoadFeedback {
-    /// No figures so far.
+    /// Creates the state before the first endpoint list.
     pub(crate) fn new() -> Self {
         Self {
             last_list_at: None,
@@ -48,18 +47,19 @@
         }
     }
 
-    /// Measured interval between two lists.
+    /// Smoothed interval between two endpoint lists.
     pub(crate) fn refresh_interval_seconds(&self) -> f64 {
         self.refresh_interval_seconds
     }
 
-    /// Whether a list has arrived recently.
+    /// Whether an endpoint list with load-adjusted sizes has arrived within [`UTILIZATION_MAX_AGE`].
     pub(crate) fn is_fresh(&self, now: Nanos) -> bool {
         self.last_list_at
             .is_some_and(|at| now.saturating_sub(at) < UTILIZATION_MAX_AGE)
     }
 
-    /// Applies the load-adjusted sizes of a list, which reach all nodes alike and late.
+    /// Applies the load-adjusted sizes of an endpoint list. All nodes receive the same sizes, one refresh interval
+    /// or more after the load they reflect.
     pub(crate) fn apply_load_adjusted_sizes(&mut self, fleet: &mut Fleet) {
         self.measure_refresh_interval(fleet.now);
         let totals = fleet.backends.queue_totals(fleet.zones.count());
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Updates the refresh interval by the gap since the last list.
+    /// Updates the smoothed refresh interval by the time since the previous endpoint list.
     fn measure_refresh_interval(&mut self, now: Nanos) {
         let gap = self
             .last_list_at
@@ -95,15 +95,15 @@
         self.last_list_at = Some(now);
     }
 
-    /// Whether the zones' queues are to be derived from reports now: in a large fleet without load-adjusted
-    /// sizes, once a period.
+    /// Whether the zones' queues are to be derived from load reports now. That happens once a period in a large
+    /// fleet without load-adjusted sizes.
     pub(crate) fn is_report_feedback_due(&self, settings: &Settings, now: Nanos) -> bool {
         settings.weight_source != WeightSource::LoadAdjusted
             && settings.is_large_fleet()
             && now >= self.next_report_feedback_at
     }
 
-    /// Derives the zones' queues from their utilization, given by id.
+    /// Derives the zones' queues from their utilizations, given by zone id.
     pub(crate) fn apply_reports(&mut self, fleet: &mut Fleet, utilizations: &[Option<f64>]) {
         self.next_report_feedback_at = fleet.now + REPORT_FEEDBACK_PERIOD;
         for ((_, zone), utilization) in fleet.zones.iter_mut().zip(utilizations) {
@@ -113,19 +113,19 @@
     }
 }
 
-/// The queue that a backend should hold.
+/// Target load of a backend, at which the queues of its zone are balanced.
 struct QueueTarget {
-    /// Requests held for each core.
+    /// Target queue, in requests per core.
     queue: f64,
-    /// Requests that the backend gets until the next figures show.
+    /// Requests sent to the backend by all nodes until the next load data reflects them, at least 1.
     upcoming_arrivals: f64,
 }
 
 impl QueueTarget {
-    /// The target for a backend of this size, by the totals of its zone and the arrivals there.
+    /// Computes the target for a backend of this size from the totals of its zone and the arrivals there.
     fn new(zone: &QueueTotals, size: f64, zone_arrivals: f64) -> Self {
         let zone_size = f64::max(zone.size, MIN_DIVISOR);
-        // A slow machine should hold less for the same delay.
+        // The queue is proportional to the size, so that a slow machine has the same delay as a fast one.
         let mean_queue = (zone.queue + zone.backends) / zone_size * size - 1.0;
         Self {
             queue: mean_queue.max(MIN_MEAN_QUEUE),
@@ -133,8 +133,9 @@
         }
     }
 
-    /// Moves a backend's weights towards this target. The latest difference is evened out over the upcoming
-    /// arrivals, no more, or all nodes would herd; lasting differences are learned in small steps.
+    /// Adjusts a backend's weights towards this target. The feedback weight makes up for the latest deviation over
+    /// the upcoming arrivals, no faster, because all nodes react at once and would herd; the learned weight follows
+    /// lasting deviations in small steps.
     fn adjust_weights(&self, weights: &mut FeedbackWeights, queue: f64) {
         let difference = self.queue - queue;
         let feedback_weight = (1.0 + difference / self.upcoming_arrivals)
--- a/balancer/src/outlier_detection.rs
+++ b/balancer/src/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Failures and ejection of one backend: the state, whose transitions are in [`transitions`].
+//! Outlier state of one backend: failures and ejection. The transitions are in [`transitions`].
 
 mod transitions;
 
@@ -6,67 +6,67 @@
 use crate::ewma::Ewma;
 use crate::tuning::IDLE_DECAY_TIME_CONSTANT;
 
-/// Whether a backend is ejected.
+/// Ejection state of a backend.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Health {
     #[default]
     Healthy,
-    /// Gets nothing until this time.
+    /// The backend receives no requests until this time.
     Ejected { until: Nanos },
-    /// On trial: one request at a time, of which `served` have succeeded.
+    /// The backend receives one trial request at a time; `served` of them have succeeded.
     HalfOpen { served: u32 },
 }
 
-/// What an outcome changed.
+/// Effect of an attempt's outcome on the outlier state.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OutcomeEffect {
-    /// Nothing that calls for a decision.
+    /// No decision is needed.
     None,
-    /// The backend has served its trials.
+    /// The backend has served its trial requests and is healthy again.
     Readmitted,
-    /// It failed; [`OutlierState::eject_if_outlier`] decides what follows.
+    /// The attempt failed; [`OutlierState::eject_if_outlier`] decides whether the backend is ejected.
     Failed,
 }
 
-/// Failures over all backends.
+/// Failure statistics over all backends.
 pub(crate) struct FleetFailures {
-    /// Backends in service.
+    /// Number of backends in service.
     pub(crate) in_service: f64,
-    /// Backends ejected or on trial.
+    /// Number of backends that are ejected or half-open.
     pub(crate) ejected: f64,
-    /// Mean failure rate of those in service, 0 to 1.
+    /// Sum of the backends' failure rates divided by the number of backends in service.
     pub(crate) mean_failure_rate: f64,
 }
 
-/// Failures and ejection of one backend.
+/// Failures and ejection state of one backend.
 #[derive(Default)]
 pub(crate) struct OutlierState {
     health: Health,
     failure_rate: Ewma,
     consecutive_failures: u32,
     consecutive_rejections: u32,
-    /// Until when it gets nothing after rejecting a request as full.
+    /// Time until which the backend receives no requests because it rejected one.
     paused_until: Nanos,
     ejections: u32,
 }
 
 impl OutlierState {
-    /// Whether it is neither ejected nor on trial.
+    /// Whether the backend is neither ejected nor half-open.
     pub(crate) fn is_healthy(&self) -> bool {
         self.health == Health::Healthy
     }
 
-    /// Its failure rate as of its last outcome, 0 to 1.
+    /// Failure rate as of the last outcome, 0 to 1.
     pub(crate) fn failure_rate(&self) -> f64 {
         self.failure_rate.value()
     }
 
-    /// Its failure rate, decayed since its last outcome, so that it is tried again.
+    /// Failure rate decayed by the time since the last outcome, so that a failing backend is tried again.
     pub(crate) fn decayed_failure_rate(&self, now: Nanos) -> f64 {
         self.failure_rate.decayed(now, IDLE_DECAY_TIME_CONSTANT)
     }
 
-    /// Forgets failures and ejection.
+    /// Clears the failure counts and ends an ejection.
     pub(crate) fn reset(&mut self) {
         self.health = Health::Healthy;
         self.consecutive_failures = 0;
--- a/balancer/src/outlier_detection/transitions.rs
+++ b/balancer/src/outlier_detection/transitions.rs
@@ -1,7 +1,8 @@
-//! Outlier detection: backends that keep failing are ejected for a while and readmitted after trial requests.
+//! Outlier detection: ejects backends that keep failing for a limited time, and readmits them after successful
+//! trial requests.
 //!
 //! ```text
-//! Healthy --failures in a row, above the fleet's rate--> Ejected --time is up, next send--> HalfOpen
+//! Healthy --consecutive failures, above the fleet's failure rate--> Ejected --ejection over, next send--> HalfOpen
 //! HalfOpen --two trials served--> Healthy          HalfOpen --trial failed--> Ejected (twice as long)
 //! ```
 
@@ -9,31 +10,30 @@
 use crate::api::{EndpointState, Nanos, Outcome};
 use badgerpost_time::{MILLISECOND, SECOND};
 
-/// Failures in a row that make an outlier; a refused connection counts double.
+/// Consecutive failures that make a backend an outlier; a failed connection counts as two.
 const EJECTION_FAILURES: u32 = 6;
-/// Duration of the first ejection; doubled each time.
+/// Duration of the first ejection; doubled for each further one.
 const EJECTION_BASE: Nanos = SECOND;
-/// Most doublings of an ejection.
+/// Maximum number of doublings of an ejection.
 const EJECTION_MAX_DOUBLINGS: u32 = 5;
-/// First pause after a backend rejected a request as full; doubled while it keeps rejecting.
+/// Pause after a backend rejects a request as full; doubled for each further rejection.
 const REJECTION_PAUSE: Nanos = 100 * MILLISECOND;
-/// Most doublings of a pause after rejections.
+/// Maximum number of doublings of a rejection pause.
 const REJECTION_MAX_DOUBLINGS: u32 = 4;
-/// At most this fraction of the backends in service is ejected (panic threshold).
+/// Maximum fraction of the backends in service that may be ejected (panic threshold).
 const MAX_EJECTED_FRACTION: f64 = 0.5;
-/// An outlier fails more often than this multiple of the fleet's mean failure rate.
+/// Multiple of the fleet's mean failure rate that an outlier's failure rate exceeds.
 const FAILURE_RATE_MULTIPLE: f64 = 2.0;
-/// The mean failure rate counts no more than this.
+/// Upper bound of the mean failure rate in that comparison.
 const MAX_MEAN_FAILURE_RATE: f64 = 0.4;
-/// Time constant of a backend's failure rate.
 const FAILURE_RATE_TIME_CONSTANT: Nanos = SECOND;
-/// Least weight of one outcome in the failure rate.
+/// Minimum weight of one outcome in a backend's failure rate.
 const FAILURE_RATE_MIN_WEIGHT: f64 = 0.1;
-/// An invalid response counts as this much of a failure: it may be the fault of the request.
+/// Failure sample of an invalid response; below 1 because the request may be at fault.
 const INVALID_RESPONSE_WEIGHT: f64 = 0.5;
 
 impl OutlierState {
-    /// Whether it may get a request now, with this number of the node's requests in flight there.
+    /// Whether the backend may receive a request now, with `in_flight` of this node's requests in flight there.
     pub(crate) fn is_available(&self, now: Nanos, in_flight: u32) -> bool {
         if now < self.paused_until {
             return false;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether a backend in this state of the list gets nothing new, or only trials.
+    /// Whether a backend with this state in the endpoint list receives no new requests, or trial requests only.
     pub(crate) fn is_avoided(&self, state: EndpointState, now: Nanos) -> bool {
         match (state, self.health) {
             (EndpointState::Removed, _) => false,
@@ -55,14 +55,14 @@
         }
     }
 
-    /// A request is being sent: to an ejected backend that makes a trial.
+    /// Records that a request is being sent; makes an ejected backend half-open.
     pub(crate) fn on_send(&mut self) {
         if let Health::Ejected { .. } = self.health {
             self.health = Health::HalfOpen { served: 0 };
         }
     }
 
-    /// Counts the end of one attempt.
+    /// Records the outcome of one attempt.
     pub(crate) fn record(
         &mut self,
         now: Nanos,
@@ -72,8 +72,8 @@
         if matches!(outcome, Outcome::Cancelled | Outcome::NotSent) {
             return OutcomeEffect::None;
         }
-        // A backend that rejects requests at once looks idle and would attract all traffic. In a large fleet a
-        // refused connection may mean a full connection table just as well as a dead process.
+        // A backend that rejects requests immediately appears idle and would attract all traffic, so it is paused.
+        // In a large fleet, a failed connection may be due to a full connection table, which counts as a rejection.
         if outcome == Outcome::Rejected || (outcome == Outcome::ConnectFailed && is_large_fleet) {
             self.pause(now);
             return OutcomeEffect::None;
@@ -92,14 +92,14 @@
         OutcomeEffect::Failed
     }
 
-    /// After a rejection: the backend gets nothing for a while.
+    /// Pauses the backend after a rejection.
     fn pause(&mut self, now: Nanos) {
         let doublings = self.consecutive_rejections.min(REJECTION_MAX_DOUBLINGS);
         self.paused_until = now + (REJECTION_PAUSE << doublings);
         self.consecutive_rejections += 1;
     }
 
-    /// A success ends a row of failures; the second one on trial readmits.
+    /// Resets the count of consecutive failures; the second served trial request readmits the backend.
     fn record_success(&mut self) -> OutcomeEffect {
         self.consecutive_failures = 0;
         match self.health {
@@ -116,7 +116,8 @@
         }
     }
 
-    /// After a failure: ejects an outlier, or a backend whose trial failed. Returns for how long.
+    /// Ejects the backend after a failure if it is an outlier or its trial failed. Returns the duration of the
+    /// ejection.
     pub(crate) fn eject_if_outlier(
         &mut self,
         now: Nanos,
@@ -143,8 +144,8 @@
     }
 }
 
-/// How many failures in a row an outcome counts as. A connection may break between two healthy ends; a refused one
-/// tells more.
+/// Number of consecutive failures that an outcome counts as. A failed connection counts as two: a connection that
+/// breaks later can be the fault of the network rather than of the backend.
 fn consecutive_failure_weight(outcome: Outcome) -> u32 {
     if outcome == Outcome::ConnectFailed {
         2
@@ -153,7 +154,7 @@
     }
 }
 
-/// How much of a failure an outcome is, 0 to 1.
+/// Sample of an outcome in the failure rate, from 0 for a success to 1 for a failure.
 fn failure_sample(outcome: Outcome) -> f64 {
     match outcome {
         Outcome::Success => 0.0,
--- a/balancer/src/retry_safety.rs
+++ b/balancer/src/retry_safety.rs
@@ -1,5 +1,5 @@
-//! Retry safety: whether a request may be sent to a backend at all, by its earlier attempts, by the backend's state in
-//! the list and by its slow-start budget.
+//! Retry safety: whether a request may be sent to a backend, given its earlier attempts, the backend's state in the
+//! endpoint list and the backend's slow-start budget.
 
 use crate::api::{DedupScope, EndpointState, Idempotency, Nanos, Settings};
 use crate::backend::Backend;
@@ -7,21 +7,22 @@
 use crate::request::{Phase, Placement, Request};
 use crate::slow_start::has_slow_start_budget;
 
-/// Whether this request may be sent to this backend now. Every send is checked by it.
+/// Whether a request may be sent to a backend now. Every send is checked by this function.
 pub(crate) fn is_eligible(fleet: &Fleet, request: &Request, backend: &Backend) -> bool {
     let entry = backend.entry();
     let placement = Placement {
         zone: entry.zone,
         cell: entry.cell,
     };
-    // The rules let a draining backend get requests for a grace period; none is sent, as a margin.
+    // The site's rules allow requests to a draining backend during the grace period; as a safety margin, none is
+    // sent.
     entry.state == EndpointState::InService
         && is_attempt_allowed(fleet, request)
         && is_retry_safe(&fleet.settings, request, None, placement, fleet.now)
         && has_slow_start_budget(fleet, backend, request.slow_start_cost)
 }
 
-/// Whether a request may have an attempt, its first one or another, wherever it goes.
+/// Whether a request may have another attempt, irrespective of the backend.
 fn is_attempt_allowed(fleet: &Fleet, request: &Request) -> bool {
     let limits = &fleet.settings.limits;
     let is_unanswered = matches!(request.phase, Phase::Open | Phase::Queued);
@@ -31,8 +32,8 @@
     is_unanswered && has_time_left && !request.is_body_consumed && has_attempts_left && may_overlap
 }
 
-/// Whether an attempt at `target` at this time can't execute the request twice, by the attempts that may have run.
-/// The attempt numbered `excluded` is the one in question and does not count.
+/// Whether an attempt at `target` at the time `at` cannot execute the request a second time, given the attempts
+/// that may have run. The attempt with the number `excluded` is the attempt being checked and is skipped.
 fn is_retry_safe(
     settings: &Settings,
     request: &Request,
@@ -63,7 +64,7 @@
     }
 }
 
-/// Whether two backends deduplicate idempotency keys together.
+/// Whether two backends share deduplication of idempotency keys.
 fn is_same_dedup_scope(scope: DedupScope, one: Placement, other: Placement) -> bool {
     match scope {
         DedupScope::All => true,
@@ -72,8 +73,8 @@
     }
 }
 
-/// Whether an attempt may still be written, now that its connection is established: that can take longer than backends
-/// remember the keys of earlier attempts.
+/// Whether an attempt may still be written once its connection is established. Connecting can take longer than the
+/// window for which backends remember the idempotency keys of earlier attempts.
 pub(crate) fn may_write(settings: &Settings, request: &Request, attempt: usize, at: Nanos) -> bool {
     if request.phase == Phase::Ended {
         return false;
@@ -86,7 +87,7 @@
         .is_some_and(|found| is_retry_safe(settings, request, Some(attempt), found.placement, at))
 }
 
-/// Whether a request may be answered by a rejection, which tells the client that it may safely retry.
+/// Whether a request may be answered with a rejection, which tells the client that a retry is safe.
 pub(crate) fn may_reject(settings: &Settings, request: &Request) -> bool {
     match settings.class(request.class).idempotency {
         Idempotency::Idempotent
--- a/balancer/src/zone_routing.rs
+++ b/balancer/src/zone_routing.rs
@@ -1,4 +1,5 @@
-//! The other zones in the order in which overflow goes there: the state, which [`decisions`] changes.
+//! Zone routing state: the order in which the remote zones receive overflow from the local zone. [`decisions`]
+//! updates this state and routes requests by it.
 
 mod decisions;
 
@@ -6,15 +7,15 @@
 
 use crate::api::{Nanos, ZoneId};
 
-/// A zone as a target for overflow.
+/// A remote zone with its score as a target for overflow.
 struct ScoredZone {
     zone: ZoneId,
-    /// Whether it is under the spill threshold.
+    /// Whether the zone's utilization is below the spill threshold or has not been measured.
     is_below_threshold: bool,
     score: f64,
 }
 
-/// The other zones in the order in which overflow goes there.
+/// Remote zones in the order in which they receive overflow.
 pub(crate) struct ZoneRouting {
     overflow_order: Vec<ZoneId>,
     below_threshold_count: usize,
@@ -23,7 +24,7 @@
 }
 
 impl ZoneRouting {
-    /// No zone scored yet; the first scoring is due now.
+    /// Creates the state without scored zones; the first scoring is due at `now`.
     pub(crate) fn new(now: Nanos) -> Self {
         Self {
             overflow_order: Vec::new(),
@@ -33,12 +34,11 @@
         }
     }
 
-    /// Whether it is time to score the zones again.
     pub(crate) fn is_scoring_due(&self, now: Nanos) -> bool {
         now >= self.next_scoring_at
     }
 
-    /// The best-scored other zone, if it is under the threshold.
+    /// The remote zone with the highest score; `None` if no remote zone is below the spill threshold.
     pub(crate) fn best_overflow_zone(&self) -> Option<ZoneId> {
         self.overflow_order
             .first()
--- a/balancer/src/zone_routing/decisions.rs
+++ b/balancer/src/zone_routing/decisions.rs
@@ -1,5 +1,5 @@
-//! Zone routing: the local zone first below the spill threshold, otherwise the best-scored other zone, and the local
-//! zone again where none is_below_threshold.
+//! Zone routing: requests go to the local zone below the spill threshold, above it to the remote zone with the
+//! highest score, and to the local zone again if no remote zone can take them.
 
 use std::cmp::Ordering;
 
@@ -12,30 +12,31 @@
 use crate::tuning::{LARGE_FLEET_SPILL_THRESHOLD, UTILIZATION_MAX_AGE};
 use badgerpost_time::{MILLISECOND, nanos_from_f64};
 
-/// Period of the other zones' scoring: about the time that a send needs to show in a report.
+/// Period of scoring the remote zones: about as long as a sent request takes to show in a load report.
 const SCORING_PERIOD: Nanos = 100 * MILLISECOND;
-/// Most jitter of that period, as a fraction of it.
+/// Upper bound of the jitter added to the scoring period, as a fraction of the period.
 const SCORING_JITTER: f64 = 0.1;
-/// A zone at or over this utilization spills. If it were lower, loaded zones would exchange requests at the price of a
-/// remote call each; if it were higher, queues would grow faster than figures arrive.
+/// Utilization from which a zone spills in a small fleet. A lower threshold would make loaded zones exchange
+/// requests at the cost of cross-zone latency; a higher one would let queues grow faster than load reports arrive.
 const SPILL_THRESHOLD: f64 = 0.85;
-/// Weight of spare utilization in a zone's score; it decides unless zones are alike.
+/// Weight of the unused fraction of capacity in a zone's score.
 const HEADROOM_WEIGHT: f64 = 0.7;
-/// Weight of the latency saved in a zone's score.
+/// Weight of the latency advantage in a zone's score.
 const LATENCY_WEIGHT: f64 = 0.3;
-/// Score of a zone without figures: it qualifies lowest, so that one send learns them.
+/// Score of a zone without recent utilization: such a zone ranks last among the zones below the threshold, but can
+/// still receive a request, whose response brings a load report.
 const UNMEASURED_SCORE: f64 = -1.0;
-/// Salt of the draw that divides the requests which the local zone does not take.
+/// Salt of the draw that picks a remote zone for a request beyond the local zone's traffic share.
 const REMOTE_ZONE_SALT: u64 = u64::MAX;
 
 impl ZoneRouting {
-    /// Sets the time of the next scoring.
+    /// Schedules the next scoring one jittered period after `now`.
     pub(crate) fn schedule_scoring(&mut self, now: Nanos, random: &mut Random) {
         let jitter = nanos_from_f64(random.draw() * SCORING_PERIOD as f64 * SCORING_JITTER);
         self.next_scoring_at = now + SCORING_PERIOD + jitter;
     }
 
-    /// Scores the other zones. Those under the spill threshold come first, by score.
+    /// Scores the remote zones and orders them: zones below the spill threshold first, then by descending score.
     pub(crate) fn score_zones(&mut self, fleet: &Fleet) {
         let latencies = fleet
             .remote_zones()
@@ -53,7 +54,7 @@
         self.overflow_order = scored.into_iter().map(|scored| scored.zone).collect();
     }
 
-    /// Updates whether the local zone spills; returns a change as an event for the log.
+    /// Updates whether the local zone spills, and returns a log event if that has changed.
     pub(crate) fn update_spilling(&mut self, fleet: &Fleet) -> Option<LogEvent> {
         let local = fleet.local_zone();
         let is_spilling = utilization(fleet, local)
@@ -69,8 +70,8 @@
         })
     }
 
-    /// The backend for a request, or none if it is better queued. `prefers_local` is the answer of
-    /// [`prefers_local_zone`].
+    /// Chooses the backend for a request; `None` if the request should be queued. `prefers_local` is the result of
+    /// [`prefers_local_zone`] for this request.
     pub(crate) fn choose_backend(
         &self,
         selection: &EndpointSelection,
@@ -97,11 +98,12 @@
         {
             return Some(backend);
         }
-        // Neither zone has a backend that would answer in time (full, ejected, warming up or none): any other zone.
+        // Neither zone has a backend that would answer in time: all are full, ejected or warming up, or the zones
+        // are empty. Try every other open zone.
         self.open_overflow_zones(selection.fleet).find_map(pick)
     }
 
-    /// The zone that a request which the local zone does not serve goes to first.
+    /// The remote zone tried first for a request that the local zone does not serve.
     fn overflow_target(
         &self,
         selection: &EndpointSelection,
@@ -109,14 +111,15 @@
         is_within_local_share: bool,
     ) -> Option<ZoneId> {
         if !is_within_local_share {
-            // What a closed zone does not take would overload the best zone: it is divided among the others.
+            // Sending all requests beyond the local zone's share to the best remote zone would overload that zone,
+            // so they are divided among the remote zones.
             return draw_zone_by_traffic_share(selection, id);
         }
         self.best_overflow_zone()
             .filter(|&zone| selection.fleet.zones.traffic_share(zone) > 0.0)
     }
 
-    /// The other zones that take requests, the best first.
+    /// The remote zones with a traffic share above 0, in overflow order.
     fn open_overflow_zones(&self, fleet: &Fleet) -> impl Iterator<Item = ZoneId> {
         self.overflow_order
             .iter()
@@ -126,7 +129,7 @@
 }
 
 impl ScoredZone {
-    /// Those that qualify first, then by score, then by id.
+    /// Orders zones below the threshold first, then by descending score, then by id.
     fn preference_cmp(&self, other: &Self) -> Ordering {
         let by_threshold = other.is_below_threshold.cmp(&self.is_below_threshold);
         let by_score = other.score.total_cmp(&self.score);
@@ -134,10 +137,10 @@
     }
 }
 
-/// Whether a request tries the local zone before others.
+/// Whether a request tries the local zone before remote zones.
 ///
-/// In a large fleet by chance, as often as the spill fraction says: nodes that all left an overloaded zone at once
-/// would overload the next one.
+/// In a large fleet this is a random draw by the spill fraction: if all nodes left an overloaded zone at once, they
+/// would overload the next zone.
 pub(crate) fn prefers_local_zone(fleet: &Fleet, spill_fraction: f64, random: &mut Random) -> bool {
     if fleet.settings.is_large_fleet() {
         return random.draw() >= spill_fraction;
@@ -146,7 +149,7 @@
         .is_none_or(|utilization| utilization < spill_threshold(fleet))
 }
 
-/// Utilization from which on a zone spills.
+/// Utilization at or above which a zone spills.
 fn spill_threshold(fleet: &Fleet) -> f64 {
     if fleet.settings.is_large_fleet() {
         LARGE_FLEET_SPILL_THRESHOLD
@@ -155,8 +158,11 @@
     }
 }
 
-/// A zone's utilization: smoothed reports, raised by what this node has sent since they were made. Never lowered: a
-/// full zone would look free whenever few requests are in flight for a moment.
+/// A zone's utilization by smoothed load reports, scaled up by the growth of this node's in-flight requests since
+/// those reports; `None` without recent reports.
+///
+/// The growth factor is at least 1: otherwise a full zone would appear free whenever few of this node's requests
+/// are briefly in flight.
 pub(crate) fn utilization(fleet: &Fleet, zone: ZoneId) -> Option<f64> {
     let mut used_size = 0.0;
     let mut size = 0.0;
@@ -176,7 +182,7 @@
     Some(used_size / size * growth.max(1.0))
 }
 
-/// Scores a zone against the one that is max_latency away, by its least response time in nanoseconds.
+/// Scores a remote zone. `max_latency` is the largest of the remote zones' minimum response times, in nanoseconds.
 fn score_zone(fleet: &Fleet, zone: ZoneId, max_latency: f64) -> ScoredZone {
     let Some(utilization) = utilization(fleet, zone) else {
         return ScoredZone {
@@ -196,13 +202,14 @@
     }
 }
 
-/// Whether a zone's traffic share covers this request; the answer for a request changes with the share only.
+/// Whether a request falls within a zone's traffic share. The draw is fixed for each request and zone, so the
+/// result changes only with the share.
 fn is_within_traffic_share(selection: &EndpointSelection, id: RequestId, zone: ZoneId) -> bool {
     let share = selection.fleet.zones.traffic_share(zone);
     share >= 1.0 || selection.random.request_draw(id, u64::from(zone.0)) < share
 }
 
-/// The zone for a request that the local zone's share does not cover: one of the others, drawn by their shares.
+/// Draws one of the remote zones, weighted by their traffic shares, for a request beyond the local zone's share.
 fn draw_zone_by_traffic_share(selection: &EndpointSelection, id: RequestId) -> Option<ZoneId> {
     let fleet = selection.fleet;
     let total: f64 = fleet
