--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -1,8 +1,9 @@
-//! The balancer: dispatches events to the concerns that own the state, and keeps the timer.
+//! The balancer: dispatches events to the modules that own the state, and sets the timer.
 //!
-//! Reading order of the decisions: `balancer/requests.rs` shows what becomes of a request, `zone_routing.rs`
-//! and `endpoint_selection.rs` choose its backend, `retry_safety.rs` says whether it may be sent there at
-//! all, `admission.rs` whether it is admitted, `outlier_detection.rs` ejects and readmits backends.
+//! Reading order of the decisions: `balancer/requests.rs` handles a request from arrival to final answer,
+//! `zone_routing.rs` and `endpoint_selection.rs` choose the backend, `retry_safety.rs` decides whether a request
+//! may be sent there, `admission.rs` whether a request is admitted, and `outlier_detection.rs` ejects and readmits
+//! backends.
 
 mod attempts;
 mod requests;
@@ -28,15 +29,16 @@
 use crate::zone_routing::{ZoneRouting, utilization};
 use badgerpost_time::{MILLISECOND, SECOND};
 
-/// Period of the checks on queued requests: fine enough against latency objectives of tens of milliseconds,
-/// coarse enough to cost no CPU.
+/// Maximum period of the checks on queued requests: short compared to latency objectives of tens of milliseconds,
+/// long enough to cost little CPU time.
 const QUEUE_CHECK_PERIOD: Nanos = 10 * MILLISECOND;
-/// Shortest time to a timer.
+/// Minimum duration of a timer.
 const MIN_TIMER: Nanos = MILLISECOND;
-/// Log lines are for people: at most one in this time.
+/// Minimum time between two log events.
 const LOG_INTERVAL: Nanos = SECOND;
 
-/// One node's decisions. Deterministic: the same settings, seed and events give the same actions.
+/// The decision state machine of one node. Deterministic: the same settings, seed and events produce the same
+/// actions.
 pub struct Balancer {
     fleet: Fleet,
     random: Random,
@@ -52,11 +54,12 @@
 }
 
 impl Balancer {
-    /// A balancer without backends. `seed` determines its random draws, `now` is the embedder's time.
+    /// Creates a balancer without backends. `seed` determines the random draws; `now` is the current time on the
+    /// embedder's clock.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the settings can't be used.
+    /// [`SettingsError`] if the settings are invalid.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Self {
@@ -74,7 +77,8 @@
         })
     }
 
-    /// Handles one event and appends the actions to take. If `now` steps back, the balancer's time stands still.
+    /// Handles one event and appends the resulting actions to `actions`. A `now` before the latest event's time is
+    /// replaced by that time.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.fleet.now = self.fleet.now.max(now);
         self.dispatch_event(event, actions);
@@ -82,7 +86,7 @@
         self.set_timer(actions);
     }
 
-    /// Dispatches an event to the concern that handles it.
+    /// Dispatches an event to the module that handles it.
     fn dispatch_event(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => self.start(actions),
@@ -125,19 +129,20 @@
         }
     }
 
-    /// How many listed backends get no new requests now: those that drain, are ejected or on trial, or have
-    /// rejected a request a moment ago.
+    /// Number of listed backends that receive no new requests now, or trial requests only: draining, ejected and
+    /// half-open backends, and those paused after rejecting a request.
     pub fn avoided_backend_count(&self, now: Nanos) -> usize {
         self.fleet.backends.count_avoided(now)
     }
 
-    /// Requests that the node still keeps: open ones, and ended ones with an attempt in flight.
+    /// Number of requests that the balancer tracks: open ones, and ended ones with an attempt in flight.
     pub fn tracked_request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether an attempt may still be written, now that its connection is established: that can take longer
-    /// than backends remember the keys of earlier attempts.
+    /// Whether an attempt may still be written at the time `now`. The embedder asks once the connection is
+    /// established, because connecting can take longer than the window for which backends remember idempotency
+    /// keys.
     pub fn may_write(&self, now: Nanos, id: RequestId, attempt: u32) -> bool {
         let at = now.max(self.fleet.now);
         self.requests.get(id).is_some_and(|request| {
@@ -145,7 +150,7 @@
         })
     }
 
-    /// The node starts.
+    /// Handles the start of the node.
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.retry_budget.fill();
         if self.fleet.settings.discovery == Discovery::Polled {
@@ -153,7 +158,7 @@
         }
     }
 
-    /// A list of backends has arrived.
+    /// Applies an endpoint list.
     fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
         let is_current = update != EndpointUpdate::Cached;
         if is_current {
@@ -173,14 +178,14 @@
         }
     }
 
-    /// Updates the fractions that spill and that are admitted, in a large fleet.
+    /// Corrects the spilled and the admitted fraction by the latest load data.
     fn update_spill_and_admission(&mut self) {
         let target = self.routing.best_overflow_zone();
         self.admission
             .update_spill_and_admission(&self.fleet, &self.load_feedback, target);
     }
 
-    /// A zone's traffic share has changed.
+    /// Applies a zone's new traffic share.
     fn on_zone_share_changed(&mut self, zone: ZoneId, share: f64, actions: &mut Vec<Action>) {
         let transition = self
             .fleet
@@ -195,17 +200,17 @@
         self.dispatch_queued(actions);
     }
 
-    /// A zone takes no requests from now on.
+    /// Handles the closing of a zone: open requests there may be hedged in other zones.
     fn on_zone_closed(&mut self, zone: ZoneId, actions: &mut Vec<Action>) {
         if zone == self.fleet.local_zone() {
-            // How much could be admitted by the local zone's answers says nothing of the other zones.
+            // Admission learned from the local zone's responses does not apply to the other zones.
             self.fleet.classes.reset_rates();
             self.admission.reset_admitted_fractions();
         }
         self.hedge_out_of_closed_zone(zone, actions);
     }
 
-    /// A zone takes requests again.
+    /// Handles the reopening of a zone.
     fn on_zone_reopened(&mut self, zone: ZoneId) {
         let backends = self.fleet.backends.values_mut();
         backends
@@ -213,7 +218,7 @@
             .for_each(Backend::reset_after_zone_reopened);
     }
 
-    /// The timer has fired.
+    /// Handles the timer.
     fn on_timer(&mut self, actions: &mut Vec<Action>) {
         if self.discovery.take_due_poll(self.fleet.now) {
             actions.push(Action::WatchEndpoints);
@@ -223,7 +228,7 @@
         self.end_expired(actions);
     }
 
-    /// Updates what is derived from measurements: values, capacities, the zones' scores, admission.
+    /// Updates state derived from measurements, if due: class values, capacities, zone scores and admission.
     fn refresh(&mut self, actions: &mut Vec<Action>) {
         let now = self.fleet.now;
         if !self.routing.is_scoring_due(now) {
@@ -247,7 +252,7 @@
         }
     }
 
-    /// Derives the zones' load from reports, where that is due.
+    /// Derives the zones' load from load reports, if due.
     fn apply_report_feedback(&mut self) {
         let settings = &self.fleet.settings;
         if !self
@@ -264,7 +269,7 @@
         self.update_spill_and_admission();
     }
 
-    /// Logs an event, unless another was logged a moment ago.
+    /// Logs an event, unless another one was logged within [`LOG_INTERVAL`].
     fn log(&mut self, actions: &mut Vec<Action>, event: LogEvent) {
         if self.fleet.now >= self.next_log_at {
             self.next_log_at = self.fleet.now + LOG_INTERVAL;
@@ -272,7 +277,7 @@
         }
     }
 
-    /// What the choice of a backend reads.
+    /// The state that endpoint selection reads.
     fn selection(&self) -> EndpointSelection<'_> {
         EndpointSelection {
             fleet: &self.fleet,
@@ -281,7 +286,7 @@
         }
     }
 
-    /// Time between two checks on queued requests.
+    /// Period of the checks on queued requests.
     fn queue_check_period(&self) -> Nanos {
         let settings = &self.fleet.settings;
         QUEUE_CHECK_PERIOD
@@ -290,8 +295,8 @@
             .max(MIN_TIMER)
     }
 
-    /// Requests the next timer only while something waits for one: with many nodes, a timer that always runs costs more
-    /// than all requests together.
+    /// Sets the next timer, only if something waits for one: with many nodes, timers that always run cost more than
+    /// all requests together.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let now = self.fleet.now;
         let queue_check =
--- a/balancer/src/balancer/attempts.rs
+++ b/balancer/src/balancer/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sending one, completing its upload, and what follows from its end.
+//! The lifecycle of an attempt: send, completed upload, and end.
 
 use super::Balancer;
 use crate::api::{Action, AttemptResult, BackendId, LogEvent, Nanos, Outcome, RequestId};
@@ -9,7 +9,8 @@
 use crate::retry_safety::is_eligible;
 
 impl Balancer {
-    /// The one place that sends. False where the request may not go there.
+    /// Sends a request to a backend. Returns false if the request is not eligible there. Every send is made by this
+    /// function.
     pub(super) fn send(
         &mut self,
         id: RequestId,
@@ -36,7 +37,8 @@
         true
     }
 
-    /// Counts an attempt with its request, backend and zone. An upload counts as load when it is complete.
+    /// Records an attempt in the state of the request, the backend and the zone. An upload counts as load only once
+    /// its body is complete.
     fn record_send(&mut self, id: RequestId, to: BackendId) {
         let (now, settings) = (self.fleet.now, &self.fleet.settings);
         let (Some(request), Some(backend)) =
@@ -70,7 +72,8 @@
         }
     }
 
-    /// A request's body is complete: its client's time begins, and it counts as load where it was sent.
+    /// Handles the completion of a request's body: the client's time starts, and the attempts in flight count as
+    /// load.
     pub(super) fn on_upload_complete(&mut self, id: RequestId, expires_at: Nanos) {
         let now = self.fleet.now;
         let request = self.requests.get_mut(id);
@@ -96,7 +99,7 @@
         }
     }
 
-    /// An attempt has ended: learns from it, then ends or retries the request.
+    /// Handles the end of an attempt: updates the measurements, then ends or retries the request.
     pub(super) fn on_attempt_ended(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(result.request) else {
             return;
@@ -138,7 +141,7 @@
         self.dispatch_queued(actions);
     }
 
-    /// A request has its answer, by the attempt that has just ended or earlier.
+    /// Ends a request that was answered by this or an earlier attempt.
     fn finish(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(result.request) else {
             return;
@@ -154,12 +157,12 @@
         self.requests.finish(result.request);
     }
 
-    /// Whether an answer now counts as one in time. In a small fleet late ones count too.
+    /// Whether a response now counts as answered in time. In a small fleet, late responses count too.
     fn is_answered_in_time(&self, request: &Request) -> bool {
         !self.fleet.settings.is_large_fleet() || self.fleet.now <= request.objective_deadline
     }
 
-    /// Counts an outcome against its backend; ejects an outlier, readmits after served trials.
+    /// Records an outcome for outlier detection; logs a readmission, ejects an outlier.
     pub(super) fn record_for_outlier_detection(
         &mut self,
         id: BackendId,
@@ -177,7 +180,7 @@
         }
     }
 
-    /// Ejects a backend that has just failed, if it is an outlier or was on trial.
+    /// Ejects a backend after a failed attempt if the backend is an outlier or was half-open.
     fn eject_if_outlier(&mut self, id: BackendId, outcome: Outcome, actions: &mut Vec<Action>) {
         let now = self.fleet.now;
         let failures = self.fleet.backends.failures();
@@ -194,7 +197,7 @@
         }
     }
 
-    /// Cancels the attempts of a request that are in flight, where attempts may be cancelled.
+    /// Cancels a request's attempts in flight, if the site allows cancellation.
     pub(super) fn cancel_in_flight(&self, id: RequestId, actions: &mut Vec<Action>) {
         if !self.fleet.settings.limits.cancellation {
             return;
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -1,4 +1,4 @@
-//! One request from arrival to final answer: admitted or rejected, dispatched, queued, ended.
+//! The lifecycle of a request: admission, dispatch, queueing and final answer.
 
 use super::Balancer;
 use crate::api::{Action, BackendId, ClassId, Nanos, RequestArrival, RequestId};
@@ -11,7 +11,7 @@
 use crate::zone_routing::prefers_local_zone;
 
 impl Balancer {
-    /// A request has come in; with `is_upload` its body is still on the way.
+    /// Handles the arrival of a request. With `is_upload`, the body is still being received.
     pub(super) fn on_arrival(
         &mut self,
         arrival: &RequestArrival,
@@ -22,7 +22,7 @@
         let class = self.fleet.classes.id_or_last(arrival.class);
         let request = self.new_request(arrival, class, is_upload);
         let is_late = has_no_remaining_value(&self.fleet, &request);
-        // Admitted by the figures of the last refresh, not of the one that this arrival may cause.
+        // Read before `refresh` below, so that this arrival is admitted by the previous refresh.
         let class_fraction = self.admission.admitted_fraction(class);
         self.requests.insert(id, request);
         self.retry_budget.deposit();
@@ -36,9 +36,9 @@
         }
     }
 
-    /// Counts an arrival and decides whether it is admitted. What comes past its objective, or is more than the
-    /// backends can answer in time, is rejected before it costs them anything: otherwise its retries would keep an
-    /// overload going.
+    /// Counts an arrival and decides whether the request is admitted. Requests past their objective or beyond what
+    /// the backends can answer in time are rejected before any backend works on them; otherwise retries would
+    /// prolong an overload.
     fn admit(
         &mut self,
         arrival: &RequestArrival,
@@ -61,7 +61,7 @@
         !is_late && (fraction >= 1.0 || self.random.draw() < fraction)
     }
 
-    /// The state of a request that arrives now; its class learns from it.
+    /// Creates the state of an arriving request, and updates the statistics of the request's class.
     fn new_request(
         &mut self,
         arrival: &RequestArrival,
@@ -71,7 +71,7 @@
         let now = self.fleet.now;
         let class_settings = *self.fleet.settings.class(class);
         let client_timeout = if is_upload {
-            // The client's time begins when the body is complete.
+            // The client's time starts when the body is complete.
             class_settings.deadline
         } else {
             arrival.expires_at.saturating_sub(now)
@@ -80,7 +80,7 @@
         let service_time = expected_service_time(arrival, statistics);
         statistics.record_service_time(service_time);
         statistics.record_client_timeout(client_timeout);
-        // Expected service times that are too low would be the ones that fit into a small budget.
+        // Requests with an underestimated service time would be the ones that fit into a small budget.
         let slow_start_cost = service_time.max(statistics.mean_service_time());
         let objective_start = objective_start(&self.fleet, arrival, class, client_timeout);
         let objective_end = objective_start + class_settings.latency_objective;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Sends a request where it may go now, or queues it.
+    /// Sends a request, or queues it if no backend can take it.
     pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.send_zone_probe(id, actions) || self.choose_and_send(id, actions) {
             return;
@@ -114,7 +114,8 @@
         self.requests.enqueue(id);
     }
 
-    /// Sends a request as a probe of a zone, if one is wanted and the request is fit for it.
+    /// Sends a request as a zone probe if one has been requested and the request qualifies. Returns whether it was
+    /// sent.
     fn send_zone_probe(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(id) else {
             return false;
@@ -128,7 +129,7 @@
         self.send(id, probe.backend, Some(probe.timeout), actions)
     }
 
-    /// Sends a request to the chosen backend; false if there is none.
+    /// Sends a request to the backend chosen for it. Returns false if no backend can take the request.
     pub(super) fn choose_and_send(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(backend) = self.choose_backend(id) else {
             return false;
@@ -136,7 +137,7 @@
         self.send(id, backend, None, actions)
     }
 
-    /// The backend for a request, or none if it is better queued.
+    /// Chooses the backend for a request; `None` if the request should be queued.
     fn choose_backend(&mut self, id: RequestId) -> Option<BackendId> {
         let spill_fraction = self.admission.spill_fraction();
         let prefers_local = prefers_local_zone(&self.fleet, spill_fraction, &mut self.random);
@@ -145,7 +146,7 @@
             .choose_backend(&self.selection(), id, request, prefers_local)
     }
 
-    /// Sends queued requests while backends have capacity, the most valuable first.
+    /// Sends queued requests in dispatch order while backends have capacity.
     pub(super) fn dispatch_queued(&mut self, actions: &mut Vec<Action>) {
         let mut misses = 0;
         for id in dispatch_order(&self.selection(), &self.requests) {
@@ -159,8 +160,7 @@
         }
     }
 
-    /// Ends the queued requests that can no longer be answered in time, or that were never sent, while a
-    /// rejection is still early.
+    /// Ends queued requests that can no longer be answered in time or rejected early.
     pub(super) fn end_expired(&mut self, actions: &mut Vec<Action>) {
         let retry_after = self.fleet.settings.limits.max_retry_after;
         for id in self.expired_requests() {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The queued requests that are better ended now than at the next check, in the order of the queue.
+    /// The queued requests that should be ended before the next check, in queue order.
     fn expired_requests(&self) -> Vec<RequestId> {
         let period = self.queue_check_period();
         let is_expired = |id: &RequestId| {
@@ -179,7 +179,8 @@
         queued.filter(is_expired).collect()
     }
 
-    /// The one place that ends requests: rejected where a retry by the client does no harm, failed otherwise.
+    /// Ends a request with a rejection if a retry by the client is safe, with a failure otherwise. Every final
+    /// answer other than a response is sent by this function.
     pub(super) fn reject_or_fail(
         &mut self,
         id: RequestId,
@@ -204,7 +205,8 @@
     }
 }
 
-/// Expected service time of an arrival in nanoseconds, by its hint or by its class; at least 1.
+/// Expected service time of an arrival by its hint or, without one, by its class, in nanoseconds on a standard
+/// core; at least 1.
 fn expected_service_time(arrival: &RequestArrival, class: &ClassStatistics) -> f64 {
     let on_idle_backend = class.base_time() * IDLE_LOAD;
     arrival
--- a/balancer/src/balancer/retries.rs
+++ b/balancer/src/balancer/retries.rs
@@ -1,15 +1,15 @@
-//! Retries and hedged requests: further attempts, as far as retry safety and the retry budget allow.
+//! Retries and hedged requests, within retry safety and the retry budget.
 
 use super::Balancer;
 use crate::api::{Action, Idempotency, Nanos, RequestId, ZoneId};
 use crate::request::{Phase, Request};
 use crate::retry_safety::is_eligible;
 
-/// No advice on when the client should retry.
+/// `retry_after` of a rejection without a Retry-After.
 const NO_RETRY_AFTER: Nanos = 0;
 
 impl Balancer {
-    /// After an attempt that did not succeed: another one, or the end of the request.
+    /// Retries a request after an unsuccessful attempt, or ends the request.
     pub(super) fn retry_or_end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -18,7 +18,7 @@
             return;
         }
         if self.fleet.now >= request.objective_deadline {
-            // As for a request that expires in the queue.
+            // Past the objective, the request ends like one that expires in the queue.
             let retry_after = self.fleet.settings.limits.max_retry_after;
             self.reject_or_fail(id, retry_after, actions);
             return;
@@ -27,21 +27,22 @@
             self.reject_or_fail(id, NO_RETRY_AFTER, actions);
             return;
         }
-        // Queued where no backend has capacity now: most have some before the objective's end.
+        // If no backend has capacity now, `dispatch` queues the request; capacity usually becomes free before the
+        // objective's end.
         self.retry_budget.withdraw();
         self.dispatch(id, actions);
     }
 
     /// Whether the retry budget allows a retry of this request.
     fn is_within_retry_budget(&self, request: &Request) -> bool {
-        // What was rejected at once has cost little: its first retry is free.
+        // In a large fleet, the first retry of a request that never ran is free: the rejection has cost little.
         let is_free = self.fleet.settings.is_large_fleet()
             && request.attempts.len() == 1
             && !request.may_have_run();
         is_free || self.retry_budget.has_token()
     }
 
-    /// Whether a backend may get the request. A request that may only go to a closed zone is ended at once.
+    /// Whether any backend of an open zone may receive the request. Without one, the request ends at once.
     fn has_retry_target(&self, request: &Request) -> bool {
         let fleet = &self.fleet;
         fleet.backends.values().any(|backend| {
@@ -49,9 +50,9 @@
         })
     }
 
-    /// A zone has closed: idempotent requests that wait for an answer from there are sent to another zone too,
-    /// as far as the retry budget goes. The first attempt goes on where requests may be hedged: it may still be
-    /// answered.
+    /// Sends idempotent requests that wait only for a response from a closed zone to another zone, within the retry
+    /// budget. If hedged requests are allowed, the first attempt stays in flight, because it may still be answered;
+    /// otherwise it is cancelled.
     pub(super) fn hedge_out_of_closed_zone(&mut self, zone: ZoneId, actions: &mut Vec<Action>) {
         let waiting = self
             .requests
@@ -63,7 +64,7 @@
                 break;
             }
             if !self.fleet.settings.limits.hedging {
-                // The end of its attempt makes the retry.
+                // The end of the cancelled attempt triggers the retry.
                 self.cancel_in_flight(id, actions);
             } else if self.choose_and_send(id, actions) {
                 self.retry_budget.withdraw();
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Whether a request waits for an answer from a closed zone only, and may run twice.
+    /// Whether a request waits only for a response from this zone and may run twice.
     fn needs_hedge_out_of(&self, request: &Request, zone: ZoneId) -> bool {
         let class = self.fleet.settings.class(request.class);
         request.waits_only_in(zone)
--- a/balancer/src/deadlines.rs
+++ b/balancer/src/deadlines.rs
@@ -1,5 +1,5 @@
-//! Deadlines: from when a request's objective counts, when an answer has no value any longer, and when an attempt's
-//! time-out counts against its backend.
+//! Deadlines: the start of a request's latency objective, the time after which a response has no value, and which
+//! timeouts count as backend failures.
 
 use crate::api::{ClassId, Nanos, RequestArrival};
 use crate::fleet::Fleet;
@@ -7,31 +7,35 @@
 use crate::tuning::IDLE_LOAD;
 use badgerpost_time::nanos_from_f64;
 
-/// A client timeout shorter than the longest one by more than this part of it tells of a retry: arrivals jitter.
+/// A client timeout that is shorter than the class's longest one by more than the longest one divided by this
+/// number indicates a retry. Smaller differences are jitter.
 const SHORTER_TIMEOUT_DIVISOR: u64 = 8;
-/// Least service time of a request that is still answered, as a fraction of the time on an idle backend.
+/// Minimum expected service time of a queued request, as a fraction of the time on an idle backend.
 const MIN_SERVICE_TIME_FRACTION: f64 = 0.5;
-/// A time-out after at least this many base times counts against its backend.
+/// Minimum elapsed time, in multiples of the class's base time, from which a timeout counts as a failure of the
+/// backend.
 const MIN_BACKEND_TIMEOUT_BASE_TIMES: f64 = 3.0;
-/// Under overload, an attempt ends at the objective if a later answer keeps at most this fraction of its value.
+/// Maximum value fraction of a late response at which, under overload, an attempt times out at the objective
+/// deadline.
 const MAX_DROPPED_LATE_VALUE_FRACTION: f64 = 0.5;
 
-/// Whether an answer of this class after its objective is worth nothing.
+/// Whether a response after the objective has no value in this class.
 fn has_no_late_value(fleet: &Fleet, class: ClassId) -> bool {
     fleet.settings.class(class).late_value_fraction == 0.0
 }
 
-/// Whether a request has expired, or is past its objective and would be answered for nothing.
+/// Whether a request has expired, or is past its objective in a class where a late response has no value.
 pub(crate) fn has_no_remaining_value(fleet: &Fleet, request: &Request) -> bool {
     let is_late = request.objective_deadline <= fleet.now;
     request.expires_at <= fleet.now || (is_late && has_no_late_value(fleet, request.class))
 }
 
-/// The time from which a request's objective counts.
+/// The time from which a request's latency objective counts.
 ///
-/// A client's retry ends at the deadline of its first attempt, so its timeout is shorter than others, and that
-/// deadline tells when the first attempt came. Where clients mark their retries, the rest are first attempts: a retry
-/// may get a longer timeout than these, which must not make them look late.
+/// A retry by a client ends at the deadline of the client's first attempt. The timeout of a retry is therefore
+/// shorter than that of first attempts, and the deadline reveals when the first attempt arrived. Where clients mark
+/// their retries, unmarked requests are first attempts and count from now: a retry may get a longer timeout than
+/// first attempts do, which must not make those appear late.
 pub(crate) fn objective_start(
     fleet: &Fleet,
     arrival: &RequestArrival,
@@ -49,10 +53,11 @@
     first_attempt_at.min(fleet.now)
 }
 
-/// The timeout of an attempt whose answer after the objective has too little value for a backend to work on it.
+/// The timeout of an attempt at the objective deadline; `None` where a late response has enough value for a backend
+/// to go on.
 ///
-/// Only in a large fleet: in a small one, requests admitted by the node's own figures hardly wait that long, and the
-/// retries cost more.
+/// Applies in large fleets only: in a small fleet, a request admitted by the node's own measurements rarely waits
+/// until then, and the retries would cost more.
 pub(crate) fn attempt_timeout(
     fleet: &Fleet,
     request: &Request,
@@ -69,12 +74,14 @@
     has_timeout.then(|| request.objective_deadline - fleet.now)
 }
 
-/// Whether a time-out counts against the backend: a client with little time ends an attempt early.
+/// Whether a timeout after the elapsed time counts as a failure of the backend. A client with little time left ends
+/// an attempt too early to tell.
 pub(crate) fn is_backend_timeout(fleet: &Fleet, class: ClassId, elapsed: Nanos) -> bool {
     elapsed as f64 >= MIN_BACKEND_TIMEOUT_BASE_TIMES * fleet.classes.get(class).base_time()
 }
 
-/// Whether a queued request is better ended now than at the next check, a period from now.
+/// Whether a queued request should be ended now: by the next check, one `period` from now, the request can no
+/// longer be answered in time, or its client's time for an early rejection or its expiry will have passed.
 pub(crate) fn is_expired(fleet: &Fleet, request: &Request, period: Nanos) -> bool {
     if request.phase != Phase::Queued || request.has_attempt_in_flight() {
         return false;
--- a/balancer/src/dispatch_order.rs
+++ b/balancer/src/dispatch_order.rs
@@ -1,4 +1,3 @@
-//! The order in which queued requests are dispatched.
 
 use std::cmp::Ordering;
 
@@ -6,20 +5,20 @@
 use crate::endpoint_selection::EndpointSelection;
 use crate::request_table::RequestTable;
 
-/// Queued requests that find no backend until the others wait for the next event.
+/// Maximum number of queued requests without a backend in one pass; the remaining ones wait for the next event.
 pub(crate) const MAX_DISPATCH_MISSES: usize = 8;
 
-/// A queued request, as far as the order goes.
+/// Sort key of a queued request.
 struct QueuedRequest {
     id: RequestId,
-    /// Value of its class, for each unit of work.
+    /// Value of the request's class per unit of work.
     value: f64,
-    /// Whether the backend that its key goes to would answer it in time.
+    /// Whether the backend preferred by the affinity key is available and would answer in time.
     has_affinity: bool,
 }
 
 impl QueuedRequest {
-    /// The more valuable first, then those with affinity, then by id.
+    /// Orders by descending value, then requests with affinity first, then by id.
     fn dispatch_cmp(&self, other: &Self) -> Ordering {
         let by_value = other.value.total_cmp(&self.value);
         let by_affinity = other.has_affinity.cmp(&self.has_affinity);
@@ -27,7 +26,8 @@
     }
 }
 
-/// The queued requests, the most valuable first; of one value, those with key affinity first.
+/// Returns the queued requests in dispatch order: by descending value, then requests with affinity first, then by
+/// id.
 pub(crate) fn dispatch_order(
     selection: &EndpointSelection,
     requests: &RequestTable,
--- a/balancer/src/expected_delay.rs
+++ b/balancer/src/expected_delay.rs
@@ -1,12 +1,12 @@
-//! The expected delay at a backend: its load and its slowness against the fleet.
+//! Expected delay at a backend: load and slowness relative to the fleet.
 
 use crate::api::{Nanos, Settings};
 use crate::backend::Backend;
 use crate::tuning::{IDLE_DECAY_TIME_CONSTANT, IDLE_LOAD};
 
 impl Backend {
-    /// Load in requests for each unit of size: this node's, times the nodes that send there likewise; in a large
-    /// fleet, what the list has shown all nodes.
+    /// Load in requests per unit of size. In a small fleet, this node's load times the number of nodes per zone; in
+    /// a large one, the queue shown by the endpoint list if it is longer than this node's.
     pub(crate) fn load(&self, settings: &Settings) -> f64 {
         let own_load = f64::from(self.in_flight()) / self.size();
         if !settings.is_large_fleet() {
@@ -18,7 +18,8 @@
         }
     }
 
-    /// Slowness against the fleet's mean, decayed since its last sample towards what the warm-up implies.
+    /// Slowness relative to the fleet's mean, decayed since the last sample towards the slowness implied by the
+    /// warm-up.
     pub(crate) fn expected_slowness(&self, now: Nanos, settings: &Settings) -> f64 {
         let prior = 1.0 / self.warm_up_fraction(now, &settings.rules);
         self.measured_slowness()
--- a/balancer/src/health_checks.rs
+++ b/balancer/src/health_checks.rs
@@ -1,41 +1,42 @@
-//! Health checks, where backends report their load only in the answers to them: few, bounded by the node's own traffic,
-//! and to those backends first that were checked longest ago.
+//! Health checks for sites where backends report their load only in health check responses. The number of checks is
+//! bounded by the node's own arrivals, and the backend with the oldest check comes first.
 
 use crate::api::{Action, BackendId, Nanos};
 use crate::backend::Backend;
 use crate::fleet::Fleet;
 use badgerpost_time::MILLISECOND;
 
-/// Checks that each arrival pays for, so that their number does not grow with nodes times backends.
+/// Tokens added by each arrival; a check takes one token. The number of checks thus does not grow with nodes times
+/// backends.
 const TOKENS_PER_ARRIVAL: f64 = 0.2;
-/// Shortest time between two checks of a backend: reports are refreshed no more often.
+/// Minimum time between two checks of a backend; load reports are refreshed no more often.
 const CHECK_INTERVAL: Nanos = 800 * MILLISECOND;
-/// A backend of another zone is checked less often than one of the local zone, by this factor.
+/// Factor on the check interval for backends of remote zones.
 const REMOTE_INTERVAL_FACTOR: u64 = 3;
-/// Most checks that can be saved up.
+/// Maximum tokens that can be saved up.
 const MAX_TOKENS: f64 = 3.0;
-/// Checks that a node starts with.
+/// Tokens at the start of the node.
 const INITIAL_TOKENS: f64 = 1.0;
 
-/// Budget of health checks.
+/// Token bucket of health checks.
 pub(crate) struct HealthChecks {
     tokens: f64,
 }
 
 impl HealthChecks {
-    /// The budget of a node that starts.
+    /// Creates the token bucket of a starting node.
     pub(crate) fn new() -> Self {
         Self {
             tokens: INITIAL_TOKENS,
         }
     }
 
-    /// Each arrival pays for a part of a check.
+    /// Adds the tokens for one arrival.
     pub(crate) fn deposit(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_ARRIVAL).min(MAX_TOKENS);
     }
 
-    /// Checks the backends whose figures are oldest, as far as the budget goes.
+    /// Checks the backends with the oldest checks, as far as the tokens last.
     pub(crate) fn run(&mut self, fleet: &mut Fleet, actions: &mut Vec<Action>) {
         if !fleet.settings.reports_by_health_check || !fleet.settings.limits.health_checks {
             return;
@@ -53,7 +54,7 @@
     }
 }
 
-/// The backend whose check is longest overdue.
+/// The backend in service whose check is most overdue.
 fn most_overdue_backend(fleet: &Fleet) -> Option<BackendId> {
     let due_backends = fleet
         .backends
@@ -64,12 +65,12 @@
         .map(|(id, _)| id)
 }
 
-/// Whether a backend has not been checked yet, or not for the check interval.
+/// Whether a backend has never been checked, or the check interval is over.
 fn is_check_due(fleet: &Fleet, backend: &Backend) -> bool {
     backend.health_checked_at().is_none() || weighted_check_age(fleet, backend) >= CHECK_INTERVAL
 }
 
-/// Time since a backend's last check, divided by a factor for other zones.
+/// Time since a backend's last check, divided by [`REMOTE_INTERVAL_FACTOR`] for a remote zone.
 fn weighted_check_age(fleet: &Fleet, backend: &Backend) -> Nanos {
     let checked_at = backend.health_checked_at().unwrap_or(0);
     let age = fleet.now.saturating_sub(checked_at);
