--- a/balancer/src/api.rs
+++ b/balancer/src/api.rs
@@ -1,4 +1,4 @@
-//! The interface of the decision module: settings at the start, events in, actions out.
+//! The interface of the balancer: settings, events in, actions out.
 
 pub mod actions;
 pub mod events;
--- a/balancer/src/api/actions.rs
+++ b/balancer/src/api/actions.rs
@@ -1,4 +1,4 @@
-//! Actions that the decision module asks its embedder to carry out.
+//! Actions that the balancer asks the embedder to carry out.
 
 use std::fmt;
 
@@ -7,79 +7,80 @@
 use super::events::Outcome;
 use super::ids::{BackendId, Nanos, RequestId, ZoneId};
 
-/// What the embedder is to do.
+/// A step for the embedder to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Send a request to a backend, as the request's next attempt.
     Send {
-        /// The request.
+        /// Request to send.
         request: RequestId,
-        /// The backend.
+        /// Backend to send it to.
         backend: BackendId,
-        /// Its timeout; `None` to wait until the client gives up.
+        /// Timeout of the attempt from the send; `None` to wait until the request expires.
         timeout: Option<Nanos>,
     },
-    /// Final answer: rejected; the client may safely retry.
+    /// Final answer: rejected. A retry by the client is safe.
     Reject {
-        /// The request.
+        /// Request to reject.
         request: RequestId,
-        /// `Retry-After` for the client; 0 for none.
+        /// `Retry-After` for the client in nanoseconds, at most
+        /// [`Limits::max_retry_after`](crate::Limits::max_retry_after); 0 for none.
         retry_after: Nanos,
     },
-    /// Final answer: failed; the request may have run.
+    /// Final answer: failed. The request may have run.
     Fail {
-        /// The request.
+        /// Request to fail.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt, from 0 in the order of the sends.
         attempt: u32,
     },
     /// Check a backend's health.
     CheckHealth {
-        /// The backend.
+        /// Backend to check.
         backend: BackendId,
     },
     /// Watch discovery for all changes from now on.
     WatchEndpoints,
-    /// Fetch the complete list from discovery once.
+    /// Fetch the complete endpoint list from discovery once.
     FetchSnapshot,
-    /// Wake the module after this time.
+    /// Report [`Event::TimerFired`](crate::Event::TimerFired) after this time.
     SetTimer {
-        /// How long from now.
+        /// Nanoseconds from now.
         after: Nanos,
-        /// Comes back in [`Event::TimerFired`](crate::Event::TimerFired).
+        /// Value for the event, set by the balancer.
         token: u64,
     },
-    /// Something for the operators' log.
+    /// Write an event to the operators' log.
     Log(LogEvent),
 }
 
-/// An event for operators. Its text is for people; its fields are for logs.
+/// An event for operators. The `Display` text is for people, the fields are for structured logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// The local zone has reached its spill threshold, or is below it again and serves all requests.
+    /// The local zone has reached the spill threshold, or has fallen below it and serves all requests again.
     ZoneSpill {
-        /// Whether it spills now.
+        /// Whether the local zone spills now.
         active: bool,
-        /// The best-scored other zone; the local zone where there is none.
+        /// Remote zone with the highest score; the local zone if there is no remote zone.
         to: ZoneId,
     },
-    /// A backend is an outlier and gets nothing for a while.
+    /// A backend is an outlier and receives no requests for a while.
     Ejected {
-        /// Which one.
+        /// Ejected backend.
         backend: BackendId,
-        /// For how long.
+        /// Nanoseconds until the backend may receive a trial request.
         duration: Nanos,
-        /// What its last attempt came to.
+        /// Outcome of the attempt that led to the ejection.
         outcome: Outcome,
     },
-    /// A backend has served its trial requests and is back in use.
+    /// A backend has served its trial requests and receives requests again.
     Readmitted {
-        /// Which one.
+        /// Readmitted backend.
         backend: BackendId,
     },
 }
--- a/balancer/src/api/events.rs
+++ b/balancer/src/api/events.rs
@@ -1,42 +1,43 @@
-//! Events that the embedder reports to the decision module.
+//! Events that the embedder reports to the balancer.
 
 use super::ids::{BackendId, ClassId, Nanos, RequestId, ZoneId};
 
-/// State of a backend by the endpoint list.
+/// State of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     InService,
-    /// Draining: it completes its work, and nothing new may be sent.
+    /// Completes the work in progress; must not receive new requests.
     Draining,
-    /// Removed.
+    /// No longer listed, or listed as gone.
     Removed,
 }
 
-/// One line of the list of backends.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// The backend.
+    /// Backend that the entry describes.
     pub backend: BackendId,
-    /// Its zone.
+    /// Zone that the backend runs in.
     pub zone: ZoneId,
-    /// Its machine kind.
+    /// Machine type, numbered by the embedder; backends of one type have the same size when idle.
     pub machine_kind: u32,
-    /// Its cell.
+    /// Deduplication cell, used with [`DedupScope::Cell`](crate::DedupScope::Cell).
     pub cell: u64,
-    /// Hash of its name, the same at every node.
+    /// Hash of the backend's name, the same at every node; used for key affinity.
     pub name_hash: u64,
-    /// Whether it may get requests.
+    /// Whether the backend may receive requests.
     pub state: EndpointState,
-    /// Its size relative to others, as [`WeightSource`](crate::WeightSource) says; 0 or less counts as 1.
+    /// Capacity relative to other backends, as defined by [`WeightSource`](crate::WeightSource); 0 or less counts
+    /// as 1.
     pub size: f64,
-    /// When its process started, if recently.
+    /// Start of the backend's process, on the embedder's clock; `None` if unknown or long ago.
     pub started_at: Option<Nanos>,
 }
 
 impl Endpoint {
-    /// Its size, or 1 where that is not a positive number.
+    /// The size, or 1 if the size is not a positive finite number.
     pub fn size_or_one(&self) -> f64 {
         if self.size.is_finite() && self.size > 0.0 {
             self.size
@@ -46,58 +47,58 @@
     }
 }
 
-/// Which list an [`Event::EndpointsUpdated`] brings.
+/// The kind of list in an [`Event::EndpointsUpdated`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
     /// Changed entries only.
     Delta,
-    /// The complete list: a backend that is missing has been removed.
+    /// The complete list; backends missing from the list have been removed.
     Snapshot,
-    /// The complete list as the node last cached it, perhaps stale.
+    /// The complete list from the node's cache, possibly outdated.
     Cached,
 }
 
-/// A backend's figures of its load; absent where not reported.
+/// Load reported by a backend; each field is `None` if not reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Share of its cores in use.
+    /// Fraction of the backend's cores in use; implausible values are ignored.
     pub utilization: Option<f64>,
-    /// Requests it serves a second.
+    /// Requests served per second.
     pub requests_per_second: Option<f64>,
-    /// Requests it holds.
+    /// Requests in progress or queued at the backend.
     pub in_flight: Option<f64>,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The backend served the request.
     Success,
     /// The backend returned an error.
     Error,
-    /// The answer is invalid, perhaps because of the request.
+    /// The response is invalid; the request may be the cause.
     InvalidResponse,
-    /// Rejected by the backend without being executed.
+    /// The backend rejected the request without executing it.
     Rejected,
-    /// No answer in time.
+    /// No response arrived in time.
     TimedOut,
-    /// No connection could be made.
+    /// No connection could be established.
     ConnectFailed,
     /// The connection broke while the attempt was in flight.
     Reset,
-    /// Cancelled by the node.
+    /// The node cancelled the attempt.
     Cancelled,
-    /// Never sent.
+    /// The request was never sent to the backend.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the attempt may have taken effect.
+    /// Whether the backend may have executed the request.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 
-    /// The outcome's name in log lines and simulator traces. It keeps the form that operators' tools read.
+    /// The outcome's name in logs and simulator traces. Operators' tools match these names.
     pub fn log_name(self) -> &'static str {
         match self {
             Self::Success => "Served",
@@ -113,119 +114,123 @@
     }
 }
 
-/// A request that has come in.
+/// A request received from a client.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestArrival {
-    /// Its id.
+    /// Id of the request.
     pub request: RequestId,
-    /// Its class.
+    /// Class of the request; an unknown class counts as the last one of the settings.
     pub class: ClassId,
-    /// Hash of the name of what it concerns.
+    /// Hash of the affinity key, the same at every node; `None` if the request has no key.
     pub affinity_key: Option<u64>,
-    /// Expected service time on a standard core.
+    /// Expected service time on a standard core, in nanoseconds; `None` if unknown, to derive it from the class's
+    /// base time.
     pub expected_service_time: Option<Nanos>,
-    /// The client marks it as a retry.
+    /// Whether the client has marked the request as a retry.
     pub is_retry: bool,
-    /// Its tenant: a position in [`Settings::tenant_quotas`](crate::Settings::tenant_quotas).
+    /// Tenant, as an index into [`Settings::tenant_quotas`](crate::Settings::tenant_quotas); `None` for a request
+    /// without a quota.
     pub tenant: Option<u32>,
-    /// When the client gives this attempt up.
+    /// Time at which the client gives up.
     pub expires_at: Nanos,
 }
 
-/// The end of one attempt.
+/// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt's number, from 0 in the order of the sends.
+    /// Number of the attempt, from 0 in the order of the sends.
     pub attempt: u32,
-    /// How it ended.
+    /// Result of the attempt.
     pub outcome: Outcome,
-    /// Time since the send; none if it isn't known, as the node stood still when the attempt ended.
+    /// Nanoseconds since the send; `None` if the node was suspended when the attempt ended.
     pub elapsed: Option<Nanos>,
-    /// The request has ended, by this or earlier.
+    /// Whether the request has ended with this attempt or before.
     pub request_ended: bool,
-    /// The backend's figures, if any came.
+    /// Load report that came with the response; empty if there was none.
     pub report: LoadReport,
 }
 
-/// What the embedder reports to the balancer.
+/// An event that the embedder reports to the balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The node starts. Must come first, once.
+    /// The node starts. Must be the first event, and occur once.
     Start,
-    /// A list of backends.
+    /// An endpoint list has arrived.
     EndpointsUpdated {
-        /// Which list.
+        /// Kind of the list.
         update: EndpointUpdate,
-        /// Its lines.
+        /// Entries of the list.
         endpoints: Vec<Endpoint>,
     },
-    /// A call to discovery failed, or the watch broke.
+    /// A call to discovery has failed, or the watch has ended.
     DiscoveryFailed,
-    /// A request has arrived; it gets exactly one final answer.
+    /// A request has arrived completely. Each request gets exactly one final answer.
     RequestArrived(RequestArrival),
-    /// The same, but its body is still on the way: its client's time begins with [`Event::UploadComplete`],
-    /// and until then no backend works on it. `expires_at` is when it is given up if that never comes.
+    /// A request has arrived whose body is still being received. Until [`Event::UploadComplete`], the client's time
+    /// does not run and no backend works on the request. `expires_at` is the time to give up if the body is never
+    /// completed.
     UploadStarted(RequestArrival),
-    /// The last byte of a request's body has come.
+    /// The last byte of a request's body has arrived.
     UploadComplete {
-        /// The request.
+        /// Request whose body is complete.
         request: RequestId,
-        /// When the client gives this attempt up.
+        /// Time at which the client gives up.
         expires_at: Nanos,
     },
-    /// Bytes of a request's body have been sent and are not kept: the request can't be sent again.
+    /// Part of a request's body has been sent and was not kept, so the request cannot be sent again.
     BodyConsumed {
-        /// The request.
+        /// Request whose body was partly sent.
         request: RequestId,
     },
-    /// An attempt ended.
+    /// An attempt has ended.
     AttemptEnded(AttemptResult),
-    /// This backend broke off an answer that was being forwarded.
+    /// A backend broke off a response that was being forwarded.
     ResponseAborted {
-        /// The backend.
+        /// Backend that broke off the response.
         backend: BackendId,
     },
-    /// A streamed answer has started.
+    /// The streaming of a response has started.
     ResponseStarted {
-        /// The request.
+        /// Request that is being answered.
         request: RequestId,
     },
-    /// A health check ended.
+    /// A health check has ended.
     HealthCheckEnded {
-        /// The backend.
+        /// Checked backend.
         backend: BackendId,
-        /// How it ended.
+        /// Result of the check.
         outcome: Outcome,
-        /// Time since the health check was sent.
+        /// Nanoseconds since the health check was sent.
         elapsed: Nanos,
-        /// The backend's figures, if any came.
+        /// Load report in the response; empty if there was none.
         report: LoadReport,
     },
-    /// The client has disconnected; no answer is needed any more.
+    /// The client has disconnected; the request needs no answer.
     ClientDisconnected {
-        /// The request.
+        /// Request of that client.
         request: RequestId,
     },
-    /// A zone's traffic share has changed; at the start each has 1.
+    /// A zone's traffic share has changed. The initial share of every zone is 1.
     ZoneShareChanged {
-        /// The zone.
+        /// Zone whose share has changed.
         zone: ZoneId,
-        /// For the local zone, the fraction of the requests that it takes; for another, its weight among the
-        /// others in the division of the rest. At 0 no new request goes there.
+        /// For the local zone, the fraction of requests that it takes, 0 to 1; for a remote zone, its weight in the
+        /// division of the remaining requests. A zone with share 0 gets no new requests.
         share: f64,
     },
-    /// The next idempotent request is to probe this zone, whatever its traffic share.
+    /// The next suitable idempotent request is to be sent to this zone as a probe, whatever the zone's traffic
+    /// share.
     ZoneProbeRequested {
-        /// The zone.
+        /// Zone to probe.
         zone: ZoneId,
-        /// How long to wait for the answer.
+        /// Nanoseconds to wait for the response.
         timeout: Nanos,
     },
-    /// A timer came due.
+    /// A timer has fired.
     TimerFired {
-        /// As given in [`Action::SetTimer`](crate::Action::SetTimer).
+        /// Token of the [`Action::SetTimer`](crate::Action::SetTimer) that set the timer.
         token: u64,
     },
 }
--- a/balancer/src/api/ids.rs
+++ b/balancer/src/api/ids.rs
@@ -1,31 +1,30 @@
 //! Identifiers and times of the interface.
 //!
-//! Ids are integers, so no name can influence a decision. Times are nanoseconds on the embedder's clock.
+//! Ids are integers, so decisions cannot depend on names. Times are nanoseconds on the embedder's clock.
 
 pub use badgerpost_time::Nanos;
 
-/// A backend, numbered by the embedder; the number stays the same when its process restarts.
+/// A backend, numbered by the embedder. A restart of the backend's process does not change the number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u32);
-/// A zone: its position in the settings' zones.
+/// A zone, as a position in the zones of the site, from 0 to [`Settings::zone_count`](crate::Settings::zone_count)
+/// - 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
-/// A request class: its position in [`Settings::classes`](crate::Settings::classes).
+/// A request class, as an index into [`Settings::classes`](crate::Settings::classes).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub u32);
-/// A request of this node; an id is never used twice by one process.
+/// A request of this node. A process never uses an id twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
 impl ZoneId {
-    /// Its position among the settings' zones.
     pub(crate) fn index(self) -> usize {
         self.0 as usize
     }
 }
 
 impl ClassId {
-    /// Its position in [`Settings::classes`](crate::Settings::classes).
     pub(crate) fn index(self) -> usize {
         self.0 as usize
     }
--- a/balancer/src/api/settings.rs
+++ b/balancer/src/api/settings.rs
@@ -1,50 +1,50 @@
-//! Settings of one node: request classes, site limits, safety rules, and their validation.
+//! Settings of one node (request classes, site limits, safety rules) and their validation.
 
 use std::fmt;
 
 use super::ids::{ClassId, Nanos, ZoneId};
 
-/// Which backends deduplicate idempotency keys together.
+/// The set of backends that share deduplication of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every backend.
+    /// All backends.
     All,
-    /// The backends of one zone.
+    /// All backends of one zone.
     Zone,
-    /// The backends of one cell.
+    /// All backends of one cell.
     Cell,
 }
 
 /// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Executing it again has no further effect.
+    /// A repeated execution has no further effect.
     Idempotent,
-    /// It carries an idempotency key: retries are deduplicated within `scope` for `window` from the first
+    /// Requests carry an idempotency key. Retries are deduplicated within `scope` for `window` from the first
     /// attempt that may have run.
     Keyed {
-        /// The backends that deduplicate together.
+        /// Backends that share deduplication.
         scope: DedupScope,
-        /// How long they remember a key.
+        /// Nanoseconds for which backends remember a key.
         window: Nanos,
     },
-    /// It must not run twice.
+    /// A request must not run twice.
     NonIdempotent,
 }
 
 /// Settings of one request class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassSettings {
-    /// Latency objective: an answer within this time has its full value.
+    /// Latency objective in nanoseconds: a response within this time has its full value.
     pub latency_objective: Nanos,
-    /// Time from the client's first attempt until it gives up, over all its attempts.
+    /// Nanoseconds from the client's first attempt until the client gives up, over all its attempts.
     pub deadline: Nanos,
-    /// Priority weight: the value of one request answered within the objective, or of one unit of its work where
+    /// Priority weight: the value of one request answered within the objective, or of one unit of its work if
     /// [`Settings::is_weight_per_work`] is set.
     pub priority_weight: f64,
-    /// Fraction of the value that an answer after the objective still has, 0 to 1.
+    /// Fraction of the value that a response after the objective retains, 0 to 1.
     pub late_value_fraction: f64,
-    /// Whether its requests may be retried after they may have run.
+    /// Whether requests may be retried after they may have run.
     pub idempotency: Idempotency,
 }
 
@@ -60,105 +60,106 @@
     }
 }
 
-/// How the list of backends reaches the node.
+/// How the endpoint list reaches the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// The embedder delivers changes by itself.
+    /// The embedder delivers changes unasked.
     Pushed,
-    /// Only after [`Action::WatchEndpoints`](crate::Action::WatchEndpoints) or
+    /// The embedder delivers changes only after [`Action::WatchEndpoints`](crate::Action::WatchEndpoints) or
     /// [`Action::FetchSnapshot`](crate::Action::FetchSnapshot).
     Polled,
 }
 
-/// What [`Endpoint::size`](crate::Endpoint::size) holds.
+/// The meaning of [`Endpoint::size`](crate::Endpoint::size).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightSource {
-    /// The registered size, give or take, or nothing.
+    /// The approximate size registered for the backend; 0 if none is registered.
     Registered,
-    /// The size divided by 1 + requests held for each core, some time ago.
+    /// The size divided by 1 + requests per core, as of some time ago.
     LoadAdjusted,
 }
 
-/// Default of [`Settings::max_queue_per_size`], in requests for each unit of size: past it a machine loses
-/// more to contention than the queue gains, and one that has slowed down keeps its queue.
+/// Default of [`Settings::max_queue_per_size`]. A longer queue costs a backend more in contention than the queue
+/// gains, and keeps a backend that has slowed down overloaded.
 const DEFAULT_MAX_QUEUE_PER_SIZE: f64 = 2.8;
 
-/// Limits of the site on what the balancer may do.
+/// The site's limits on what the balancer may do.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most attempts for one request.
+    /// Maximum number of attempts for one request, at least 1.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight together.
+    /// Whether several attempts of one request may be in flight at a time.
     pub hedging: bool,
-    /// Health checks may be sent.
+    /// Whether health checks may be sent.
     pub health_checks: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Longest Retry-After that a client honours; 0 where none is sent.
+    /// Longest Retry-After that clients honour, in nanoseconds; 0 if none is sent.
     pub max_retry_after: Nanos,
 }
 
-/// Limits of the site's safety rules.
+/// Limits in the site's safety rules. Durations are in nanoseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct SafetyLimits {
-    /// A final answer is accepted this long after the client's deadline.
+    /// Time after the client's deadline within which a final answer is still accepted.
     pub answer_grace: Nanos,
-    /// A polling node that has not polled for this long counts as notified of the list as it was then.
+    /// Longest interval between polls. A node that has not polled for this long counts as notified of the endpoint
+    /// list as of that moment.
     pub poll_interval: Nanos,
-    /// Sends to a draining backend must have ended this long after the node was notified.
+    /// Time after the notification of the node within which requests sent to a draining backend must end.
     pub drain_grace: Nanos,
-    /// Least fraction of its capacity that a backend has at its start, 0 to 1.
+    /// Minimum fraction of its capacity that a backend has when its process starts, 0 to 1.
     pub slow_start_capacity: f64,
-    /// A backend has warmed up this long after its start, or sooner.
+    /// Time after the start of its process within which a backend has warmed up.
     pub slow_start_duration: Nanos,
-    /// A warming backend sent more than this multiple of its capacity becomes overloaded ...
+    /// Multiple of its current capacity, above 0, beyond which a warming backend becomes overloaded.
     pub overload_multiple: f64,
-    /// ... counted over any window of this length.
+    /// Length of the sliding window over which work sent to a warming backend is counted.
     pub overload_window: Nanos,
 }
 
-/// Settings of one node; they hold for the life of its [`Balancer`](crate::Balancer).
+/// Settings of one node, constant for the life of its [`Balancer`](crate::Balancer).
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The node's own zone.
+    /// Zone that the node runs in.
     pub local_zone: ZoneId,
-    /// How many zones there are.
+    /// Number of zones, at least 1.
     pub zone_count: u32,
-    /// How many nodes share the backends, this one included.
+    /// Number of nodes that share the backends, including this one; at least 1.
     pub node_count: u32,
-    /// The classes, by [`ClassId`].
+    /// Request classes, by [`ClassId`]; at least one.
     pub classes: Vec<ClassSettings>,
-    /// Each tenant's quota in requests per second, over all nodes.
+    /// Quota of each tenant in requests per second, over all nodes.
     pub tenant_quotas: Vec<f64>,
-    /// Value of a request beyond its tenant's quota, against one within it.
+    /// Value of a request beyond its tenant's quota, relative to one within the quota.
     pub over_quota_value: f64,
-    /// How the list of backends arrives.
+    /// How the endpoint list arrives.
     pub discovery: Discovery,
-    /// What the sizes in the list mean.
+    /// Meaning of the sizes in the endpoint list.
     pub weight_source: WeightSource,
-    /// Backends report their load in answers to health checks only.
+    /// Whether backends report their load only in responses to health checks.
     pub reports_by_health_check: bool,
-    /// Most requests of this node at one backend, for each unit of its size, whatever the latency objective.
+    /// Longest queue of this node's requests at one backend, per unit of size, whatever the latency objective.
     pub max_queue_per_size: f64,
-    /// A backend that has lately served a key does less work for it.
+    /// Whether a backend that recently served an affinity key does less work for further requests with that key.
     pub key_affinity: bool,
-    /// The site's limits.
+    /// The site's limits on what the balancer may do.
     pub limits: Limits,
-    /// The site's safety rules.
+    /// Limits in the site's safety rules.
     pub rules: SafetyLimits,
-    /// Fraction of the site's goal that the worst-served class decides, 0 to 1.
+    /// Weight of the worst-served class in the site's optimization goal, 0 to 1; the remaining weight is on all
+    /// requests by priority weight.
     pub worst_class_goal: f64,
-    /// Clients mark all their retries.
+    /// Whether clients mark all their retries.
     pub retries_marked: bool,
-    /// Whether a priority weight is the value of a unit of work (of service time), not of a request.
+    /// Whether a priority weight is the value of a unit of work (service time) rather than of a request.
     pub is_weight_per_work: bool,
-    /// Shortest time between two handlings.
+    /// Shortest interval between two calls of [`Balancer::handle`](crate::Balancer::handle), in nanoseconds.
     pub timer_resolution: Nanos,
 }
 
 impl Settings {
-    /// Settings for a node in zone `local_zone` of `zone_count`, with defaults for the rest and no classes
-    /// yet.
+    /// Default settings for a node in zone `local_zone` of `zone_count`, without classes.
     pub fn new(local_zone: ZoneId, zone_count: u32) -> Self {
         Self {
             local_zone,
@@ -195,16 +196,16 @@
         }
     }
 
-    /// Settings of a class that is known to exist.
+    /// Settings of a class. Panics if the class does not exist.
     pub(crate) fn class(&self, id: ClassId) -> &ClassSettings {
         &self.classes[id.index()]
     }
 
-    /// Checks that the settings can be used.
+    /// Checks that the settings are usable.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the first field that can't be used.
+    /// [`SettingsError`] with the first invalid field.
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.validate_topology()?;
         if self.classes.is_empty() {
@@ -230,7 +231,7 @@
         Ok(())
     }
 
-    /// Checks the numbers of zones and nodes.
+    /// Checks the zone and node counts.
     fn validate_topology(&self) -> Result<(), SettingsError> {
         if self.zone_count == 0 {
             return invalid("zones", "there must be at least one");
@@ -246,7 +247,6 @@
 }
 
 impl ClassSettings {
-    /// Checks one class.
     fn validate(&self) -> Result<(), SettingsError> {
         if self.latency_objective == 0 || self.deadline == 0 {
             return invalid("classes", "aim and deadline must be above 0");
@@ -262,7 +262,7 @@
 }
 
 impl SafetyLimits {
-    /// Checks the limits of slow start.
+    /// Checks the slow-start limits.
     fn validate(&self) -> Result<(), SettingsError> {
         if !is_non_negative(self.overload_multiple) || self.overload_multiple == 0.0 {
             return invalid("rules.tip_multiple", "must be finite and above 0");
@@ -274,22 +274,21 @@
     }
 }
 
-/// Whether a number is finite and at least 0.
 fn is_non_negative(number: f64) -> bool {
     number.is_finite() && number >= 0.0
 }
 
-/// The error for a field. Field and problem are worded as operators' tools know them.
+/// Returns the error for a field. Operators' tools match the field names and the problem texts.
 fn invalid(field: &'static str, problem: &'static str) -> Result<(), SettingsError> {
     Err(SettingsError { field, problem })
 }
 
-/// A settings field that can't be used, and why.
+/// An invalid settings field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The field at fault.
+    /// Name of the invalid field, as operators' tools know it.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Reason why the value is invalid.
     pub problem: &'static str,
 }
 
--- a/balancer/src/backend.rs
+++ b/balancer/src/backend.rs
@@ -1,6 +1,6 @@
-//! One backend as this node sees it: its list entry, this node's requests in flight there, and measured figures.
+//! State of one backend as seen by this node: endpoint list entry, in-flight requests and measurements.
 //!
-//! Ejection, warm-up sends and load feedback keep their per-backend state in types of their own.
+//! Ejection, sends during warm-up and load feedback are kept in types of their own.
 
 use crate::api::{Endpoint, EndpointState, LoadReport, Nanos, SafetyLimits, ZoneId};
 use crate::ewma::{DecayingRate, Ewma, UTILIZATION_TIME_CONSTANT};
@@ -9,18 +9,19 @@
 use crate::warming_sends::WarmingSends;
 use badgerpost_time::SECOND;
 
-/// Largest utilization that is believed: all cores in use, and some measuring noise.
+/// Largest plausible utilization: all cores in use plus measurement noise.
 const MAX_UTILIZATION: f64 = 1.5;
-/// Least weight of one utilization sample, so that quick reports are not lost.
+/// Minimum weight of one utilization sample, so that reports in quick succession count.
 const UTILIZATION_MIN_WEIGHT: f64 = 0.05;
-/// Time constant of slowness: tens of answers, yet shorter than the seconds for which a noisy neighbour is active.
+/// Time constant of slowness: spans tens of responses, yet is shorter than the seconds for which a noisy neighbour
+/// is active.
 const SLOWNESS_TIME_CONSTANT: Nanos = SECOND;
-/// Least weight of one slowness sample.
+/// Minimum weight of one slowness sample.
 const SLOWNESS_MIN_WEIGHT: f64 = 0.1;
-/// Smallest warm-up fraction, as others divide by it.
+/// Lower bound of the warm-up fraction, which is used as a divisor.
 const MIN_WARM_UP_FRACTION: f64 = 0.01;
 
-/// State of one backend. A restart of its process resets all but the requests in flight.
+/// State of one backend. A restart of the backend's process resets all fields except the in-flight count.
 #[derive(Default)]
 pub(crate) struct Backend {
     entry: Endpoint,
@@ -31,14 +32,13 @@
     subset_rank: u64,
     warming_sends: WarmingSends,
     health_checked_at: Option<Nanos>,
-    /// Failures, ejection and readmission.
     pub(crate) outlier: OutlierState,
-    /// Weights derived from the list's load-adjusted sizes.
+    /// Weights derived from the load-adjusted sizes in the endpoint list.
     pub(crate) feedback: FeedbackWeights,
 }
 
 impl Backend {
-    /// A backend that has just been listed.
+    /// Creates the state of a newly listed backend.
     pub(crate) fn new(entry: Endpoint) -> Self {
         Self {
             entry,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Replaces its list entry; a changed start time means a new process, of which nothing is known.
+    /// Replaces the endpoint list entry. A changed start time means a new process, whose measurements start empty.
     pub(crate) fn update_entry(
         &mut self,
         entry: Endpoint,
@@ -64,67 +64,65 @@
         self.feedback.set_reported_queue(reported_queue);
     }
 
-    /// Marks the backend as removed from the list.
     pub(crate) fn mark_removed(&mut self) {
         self.entry.state = EndpointState::Removed;
     }
 
-    /// Its line of the list.
+    /// The backend's entry in the endpoint list.
     pub(crate) fn entry(&self) -> &Endpoint {
         &self.entry
     }
 
-    /// Its zone.
     pub(crate) fn zone(&self) -> ZoneId {
         self.entry.zone
     }
 
-    /// Its size against the others', above 0.
+    /// Capacity relative to other backends, above 0.
     pub(crate) fn size(&self) -> f64 {
         self.entry.size_or_one()
     }
 
-    /// Whether the list lets it take new requests.
+    /// Whether the endpoint list allows new requests to the backend.
     pub(crate) fn is_in_service(&self) -> bool {
         self.entry.state == EndpointState::InService
     }
 
-    /// This node's requests that it works on.
+    /// Number of this node's requests that the backend is working on.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// This node's rank for it: the lowest ranks of a zone are the node's subset.
+    /// This node's rank for the backend. The backends with the lowest ranks of a zone form the node's subset.
     pub(crate) fn subset_rank(&self) -> u64 {
         self.subset_rank
     }
 
-    /// Requests sent there while it warms up.
+    /// Requests sent to the backend during warm-up.
     pub(crate) fn warming_sends(&self) -> &WarmingSends {
         &self.warming_sends
     }
 
-    /// Smoothed utilization of its cores, by its reports.
+    /// Smoothed utilization by load reports or load-adjusted sizes, 1 with all cores in use.
     pub(crate) fn utilization(&self) -> &Ewma {
         &self.utilization
     }
 
-    /// Smoothed response time against the expectation, 1 for a backend as fast as the fleet.
+    /// Smoothed ratio of response time to expected response time; 1 for a backend as fast as the fleet's mean.
     pub(crate) fn measured_slowness(&self) -> &Ewma {
         &self.slowness
     }
 
-    /// Service time that it completes for this node per second, in nanoseconds on a standard core.
+    /// Service time that the backend completes for this node, in nanoseconds on a standard core per second.
     pub(crate) fn throughput(&self, now: Nanos) -> f64 {
         self.throughput.per_second(now)
     }
 
-    /// When its health was last checked.
+    /// Time of the last health check; `None` before the first.
     pub(crate) fn health_checked_at(&self) -> Option<Nanos> {
         self.health_checked_at
     }
 
-    /// Fraction of its capacity that it surely has by now; 1 when warm.
+    /// Guaranteed fraction of the backend's full capacity at the time `now`; 1 once warm.
     pub(crate) fn warm_up_fraction(&self, now: Nanos, rules: &SafetyLimits) -> f64 {
         let Some(started_at) = self.entry.started_at else {
             return 1.0;
@@ -135,21 +133,21 @@
         (initial + (1.0 - initial) * progress).clamp(MIN_WARM_UP_FRACTION, 1.0)
     }
 
-    /// Counts a request that it starts to work on; while it warms up, the request is charged to its budget.
+    /// Counts a request that the backend starts to work on, and charges it to the slow-start budget during warm-up.
     pub(crate) fn start_request(&mut self, now: Nanos, rules: &SafetyLimits, cost: f64) {
         self.in_flight += 1;
         self.charge_slow_start_budget(now, rules, cost);
     }
 
-    /// Charges a send to the slow-start budget if the backend is warming up; `cost` is its service time.
+    /// Charges a request with the service time `cost` to the slow-start budget if the backend is warming up.
     pub(crate) fn charge_slow_start_budget(&mut self, now: Nanos, rules: &SafetyLimits, cost: f64) {
         if self.warm_up_fraction(now, rules) < 1.0 {
             self.warming_sends.record(now, cost);
         }
     }
 
-    /// Reserves a part of the slow-start budget for a request that is being uploaded, if the backend is warming up.
-    /// Returns what is reserved.
+    /// Reserves slow-start budget for a request that is being uploaded, if the backend is warming up. Returns the
+    /// reserved service time.
     pub(crate) fn reserve_slow_start_budget(
         &mut self,
         now: Nanos,
@@ -163,23 +161,23 @@
         cost
     }
 
-    /// Ends a reservation.
+    /// Releases budget reserved for an upload.
     pub(crate) fn release_slow_start_budget(&mut self, reserved: f64) {
         self.warming_sends.release(reserved);
     }
 
-    /// Counts the end of a request that it worked on.
+    /// Counts the end of a request that the backend worked on.
     pub(crate) fn end_request(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Records the time of a health check; it is never 0, so that an unchecked backend is older than any
-    /// other.
+    /// Records a health check at the time `now`. A time of 0 is stored as 1, so that a backend never checked always
+    /// has the oldest check.
     pub(crate) fn record_health_check(&mut self, now: Nanos) {
         self.health_checked_at = Some(now.max(1));
     }
 
-    /// Records a load report; impossible figures are ignored.
+    /// Records a load report; an implausible utilization is ignored.
     pub(crate) fn record_report(&mut self, now: Nanos, report: LoadReport) {
         let plausible = report
             .utilization
@@ -189,7 +187,6 @@
         }
     }
 
-    /// Adds a utilization sample.
     pub(crate) fn record_utilization(&mut self, now: Nanos, utilization: f64) {
         self.utilization.update(
             now,
@@ -199,18 +196,17 @@
         );
     }
 
-    /// Adds a slowness sample.
     pub(crate) fn record_slowness(&mut self, now: Nanos, slowness: f64) {
         self.slowness
             .update(now, slowness, SLOWNESS_TIME_CONSTANT, SLOWNESS_MIN_WEIGHT);
     }
 
-    /// Adds the service time of a request that it has served.
+    /// Adds the service time of a request that the backend has served.
     pub(crate) fn record_throughput(&mut self, now: Nanos, service_time: f64) {
         self.throughput.add(now, service_time);
     }
 
-    /// Forgets failures and slowness: its zone caused them, and takes requests again.
+    /// Resets failures and slowness, which are attributed to the closed zone rather than to the backend.
     pub(crate) fn reset_after_zone_reopened(&mut self) {
         self.outlier.reset();
         self.slowness = Ewma::default();
--- a/balancer/src/backends.rs
+++ b/balancer/src/backends.rs
@@ -1,4 +1,4 @@
-//! The backends of the list, by id.
+//! The backends in the endpoint list, by id.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,63 +7,59 @@
 use crate::outlier_detection::FleetFailures;
 use crate::random::Random;
 
-/// Totals over the backends in service of one zone.
+/// Totals over the backends in service of one zone that report their queue.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct QueueTotals {
-    /// Backends that report their queue.
+    /// Number of backends.
     pub(crate) backends: f64,
-    /// Requests held for each core, summed over these.
+    /// Sum of the backends' requests per core.
     pub(crate) queue: f64,
-    /// Their size.
+    /// Sum of the backends' sizes.
     pub(crate) size: f64,
 }
 
-/// All listed backends, and removed ones with requests in flight.
+/// Listed backends, and removed ones with requests in flight.
 #[derive(Default)]
 pub(crate) struct Backends {
     by_id: BTreeMap<BackendId, Backend>,
-    /// Largest load-adjusted size of each machine kind so far: the size of an idle one.
+    /// Largest load-adjusted size seen of each machine kind, taken as the size of an idle backend.
     idle_size_by_kind: BTreeMap<u32, f64>,
 }
 
 impl Backends {
-    /// A backend.
     pub(crate) fn get(&self, id: BackendId) -> Option<&Backend> {
         self.by_id.get(&id)
     }
 
-    /// A backend, to be changed.
     pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
         self.by_id.get_mut(&id)
     }
 
-    /// All backends with their ids, in the order of these.
+    /// All backends with their ids, in id order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (BackendId, &Backend)> {
         self.by_id.iter().map(|(&id, backend)| (id, backend))
     }
 
-    /// All backends, in the order of their ids.
+    /// All backends, in id order.
     pub(crate) fn values(&self) -> impl Iterator<Item = &Backend> {
         self.by_id.values()
     }
 
-    /// All backends, to be changed.
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Backend> {
         self.by_id.values_mut()
     }
 
-    /// The backends in service.
     pub(crate) fn in_service(&self) -> impl Iterator<Item = &Backend> {
         self.values().filter(|backend| backend.is_in_service())
     }
 
-    /// The backends of a zone with their ids.
+    /// The backends of a zone with their ids, in id order.
     pub(crate) fn in_zone(&self, zone: ZoneId) -> impl Iterator<Item = (BackendId, &Backend)> {
         self.iter()
             .filter(move |(_, backend)| backend.zone() == zone)
     }
 
-    /// Ranks of a zone's backends in service, in the order of their ids.
+    /// Subset ranks of a zone's backends in service, in id order.
     pub(crate) fn subset_ranks(&self, zone: ZoneId) -> Vec<u64> {
         self.in_service()
             .filter(|backend| backend.zone() == zone)
@@ -71,15 +67,13 @@
             .collect()
     }
 
-    /// How many listed backends get no new requests now: those that drain, are ejected or on trial, or have
-    /// rejected a request a moment ago.
+    /// Number of listed backends that receive no new requests now, or trial requests only.
     pub(crate) fn count_avoided(&self, now: Nanos) -> usize {
         self.values()
             .filter(|backend| backend.outlier.is_avoided(backend.entry().state, now))
             .count()
     }
 
-    /// Failures over all backends.
     pub(crate) fn failures(&self) -> FleetFailures {
         let in_service = self.in_service().count() as f64;
         let ejected = self
@@ -97,7 +91,7 @@
         }
     }
 
-    /// Totals of the reported queues, by zone.
+    /// Totals of the reported queues, by zone id.
     pub(crate) fn queue_totals(&self, zone_count: usize) -> Vec<QueueTotals> {
         let mut totals = vec![QueueTotals::default(); zone_count];
         for backend in self.in_service() {
@@ -114,7 +108,7 @@
         totals
     }
 
-    /// Applies a list: adds, updates and removes backends.
+    /// Applies an endpoint list: adds, updates and removes backends.
     pub(crate) fn apply(
         &mut self,
         update: EndpointUpdate,
@@ -136,7 +130,7 @@
         });
     }
 
-    /// Marks the backends that a complete list does not name.
+    /// Marks the backends missing from a complete list as removed.
     fn mark_missing_as_removed(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<BackendId> =
             endpoints.iter().map(|endpoint| endpoint.backend).collect();
@@ -161,7 +155,7 @@
         }
     }
 
-    /// Applies one entry of the list. A load-adjusted size is split into the idle size and the queue.
+    /// Applies one entry of the endpoint list. A load-adjusted size is split into the idle size and the queue.
     fn apply_endpoint(&mut self, mut endpoint: Endpoint, is_load_adjusted: bool, random: &Random) {
         let listed_size = endpoint.size;
         if is_load_adjusted {
@@ -171,7 +165,7 @@
                 .copied()
                 .unwrap_or(1.0);
         }
-        // See WeightSource::LoadAdjusted: the listed size is the idle size divided by 1 + the queue.
+        // With WeightSource::LoadAdjusted, the listed size is the idle size divided by 1 + the queue.
         let has_queue = is_load_adjusted && listed_size > 0.0;
         let reported_queue = has_queue.then(|| (endpoint.size / listed_size - 1.0).max(0.0));
         let backend = self
--- a/balancer/src/dispatch_order.rs
+++ b/balancer/src/dispatch_order.rs
@@ -1,3 +1,4 @@
+//! Dispatch order of the queued requests.
 
 use std::cmp::Ordering;
 
--- a/balancer/src/feedback_weights.rs
+++ b/balancer/src/feedback_weights.rs
@@ -1,6 +1,6 @@
-//! Weights of one backend in the pick, as load feedback sets them.
+//! Weights of one backend in the weighted random choice, set by load feedback.
 
-/// Weights of one backend in the pick, against its size.
+/// Factors on the weight of one backend in the weighted random choice; 1 without load feedback.
 pub(crate) struct FeedbackWeights {
     reported_queue: Option<f64>,
     learned_weight: f64,
@@ -18,27 +18,26 @@
 }
 
 impl FeedbackWeights {
-    /// Requests held for each core, by the load-adjusted size in the latest list.
+    /// Requests per core by the load-adjusted size in the latest endpoint list; `None` if the list shows no queue.
     pub(crate) fn reported_queue(&self) -> Option<f64> {
         self.reported_queue
     }
 
-    /// Sets the queue that the latest list shows, if it shows any.
+    /// Sets the queue shown by the latest endpoint list.
     pub(crate) fn set_reported_queue(&mut self, reported_queue: Option<f64>) {
         self.reported_queue = reported_queue;
     }
 
-    /// Weight by lasting differences between the lists' queues and even ones.
+    /// Factor learned from lasting deviations of the backend's queue from the target.
     pub(crate) fn learned_weight(&self) -> f64 {
         self.learned_weight
     }
 
-    /// Weight by the difference in the latest list alone.
+    /// Factor that corrects the deviation in the latest endpoint list.
     pub(crate) fn feedback_weight(&self) -> f64 {
         self.feedback_weight
     }
 
-    /// Sets both weights.
     pub(crate) fn set_weights(&mut self, feedback_weight: f64, learned_weight: f64) {
         self.feedback_weight = feedback_weight;
         self.learned_weight = learned_weight;
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -1,26 +1,24 @@
-//! State that all decisions read: settings, time, backends, zones and request classes.
+//! State that all decisions read: settings, time, backends, zones and class statistics.
 
 use crate::api::{BackendId, ClassSettings, Nanos, Settings, ZoneId};
 use crate::backends::Backends;
 use crate::class_statistics::{ClassStatistics, Classes};
 use crate::zones::Zones;
 
-/// This node's view of the fleet. Each part changes its own state only, by its methods.
+/// This node's view of the fleet.
 pub(crate) struct Fleet {
-    /// Settings of the node; they never change.
+    /// Settings of the node, never changed.
     pub(crate) settings: Settings,
-    /// Time of the event being handled; it never decreases.
+    /// Time of the current event; never decreases.
     pub(crate) now: Nanos,
-    /// The backends, by id.
     pub(crate) backends: Backends,
-    /// The zones, by id.
     pub(crate) zones: Zones,
-    /// Statistics of the request classes, by id.
+    /// Statistics of the request classes.
     pub(crate) classes: Classes,
 }
 
 impl Fleet {
-    /// A fleet without backends; of its zones and classes nothing has been measured.
+    /// Creates a fleet without backends and without measurements.
     pub(crate) fn new(settings: Settings, now: Nanos) -> Self {
         Self {
             now,
@@ -31,12 +29,11 @@
         }
     }
 
-    /// The node's own zone.
     pub(crate) fn local_zone(&self) -> ZoneId {
         self.settings.local_zone
     }
 
-    /// All zones but the node's own.
+    /// All zones except the node's own, in id order.
     pub(crate) fn remote_zones(&self) -> impl Iterator<Item = ZoneId> + Clone {
         let local = self.local_zone();
         (0..self.settings.zone_count)
@@ -44,8 +41,8 @@
             .filter(move |&zone| zone != local)
     }
 
-    /// Counts an attempt with a backend and its zone, now that the backend has the complete request. Returns
-    /// the backend's load before it; `None` if there is no such backend.
+    /// Counts an attempt as load of a backend and its zone once the backend has the complete request. Returns the
+    /// backend's load before the attempt; `None` if the backend is unknown.
     pub(crate) fn start_attempt(
         &mut self,
         id: BackendId,
@@ -61,14 +58,14 @@
         Some(load)
     }
 
-    /// An attempt's upload has ended, complete or not: what it had reserved of a slow-start budget is free.
+    /// Releases the slow-start budget reserved for an upload that has ended, complete or not.
     pub(crate) fn end_upload(&mut self, id: BackendId, reserved: f64) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.release_slow_start_budget(reserved);
         }
     }
 
-    /// Statistics and settings of each class, by id.
+    /// Statistics and settings of each class, by class id.
     pub(crate) fn classes_with_settings(
         &self,
     ) -> impl Iterator<Item = (&ClassStatistics, &ClassSettings)> {
--- a/balancer/src/learning.rs
+++ b/balancer/src/learning.rs
@@ -1,4 +1,4 @@
-//! Learning from attempts and reports: slowness, base times, throughput and the zones' capacity.
+//! Measurements from attempts and load reports: slowness, base times, throughput and zone capacity.
 
 use crate::api::{BackendId, ClassId, Nanos, Outcome, ZoneId};
 use crate::backend::Backend;
@@ -6,26 +6,24 @@
 use crate::fleet::Fleet;
 use crate::tuning::UTILIZATION_MAX_AGE;
 
-/// Least utilization of a backend that counts as used capacity.
+/// Lower bound of a backend's utilization in the capacity measurement.
 const MIN_USED_UTILIZATION: f64 = 0.05;
 
-/// The end of an attempt whose backend had the complete request.
+/// An ended attempt whose backend had the complete request.
 pub(crate) struct AttemptObservation {
-    /// The backend.
     pub(crate) backend: BackendId,
-    /// The request's class.
+    /// Class of the request.
     pub(crate) class: ClassId,
-    /// The request's expected service time, in nanoseconds on a standard core.
+    /// Expected service time of the request, in nanoseconds on a standard core.
     pub(crate) service_time: f64,
-    /// The backend's load at the send, in requests for each unit of size.
+    /// Load of the backend at the time of the send, in requests per unit of size.
     pub(crate) load: f64,
-    /// Time since the send, if it is known.
+    /// Time since the send; `None` if unknown.
     pub(crate) elapsed: Option<Nanos>,
-    /// How it ended.
     pub(crate) outcome: Outcome,
 }
 
-/// Throughput and capacity used in one zone.
+/// Throughput and used size of one zone's backends.
 #[derive(Clone, Copy, Default)]
 struct CapacitySample {
     throughput: f64,
@@ -33,7 +31,7 @@
 }
 
 impl CapacitySample {
-    /// Throughput for each unit of used capacity.
+    /// Throughput per unit of used size; 0 if no size is used.
     fn throughput_per_unit(self) -> f64 {
         if self.used_size > 0.0 {
             self.throughput / self.used_size
@@ -42,7 +40,6 @@
         }
     }
 
-    /// The sum of both.
     fn plus(self, other: &Self) -> Self {
         Self {
             throughput: self.throughput + other.throughput,
@@ -52,7 +49,7 @@
 }
 
 impl Fleet {
-    /// Counts the end of an attempt in a zone, and learns from it.
+    /// Counts the end of an attempt in a zone and records its measurements.
     pub(crate) fn end_attempt(&mut self, zone: ZoneId, observation: &AttemptObservation) {
         if let Some(zone) = self.zones.get_mut(zone) {
             zone.end_attempt(self.now);
@@ -60,7 +57,7 @@
         self.learn_from_attempt(observation);
     }
 
-    /// Learns slowness, base time and throughput from one attempt.
+    /// Records throughput, slowness and base time of one attempt.
     fn learn_from_attempt(&mut self, observation: &AttemptObservation) {
         let Some(backend) = self.backends.get_mut(observation.backend) else {
             return;
@@ -74,7 +71,7 @@
         }
     }
 
-    /// Learns slowness and base time from the time of one attempt, in nanoseconds.
+    /// Records slowness and base time by the response time of one attempt, in nanoseconds.
     fn learn_from_response_time(&mut self, observation: &AttemptObservation, elapsed: f64) {
         let Some(backend) = self.backends.get_mut(observation.backend) else {
             return;
@@ -86,7 +83,7 @@
         let slowness = (normalized_time / class.base_time().max(1.0)).min(max_slowness);
         match observation.outcome {
             Outcome::Success => {
-                // Against a base time that is not known yet every backend would look slow, for seconds.
+                // With an unreliable base time, every backend would appear slow for several seconds.
                 if class.is_base_time_reliable() {
                     backend.record_slowness(self.now, slowness);
                 }
@@ -95,7 +92,7 @@
                     zone.record_latency(elapsed);
                 }
             }
-            // Without an answer the delay is at least the time waited.
+            // Without a response, the elapsed time is a lower bound of the delay.
             Outcome::TimedOut if slowness > known_slowness => {
                 backend.record_slowness(self.now, slowness);
             }
@@ -103,8 +100,8 @@
         }
     }
 
-    /// Measures the throughput that this node gets for each unit of used capacity, by zone, so that the parts of
-    /// all nodes add up to one capacity.
+    /// Measures this node's throughput per unit of used size in each zone, such that the measurements of all nodes
+    /// add up to the total capacity.
     pub(crate) fn measure_capacity(&mut self) {
         let samples = self.capacity_samples();
         let total = samples
@@ -116,7 +113,7 @@
         }
     }
 
-    /// Throughput and capacity used of warm backends with recent reports, by zone.
+    /// Throughput and used size of warm backends with recent load reports, by zone id.
     fn capacity_samples(&self) -> Vec<CapacitySample> {
         let mut samples = vec![CapacitySample::default(); self.zones.count()];
         let measured = self
@@ -133,7 +130,7 @@
         samples
     }
 
-    /// Whether a backend's figures tell of its full capacity: it is warm and has reported lately.
+    /// Whether a backend contributes to the capacity measurement: the backend is warm and has a recent load report.
     fn is_capacity_measurable(&self, backend: &Backend) -> bool {
         let is_warm = backend.warm_up_fraction(self.now, &self.settings.rules) >= 1.0;
         let utilization = backend.utilization();
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,9 +1,8 @@
-//! The decision module of badgerpost: which server a request goes to, whether it is retried, and what is
-//! rejected.
+//! The decision module of badgerpost: chooses the backend of each request, and decides on retries and rejections.
 //!
-//! A [`Balancer`] is a sans-I/O state machine. It handles events with the time at which they happened and
-//! answers with actions for its embedder to carry out; it neither reads a clock nor opens a socket, and the
-//! same settings, seed and events always give the same actions.
+//! A [`Balancer`] is a sans-I/O state machine. Events are passed in with the time at which they happened, and the
+//! balancer returns actions for the embedder to carry out. The balancer neither reads a clock nor opens a socket;
+//! the same settings, seed and events always produce the same actions.
 
 mod admission;
 pub mod api;
--- a/balancer/src/random.rs
+++ b/balancer/src/random.rs
@@ -1,8 +1,8 @@
-//! Deterministic pseudo-random numbers and hashes; every draw depends on the seed and on ids only.
+//! Deterministic pseudo-random numbers and hashes. Every draw depends only on the seed, earlier draws and ids.
 
 use crate::api::{BackendId, RequestId};
 
-/// 2^64 divided by the golden ratio: the increment of SplitMix64, which also spreads consecutive ids.
+/// 2^64 divided by the golden ratio: the increment of SplitMix64, also used to spread consecutive ids.
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Odd multiplier that spreads consecutive ids independently of [`GOLDEN_GAMMA`].
 const ID_MULTIPLIER: u64 = 0xd6e8_feb8_6659_fd93;
@@ -11,24 +11,24 @@
 /// Increment of the same generator.
 const LCG_INCREMENT: u64 = 0x1405_7b7e_f767_814f;
 
-/// Finalizer of SplitMix64: spreads the bits of a number.
+/// Finalizer of SplitMix64.
 fn mix(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     bits ^ (bits >> 31)
 }
 
-/// Maps a number to a fixed, uniformly spread value from 0 to 1.
+/// Hashes a number to a value from 0 to 1.
 fn unit_hash(bits: u64) -> f64 {
     mix(bits) as f64 / u64::MAX as f64
 }
 
-/// Score of a backend for a key in rendezvous hashing; the same on every node.
+/// Score of a backend for a key in rendezvous hashing; the same at every node.
 pub(crate) fn rendezvous_score(name_hash: u64, key: u64) -> u64 {
     mix(name_hash ^ key)
 }
 
-/// A value from 0 to 1 that is fixed for one backend (given by its subset rank) within one epoch.
+/// A pseudo-random value from 0 to 1, fixed for one backend (given by its subset rank) and epoch.
 pub(crate) fn epoch_draw(subset_rank: u64, epoch: u64) -> f64 {
     unit_hash(subset_rank ^ epoch.wrapping_mul(GOLDEN_GAMMA))
 }
@@ -40,7 +40,7 @@
 }
 
 impl Random {
-    /// Starts the stream of the given seed.
+    /// Starts the stream with the given seed.
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -54,12 +54,13 @@
         (mix(self.state) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A value from 0 to 1 that is fixed for one request and salt.
+    /// A pseudo-random value from 0 to 1, fixed for one request and salt.
     pub(crate) fn request_draw(&self, request: RequestId, salt: u64) -> f64 {
         unit_hash(self.seed ^ request.0.wrapping_mul(GOLDEN_GAMMA) ^ salt)
     }
 
-    /// An index below `len` that is fixed for one request and salt; `len` itself only for a draw of 1.
+    /// A pseudo-random index below `len`, fixed for one request and salt. Equals `len` if the underlying draw is
+    /// exactly 1.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -69,12 +70,12 @@
         (self.request_draw(request, salt) * len as f64) as usize
     }
 
-    /// This node's rank for a backend: the lowest ranks of a zone form the node's subset.
+    /// This node's rank for a backend. The backends with the lowest ranks of a zone form the node's subset.
     pub(crate) fn subset_rank(&self, backend: BackendId) -> u64 {
         mix(self.seed ^ u64::from(backend.0).wrapping_mul(ID_MULTIPLIER))
     }
 
-    /// Starts the jitter sequence of one pick; it leaves the stream where it is.
+    /// Starts the jitter sequence of one pick, without advancing the stream.
     pub(crate) fn jitter(&self, request: RequestId) -> JitterSequence {
         JitterSequence {
             state: self.state ^ request.0.wrapping_mul(ID_MULTIPLIER),
@@ -82,7 +83,7 @@
     }
 }
 
-/// A linear congruential sequence that gives each candidate of one pick its jitter.
+/// A linear congruential sequence that yields the jitter of each candidate of one pick.
 pub(crate) struct JitterSequence {
     state: u64,
 }
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -1,53 +1,51 @@
 //! One request and its attempts.
 //!
 //! ```text
-//! Open <--> Queued      waiting for an answer, or for a backend with capacity
-//! Open --> Streaming    its answer has begun
-//! any  --> Ended        answered, failed or abandoned; kept until its last attempt has ended
+//! Open <--> Queued      waiting for a response, or for a backend with capacity
+//! Open --> Streaming    the response is being forwarded
+//! any  --> Ended        answered, failed or abandoned; kept until the last attempt has ended
 //! ```
 
 use crate::api::{BackendId, ClassId, Nanos, Outcome, ZoneId};
 
-/// Where an attempt runs, as far as deduplication goes.
+/// Location of a backend with respect to deduplication.
 #[derive(Clone, Copy)]
 pub(crate) struct Placement {
-    /// The backend's zone.
     pub(crate) zone: ZoneId,
-    /// The backend's cell.
     pub(crate) cell: u64,
 }
 
-/// One attempt of a request.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
-    /// The backend it was sent to.
+    /// Backend that the attempt was sent to.
     pub(crate) backend: BackendId,
-    /// Where that backend is.
+    /// Location of that backend.
     pub(crate) placement: Placement,
-    /// When it was sent, or, for an upload, when its body was complete.
+    /// Time of the send or, for an upload, the time at which the body was complete.
     pub(crate) sent_at: Nanos,
-    /// The backend's load at that time, in requests for each unit of size.
+    /// Load of the backend at that time, in requests per unit of size.
     pub(crate) load: f64,
-    /// How it ended; `None` while it is in flight.
+    /// Result of the attempt; `None` while the attempt is in flight.
     pub(crate) outcome: Option<Outcome>,
-    /// Whether its backend has the complete request, so that it counts as load there.
+    /// Whether the attempt counts as load of the backend, which is the case once the backend has the complete
+    /// request.
     pub(crate) is_counted_as_load: bool,
-    /// What it has reserved of its backend's slow-start budget, in nanoseconds of service time; 0 once it is counted.
+    /// Slow-start budget reserved at the backend, in nanoseconds of service time; 0 once the attempt counts as
+    /// load.
     pub(crate) reserved: f64,
 }
 
 impl Attempt {
-    /// Whether it has not ended yet.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 
-    /// Whether it may have taken effect.
+    /// Whether the backend may have executed the request.
     pub(crate) fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(Outcome::may_have_run)
     }
 
-    /// Whether it has ended without reaching its backend.
+    /// Whether the attempt has ended without reaching the backend.
     pub(crate) fn is_undelivered(&self) -> bool {
         matches!(
             self.outcome,
@@ -59,54 +57,52 @@
 /// Phase of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It has an attempt in flight, or is about to.
+    /// An attempt is in flight or about to be sent.
     Open,
-    /// It waits for a backend with capacity.
+    /// The request waits for a backend with capacity.
     Queued,
-    /// Its answer is being forwarded.
+    /// The response is being forwarded.
     Streaming,
-    /// It has its final answer, or its client has gone.
+    /// The request has its final answer, or the client has disconnected.
     Ended,
 }
 
-/// A request that is open, or ended with an attempt still in flight.
+/// A request that is open, or ended with an attempt in flight.
 pub(crate) struct Request {
-    /// Its class.
     pub(crate) class: ClassId,
-    /// Hash of what it concerns, where a backend that has served the same key does less work.
+    /// Hash of the affinity key; `None` without a key or where key affinity is off.
     pub(crate) affinity_key: Option<u64>,
     /// Expected service time, in nanoseconds on a standard core.
     pub(crate) service_time: f64,
-    /// Service time that a send charges to a warming backend's slow-start budget.
+    /// Service time charged to a warming backend's slow-start budget, in nanoseconds.
     pub(crate) slow_start_cost: f64,
-    /// Until when an answer earns its full value.
+    /// Time until which a response has its full value.
     pub(crate) objective_deadline: Nanos,
-    /// Until when a rejection is still early: half of the client's time is up then.
+    /// Time until which a rejection counts as early: half of the client's time.
     pub(crate) early_rejection_until: Nanos,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub(crate) expires_at: Nanos,
-    /// Its attempts, in the order of the sends.
+    /// Attempts, in the order of the sends.
     pub(crate) attempts: Vec<Attempt>,
-    /// Whether its body is still on the way.
+    /// Whether the body is still being received.
     pub(crate) is_uploading: bool,
-    /// Whether part of its body can't be sent again.
+    /// Whether part of the body cannot be sent again.
     pub(crate) is_body_consumed: bool,
-    /// Its phase.
     pub(crate) phase: Phase,
 }
 
 impl Request {
-    /// Whether an attempt has not ended yet.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Whether an attempt may have taken effect.
+    /// Whether any attempt may have been executed.
     pub(crate) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_run)
     }
 
-    /// Ends an attempt that is in flight, by its number, and returns it.
+    /// Ends the attempt with this number and returns its state before the reservation is cleared; `None` if the
+    /// attempt is not in flight.
     pub(crate) fn end_attempt(&mut self, number: u32, outcome: Outcome) -> Option<Attempt> {
         let attempt = self.attempts.get_mut(number as usize)?;
         if !attempt.is_in_flight() {
@@ -125,14 +121,14 @@
             .filter(|attempt| attempt.is_in_flight() && !attempt.is_counted_as_load)
     }
 
-    /// Whether an attempt was sent to this backend.
+    /// Whether any attempt was sent to this backend.
     pub(crate) fn has_tried(&self, backend: BackendId) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.backend == backend)
     }
 
-    /// Whether its only attempt in flight is in this zone.
+    /// Whether exactly one attempt is in flight, and its backend is in this zone.
     pub(crate) fn waits_only_in(&self, zone: ZoneId) -> bool {
         let mut in_flight = self
             .attempts
--- a/balancer/src/request_table.rs
+++ b/balancer/src/request_table.rs
@@ -1,11 +1,11 @@
-//! All requests of the node, and the queue of those that wait for a backend.
+//! The node's requests, and the queue of those that wait for a backend.
 
 use std::collections::BTreeMap;
 
 use crate::api::RequestId;
 use crate::request::{Phase, Request};
 
-/// All requests that are open, or ended with an attempt still in flight.
+/// Requests that are open, or ended with an attempt in flight; and the queue.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
@@ -13,37 +13,34 @@
 }
 
 impl RequestTable {
-    /// How many requests there are.
     pub(crate) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Adds a request.
     pub(crate) fn insert(&mut self, id: RequestId, request: Request) {
         self.requests.insert(id, request);
     }
 
-    /// A request.
     pub(crate) fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id)
     }
 
-    /// A request, to be changed.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
         self.requests.get_mut(&id)
     }
 
-    /// All requests, in the order of their ids.
+    /// All requests in id order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (RequestId, &Request)> {
         self.requests.iter().map(|(&id, request)| (id, request))
     }
 
-    /// The ids of queued requests, in the order in which they were queued.
+    /// Ids of the queued requests in the order of queueing. May include requests that are no longer queued until
+    /// [`Self::prune_queue`] is called.
     pub(crate) fn queued(&self) -> &[RequestId] {
         &self.queue
     }
 
-    /// Queues an open request; one in another phase stays as it is.
+    /// Queues an open request; a request in another phase is left unchanged.
     pub(crate) fn enqueue(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id);
         if let Some(request) = request.filter(|request| request.phase == Phase::Open) {
@@ -52,7 +49,7 @@
         }
     }
 
-    /// Drops from the queue what is no longer queued.
+    /// Removes requests that are no longer queued from the queue.
     pub(crate) fn prune_queue(&mut self) {
         let requests = &self.requests;
         self.queue.retain(|id| {
@@ -62,14 +59,14 @@
         });
     }
 
-    /// Records that part of a request's body can't be sent again.
+    /// Records that part of a request's body cannot be sent again.
     pub(crate) fn mark_body_consumed(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_body_consumed = true;
         }
     }
 
-    /// Records that the answer to a request has begun, unless it has ended.
+    /// Records that a response is being streamed, unless the request has ended.
     pub(crate) fn mark_streaming(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id);
         if let Some(request) = request.filter(|request| request.phase != Phase::Ended) {
@@ -77,7 +74,7 @@
         }
     }
 
-    /// Marks a request as ended; it is dropped once its last attempt has ended.
+    /// Marks a request as ended; the request is removed once its last attempt has ended.
     pub(crate) fn finish(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/balancer/src/warming_sends.rs
+++ b/balancer/src/warming_sends.rs
@@ -1,26 +1,26 @@
-//! Requests sent to one backend while it warms up, with their expected service times. One that is being uploaded is
-//! reserved: it becomes work of the moment in which its body is complete, or none.
+//! Requests sent to one backend during warm-up, with their expected service times. A request that is being uploaded
+//! only reserves budget, because the backend's work on it starts when the body is complete, if at all.
 
 use std::collections::VecDeque;
 
 use crate::api::Nanos;
 
-/// A send to a warming backend.
+/// A request sent to a warming backend.
 struct WarmingSend {
     sent_at: Nanos,
     service_time: f64,
 }
 
-/// Sends to one backend while it warms up, oldest first.
+/// Requests sent to one backend during warm-up, oldest first.
 #[derive(Default)]
 pub(crate) struct WarmingSends {
     sends: VecDeque<WarmingSend>,
-    /// Service time of the requests that are being uploaded, in nanoseconds.
+    /// Service time reserved for requests that are being uploaded, in nanoseconds.
     reserved: f64,
 }
 
 impl WarmingSends {
-    /// Records a send now, by the request's expected service time in nanoseconds.
+    /// Records a request sent at `now` with its expected service time in nanoseconds.
     pub(crate) fn record(&mut self, now: Nanos, service_time: f64) {
         self.sends.push_back(WarmingSend {
             sent_at: now,
@@ -33,9 +33,9 @@
         self.reserved += service_time;
     }
 
-    /// Ends a reservation: the upload is complete, or has ended before.
+    /// Releases the reservation of an upload that is complete or has ended early.
     pub(crate) fn release(&mut self, service_time: f64) {
-        // The backend may have restarted since, and started again without reservations.
+        // A restart of the backend since then has cleared all reservations.
         self.reserved = (self.reserved - service_time).max(0.0);
     }
 
@@ -44,7 +44,7 @@
         self.reserved + self.service_time_since(since)
     }
 
-    /// Sum of the service times sent at `since` or later, in nanoseconds on a standard core.
+    /// Service time sent at `since` or later, in nanoseconds on a standard core.
     fn service_time_since(&self, since: Nanos) -> f64 {
         self.sends
             .iter()
--- a/balancer/src/zone.rs
+++ b/balancer/src/zone.rs
@@ -1,28 +1,30 @@
-//! One zone as this node sees it: this node's load, listed backends, measured capacity and traffic share.
+//! State of one zone as seen by this node: in-flight attempts, listed backends, measured capacity and traffic
+//! share.
 
 use crate::api::Nanos;
 use crate::ewma::{Ewma, UTILIZATION_TIME_CONSTANT};
 
-/// Fraction by which the measured capacity rises in a refresh: in about 2 s.
+/// Weight of a higher measurement in the zone's capacity; a rise takes about 2 s.
 const CAPACITY_RISE_WEIGHT: f64 = 0.05;
-/// Fraction by which it falls: in about a minute. Under overload little is served, and the budget of warming backends,
-/// which would relieve it, must not fall with that.
+/// Weight of a lower measurement in the zone's capacity; a fall takes about a minute. Throughput drops under
+/// overload, and the slow-start budget of the warming backends that would relieve the overload must not drop with
+/// it.
 const CAPACITY_FALL_WEIGHT: f64 = 0.002;
-/// Growth of the least response time in a refresh, so that a link that has become slow shows.
+/// Growth factor of the minimum latency per refresh, so that a link that has become slower is noticed.
 const MIN_LATENCY_GROWTH: f64 = 1.002;
 
-/// How a new traffic share changes whether a zone takes requests.
+/// Effect of a new traffic share on whether the zone takes requests.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ZoneTransition {
-    /// It takes requests, or none, as before.
+    /// The zone takes requests, or takes none, as before.
     Unchanged,
-    /// It takes none from now on.
+    /// The zone takes no more requests.
     Closed,
-    /// It takes requests again.
+    /// The zone takes requests again.
     Reopened,
 }
 
-/// State of one zone.
+/// State of one zone. Times are in nanoseconds.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Zone {
     in_flight: f64,
@@ -37,7 +39,7 @@
 }
 
 impl Zone {
-    /// A zone of which nothing is known yet, and which takes requests.
+    /// Creates a zone without measurements and with a traffic share of 1.
     pub(crate) fn new() -> Self {
         Self {
             traffic_share: 1.0,
@@ -45,29 +47,27 @@
         }
     }
 
-    /// This node's attempts in flight there.
+    /// Number of this node's attempts in flight.
     pub(crate) fn in_flight(&self) -> f64 {
         self.in_flight
     }
 
-    /// This node's attempts in flight there, smoothed up to now.
+    /// Smoothed number of this node's attempts in flight, as of `now`.
     pub(crate) fn smoothed_in_flight(&self, now: Nanos) -> f64 {
         let mut smoothed = self.smoothed_in_flight;
         smoothed.update(now, self.in_flight, UTILIZATION_TIME_CONSTANT, 0.0);
         smoothed.value()
     }
 
-    /// Counts the start of one of this node's attempts.
     pub(crate) fn start_attempt(&mut self, now: Nanos) {
         self.change_in_flight(now, 1.0);
     }
 
-    /// Counts the end of one of this node's attempts.
     pub(crate) fn end_attempt(&mut self, now: Nanos) {
         self.change_in_flight(now, -1.0);
     }
 
-    /// Changes the attempts in flight; the smoothed figure gets what was in flight until now as a sample.
+    /// Changes the number of attempts in flight. The number until now becomes a sample of the smoothed number.
     fn change_in_flight(&mut self, now: Nanos, change: f64) {
         let sample = if self.smoothed_in_flight.has_samples() {
             self.in_flight
@@ -79,39 +79,40 @@
         self.in_flight = (self.in_flight + change).max(0.0);
     }
 
-    /// Mean requests held for each core, by the list or by the zone's utilization.
+    /// Mean requests per core at the zone's backends, derived from the endpoint list or from the zone's
+    /// utilization.
     pub(crate) fn mean_queue(&self) -> f64 {
         self.mean_queue
     }
 
-    /// Sets the mean requests held for each core.
     pub(crate) fn set_mean_queue(&mut self, mean_queue: f64) {
         self.mean_queue = mean_queue;
     }
 
-    /// Backends in service there.
+    /// Number of backends in service.
     pub(crate) fn endpoint_count(&self) -> f64 {
         self.endpoint_count
     }
 
-    /// Highest rank of this node's subset of the zone's backends.
+    /// Highest subset rank within this node's subset of the zone's backends.
     pub(crate) fn max_subset_rank(&self) -> u64 {
         self.max_subset_rank
     }
 
-    /// Sets the ranks of the backends in service; the `subset_size` lowest are the subset.
+    /// Sets the subset ranks of the backends in service; the backends with the `subset_size` lowest ranks form the
+    /// subset.
     pub(crate) fn set_endpoint_ranks(&mut self, mut ranks: Vec<u64>, subset_size: usize) {
         ranks.sort_unstable();
         self.endpoint_count = ranks.len() as f64;
         self.max_subset_rank = ranks.get(subset_size - 1).copied().unwrap_or(u64::MAX);
     }
 
-    /// Work that this node is served per second for each unit of used capacity, in nanoseconds.
+    /// Throughput of this node per unit of used size, in nanoseconds of service time per second.
     pub(crate) fn capacity(&self) -> f64 {
         self.capacity
     }
 
-    /// Moves the measured capacity towards a new measurement.
+    /// Adds a capacity measurement to the smoothed capacity.
     pub(crate) fn update_capacity(&mut self, measured: f64) {
         let change = measured - self.capacity;
         let weight = if change > 0.0 {
@@ -122,28 +123,27 @@
         self.capacity += change * weight;
     }
 
-    /// The recent least response time there, in nanoseconds.
+    /// Minimum recent response time, in nanoseconds; `None` before the first response.
     pub(crate) fn min_latency(&self) -> Option<f64> {
         self.min_latency
     }
 
-    /// Records the response time of a served attempt, in nanoseconds.
+    /// Records the response time of a successful attempt, in nanoseconds.
     pub(crate) fn record_latency(&mut self, latency: f64) {
         self.min_latency = Some(self.min_latency.map_or(latency, |least| least.min(latency)));
     }
 
-    /// Lets the least response time grow slowly, so that an old one is forgotten.
+    /// Raises the minimum latency slightly, so that an outdated minimum is forgotten.
     pub(crate) fn age_min_latency(&mut self) {
         self.min_latency = self.min_latency.map(|least| least * MIN_LATENCY_GROWTH);
     }
 
-    /// Part of the requests that it may take, 0 to 1; see
-    /// [`Event::ZoneShareChanged`](crate::Event::ZoneShareChanged).
+    /// Traffic share, 0 to 1; see [`Event::ZoneShareChanged`](crate::Event::ZoneShareChanged).
     pub(crate) fn traffic_share(&self) -> f64 {
         self.traffic_share
     }
 
-    /// Sets its traffic share; one that is not finite counts as 1.
+    /// Sets the traffic share; a share that is not finite counts as 1.
     pub(crate) fn set_traffic_share(&mut self, share: f64) -> ZoneTransition {
         let bounded = if share.is_finite() {
             share.clamp(0.0, 1.0)
@@ -159,17 +159,17 @@
         change
     }
 
-    /// How long the answer to a wanted probe of this zone is waited for.
+    /// Timeout of the requested probe, in nanoseconds; `None` if no probe is requested.
     pub(crate) fn probe_timeout(&self) -> Option<Nanos> {
         self.probe_timeout
     }
 
-    /// Asks for a probe of this zone by the next request fit for it.
+    /// Requests that the next suitable request is sent to this zone as a probe.
     pub(crate) fn request_probe(&mut self, timeout: Nanos) {
         self.probe_timeout = Some(timeout);
     }
 
-    /// The probe has been sent.
+    /// Clears the requested probe, which has been sent.
     pub(crate) fn clear_probe(&mut self) {
         self.probe_timeout = None;
     }
