--- a/balancer/src/admission/class_values.rs
+++ b/balancer/src/admission/class_values.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Fleet;
 use crate::tuning::{MIN_ARRIVAL_RATE, MIN_DIVISOR, OBJECTIVE_FRACTION};
 
-/// Factor between the stretch limit of a class and that of the next more valuable class.
+/// Upper bound of a class's stretch limit, as a fraction of the limit of the next more valuable class.
 const LOWER_VALUE_STRETCH_FACTOR: f64 = 0.8;
 
 /// Totals that the class values are computed from.
--- a/balancer/src/admission/objective.rs
+++ b/balancer/src/admission/objective.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Whether a backend takes a request at any expected delay.
+/// Whether a backend takes a request whatever the expected delay.
 ///
 /// The absence of this node's requests at a backend does not prove spare capacity, because other nodes may use that
 /// backend. In a small fleet, an idle backend must therefore not be known as slow.
@@ -89,8 +89,8 @@
     if zone == settings.local_zone {
         return settings.max_queue_per_size;
     }
-    // A remote zone also serves its own nodes, and all other nodes may send overflow there at once, so each gets a
-    // fraction of the local limit.
+    // A remote zone also serves its own nodes, and all other nodes may send overflow there at once, so the limit is
+    // divided by the number of other nodes.
     let others = f64::from(settings.node_count.saturating_sub(1)).max(1.0);
     (settings.max_queue_per_size / others).max(1.0) - REMOTE_QUEUE_MARGIN
 }
--- a/balancer/src/admission/overload.rs
+++ b/balancer/src/admission/overload.rs
@@ -30,14 +30,16 @@
 /// Lower bound of the expected arrivals per backend within the feedback delay; a node that has just started has not
 /// measured an arrival rate.
 const MIN_UPCOMING_ARRIVALS: f64 = 10.0;
-/// Multiple of a tenant's quota that is tolerated: one node sees few requests of a tenant, so its rate fluctuates.
+/// Multiple of a tenant's quota that is tolerated: one node sees few requests of a tenant, so the measured rate
+/// fluctuates.
 const QUOTA_TOLERANCE: f64 = 1.5;
 /// Lower bound of the fraction of the arrivals that counts as within quotas.
 const MIN_WITHIN_QUOTA_FRACTION: f64 = 0.1;
 
 impl Admission {
-    /// Corrects the spilled and the admitted fraction in a large fleet. Each correction would remove the deviation
-    /// of the queues over the arrivals within the feedback delay. `target` is the zone to spill to.
+    /// Corrects the spilled and the admitted fraction in a large fleet. A correction is sized to remove
+    /// [`CORRECTION_GAIN`] of the queues' deviation over the arrivals until the next load data. `target` is the
+    /// zone to spill to.
     pub(crate) fn update_spill_and_admission(
         &mut self,
         fleet: &Fleet,
@@ -173,8 +175,8 @@
     queue.clamp(SPILL_QUEUE, MAX_QUEUE_MULTIPLE * SPILL_QUEUE)
 }
 
-/// Upper bound of the admitted fraction by this node's own responses, for when the zones' queue data is outdated or
-/// discovery is down.
+/// Upper bound of the admitted fraction by this node's own responses; 1 while the local queue is recent and short.
+/// The zones' queue data arrives late, and is missing while discovery is down.
 fn local_admission_bound(fleet: &Fleet, feedback: &LoadFeedback) -> f64 {
     let local = fleet.zones.get(fleet.local_zone());
     let is_queue_short = local.mean_queue() < SHORT_QUEUE_FRACTION * SPILL_QUEUE;
--- a/balancer/src/api/actions.rs
+++ b/balancer/src/api/actions.rs
@@ -52,7 +52,7 @@
     SetTimer {
         /// Nanoseconds from now.
         after: Nanos,
-        /// Value for the event, set by the balancer.
+        /// Token to return in the event.
         token: u64,
     },
     /// Write an event to the operators' log.
@@ -66,7 +66,7 @@
     ZoneSpill {
         /// Whether the local zone spills now.
         active: bool,
-        /// Remote zone with the highest score; the local zone if there is no remote zone.
+        /// Remote zone that receives overflow first; the local zone if there is no remote zone.
         to: ZoneId,
     },
     /// A backend is an outlier and receives no requests for a while.
--- a/balancer/src/api/events.rs
+++ b/balancer/src/api/events.rs
@@ -69,7 +69,7 @@
     pub in_flight: Option<f64>,
 }
 
-/// The result of an attempt.
+/// The result of an attempt or of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The backend served the request.
@@ -121,7 +121,7 @@
     pub request: RequestId,
     /// Class of the request; an unknown class counts as the last one of the settings.
     pub class: ClassId,
-    /// Hash of the affinity key, the same at every node; `None` if the request has no key.
+    /// Affinity key: hash of the name of the object that the request concerns; `None` without a key.
     pub affinity_key: Option<u64>,
     /// Expected service time on a standard core, in nanoseconds; `None` if unknown, to derive it from the class's
     /// base time.
@@ -144,7 +144,7 @@
     pub attempt: u32,
     /// Result of the attempt.
     pub outcome: Outcome,
-    /// Nanoseconds since the send; `None` if the node was suspended when the attempt ended.
+    /// Nanoseconds since the send; `None` if unknown because the node was stalled when the attempt ended.
     pub elapsed: Option<Nanos>,
     /// Whether the request has ended with this attempt or before.
     pub request_ended: bool,
--- a/balancer/src/api/ids.rs
+++ b/balancer/src/api/ids.rs
@@ -7,8 +7,7 @@
 /// A backend, numbered by the embedder. A restart of the backend's process does not change the number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u32);
-/// A zone, as a position in the zones of the site, from 0 to [`Settings::zone_count`](crate::Settings::zone_count)
-/// - 1.
+/// A zone of the site, as an index below [`Settings::zone_count`](crate::Settings::zone_count).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 /// A request class, as an index into [`Settings::classes`](crate::Settings::classes).
--- a/balancer/src/api/settings.rs
+++ b/balancer/src/api/settings.rs
@@ -75,7 +75,7 @@
 pub enum WeightSource {
     /// The approximate size registered for the backend; 0 if none is registered.
     Registered,
-    /// The size divided by 1 + requests per core, as of some time ago.
+    /// The size of the idle backend, divided by 1 + requests per core as of some time ago.
     LoadAdjusted,
 }
 
@@ -108,11 +108,11 @@
     pub poll_interval: Nanos,
     /// Time after the notification of the node within which requests sent to a draining backend must end.
     pub drain_grace: Nanos,
-    /// Minimum fraction of its capacity that a backend has when its process starts, 0 to 1.
+    /// Minimum fraction of a backend's capacity that is available when the backend's process starts, 0 to 1.
     pub slow_start_capacity: f64,
-    /// Time after the start of its process within which a backend has warmed up.
+    /// Time after the start of a backend's process within which the backend has warmed up.
     pub slow_start_duration: Nanos,
-    /// Multiple of its current capacity, above 0, beyond which a warming backend becomes overloaded.
+    /// Multiple of a warming backend's current capacity, above 0, beyond which the backend becomes overloaded.
     pub overload_multiple: f64,
     /// Length of the sliding window over which work sent to a warming backend is counted.
     pub overload_window: Nanos,
@@ -147,8 +147,8 @@
     pub limits: Limits,
     /// Limits in the site's safety rules.
     pub rules: SafetyLimits,
-    /// Weight of the worst-served class in the site's optimization goal, 0 to 1; the remaining weight is on all
-    /// requests by priority weight.
+    /// Weight of the worst-served class in the site's optimization goal, 0 to 1 (larger values count as 1); the
+    /// remaining weight is on all requests by priority weight.
     pub worst_class_goal: f64,
     /// Whether clients mark all their retries.
     pub retries_marked: bool,
@@ -286,7 +286,7 @@
 /// An invalid settings field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// Name of the invalid field, as operators' tools know it.
+    /// Name of the invalid field, in the form that operators' tools match.
     pub field: &'static str,
     /// Reason why the value is invalid.
     pub problem: &'static str,
--- a/balancer/src/backend.rs
+++ b/balancer/src/backend.rs
@@ -122,7 +122,7 @@
         self.health_checked_at
     }
 
-    /// Guaranteed fraction of the backend's full capacity at the time `now`; 1 once warm.
+    /// Fraction of the backend's full capacity that the safety limits guarantee at the time `now`; 1 once warm.
     pub(crate) fn warm_up_fraction(&self, now: Nanos, rules: &SafetyLimits) -> f64 {
         let Some(started_at) = self.entry.started_at else {
             return 1.0;
@@ -133,7 +133,8 @@
         (initial + (1.0 - initial) * progress).clamp(MIN_WARM_UP_FRACTION, 1.0)
     }
 
-    /// Counts a request that the backend starts to work on, and charges it to the slow-start budget during warm-up.
+    /// Counts a request that the backend starts to work on. During warm-up, the request is charged to the
+    /// slow-start budget.
     pub(crate) fn start_request(&mut self, now: Nanos, rules: &SafetyLimits, cost: f64) {
         self.in_flight += 1;
         self.charge_slow_start_budget(now, rules, cost);
--- a/balancer/src/balancer.rs
+++ b/balancer/src/balancer.rs
@@ -203,7 +203,7 @@
     /// Handles the closing of a zone: open requests there may be hedged in other zones.
     fn on_zone_closed(&mut self, zone: ZoneId, actions: &mut Vec<Action>) {
         if zone == self.fleet.local_zone() {
-            // Admission learned from the local zone's responses does not apply to the other zones.
+            // The admitted fractions derived from the local zone's responses do not apply to the other zones.
             self.fleet.classes.reset_rates();
             self.admission.reset_admitted_fractions();
         }
--- a/balancer/src/balancer/requests.rs
+++ b/balancer/src/balancer/requests.rs
@@ -22,7 +22,7 @@
         let class = self.fleet.classes.id_or_last(arrival.class);
         let request = self.new_request(arrival, class, is_upload);
         let is_late = has_no_remaining_value(&self.fleet, &request);
-        // Read before `refresh` below, so that this arrival is admitted by the previous refresh.
+        // Read before `refresh` below, so that this arrival is admitted by the fraction of the previous refresh.
         let class_fraction = self.admission.admitted_fraction(class);
         self.requests.insert(id, request);
         self.retry_budget.deposit();
--- a/balancer/src/balancer/retries.rs
+++ b/balancer/src/balancer/retries.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Whether a request waits only for a response from this zone and may run twice.
+    /// Whether a request waits only for a response from this zone, may run twice, and is not past the objective.
     fn needs_hedge_out_of(&self, request: &Request, zone: ZoneId) -> bool {
         let class = self.fleet.settings.class(request.class);
         request.waits_only_in(zone)
--- a/balancer/src/deadlines.rs
+++ b/balancer/src/deadlines.rs
@@ -53,8 +53,8 @@
     first_attempt_at.min(fleet.now)
 }
 
-/// The timeout of an attempt at the objective deadline; `None` where a late response has enough value for a backend
-/// to go on.
+/// The timeout that ends an attempt at the objective deadline, where a late response has too little value for a
+/// backend to work on it; `None` otherwise.
 ///
 /// Applies in large fleets only: in a small fleet, a request admitted by the node's own measurements rarely waits
 /// until then, and the retries would cost more.
@@ -74,14 +74,15 @@
     has_timeout.then(|| request.objective_deadline - fleet.now)
 }
 
-/// Whether a timeout after the elapsed time counts as a failure of the backend. A client with little time left ends
-/// an attempt too early to tell.
+/// Whether a timeout after the time `elapsed` counts as a failure of the backend. A client with little time left
+/// ends an attempt before the backend is overdue.
 pub(crate) fn is_backend_timeout(fleet: &Fleet, class: ClassId, elapsed: Nanos) -> bool {
     elapsed as f64 >= MIN_BACKEND_TIMEOUT_BASE_TIMES * fleet.classes.get(class).base_time()
 }
 
-/// Whether a queued request should be ended now: by the next check, one `period` from now, the request can no
-/// longer be answered in time, or its client's time for an early rejection or its expiry will have passed.
+/// Whether a queued request should be ended now because, by the next check one `period` from now, the request can
+/// no longer be answered in time, the request was never delivered and can no longer be rejected early, or the
+/// request will have expired.
 pub(crate) fn is_expired(fleet: &Fleet, request: &Request, period: Nanos) -> bool {
     if request.phase != Phase::Queued || request.has_attempt_in_flight() {
         return false;
--- a/balancer/src/endpoint_selection.rs
+++ b/balancer/src/endpoint_selection.rs
@@ -14,9 +14,9 @@
 const DELAY_JITTER: f64 = 0.1;
 /// Factor on the expected delay at the backend preferred by the request's affinity key.
 const AFFINITY_DELAY_FACTOR: f64 = 0.5;
-/// Penalty at a failure rate of 1, as a multiple of the expected delay.
+/// Penalty added at a failure rate of 1, as a multiple of the expected delay without failures.
 const FAILURE_PENALTY: f64 = 8.0;
-/// Penalty at a backend that an earlier attempt of the request was sent to, as a multiple of the expected delay.
+/// Penalty added at a backend that an earlier attempt of the request was sent to, in the same unit.
 const TRIED_PENALTY: f64 = 4.0;
 /// Lower bound of the slowness that divides a weight in the weighted choice.
 const MIN_PICK_SLOWNESS: f64 = 0.5;
@@ -133,7 +133,7 @@
         self.can_answer_in_time(request, backend) && is_eligible(self.fleet, request, backend)
     }
 
-    /// Whether a backend is available (not ejected or paused) and would answer within the objective.
+    /// Whether outlier detection allows a request to the backend now, and the backend would answer in time.
     fn can_answer_in_time(&self, request: &Request, backend: &Backend) -> bool {
         backend
             .outlier
--- a/balancer/src/ewma.rs
+++ b/balancer/src/ewma.rs
@@ -23,8 +23,8 @@
 }
 
 impl Ewma {
-    /// Adds a sample. Its weight grows with the time since the last sample and is at least `min_weight`; the first
-    /// sample has a weight of 1.
+    /// Adds a sample. The sample's weight grows with the time since the last sample and is at least `min_weight`;
+    /// the first sample has a weight of 1.
     pub(crate) fn update(
         &mut self,
         now: Nanos,
--- a/balancer/src/expected_delay.rs
+++ b/balancer/src/expected_delay.rs
@@ -5,8 +5,9 @@
 use crate::tuning::{IDLE_DECAY_TIME_CONSTANT, IDLE_LOAD};
 
 impl Backend {
-    /// Load in requests per unit of size. In a small fleet, this node's load times the number of nodes per zone; in
-    /// a large one, the queue shown by the endpoint list if it is longer than this node's.
+    /// Load in requests per unit of size, at least [`IDLE_LOAD`]. In a small fleet, this node's load times the
+    /// number of nodes per zone; in a large one, the larger of this node's load and the queue shown by the endpoint
+    /// list.
     pub(crate) fn load(&self, settings: &Settings) -> f64 {
         let own_load = f64::from(self.in_flight()) / self.size();
         if !settings.is_large_fleet() {
--- a/balancer/src/learning.rs
+++ b/balancer/src/learning.rs
@@ -49,16 +49,16 @@
 }
 
 impl Fleet {
-    /// Counts the end of an attempt in a zone and records its measurements.
+    /// Counts the end of an attempt in a zone and records the measurements of the attempt.
     pub(crate) fn end_attempt(&mut self, zone: ZoneId, observation: &AttemptObservation) {
         if let Some(zone) = self.zones.get_mut(zone) {
             zone.end_attempt(self.now);
         }
-        self.learn_from_attempt(observation);
+        self.record_attempt(observation);
     }
 
     /// Records throughput, slowness and base time of one attempt.
-    fn learn_from_attempt(&mut self, observation: &AttemptObservation) {
+    fn record_attempt(&mut self, observation: &AttemptObservation) {
         let Some(backend) = self.backends.get_mut(observation.backend) else {
             return;
         };
@@ -67,12 +67,12 @@
             backend.record_throughput(self.now, observation.service_time);
         }
         if let Some(elapsed) = observation.elapsed {
-            self.learn_from_response_time(observation, elapsed as f64);
+            self.record_response_time(observation, elapsed as f64);
         }
     }
 
     /// Records slowness and base time by the response time of one attempt, in nanoseconds.
-    fn learn_from_response_time(&mut self, observation: &AttemptObservation, elapsed: f64) {
+    fn record_response_time(&mut self, observation: &AttemptObservation, elapsed: f64) {
         let Some(backend) = self.backends.get_mut(observation.backend) else {
             return;
         };
--- a/balancer/src/load_feedback.rs
+++ b/balancer/src/load_feedback.rs
@@ -58,8 +58,8 @@
             .is_some_and(|at| now.saturating_sub(at) < UTILIZATION_MAX_AGE)
     }
 
-    /// Applies the load-adjusted sizes of an endpoint list. All nodes receive the same sizes, one refresh interval
-    /// or more after the load they reflect.
+    /// Applies the load-adjusted sizes of an endpoint list. All nodes receive the same sizes, which reflect the
+    /// load of an earlier refresh interval.
     pub(crate) fn apply_load_adjusted_sizes(&mut self, fleet: &mut Fleet) {
         self.measure_refresh_interval(fleet.now);
         let totals = fleet.backends.queue_totals(fleet.zones.count());
--- a/balancer/src/outlier_detection.rs
+++ b/balancer/src/outlier_detection.rs
@@ -45,7 +45,7 @@
     failure_rate: Ewma,
     consecutive_failures: u32,
     consecutive_rejections: u32,
-    /// Time until which the backend receives no requests because it rejected one.
+    /// Time until which the backend receives no requests after rejecting one.
     paused_until: Nanos,
     ejections: u32,
 }
--- a/balancer/src/outlier_detection/transitions.rs
+++ b/balancer/src/outlier_detection/transitions.rs
@@ -16,7 +16,7 @@
 const EJECTION_BASE: Nanos = SECOND;
 /// Maximum number of doublings of an ejection.
 const EJECTION_MAX_DOUBLINGS: u32 = 5;
-/// Pause after a backend rejects a request as full; doubled for each further rejection.
+/// Pause after a backend rejects a request as full; doubled for each consecutive rejection.
 const REJECTION_PAUSE: Nanos = 100 * MILLISECOND;
 /// Maximum number of doublings of a rejection pause.
 const REJECTION_MAX_DOUBLINGS: u32 = 4;
@@ -24,7 +24,7 @@
 const MAX_EJECTED_FRACTION: f64 = 0.5;
 /// Multiple of the fleet's mean failure rate that an outlier's failure rate exceeds.
 const FAILURE_RATE_MULTIPLE: f64 = 2.0;
-/// Upper bound of the mean failure rate in that comparison.
+/// Upper bound of the mean failure rate that a backend's failure rate is compared with.
 const MAX_MEAN_FAILURE_RATE: f64 = 0.4;
 const FAILURE_RATE_TIME_CONSTANT: Nanos = SECOND;
 /// Minimum weight of one outcome in a backend's failure rate.
--- a/balancer/src/request.rs
+++ b/balancer/src/request.rs
@@ -70,7 +70,7 @@
 /// A request that is open, or ended with an attempt in flight.
 pub(crate) struct Request {
     pub(crate) class: ClassId,
-    /// Hash of the affinity key; `None` without a key or where key affinity is off.
+    /// Hash of the name of the object that the request concerns; `None` without a key or where key affinity is off.
     pub(crate) affinity_key: Option<u64>,
     /// Expected service time, in nanoseconds on a standard core.
     pub(crate) service_time: f64,
--- a/balancer/src/slow_start.rs
+++ b/balancer/src/slow_start.rs
@@ -29,8 +29,9 @@
     if consumed + cost <= budget {
         return true;
     }
-    // A budget below the cost of one request is spent at random; otherwise the first requests of many nodes would
-    // exceed the backend's limit together. About one node per zone always sends, so that the backend is measured.
+    // A budget below the cost of one request is used with the matching probability; otherwise the first requests of
+    // many nodes would exceed the backend's limit together. About one node per zone always sends, so that the
+    // backend is measured.
     let chance = (budget / cost).max(1.0 / settings.nodes_per_zone());
     let draw = epoch_draw(backend.subset_rank(), fleet.now / window.max(1));
     consumed == 0.0 && draw <= chance
--- a/balancer/src/zone.rs
+++ b/balancer/src/zone.rs
@@ -164,7 +164,7 @@
         self.probe_timeout
     }
 
-    /// Requests that the next suitable request is sent to this zone as a probe.
+    /// Requests a probe of this zone, which the next suitable request is sent as.
     pub(crate) fn request_probe(&mut self, timeout: Nanos) {
         self.probe_timeout = Some(timeout);
     }
--- a/balancer/src/zone_routing.rs
+++ b/balancer/src/zone_routing.rs
@@ -38,7 +38,7 @@
         now >= self.next_scoring_at
     }
 
-    /// The remote zone with the highest score; `None` if no remote zone is below the spill threshold.
+    /// The remote zone with the highest score among those below the spill threshold; `None` if there is none.
     pub(crate) fn best_overflow_zone(&self) -> Option<ZoneId> {
         self.overflow_order
             .first()
--- a/balancer/src/zone_routing/decisions.rs
+++ b/balancer/src/zone_routing/decisions.rs
@@ -1,5 +1,5 @@
-//! Zone routing: requests go to the local zone below the spill threshold, above it to the remote zone with the
-//! highest score, and to the local zone again if no remote zone can take them.
+//! Zone routing: below the spill threshold, requests go to the local zone. Above it, they go to the remote zone
+//! with the highest score, and back to the local zone if no backend of that remote zone can take them.
 
 use std::cmp::Ordering;
 
