--- a/balancer/src/zone.rs
+++ b/balancer/src/zone.rs
@@ -164,7 +164,7 @@
         self.probe_timeout
     }
 
-    /// Requests a probe of this zone, which the next suitable request is sent as.
+    /// Requests a probe of this zone; the next suitable request is sent as the probe.
     pub(crate) fn request_probe(&mut self, timeout: Nanos) {
         self.probe_timeout = Some(timeout);
     }
