--- a/balancer/src/balancer/attempts.rs
+++ b/balancer/src/balancer/attempts.rs
@@ -1,15 +1,16 @@
-//! Attempts: sending one, completing its upload, and what follows from its end.
+//! The lifecycle of an attempt: send, completed upload, and end.
 
 use super::Balancer;
 use crate::api::{Action, AttemptResult, BackendId, LogEvent, Nanos, Outcome, RequestId};
-use crate::deadlines::{attempt_timeout, is_overdue};
+use crate::deadlines::{attempt_timeout, is_backend_timeout};
 use crate::learning::AttemptObservation;
 use crate::outlier_detection::OutcomeEffect;
 use crate::request::{Attempt, Phase, Placement, Request};
 use crate::retry_safety::is_eligible;
 
 impl Balancer {
-    /// The one place that sends. False where the request may not go there.
+    /// Sends a request to a backend. Returns false if the request is not eligible there. Every send is made by this
+    /// function.
     pub(super) fn send(
         &mut self,
         id: RequestId,
@@ -36,7 +37,8 @@
         true
     }
 
-    /// Counts an attempt with its request, backend and zone. An upload counts as load when it is complete.
+    /// Records an attempt in the state of the request, the backend and the zone. An upload counts as load only once
+    /// its body is complete.
     fn record_send(&mut self, id: RequestId, to: BackendId) {
         let (now, settings) = (self.fleet.now, &self.fleet.settings);
         let (Some(request), Some(backend)) =
@@ -61,7 +63,7 @@
             sent_at: now,
             load: backend.load(settings),
             outcome: None,
-            is_counted: !request.is_uploading,
+            is_counted_as_load: !request.is_uploading,
             reserved,
         });
         backend.outlier.on_send();
@@ -70,7 +72,8 @@
         }
     }
 
-    /// A request's body is complete: its client's time begins, and it counts as load where it was sent.
+    /// Handles the completion of a request's body: the client's time starts, and the attempts in flight count as
+    /// load.
     pub(super) fn on_upload_complete(&mut self, id: RequestId, expires_at: Nanos) {
         let now = self.fleet.now;
         let request = self.requests.get_mut(id);
@@ -83,20 +86,20 @@
         request.objective_deadline = expires_at.min(now + objective);
         request.early_rejection_until = now + expires_at.saturating_sub(now) / 2;
         let cost = request.slow_start_cost;
-        for attempt in request.uploads_mut() {
+        for attempt in request.uploading_attempts_mut() {
             let zone = attempt.placement.zone;
             self.fleet
                 .end_upload(attempt.backend, std::mem::take(&mut attempt.reserved));
             let Some(load) = self.fleet.start_attempt(attempt.backend, zone, cost) else {
                 continue;
             };
-            attempt.is_counted = true;
+            attempt.is_counted_as_load = true;
             attempt.sent_at = now;
             attempt.load = load;
         }
     }
 
-    /// An attempt has ended: learns from it, then ends or retries the request.
+    /// Handles the end of an attempt: updates the measurements, then ends or retries the request.
     pub(super) fn on_attempt_ended(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(result.request) else {
             return;
@@ -107,7 +110,7 @@
         let class = request.class;
         let is_open = request.phase != Phase::Ended;
         self.fleet.end_upload(attempt.backend, attempt.reserved);
-        if attempt.is_counted {
+        if attempt.is_counted_as_load {
             let service_time = request.service_time;
             self.fleet.end_attempt(
                 attempt.placement.zone,
@@ -121,30 +124,30 @@
                 },
             );
         }
-        let is_overdue = result
+        let is_backend_timeout = result
             .elapsed
-            .is_some_and(|elapsed| is_overdue(&self.fleet, class, elapsed));
-        if result.outcome != Outcome::TimedOut || is_overdue {
+            .is_some_and(|elapsed| is_backend_timeout(&self.fleet, class, elapsed));
+        if result.outcome != Outcome::TimedOut || is_backend_timeout {
             self.record_for_outlier_detection(attempt.backend, result.outcome, actions);
         }
         if let Some(backend) = self.fleet.backends.get_mut(attempt.backend) {
             backend.record_report(self.fleet.now, result.report);
         }
         if is_open && !result.request_ended {
-            self.retry(result.request, actions);
+            self.retry_or_end(result.request, actions);
         } else {
             self.finish(result, actions);
         }
         self.dispatch_queued(actions);
     }
 
-    /// A request has its answer, by the attempt that has just ended or earlier.
+    /// Ends a request that was answered by this or an earlier attempt.
     fn finish(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(result.request) else {
             return;
         };
         if request.phase != Phase::Ended {
-            if result.outcome == Outcome::Success && self.counts_as_in_time(request) {
+            if result.outcome == Outcome::Success && self.is_answered_in_time(request) {
                 let now = self.fleet.now;
                 let class = self.fleet.classes.get_mut(request.class);
                 class.record_served_in_time(now);
@@ -154,12 +157,12 @@
         self.requests.finish(result.request);
     }
 
-    /// Whether an answer now counts as one in time. In a small fleet late ones count too.
-    fn counts_as_in_time(&self, request: &Request) -> bool {
+    /// Whether a response now counts as answered in time. In a small fleet, late responses count too.
+    fn is_answered_in_time(&self, request: &Request) -> bool {
         !self.fleet.settings.is_large_fleet() || self.fleet.now <= request.objective_deadline
     }
 
-    /// Counts an outcome against its backend; ejects an outlier, readmits after served trials.
+    /// Records an outcome for outlier detection; logs a readmission, ejects an outlier.
     pub(super) fn record_for_outlier_detection(
         &mut self,
         id: BackendId,
@@ -177,7 +180,7 @@
         }
     }
 
-    /// Ejects a backend that has just failed, if it is an outlier or was on trial.
+    /// Ejects a backend after a failed attempt if the backend is an outlier or was half-open.
     fn eject_if_outlier(&mut self, id: BackendId, outcome: Outcome, actions: &mut Vec<Action>) {
         let now = self.fleet.now;
         let failures = self.fleet.backends.failures();
@@ -194,7 +197,7 @@
         }
     }
 
-    /// Cancels the attempts of a request that are in flight, where attempts may be cancelled.
+    /// Cancels a request's attempts in flight, if the site allows cancellation.
     pub(super) fn cancel_in_flight(&self, id: RequestId, actions: &mut Vec<Action>) {
         if !self.fleet.settings.limits.cancellation {
             return;
--- a/balancer/src/deadlines.rs
+++ b/balancer/src/deadlines.rs
@@ -1,5 +1,5 @@
-//! Deadlines: from when a request's objective counts, when an answer has no value any longer, and when an attempt's
-//! time-out counts against its backend.
+//! Deadlines: the start of a request's latency objective, the time after which a response has no value, and which
+//! timeouts count as backend failures.
 
 use crate::api::{ClassId, Nanos, RequestArrival};
 use crate::fleet::Fleet;
@@ -7,31 +7,35 @@
 use crate::tuning::IDLE_LOAD;
 use badgerpost_time::nanos_from_f64;
 
-/// A client timeout shorter than the longest one by more than this part of it tells of a retry: arrivals jitter.
+/// A client timeout that is shorter than the class's longest one by more than the longest one divided by this
+/// number indicates a retry. Smaller differences are jitter.
 const SHORTER_TIMEOUT_DIVISOR: u64 = 8;
-/// Least service time of a request that is still answered, as a fraction of the time on an idle backend.
+/// Minimum expected service time of a queued request, as a fraction of the time on an idle backend.
 const MIN_SERVICE_TIME_FRACTION: f64 = 0.5;
-/// A time-out after at least this many base times counts against its backend.
-const OVERDUE_BASE_TIMES: f64 = 3.0;
-/// Under overload, an attempt ends at the objective if a later answer keeps at most this fraction of its value.
-const MAX_DROPPED_LATE_VALUE: f64 = 0.5;
+/// Minimum elapsed time, in multiples of the class's base time, from which a timeout counts as a failure of the
+/// backend.
+const MIN_BACKEND_TIMEOUT_BASE_TIMES: f64 = 3.0;
+/// Maximum value fraction of a late response at which, under overload, an attempt times out at the objective
+/// deadline.
+const MAX_DROPPED_LATE_VALUE_FRACTION: f64 = 0.5;
 
-/// Whether an answer of this class after its objective is worth nothing.
-fn is_worthless_late(fleet: &Fleet, class: ClassId) -> bool {
+/// Whether a response after the objective has no value in this class.
+fn has_no_late_value(fleet: &Fleet, class: ClassId) -> bool {
     fleet.settings.class(class).late_value_fraction == 0.0
 }
 
-/// Whether a request has expired, or is past its objective and would be answered for nothing.
-pub(crate) fn is_past_objective(fleet: &Fleet, request: &Request) -> bool {
+/// Whether a request has expired, or is past its objective in a class where a late response has no value.
+pub(crate) fn has_no_remaining_value(fleet: &Fleet, request: &Request) -> bool {
     let is_late = request.objective_deadline <= fleet.now;
-    request.expires_at <= fleet.now || (is_late && is_worthless_late(fleet, request.class))
+    request.expires_at <= fleet.now || (is_late && has_no_late_value(fleet, request.class))
 }
 
-/// The time from which a request's objective counts.
+/// The time from which a request's latency objective counts.
 ///
-/// A client's retry ends at the deadline of its first attempt, so its timeout is shorter than others, and that
-/// deadline tells when the first attempt came. Where clients mark their retries, the rest are first attempts: a retry
-/// may get a longer timeout than these, which must not make them look late.
+/// A retry by a client ends at the deadline of the client's first attempt. The timeout of a retry is therefore
+/// shorter than that of first attempts, and the deadline reveals when the first attempt arrived. Where clients mark
+/// their retries, unmarked requests are first attempts and count from now: a retry may get a longer timeout than
+/// first attempts do, which must not make those appear late.
 pub(crate) fn objective_start(
     fleet: &Fleet,
     arrival: &RequestArrival,
@@ -41,7 +45,7 @@
     let may_be_retry = arrival.is_retry || !fleet.settings.retries_marked;
     let longest = fleet.classes.get(class).longest_client_timeout();
     let is_short = client_timeout < longest - longest / SHORTER_TIMEOUT_DIVISOR;
-    if !may_be_retry || !is_short || !is_worthless_late(fleet, class) {
+    if !may_be_retry || !is_short || !has_no_late_value(fleet, class) {
         return fleet.now;
     }
     let deadline = fleet.settings.class(class).deadline;
@@ -49,10 +53,11 @@
     first_attempt_at.min(fleet.now)
 }
 
-/// The timeout of an attempt whose answer after the objective has too little value for a backend to work on it.
+/// The timeout that ends an attempt at the objective deadline, where a late response has too little value for a
+/// backend to work on it; `None` otherwise.
 ///
-/// Only in a large fleet: in a small one, requests admitted by the node's own figures hardly wait that long, and the
-/// retries cost more.
+/// Applies in large fleets only: in a small fleet, a request admitted by the node's own measurements rarely waits
+/// until then, and the retries would cost more.
 pub(crate) fn attempt_timeout(
     fleet: &Fleet,
     request: &Request,
@@ -61,7 +66,7 @@
     let late_value = fleet.settings.class(request.class).late_value_fraction;
     let is_overloaded = admitted_fraction < 1.0;
     let has_little_late_value =
-        late_value == 0.0 || (late_value <= MAX_DROPPED_LATE_VALUE && is_overloaded);
+        late_value == 0.0 || (late_value <= MAX_DROPPED_LATE_VALUE_FRACTION && is_overloaded);
     let has_timeout = fleet.settings.is_large_fleet()
         && has_little_late_value
         && !request.is_uploading
@@ -69,12 +74,15 @@
     has_timeout.then(|| request.objective_deadline - fleet.now)
 }
 
-/// Whether a time-out counts against the backend: a client with little time ends an attempt early.
-pub(crate) fn is_overdue(fleet: &Fleet, class: ClassId, elapsed: Nanos) -> bool {
-    elapsed as f64 >= OVERDUE_BASE_TIMES * fleet.classes.get(class).base_time()
+/// Whether a timeout after the time `elapsed` counts as a failure of the backend. A client with little time left
+/// ends an attempt before the backend is overdue.
+pub(crate) fn is_backend_timeout(fleet: &Fleet, class: ClassId, elapsed: Nanos) -> bool {
+    elapsed as f64 >= MIN_BACKEND_TIMEOUT_BASE_TIMES * fleet.classes.get(class).base_time()
 }
 
-/// Whether a queued request is better ended now than at the next check, a period from now.
+/// Whether a queued request should be ended now because, by the next check one `period` from now, the request can
+/// no longer be answered in time, the request was never delivered and can no longer be rejected early, or the
+/// request will have expired.
 pub(crate) fn is_expired(fleet: &Fleet, request: &Request, period: Nanos) -> bool {
     if request.phase != Phase::Queued || request.has_attempt_in_flight() {
         return false;
@@ -82,7 +90,7 @@
     let base_time = fleet.classes.get(request.class).base_time();
     let min_service_time = nanos_from_f64(base_time * IDLE_LOAD * MIN_SERVICE_TIME_FRACTION);
     let next_check_at = fleet.now + period;
-    let was_never_sent = request.attempts.iter().all(Attempt::has_missed_backend);
+    let was_never_sent = request.attempts.iter().all(Attempt::is_undelivered);
     let end = if was_never_sent {
         request.early_rejection_until
     } else {
--- a/balancer/tests/any_sequence.rs
+++ b/balancer/tests/any_sequence.rs
@@ -416,7 +416,7 @@
         .count();
     assert_eq!(unanswered, 0, "seed {seed}: no final answer");
     assert_eq!(
-        node.balancer.open_requests(),
+        node.balancer.tracked_request_count(),
         0,
         "seed {seed}: the balancer still holds ended requests"
     );
--- a/engine/src/driver/endpoints.rs
+++ b/engine/src/driver/endpoints.rs
@@ -59,7 +59,7 @@
 
     /// Updates the backend counts in the metrics. The number of avoided backends can change without any event.
     pub(crate) fn update_backend_counts(&self) {
-        let avoided = self.balancer.avoided(self.clock.now());
+        let avoided = self.balancer.avoided_backend_count(self.clock.now());
         self.metrics.set_backend_counts(BackendCounts {
             listed: self.backends.len() as u64,
             avoided: avoided as u64,
--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -117,7 +117,10 @@
 /// The number of open requests in the driver and in the balancer.
 fn open_requests(engine: &Engine<TestProtocol>) -> (usize, usize) {
     let driver = engine.driver.borrow();
-    (driver.requests.len(), driver.balancer.open_requests())
+    (
+        driver.requests.len(),
+        driver.balancer.tracked_request_count(),
+    )
 }
 
 fn has_fallback_timeout(engine: &Engine<TestProtocol>) -> bool {
