--- a/adapters/http/src/client_connection.rs
+++ b/adapters/http/src/client_connection.rs
@@ -155,7 +155,7 @@
 
 /// Resolves once a node that has closed its listener has waited long enough for clients that still send.
 async fn linger_after_shutdown(context: &ServerContext) {
-    let mut stage = context.handle.stage.clone();
+    let mut stage = context.lifecycle.stage.clone();
     // An error means that the process is ending.
     let _ = stage.wait_for(|stage| *stage == Stage::Closed).await;
     context.clock().sleep(LINGER_TIMEOUT).await;
@@ -169,13 +169,13 @@
     stream: &ObservedStream<RequestTracker>,
     context: &ServerContext,
 ) {
-    let mut stage = context.handle.stage.clone();
+    let mut stage = context.lifecycle.stage.clone();
     loop {
         if stage.wait_for(|stage| stage.closes_idle()).await.is_err() {
             // The sender lives as long as the process.
             return;
         }
-        let is_closed = *context.handle.stage.borrow() == Stage::Closed;
+        let is_closed = *context.lifecycle.stage.borrow() == Stage::Closed;
         let is_last_moment = is_closed && context.time_until_last_response() == 0;
         // A request that has arrived is served, though the node has not read it yet.
         let has_request = connection.expects_request() && stream.has_unread_bytes();
--- a/adapters/http/src/server.rs
+++ b/adapters/http/src/server.rs
@@ -10,14 +10,14 @@
 use crate::client_connection::serve_connection;
 use crate::connection_limiter::ConnectionLimiter;
 use crate::server_context::ServerContext;
-pub use crate::server_context::{ServerHandle, ServerLimits};
+pub use crate::server_context::{ServerLifecycle, ServerLimits};
 
 /// Serves clients until the stage is [`Stage::Closed`] and all connections have ended.
 pub async fn run(
     listener: TcpListener,
     engine: HttpEngine,
     limits: ServerLimits,
-    handle: ServerHandle,
+    lifecycle: ServerLifecycle,
 ) {
     let limiter = ConnectionLimiter::new(
         limits.max_connections,
@@ -25,12 +25,12 @@
         engine.metrics(),
     );
     let timeouts = spawn(limiter.clone().run_timeouts());
-    let mut stage = handle.stage.clone();
+    let mut stage = lifecycle.stage.clone();
     let closed = stage.wait_for(|stage| *stage == Stage::Closed);
     let context = Rc::new(ServerContext {
         engine,
         memory_budget: limits.memory_budget,
-        handle,
+        lifecycle,
     });
     // Accepting is polled first: connections in the backlog are accepted before the listener is closed.
     tokio::select! {
@@ -49,7 +49,7 @@
     limiter: &Rc<ConnectionLimiter>,
     context: &Rc<ServerContext>,
 ) {
-    let mut accepts = context.handle.accepts.clone();
+    let mut accepts = context.lifecycle.accepts.clone();
     let mut log = LogLimiter::new(context.clock().clone());
     let mut backoff = AcceptBackoff::default();
     loop {
--- a/adapters/http/src/server_context.rs
+++ b/adapters/http/src/server_context.rs
@@ -13,7 +13,7 @@
 
 /// The node's lifecycle, as the client side sees it.
 #[derive(Clone)]
-pub struct ServerHandle {
+pub struct ServerLifecycle {
     /// The stage of the lifecycle.
     pub stage: watch::Receiver<Stage>,
     /// When the node reports itself as ready though it knows of no backend: no other node may know of one either.
@@ -38,7 +38,7 @@
     pub(crate) engine: HttpEngine,
     /// For bodies that are buffered.
     pub(crate) memory_budget: MemoryBudget,
-    pub(crate) handle: ServerHandle,
+    pub(crate) lifecycle: ServerLifecycle,
 }
 
 impl ServerContext {
@@ -49,17 +49,17 @@
 
     /// Whether the node is in service.
     pub(crate) fn is_in_service(&self) -> bool {
-        self.handle.stage.borrow().is_ready()
+        self.lifecycle.stage.borrow().is_ready()
     }
 
     /// Whether the node knows of a backend in service, or has waited for long enough to hear of one.
     pub(crate) fn has_backend_or_waited(&self) -> bool {
-        self.engine.has_endpoint_in_service() || self.clock().now() >= self.handle.ready_by
+        self.engine.has_endpoint_in_service() || self.clock().now() >= self.lifecycle.ready_by
     }
 
     /// The time until the last response has to be sent; unlimited until the process has been asked to exit.
     pub(crate) fn time_until_last_response(&self) -> Nanos {
-        self.handle
+        self.lifecycle
             .respond_by
             .get()
             .map_or(Nanos::MAX, |at| at.saturating_sub(self.clock().now()))
--- a/daemon/src/node/startup.rs
+++ b/daemon/src/node/startup.rs
@@ -11,7 +11,7 @@
 use badgerpost_gossip::{GossipService, LocalMember};
 use badgerpost_http::discovery::EndpointWatcher;
 use badgerpost_http::memory_budget::MemoryBudget;
-use badgerpost_http::server::{self, ServerHandle, ServerLimits};
+use badgerpost_http::server::{self, ServerLifecycle, ServerLimits};
 use badgerpost_http::upstream::HttpTransport;
 use badgerpost_http::{Http, HttpEngine};
 use badgerpost_settings::Site;
@@ -198,7 +198,7 @@
     ) -> Result<Shutdown, NodeError> {
         let longest_deadline = engine.longest_deadline();
         let respond_by = Rc::new(Cell::new(None));
-        let handle = ServerHandle {
+        let handle = ServerLifecycle {
             stage: self.lifecycle.stage(),
             ready_by: self.clock.now().saturating_add(nanos(READY_TIMEOUT)),
             respond_by: respond_by.clone(),
