--- a/adapters/http/src/api.rs
+++ b/adapters/http/src/api.rs
@@ -12,8 +12,8 @@
 use crate::backend_response::{BackendResponse, StreamedRequest, StreamingResponseBody};
 use crate::bad_request::BadRequest;
 use crate::client_response::{self, ClientResponse};
-use crate::headers::{CALL_ID, end_to_end};
-use crate::request_body::{self, StalledBody, upload_stalled};
+use crate::headers::{CALL_ID, end_to_end_headers};
+use crate::request_body::{self, StalledSide, upload_stalled};
 use crate::server_context::ServerContext;
 use crate::timeouts::UPLOAD_TIMEOUT;
 use crate::tracked_connection::TrackedConnection;
@@ -35,7 +35,7 @@
     let engine = &context.engine;
     let (head, body) = request.into_parts();
     let RequestIdentity { id, class } = RequestIdentity::parse(engine, &head.headers)?;
-    let failure_count = FailureCount::new(engine, class.id);
+    let failure_guard = FailureGuard::new(engine, class.id);
     let parameters = RequestParameters::parse(engine, &class, &head)?;
     let body = request_body::read(context, connection, body).await?;
     if class.idempotency == Idempotency::Idempotent && !is_empty(&body) {
@@ -45,20 +45,20 @@
         context,
         connection,
         budget: parameters.budget,
-        failure_count,
+        failure_guard,
     };
     let incoming = IncomingRequest {
         id,
         class: class.id,
         tenant: parameters.tenant,
         affinity_key: parameters.affinity_key,
-        expected_service_time: parameters.expected_work,
+        expected_service_time: parameters.expected_service_time,
         is_retry: parameters.is_retry,
         budget: submission.remaining_budget(),
         payload: ForwardedRequest {
             method: head.method,
             target: origin_form(&head.uri),
-            headers: end_to_end(head.headers),
+            headers: end_to_end_headers(head.headers),
             body,
             budget_ms: submission.remaining_budget() / MILLISECOND,
         },
@@ -94,7 +94,7 @@
     connection: &'a TrackedConnection,
     /// How long the client waits, from the last byte of the request on.
     budget: Nanos,
-    failure_count: FailureCount<'a>,
+    failure_guard: FailureGuard<'a>,
 }
 
 impl Submission<'_> {
@@ -126,7 +126,7 @@
             .engine
             .submit(incoming)
             .ok_or(BadRequest::Duplicate(CALL_ID))?;
-        self.failure_count.disarm();
+        self.failure_guard.disarm();
         self.connection.request_complete();
         Ok(pending.into_outcome().await)
     }
@@ -143,18 +143,18 @@
             .engine
             .submit_upload(incoming)
             .ok_or(BadRequest::Duplicate(CALL_ID))?;
-        self.failure_count.disarm();
+        self.failure_guard.disarm();
         let (clock, budget) = (self.context.clock(), self.remaining_budget());
         let early_outcome = tokio::select! {
             biased;
             () = upload.completed() => None,
             outcome = pending.wait() => Some(outcome),
             stalled = upload_stalled(clock, self.connection, upload, budget) => match stalled {
-                StalledBody::AtClient => {
+                StalledSide::Client => {
                     self.connection.request_timed_out();
                     return Err(BadRequest::BodyIncomplete);
                 }
-                StalledBody::AtBackend => Some(pending.reject()),
+                StalledSide::Backend => Some(pending.reject()),
             },
         };
         if let Some(outcome) = early_outcome {
@@ -182,13 +182,13 @@
 
 /// Counts a request of a known class as failed when dropped, unless the request has been submitted: from then on the
 /// engine counts it.
-struct FailureCount<'a> {
+struct FailureGuard<'a> {
     engine: &'a HttpEngine,
     class: ClassId,
     is_armed: bool,
 }
 
-impl<'a> FailureCount<'a> {
+impl<'a> FailureGuard<'a> {
     fn new(engine: &'a HttpEngine, class: ClassId) -> Self {
         Self {
             engine,
@@ -203,7 +203,7 @@
     }
 }
 
-impl Drop for FailureCount<'_> {
+impl Drop for FailureGuard<'_> {
     fn drop(&mut self) {
         if self.is_armed {
             let metrics = self.engine.metrics();
--- a/adapters/http/src/api_request.rs
+++ b/adapters/http/src/api_request.rs
@@ -10,12 +10,12 @@
 use crate::bad_request::BadRequest;
 use crate::headers::{
     AFFINITY_COOKIE, BUDGET_MS, CALL_CLASS, CALL_COST, CALL_ID, CALLER, RETRY_MARK,
-    check_idempotency, cookie, required, single, whole_number,
+    check_idempotency, cookie, parse_integer, required_value, single_value,
 };
 use crate::timeouts::NETWORK_ALLOWANCE;
 
 /// Longest request id in bytes: ids are remembered for a while, and no client's is longer.
-const MAX_ID_LENGTH: usize = 256;
+const MAX_REQUEST_ID_BYTES: usize = 256;
 
 /// Who a request is, as its head says.
 pub(crate) struct RequestIdentity {
@@ -28,11 +28,11 @@
 impl RequestIdentity {
     /// Reads the id and the class.
     pub(crate) fn parse(engine: &HttpEngine, headers: &HeaderMap) -> Result<Self, BadRequest> {
-        let id = required(headers, CALL_ID)?;
-        if !(1..=MAX_ID_LENGTH).contains(&id.len()) {
-            return Err(BadRequest::Unreadable(CALL_ID));
+        let id = required_value(headers, CALL_ID)?;
+        if !(1..=MAX_REQUEST_ID_BYTES).contains(&id.len()) {
+            return Err(BadRequest::Malformed(CALL_ID));
         }
-        let class = required(headers, CALL_CLASS)?;
+        let class = required_value(headers, CALL_CLASS)?;
         Ok(Self {
             id: id.into(),
             class: engine.class(class).ok_or(BadRequest::Unknown(CALL_CLASS))?,
@@ -47,7 +47,7 @@
     /// A hash of the affinity key.
     pub(crate) affinity_key: Option<u64>,
     /// The client's estimate of the work.
-    pub(crate) expected_work: Option<Nanos>,
+    pub(crate) expected_service_time: Option<Nanos>,
     /// Whether the client marked the request as a retry.
     pub(crate) is_retry: bool,
     /// How long the client waits, from the last byte of the request on, less what the network takes.
@@ -64,24 +64,25 @@
         let headers = &head.headers;
         check_idempotency(&head.method, headers, class.idempotency)?;
         let tenant = engine
-            .tenant(single(headers, CALLER)?)
+            .tenant(single_value(headers, CALLER)?)
             .map_err(|_| BadRequest::Unknown(CALLER))?;
-        let budget_ms = whole_number(BUDGET_MS, required(headers, BUDGET_MS)?)?;
-        let cost_us = single(headers, CALL_COST)?
-            .map(|text| whole_number(CALL_COST, text))
+        let budget_ms = parse_integer(BUDGET_MS, required_value(headers, BUDGET_MS)?)?;
+        let cost_us = single_value(headers, CALL_COST)?
+            .map(|text| parse_integer(CALL_COST, text))
             .transpose()?;
         Ok(Self {
             tenant,
             affinity_key: cookie(headers, AFFINITY_COOKIE).map(name_hash),
-            expected_work: cost_us.and_then(|cost_us| expected_work(cost_us, class.deadline)),
-            is_retry: single(headers, RETRY_MARK)? == Some("1"),
+            expected_service_time: cost_us
+                .and_then(|cost_us| expected_service_time(cost_us, class.deadline)),
+            is_retry: single_value(headers, RETRY_MARK)? == Some("1"),
             budget: budget(budget_ms, class.deadline),
         })
     }
 }
 
 /// The client's estimate of the work. One above the class's deadline says nothing.
-fn expected_work(cost_us: u64, deadline: Nanos) -> Option<Nanos> {
+fn expected_service_time(cost_us: u64, deadline: Nanos) -> Option<Nanos> {
     let estimate = cost_us.saturating_mul(MICROSECOND);
     (estimate <= deadline).then_some(estimate)
 }
--- a/adapters/http/src/backend_response.rs
+++ b/adapters/http/src/backend_response.rs
@@ -86,7 +86,7 @@
     /// How its request ends once the client has all of the response.
     request_end: RequestEnd,
     /// The client sees the end of the body by that of the connection only.
-    ends_with_connection: bool,
+    is_close_delimited: bool,
 }
 
 impl StreamingResponseBody {
@@ -111,7 +111,7 @@
             metrics,
             class: request.class,
             request_end: request.end,
-            ends_with_connection: request.version == Version::HTTP_10 && length.is_none(),
+            is_close_delimited: request.version == Version::HTTP_10 && length.is_none(),
         };
         Self::from_source(source, received, length)
     }
@@ -146,10 +146,11 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let polled = Pin::new(&mut self.incoming).poll_frame(cx);
-        self.client.set_stream_at_backend(polled.is_pending());
+        self.client
+            .set_stream_waiting_for_backend(polled.is_pending());
         if matches!(polled, Poll::Ready(Some(Err(_)))) {
             // The client's connection ends in the midst of the body, so that the client can tell.
-            if self.ends_with_connection {
+            if self.is_close_delimited {
                 self.client.stream_truncated();
             }
             self.end(StreamEnd::Aborted);
--- a/adapters/http/src/bad_request.rs
+++ b/adapters/http/src/bad_request.rs
@@ -11,7 +11,7 @@
     Missing(&'static str),
     /// A header is repeated, or its value can't be parsed.
     #[error("{0} can't be read")]
-    Unreadable(&'static str),
+    Malformed(&'static str),
     /// A header names something that the settings don't list.
     #[error("{0} is not known")]
     Unknown(&'static str),
@@ -40,7 +40,7 @@
             Self::BodyIncomplete => StatusCode::REQUEST_TIMEOUT,
             Self::Duplicate(_) => StatusCode::CONFLICT,
             Self::Missing(_)
-            | Self::Unreadable(_)
+            | Self::Malformed(_)
             | Self::Unknown(_)
             | Self::NotAllowed(_)
             | Self::Framing(_) => StatusCode::BAD_REQUEST,
--- a/adapters/http/src/client_connection.rs
+++ b/adapters/http/src/client_connection.rs
@@ -17,10 +17,10 @@
 use crate::routes::respond;
 use crate::server_context::ServerContext;
 use crate::timeouts::{LINGER_TIMEOUT, SHUTDOWN_CHECK_INTERVAL};
-use crate::tracked_connection::{CloseMode, DueClose, RequestTracker, TrackedConnection};
+use crate::tracked_connection::{CloseMode, ForcedClose, RequestTracker, TrackedConnection};
 
 /// Largest head of a request in bytes.
-const MAX_HEAD_SIZE: usize = 32 * 1024;
+const MAX_REQUEST_HEAD_BYTES: usize = 32 * 1024;
 /// The response to a request that has begun to arrive and is incomplete when the node exits: it has not run.
 const SHUTDOWN_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
@@ -60,7 +60,7 @@
     /// The client disconnected while it was owed a response.
     ClientDisconnected,
     /// It timed out, or is closed to admit another one.
-    Due(DueClose),
+    Forced(ForcedClose),
     /// The node is shutting down.
     Shutdown,
 }
@@ -74,7 +74,7 @@
     let stream = ObservedStream::new(stream, RequestTracker::new(connection.clone()));
     let end = serve_requests(&stream, context, connection).await;
     let close_mode = match &end {
-        ServeEnd::ClientDisconnected | ServeEnd::Due(DueClose::AtOnce) => return Ok(()),
+        ServeEnd::ClientDisconnected | ServeEnd::Forced(ForcedClose::Abort) => return Ok(()),
         ServeEnd::Shutdown if connection.has_partial_request() => {
             connection.lingering_close_started();
             stream.clone().write_all(SHUTDOWN_RESPONSE).await?;
@@ -83,7 +83,7 @@
         ServeEnd::Http(Err(_)) if connection.close_mode() == CloseMode::Graceful => {
             CloseMode::Lingering
         }
-        ServeEnd::Http(_) | ServeEnd::Due(DueClose::InGoodOrder) | ServeEnd::Shutdown => {
+        ServeEnd::Http(_) | ServeEnd::Forced(ForcedClose::Graceful) | ServeEnd::Shutdown => {
             connection.close_mode()
         }
     };
@@ -116,7 +116,7 @@
 ) -> ServeEnd {
     let service = service_fn(|request| respond(context, connection, request));
     let http_connection = http1::Builder::new()
-        .max_buf_size(MAX_HEAD_SIZE)
+        .max_buf_size(MAX_REQUEST_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream.clone()), service);
     // The HTTP library notices that the client disconnects only while no bytes have arrived behind the request.
     let mut disconnected = std::pin::pin!(stream.peer_closed(context.clock()));
@@ -133,7 +133,7 @@
         () = disconnected_before_response => ServeEnd::ClientDisconnected,
         never = finish_upload(connection, stream, context.clock()) => match never {},
         () = closed_by_shutdown(connection, stream, context) => ServeEnd::Shutdown,
-        due = closed_by_limit(connection, stream, context) => ServeEnd::Due(due),
+        close = closed_by_limit(connection, stream, context) => ServeEnd::Forced(close),
     }
 }
 
@@ -143,12 +143,12 @@
     connection: &TrackedConnection,
     stream: &ObservedStream<RequestTracker>,
     context: &ServerContext,
-) -> DueClose {
+) -> ForcedClose {
     loop {
         connection.close_requested().await;
         context.clock().settle().await;
-        if let Some(due) = connection.due_close(|| stream.has_unread_bytes()) {
-            return due;
+        if let Some(close) = connection.forced_close(|| stream.has_unread_bytes()) {
+            return close;
         }
     }
 }
@@ -176,11 +176,11 @@
             return;
         }
         let is_closed = *context.lifecycle.stage.borrow() == Stage::Closed;
-        let is_last_moment = is_closed && context.time_until_last_response() == 0;
+        let is_past_response_deadline = is_closed && context.time_until_last_response() == 0;
         // A request that has arrived is served, though the node has not read it yet.
         let has_request = connection.expects_request() && stream.has_unread_bytes();
         let is_quiescent = connection.is_quiescent() && !has_request;
-        if is_quiescent || (connection.is_reading_head() && is_last_moment) {
+        if is_quiescent || (connection.is_reading_head() && is_past_response_deadline) {
             return;
         }
         context.clock().sleep(SHUTDOWN_CHECK_INTERVAL).await;
--- a/adapters/http/src/connection_limiter/tests.rs
+++ b/adapters/http/src/connection_limiter/tests.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 use crate::observed_stream::StreamObserver;
-use crate::tracked_connection::{DueClose, RequestTracker};
+use crate::tracked_connection::{ForcedClose, RequestTracker};
 
 /// A limiter whose clock the test moves.
 struct TestLimiter {
@@ -53,15 +53,15 @@
 }
 
 /// How a connection is closed that is to be closed now, and on which nothing has arrived meanwhile.
-fn due_close(permit: &ConnectionPermit) -> Option<DueClose> {
+fn forced_close(permit: &ConnectionPermit) -> Option<ForcedClose> {
     let is_requested = poll(pin!(permit.connection().close_requested())).is_ready();
     is_requested
-        .then(|| permit.connection().due_close(|| false))
+        .then(|| permit.connection().forced_close(|| false))
         .flatten()
 }
 
 fn is_aborted(permit: &ConnectionPermit) -> bool {
-    due_close(permit) == Some(DueClose::AtOnce)
+    forced_close(permit) == Some(ForcedClose::Abort)
 }
 
 fn receive(permit: &ConnectionPermit, bytes: &[u8]) {
@@ -110,15 +110,18 @@
         test.advance(100);
         assert!(poll(timeouts.as_mut()).is_pending());
     }
-    assert_eq!((due_close(&silent), due_close(&stalled)), (None, None));
+    assert_eq!(
+        (forced_close(&silent), forced_close(&stalled)),
+        (None, None)
+    );
     test.advance(100);
     assert!(poll(timeouts.as_mut()).is_pending());
-    assert_eq!(due_close(&silent), Some(DueClose::InGoodOrder));
-    assert_eq!(due_close(&stalled), Some(DueClose::AtOnce));
+    assert_eq!(forced_close(&silent), Some(ForcedClose::Graceful));
+    assert_eq!(forced_close(&stalled), Some(ForcedClose::Abort));
 }
 
 #[test]
-fn half_of_the_connections_idle_are_a_surplus() {
+fn a_connection_closes_after_its_response_while_half_of_the_limit_is_idle() {
     let test = TestLimiter::new(4);
     let permits = [(); 3].map(|()| test.admit());
     let respond = |permit: &ConnectionPermit| {
@@ -131,34 +134,36 @@
         tracker.flushed();
     };
     respond(&permits[0]);
-    assert!(!permits[2].connection().is_surplus());
+    assert!(!permits[2].connection().should_close_after_response());
     respond(&permits[1]);
-    assert!(permits[2].connection().is_surplus());
+    assert!(permits[2].connection().should_close_after_response());
     let [first, ..] = permits;
     drop(first);
-    assert!(!test.admit().connection().is_surplus());
+    assert!(!test.admit().connection().should_close_after_response());
 }
 
 /// For a client's part in it and a backend's: the time limit is the same, what an operator does is not.
 #[test]
 fn a_stalled_stream_is_counted_for_the_side_that_stalls() {
-    for (is_at_backend, limit) in [
+    for (is_waiting_for_backend, limit) in [
         (false, ConnectionLimit::StreamToClient),
         (true, ConnectionLimit::StreamFromBackend),
     ] {
         let test = TestLimiter::new(1);
         let permit = test.admit();
         permit.connection().stream_started();
-        permit.connection().set_stream_at_backend(is_at_backend);
+        permit
+            .connection()
+            .set_stream_waiting_for_backend(is_waiting_for_backend);
         let mut timeouts = pin!(test.limiter.clone().run_timeouts());
         for _ in 0..300 {
             assert!(poll(timeouts.as_mut()).is_pending());
-            assert_eq!(due_close(&permit), None);
+            assert_eq!(forced_close(&permit), None);
             assert_eq!(test.metrics.connections_closed(limit), 0);
             test.advance(100);
         }
         assert!(poll(timeouts.as_mut()).is_pending());
-        assert_eq!(due_close(&permit), Some(DueClose::AtOnce));
+        assert_eq!(forced_close(&permit), Some(ForcedClose::Abort));
         let closed = ConnectionLimit::ALL.map(|limit| test.metrics.connections_closed(limit));
         assert_eq!(closed.iter().sum::<u64>(), 1);
         assert_eq!(test.metrics.connections_closed(limit), 1);
@@ -187,7 +192,7 @@
 
 /// A time limit, or the need of another connection, is decided on when it is known what has arrived by then.
 #[test]
-fn a_connection_on_which_something_has_arrived_is_not_closed() {
+fn a_connection_that_received_bytes_in_time_is_not_closed_by_a_limit() {
     let test = TestLimiter::new(3);
     let [silent, resumed, idle] = [(); 3].map(|()| test.admit());
     receive(&resumed, b"GET /api HTTP/1.1\r\nHost:");
@@ -201,10 +206,10 @@
     receive(&resumed, b" a\r\n\r\n");
     resumed.connection().head_parsed().expect("plain framing");
     resumed.connection().request_complete();
-    assert_eq!(due_close(&resumed), None);
+    assert_eq!(forced_close(&resumed), None);
     // A byte lies in the socket.
-    assert_eq!(silent.connection().due_close(|| true), None);
-    assert_eq!(due_close(&silent), Some(DueClose::InGoodOrder));
+    assert_eq!(silent.connection().forced_close(|| true), None);
+    assert_eq!(forced_close(&silent), Some(ForcedClose::Graceful));
     idle.connection().request_eviction();
-    assert_eq!(idle.connection().due_close(|| true), None);
+    assert_eq!(idle.connection().forced_close(|| true), None);
 }
--- a/adapters/http/src/connection_state/tests.rs
+++ b/adapters/http/src/connection_state/tests.rs
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_connection_is_not_evicted_with_a_request_on_it_or_before_its_time() {
+fn a_connection_is_not_evicted_with_a_request_on_it_or_below_its_minimum_age() {
     let now = 10 * SECOND;
     let kept = [
         ConnectionState::New {
--- a/adapters/http/src/discovery.rs
+++ b/adapters/http/src/discovery.rs
@@ -71,7 +71,7 @@
                 result = self.poll() => Some(result),
             };
             match result {
-                None => self.move_to(*address.borrow_and_update()),
+                None => self.switch_address(*address.borrow_and_update()),
                 Some(Ok(list)) => {
                     self.schedule.succeeded();
                     self.apply(list);
@@ -91,7 +91,7 @@
 
     /// Goes on at another address. Versions count at one address only, so that a snapshot is asked for; what has been
     /// learned of the backends stays, as they keep their names.
-    fn move_to(&mut self, address: SocketAddr) {
+    fn switch_address(&mut self, address: SocketAddr) {
         self.address = address;
         self.version = None;
         self.connection = None;
@@ -141,8 +141,8 @@
 
     /// Makes the call that is next on the schedule.
     async fn poll(&mut self) -> Result<EndpointList, PollError> {
-        let wants_snapshot = self.engine.take_snapshot_request();
-        let version = self.version.filter(|_| !wants_snapshot);
+        let is_snapshot_requested = self.engine.take_snapshot_request();
+        let version = self.version.filter(|_| !is_snapshot_requested);
         let PollCall {
             kind,
             timeout,
@@ -153,7 +153,7 @@
             PollKind::Watch(_) => PollError::WatchTimedOut,
         };
         let clock = self.engine.clock().clone();
-        let response = self.first_response(target(kind, version), hedge_delay);
+        let response = self.poll_hedged(request_target(kind, version), hedge_delay);
         clock
             .timeout(timeout, response)
             .await
@@ -162,7 +162,7 @@
 
     /// Makes one call, and the same again beside it as long as there is no response; the first response counts. Dropped
     /// with all calls that are in flight.
-    async fn first_response(
+    async fn poll_hedged(
         &mut self,
         target: String,
         hedge_delay: Duration,
@@ -190,7 +190,7 @@
 }
 
 /// The path and query of a call by a node that knows this version.
-fn target(kind: PollKind, version: Option<u64>) -> String {
+fn request_target(kind: PollKind, version: Option<u64>) -> String {
     let hold = match kind {
         PollKind::Snapshot => return LIST_PATH.to_owned(),
         PollKind::Delta => Duration::ZERO,
--- a/adapters/http/src/early_response.rs
+++ b/adapters/http/src/early_response.rs
@@ -85,7 +85,7 @@
 /// Whether a body that is forwarded after its response has begun has made no progress for too long, on either side.
 fn has_stalled(connection: &TrackedConnection, upload: &Upload, clock: &Clock) -> bool {
     let now = clock.now();
-    if !upload.is_forwarded() {
+    if !upload.can_forward() {
         return true;
     }
     let allowance = connection.body_time_at_lowest_rate();
--- a/adapters/http/src/endpoint_list/tests.rs
+++ b/adapters/http/src/endpoint_list/tests.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_valid_state_of_an_invalid_entry_counts() {
+fn the_valid_state_of_an_invalid_entry_is_applied() {
     for (name, state) in [
         ("Terminating", EndpointState::Draining),
         ("Gone", EndpointState::Removed),
--- a/adapters/http/src/forwarded_body/tests.rs
+++ b/adapters/http/src/forwarded_body/tests.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_had_been_received_is_forwarded_first() {
+fn the_part_received_before_is_forwarded_first() {
     let mut body = body("ab", [data("cd")], None);
     assert_eq!(next(&mut body), Some(Ok(Bytes::from_static(b"ab"))));
     assert_eq!(next(&mut body), Some(Ok(Bytes::from_static(b"cd"))));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_broken_source_breaks_the_body_off() {
+fn an_error_of_the_source_ends_the_body_with_an_error() {
     let mut body = body("", [data("ab"), Err("reset")], Some(4));
     next(&mut body);
     assert_eq!(next(&mut body), Some(Err("reset")));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn nothing_is_forwarded_of_an_abandoned_body() {
+fn a_failed_check_ends_the_body_with_an_error() {
     let mut body = body("ab", [data("cd")], None);
     source(&mut body).is_abandoned = true;
     assert_eq!(next(&mut body), Some(Err("abandoned")));
--- a/adapters/http/src/headers.rs
+++ b/adapters/http/src/headers.rs
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// The header is repeated, or its value is not text.
-pub(crate) fn single<'a>(
+pub(crate) fn single_value<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
 ) -> Result<Option<&'a str>, BadRequest> {
@@ -37,25 +37,25 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(BadRequest::Unreadable(name));
+        return Err(BadRequest::Malformed(name));
     }
     value
         .to_str()
         .map(|text| Some(text.trim()))
-        .map_err(|_| BadRequest::Unreadable(name))
+        .map_err(|_| BadRequest::Malformed(name))
 }
 
-/// The value of a header that must not be missing, otherwise like [`single`].
-pub(crate) fn required<'a>(
+/// The value of a header that must not be missing, otherwise like [`single_value`].
+pub(crate) fn required_value<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
 ) -> Result<&'a str, BadRequest> {
-    single(headers, name)?.ok_or(BadRequest::Missing(name))
+    single_value(headers, name)?.ok_or(BadRequest::Missing(name))
 }
 
 /// Parses the value of this header as a whole number.
-pub(crate) fn whole_number(name: &'static str, text: &str) -> Result<u64, BadRequest> {
-    text.parse().map_err(|_| BadRequest::Unreadable(name))
+pub(crate) fn parse_integer(name: &'static str, text: &str) -> Result<u64, BadRequest> {
+    text.parse().map_err(|_| BadRequest::Malformed(name))
 }
 
 /// A cookie's value (RFC 6265, section 4.2); none if the cookie is missing, empty or not text.
@@ -84,7 +84,7 @@
     if *method != required_method {
         return Err(BadRequest::Method(required_method));
     }
-    match (idempotency, single(headers, IDEMPOTENCY_KEY)?) {
+    match (idempotency, single_value(headers, IDEMPOTENCY_KEY)?) {
         (Idempotency::Keyed { .. }, None | Some("")) => Err(BadRequest::Missing(IDEMPOTENCY_KEY)),
         (Idempotency::Keyed { .. }, Some(_)) | (_, None) => Ok(()),
         (_, Some(_)) => Err(BadRequest::NotAllowed(IDEMPOTENCY_KEY)),
@@ -93,7 +93,7 @@
 
 /// Removes hop-by-hop headers (RFC 9110, section 7.6.1) and those that frame the message: both are set anew for the
 /// connection to the backend. The request id and the idempotency key stay even if `Connection` names them.
-pub(crate) fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
+pub(crate) fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
     let named_by_connection: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
--- a/adapters/http/src/headers/tests.rs
+++ b/adapters/http/src/headers/tests.rs
@@ -36,19 +36,23 @@
 }
 
 #[test]
-fn a_header_that_is_repeated_or_not_text_is_unreadable() {
-    let single = |lines| single(&headers(lines), CALL_ID).map(|value| value.map(str::to_owned));
-    assert!(matches!(single(&[]), Ok(None)));
-    assert_eq!(single(&[(CALL_ID, " a ")]).unwrap().as_deref(), Some("a"));
-    let repeated = single(&[(CALL_ID, "a"), (CALL_ID, "a")]);
-    assert!(matches!(repeated, Err(BadRequest::Unreadable(CALL_ID))));
+fn a_header_that_is_repeated_or_not_text_is_malformed() {
+    let single_value =
+        |lines| single_value(&headers(lines), CALL_ID).map(|value| value.map(str::to_owned));
+    assert!(matches!(single_value(&[]), Ok(None)));
+    assert_eq!(
+        single_value(&[(CALL_ID, " a ")]).unwrap().as_deref(),
+        Some("a")
+    );
+    let repeated = single_value(&[(CALL_ID, "a"), (CALL_ID, "a")]);
+    assert!(matches!(repeated, Err(BadRequest::Malformed(CALL_ID))));
     let mut not_text = HeaderMap::new();
     let value = HeaderValue::from_bytes(&[0xe9]).expect("a valid value");
     not_text.insert(CALL_ID, value);
-    let not_text = super::single(&not_text, CALL_ID);
-    assert!(matches!(not_text, Err(BadRequest::Unreadable(CALL_ID))));
+    let not_text = super::single_value(&not_text, CALL_ID);
+    assert!(matches!(not_text, Err(BadRequest::Malformed(CALL_ID))));
     let (none, missing) = (headers(&[]), BadRequest::Missing(CALL_ID).to_string());
-    let error = required(&none, CALL_ID).expect_err("it is missing");
+    let error = required_value(&none, CALL_ID).expect_err("it is missing");
     assert_eq!(error.to_string(), missing);
 }
 
@@ -103,7 +107,7 @@
 
 #[test]
 fn hop_by_hop_headers_are_not_forwarded() {
-    let forwarded = end_to_end(headers(&[
+    let forwarded = end_to_end_headers(headers(&[
         ("connection", "close, X-Mine"),
         ("connection", "x-call-id,idempotency-key"),
         ("x-mine", "1"),
--- a/adapters/http/src/lib.rs
+++ b/adapters/http/src/lib.rs
@@ -36,20 +36,20 @@
 
 /// Largest body in bytes that is buffered: such a request can be sent again, and such a response can be replaced by that of
 /// another attempt if it is truncated. A larger body is streamed.
-pub(crate) const MAX_BUFFERED_BODY: usize = 64 * 1024;
+pub(crate) const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
 /// A client's request as it is forwarded to backends.
 pub struct ForwardedRequest {
     /// The method.
-    pub method: Method,
+    pub(crate) method: Method,
     /// The path and query.
-    pub target: Uri,
+    pub(crate) target: Uri,
     /// The end-to-end headers.
-    pub headers: HeaderMap,
+    pub(crate) headers: HeaderMap,
     /// The body.
     body: upload::RequestBody,
     /// How long the client waits from the last byte of the request on, in milliseconds.
-    pub budget_ms: u64,
+    pub(crate) budget_ms: u64,
 }
 
 /// The types of HTTP requests and responses, for the engine.
--- a/adapters/http/src/observed_stream.rs
+++ b/adapters/http/src/observed_stream.rs
@@ -81,7 +81,7 @@
     /// It has closed its side, or the connection is broken.
     Closed,
     /// Bytes that are not to be read yet come first.
-    HasSentMore,
+    HasUnreadBytes,
 }
 
 impl PeerState {
@@ -89,7 +89,7 @@
         if is_closed {
             Self::Closed
         } else {
-            Self::HasSentMore
+            Self::HasUnreadBytes
         }
     }
 }
@@ -185,7 +185,7 @@
     }
 
     /// Records a write, and defers its error where that is wanted.
-    fn write_ended(&mut self, write: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn record_write(&mut self, write: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         match &write {
             Poll::Ready(Ok(written)) => {
                 activity::written(*written);
@@ -257,7 +257,7 @@
             return Poll::Pending;
         }
         let write = Pin::new(&mut state.stream).poll_write(cx, bytes);
-        state.write_ended(write)
+        state.record_write(write)
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -283,7 +283,7 @@
             return Poll::Pending;
         }
         let write = Pin::new(&mut state.stream).poll_write_vectored(cx, slices);
-        state.write_ended(write)
+        state.record_write(write)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/adapters/http/src/poll_schedule.rs
+++ b/adapters/http/src/poll_schedule.rs
@@ -91,7 +91,7 @@
 pub(crate) struct PollSchedule {
     timings: &'static PollTimings,
     /// The state of the random numbers.
-    random: u64,
+    random_state: u64,
     /// The last watch timed out: what it missed is asked for before the next one.
     needs_delta: bool,
     next_backoff: Duration,
@@ -108,7 +108,7 @@
         };
         Self {
             timings,
-            random: seed,
+            random_state: seed,
             needs_delta: false,
             next_backoff: timings.initial_backoff,
         }
@@ -123,10 +123,10 @@
     /// The next call, for a node that needs a snapshot, or knows a version.
     pub(crate) fn next_call(&mut self, needs_snapshot: bool) -> PollCall {
         if needs_snapshot {
-            return self.immediate(PollKind::Snapshot);
+            return self.immediate_call(PollKind::Snapshot);
         }
         if self.needs_delta {
-            return self.immediate(PollKind::Delta);
+            return self.immediate_call(PollKind::Delta);
         }
         let PollTimings {
             min_watch_hold: min,
@@ -142,7 +142,7 @@
     }
 
     /// A call that is answered at once.
-    fn immediate(&self, kind: PollKind) -> PollCall {
+    fn immediate_call(&self, kind: PollKind) -> PollCall {
         PollCall {
             kind,
             timeout: self.timings.response_timeout,
@@ -172,8 +172,8 @@
 
     /// A random number from 0 to 1, by SplitMix64.
     fn random_fraction(&mut self) -> f64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.random;
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut z = self.random_state;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
--- a/adapters/http/src/poll_schedule/tests.rs
+++ b/adapters/http/src/poll_schedule/tests.rs
@@ -33,7 +33,7 @@
 
 /// Guards against a hold and its grace that are as long as what is allowed for all of it (5 s and 1 s stood here).
 #[test]
-fn beside_an_agent_a_watch_that_times_out_is_made_up_for_within_the_update_limit() {
+fn changes_missed_by_a_watch_of_an_agent_arrive_within_the_update_limit() {
     for failures in 0..=2 {
         let total = recovery_time(&mut PollSchedule::new(false, 1), failures);
         assert!(total < UPDATE_LIMIT, "{failures} failures: {total:?}");
@@ -43,7 +43,7 @@
 /// An update that a watch misses counts as known 2 s after its hold, and the backend may be sent to for the grace of a
 /// drain after that.
 #[test]
-fn at_a_polled_service_a_watch_that_times_out_is_replaced_within_two_seconds_of_its_hold() {
+fn a_watch_of_a_service_times_out_within_two_seconds_of_its_hold_and_a_delta_follows() {
     for seed in 0..200 {
         let mut schedule = PollSchedule::new(true, seed);
         let (hold, watch) = next_watch(&mut schedule);
--- a/adapters/http/src/request_body.rs
+++ b/adapters/http/src/request_body.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming};
 
-use crate::MAX_BUFFERED_BODY;
+use crate::MAX_BUFFERED_BODY_BYTES;
 use crate::bad_request::BadRequest;
 use crate::memory_budget::{BufferedBytes, BytesCollector};
 use crate::server_context::ServerContext;
@@ -41,7 +41,7 @@
             continue;
         };
         collected.add(data);
-        if collected.len() >= MAX_BUFFERED_BODY && !body.is_end_stream() {
+        if collected.len() >= MAX_BUFFERED_BODY_BYTES && !body.is_end_stream() {
             let first = BufferedBytes::new(collected.into_bytes(), Some(reservation));
             return Ok(RequestBody::Streaming(Upload::new(
                 first, body, length, clock,
@@ -54,10 +54,10 @@
 
 /// Bytes to reserve for a body of this length; one of unknown length may be as large as the largest.
 fn buffer_size(length: Option<u64>) -> usize {
-    length.map_or(MAX_BUFFERED_BODY, |length| {
+    length.map_or(MAX_BUFFERED_BODY_BYTES, |length| {
         usize::try_from(length)
             .unwrap_or(usize::MAX)
-            .min(MAX_BUFFERED_BODY)
+            .min(MAX_BUFFERED_BODY_BYTES)
     })
 }
 
@@ -81,17 +81,17 @@
 }
 
 /// Whom an upload waits for that has made no progress for too long.
-pub(crate) enum StalledBody {
+pub(crate) enum StalledSide {
     /// Its client.
-    AtClient,
+    Client,
     /// A backend that takes its bytes.
-    AtBackend,
+    Backend,
 }
 
 /// When an upload will have made no progress for too long, unless it does.
 struct Stall {
-    at: Nanos,
-    body: StalledBody,
+    deadline: Nanos,
+    side: StalledSide,
 }
 
 /// Resolves once an upload has made no progress for too long. Either its client is too slow; or the client has sent all
@@ -101,19 +101,19 @@
     connection: &TrackedConnection,
     upload: &Upload,
     budget: Nanos,
-) -> StalledBody {
+) -> StalledSide {
     loop {
         let stall = next_stall(clock, connection, upload, budget);
-        if clock.now() < stall.at {
+        if clock.now() < stall.deadline {
             let next_check = clock.now().saturating_add(nanos(UPLOAD_CHECK_INTERVAL));
-            clock.sleep_until(stall.at.min(next_check)).await;
+            clock.sleep_until(stall.deadline.min(next_check)).await;
             continue;
         }
         // Bytes that have arrived by now are with their reader after that, and the stall is over.
         clock.settle().await;
         let stall = next_stall(clock, connection, upload, budget);
-        if clock.now() >= stall.at {
-            return stall.body;
+        if clock.now() >= stall.deadline {
+            return stall.side;
         }
     }
 }
@@ -131,15 +131,15 @@
     );
     connection.set_backend_blocked(client_deadline.is_none());
     match client_deadline {
-        Some(at) => Stall {
-            at,
-            body: StalledBody::AtClient,
+        Some(deadline) => Stall {
+            deadline,
+            side: StalledSide::Client,
         },
         None => {
             let since = upload.waiting_for_backend_since().unwrap_or(clock.now());
             Stall {
-                at: since.saturating_add(budget),
-                body: StalledBody::AtBackend,
+                deadline: since.saturating_add(budget),
+                side: StalledSide::Backend,
             }
         }
     }
--- a/adapters/http/src/request_queue.rs
+++ b/adapters/http/src/request_queue.rs
@@ -8,7 +8,7 @@
 
 /// Most pipelined requests that are remembered. No more can have been read: 32 KiB by the HTTP library and 16 KiB ahead of
 /// it, and no request is shorter than 16 bytes.
-const MAX_PIPELINED: usize = 4096;
+const MAX_PIPELINED_REQUESTS: usize = 4096;
 
 /// The requests of one connection, numbered from 1.
 #[derive(Debug, Default)]
@@ -36,12 +36,12 @@
                 self.last_started_at = now;
             }
             FramingEvent::HeadComplete(result) => {
-                self.head_results.truncate(MAX_PIPELINED - 1);
+                self.head_results.truncate(MAX_PIPELINED_REQUESTS - 1);
                 self.head_results.push_back(result);
             }
             FramingEvent::MessageComplete => {
                 self.completed += 1;
-                self.completed_at.truncate(MAX_PIPELINED - 1);
+                self.completed_at.truncate(MAX_PIPELINED_REQUESTS - 1);
                 self.completed_at.push_back(now);
             }
             FramingEvent::BodyInvalid(_) => {}
--- a/adapters/http/src/request_queue/tests.rs
+++ b/adapters/http/src/request_queue/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_request_whose_body_is_on_its_way_is_complete_later() {
+fn a_request_is_complete_only_after_the_last_byte_of_its_body() {
     let mut queue = recorded(&[(FramingEvent::Started, 1), (HEAD, 2)]);
     assert_eq!(queue.advance(), Ok(()));
     assert_eq!(queue.completed_at(), None);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn only_a_request_that_nothing_waits_before_is_incomplete() {
+fn incomplete_since_is_set_only_while_the_next_request_is_incomplete() {
     let mut queue = recorded(&[(FramingEvent::Started, 1), (HEAD, 1)]);
     assert_eq!(queue.incomplete_since(), Some(1));
     assert_eq!(queue.advance(), Ok(()));
@@ -57,12 +57,15 @@
 }
 
 #[test]
-fn more_requests_than_are_remembered_leave_a_bounded_queue() {
+fn the_queue_stays_bounded_with_more_requests_than_are_tracked() {
     let mut queue = RequestQueue::default();
-    for _ in 0..5 * MAX_PIPELINED {
+    for _ in 0..5 * MAX_PIPELINED_REQUESTS {
         queue.record(FramingEvent::Started, 1);
         queue.record(HEAD, 1);
         queue.record(FramingEvent::MessageComplete, 1);
     }
-    assert!(queue.head_results.len() <= MAX_PIPELINED && queue.completed_at.len() <= MAX_PIPELINED);
+    assert!(
+        queue.head_results.len() <= MAX_PIPELINED_REQUESTS
+            && queue.completed_at.len() <= MAX_PIPELINED_REQUESTS
+    );
 }
--- a/adapters/http/src/routes.rs
+++ b/adapters/http/src/routes.rs
@@ -21,7 +21,7 @@
 
 impl RoutedResponse {
     /// A response to a request that has been read.
-    fn to_valid(status: StatusCode, text: &str) -> Self {
+    fn for_valid_request(status: StatusCode, text: &str) -> Self {
         Self {
             response: client_response::plain_text(status, text),
             close_mode: CloseMode::Graceful,
@@ -29,7 +29,7 @@
     }
 
     /// A response to a request that is invalid: its client may still be sending it.
-    fn to_invalid(status: StatusCode, text: &str) -> Self {
+    fn for_invalid_request(status: StatusCode, text: &str) -> Self {
         Self {
             response: client_response::plain_text(status, text),
             close_mode: CloseMode::Lingering,
@@ -39,7 +39,7 @@
 
 impl From<BadRequest> for RoutedResponse {
     fn from(error: BadRequest) -> Self {
-        Self::to_invalid(error.status(), &error.to_string())
+        Self::for_invalid_request(error.status(), &error.to_string())
     }
 }
 
@@ -85,14 +85,14 @@
             Err(error) => error.into(),
         },
         "/health/ready" => readiness(context, request.method()),
-        _ => RoutedResponse::to_invalid(StatusCode::NOT_FOUND, "no such path"),
+        _ => RoutedResponse::for_invalid_request(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
 /// Whether the node takes new requests.
 fn readiness(context: &ServerContext, method: &Method) -> RoutedResponse {
     if method != Method::GET {
-        return RoutedResponse::to_invalid(StatusCode::METHOD_NOT_ALLOWED, "GET only");
+        return RoutedResponse::for_invalid_request(StatusCode::METHOD_NOT_ALLOWED, "GET only");
     }
     let (status, text) = if !context.is_in_service() {
         (StatusCode::SERVICE_UNAVAILABLE, "stopping or standing by")
@@ -101,7 +101,7 @@
     } else {
         (StatusCode::SERVICE_UNAVAILABLE, "no server known yet")
     };
-    RoutedResponse::to_valid(status, text)
+    RoutedResponse::for_valid_request(status, text)
 }
 
 /// Whether the connection is kept alive after the response to the current request.
@@ -118,5 +118,7 @@
     if connection.has_pipelined_request() {
         return true;
     }
-    close_mode == CloseMode::Graceful && context.is_in_service() && !connection.is_surplus()
+    close_mode == CloseMode::Graceful
+        && context.is_in_service()
+        && !connection.should_close_after_response()
 }
--- a/adapters/http/src/tracked_connection.rs
+++ b/adapters/http/src/tracked_connection.rs
@@ -17,7 +17,7 @@
 use crate::request_queue::RequestQueue;
 use crate::timeouts::IDLE_LIMIT_DIVISOR;
 
-pub(crate) use self::closing::DueClose;
+pub(crate) use self::closing::ForcedClose;
 pub(crate) use self::request_tracker::RequestTracker;
 
 /// How a connection has to be closed, by its last response.
@@ -46,7 +46,7 @@
     }
 
     /// Whether there are so many that a further connection had better close than become idle.
-    fn is_surplus(&self) -> bool {
+    fn is_at_limit(&self) -> bool {
         self.count.get() >= self.max_connections.get() / IDLE_LIMIT_DIVISOR
     }
 
@@ -77,7 +77,7 @@
     /// Whether it is to be closed so that another one can be admitted.
     is_eviction_requested: Cell<bool>,
     /// Whether the response that is streamed waits for its backend, and not for its client.
-    is_stream_at_backend: Cell<bool>,
+    is_stream_waiting_for_backend: Cell<bool>,
     idle_connections: Rc<IdleConnections>,
     close_recorder: Rc<CloseRecorder>,
     clock: Clock,
@@ -102,7 +102,7 @@
             abort: Notify::new(),
             close_requested: Notify::new(),
             is_eviction_requested: Cell::new(false),
-            is_stream_at_backend: Cell::new(false),
+            is_stream_waiting_for_backend: Cell::new(false),
             idle_connections,
             close_recorder,
             clock,
@@ -240,8 +240,9 @@
     }
 
     /// Sets whether the response that is streamed waits for its backend, and not for its client.
-    pub(crate) fn set_stream_at_backend(&self, is_at_backend: bool) {
-        self.is_stream_at_backend.set(is_at_backend);
+    pub(crate) fn set_stream_waiting_for_backend(&self, is_waiting_for_backend: bool) {
+        self.is_stream_waiting_for_backend
+            .set(is_waiting_for_backend);
     }
 
     /// The last byte of a streamed response has arrived from the backend.
--- a/adapters/http/src/tracked_connection/closing.rs
+++ b/adapters/http/src/tracked_connection/closing.rs
@@ -8,17 +8,17 @@
 
 /// How a connection has to be closed that a time limit ends, or that makes room for another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum DueClose {
+pub(crate) enum ForcedClose {
     /// No request has been parsed on it that is owed a response.
-    InGoodOrder,
+    Graceful,
     /// Nothing more can be sent on it, or it makes room for another one.
-    AtOnce,
+    Abort,
 }
 
 impl TrackedConnection {
     /// Whether too many connections are idle, so that this one had better close after its response.
-    pub(crate) fn is_surplus(&self) -> bool {
-        self.idle_connections.is_surplus()
+    pub(crate) fn should_close_after_response(&self) -> bool {
+        self.idle_connections.is_at_limit()
     }
 
     /// Whether it may be closed without a response: no request is arriving, served or expected at once.
@@ -52,7 +52,7 @@
         });
     }
 
-    /// Resolves once the connection is to be closed. Whether it is, and how, [`due_close`](Self::due_close) decides.
+    /// Resolves once the connection is to be closed. Whether it is, and how, [`forced_close`](Self::forced_close) decides.
     pub(crate) async fn close_requested(&self) {
         self.close_requested.notified().await;
     }
@@ -81,7 +81,7 @@
     /// How the connection has to be closed now, by its time limit or to admit another one; none if it may stay. Bytes
     /// that have arrived and were not read are the request that it is closed for lack of: `has_unread_bytes` tells of
     /// them.
-    pub(crate) fn due_close(&self, has_unread_bytes: impl Fn() -> bool) -> Option<DueClose> {
+    pub(crate) fn forced_close(&self, has_unread_bytes: impl Fn() -> bool) -> Option<ForcedClose> {
         let now = self.clock.now();
         let state = self.state.get();
         let is_evicted = self.is_eviction_requested.take() && self.eviction_rank(now).is_some();
@@ -91,13 +91,13 @@
         }
         if is_evicted {
             self.close_recorder.record(ConnectionLimit::Eviction);
-            return Some(DueClose::AtOnce);
+            return Some(ForcedClose::Abort);
         }
         self.record_close();
         if state.times_out_gracefully() {
-            Some(DueClose::InGoodOrder)
+            Some(ForcedClose::Graceful)
         } else {
-            Some(DueClose::AtOnce)
+            Some(ForcedClose::Abort)
         }
     }
 
@@ -120,7 +120,7 @@
     /// The limit that the connection's state enforces.
     fn limit(&self) -> Option<ConnectionLimit> {
         match self.state.get().limit() {
-            Some(ConnectionLimit::StreamToClient) if self.is_stream_at_backend.get() => {
+            Some(ConnectionLimit::StreamToClient) if self.is_stream_waiting_for_backend.get() => {
                 Some(ConnectionLimit::StreamFromBackend)
             }
             limit => limit,
--- a/adapters/http/src/upload.rs
+++ b/adapters/http/src/upload.rs
@@ -48,12 +48,12 @@
     }
 
     /// Whether its client has broken it off.
-    pub fn is_broken(&self) -> bool {
-        matches!(self, Self::Streaming(upload) if upload.is_broken.get())
+    pub fn is_aborted(&self) -> bool {
+        matches!(self, Self::Streaming(upload) if upload.is_aborted.get())
     }
 
     /// The body of a message to a backend. One made before for the same request ends with an error.
-    pub fn message(&self, engine: &HttpEngine, attempt: AttemptId) -> OutgoingBody {
+    pub fn outgoing_body(&self, engine: &HttpEngine, attempt: AttemptId) -> OutgoingBody {
         match self {
             Self::Buffered(buffered) => OutgoingBody::from(buffered.bytes.clone()),
             Self::Streaming(upload) => {
@@ -73,7 +73,7 @@
     }
 
     /// Ends all messages that were made: none reads any more of the body.
-    pub fn abandon(&self) {
+    pub fn stop_forwarding(&self) {
         if let Self::Streaming(upload) = self {
             upload.replace_reader();
             upload.set_waiting_for_client(false);
@@ -91,10 +91,10 @@
     }
 
     /// The exchange that the message made last belongs to.
-    pub fn exchange(&self) -> UploadExchange {
+    pub fn start_exchange(&self) -> UploadExchange {
         match self {
             Self::Buffered(_) => UploadExchange(None),
-            Self::Streaming(upload) => UploadExchange(Some(ExchangedUpload {
+            Self::Streaming(upload) => UploadExchange(Some(ActiveUpload {
                 upload: upload.clone(),
                 reader: upload.current_reader.get(),
                 has_early_response: false,
@@ -105,9 +105,9 @@
 
 /// The upload's part in an exchange with a backend. The exchange has ended once this is dropped.
 #[derive(Default)]
-pub struct UploadExchange(Option<ExchangedUpload>);
+pub struct UploadExchange(Option<ActiveUpload>);
 
-struct ExchangedUpload {
+struct ActiveUpload {
     upload: Rc<Upload>,
     reader: u64,
     /// Whether the response began before the body was complete.
@@ -117,8 +117,8 @@
 impl UploadExchange {
     /// The response has begun.
     pub fn response_started(&mut self) {
-        if let Some(exchanged) = &mut self.0 {
-            exchanged.has_early_response = !exchanged.upload.is_complete();
+        if let Some(active) = &mut self.0 {
+            active.has_early_response = !active.upload.is_complete();
         }
     }
 
@@ -127,11 +127,11 @@
     pub fn has_early_response(&self) -> bool {
         self.0
             .as_ref()
-            .is_some_and(|exchanged| exchanged.has_early_response)
+            .is_some_and(|active| active.has_early_response)
     }
 }
 
-impl Drop for ExchangedUpload {
+impl Drop for ActiveUpload {
     fn drop(&mut self) {
         if self.reader == self.upload.current_reader.get() {
             self.upload.exchange_ended();
@@ -159,13 +159,13 @@
     reader_waker: RefCell<Option<Waker>>,
     /// A byte beyond `received` was read.
     is_consumed: Cell<bool>,
-    is_broken: Cell<bool>,
+    is_aborted: Cell<bool>,
     is_complete: Cell<bool>,
     completed: Notify,
     /// Since when a reader waits for the client; none while the client waits for a reader.
     waiting_for_client_since: Cell<Option<Nanos>>,
     /// How long readers have waited for the client before that.
-    client_wait: Cell<Nanos>,
+    total_client_wait: Cell<Nanos>,
     /// When the upload began, or the client last sent something that was read.
     last_progress_at: Cell<Nanos>,
     clock: Clock,
@@ -189,11 +189,11 @@
             has_exchange_ended: Cell::new(false),
             reader_waker: RefCell::default(),
             is_consumed: Cell::new(false),
-            is_broken: Cell::new(false),
+            is_aborted: Cell::new(false),
             is_complete: Cell::new(false),
             completed: Notify::new(),
             waiting_for_client_since: Cell::new(None),
-            client_wait: Cell::new(0),
+            total_client_wait: Cell::new(0),
             last_progress_at: Cell::new(clock.now()),
             clock: clock.clone(),
         })
@@ -221,7 +221,7 @@
         let since = self.waiting_for_client_since.get()?;
         let remaining = max_wait
             .saturating_add(allowance)
-            .saturating_sub(self.client_wait.get());
+            .saturating_sub(self.total_client_wait.get());
         Some(since.saturating_add(remaining.min(max_wait)))
     }
 
@@ -233,8 +233,8 @@
             (Some(since), false) => {
                 self.waiting_for_client_since.set(None);
                 let waited = now.saturating_sub(since);
-                self.client_wait
-                    .set(self.client_wait.get().saturating_add(waited));
+                self.total_client_wait
+                    .set(self.total_client_wait.get().saturating_add(waited));
             }
             _ => {}
         }
@@ -269,8 +269,8 @@
     }
 
     /// Whether a backend may read on.
-    pub fn is_forwarded(&self) -> bool {
-        self.has_reader.get() && !self.is_broken.get() && self.incoming.borrow().is_some()
+    pub fn can_forward(&self) -> bool {
+        self.has_reader.get() && !self.is_aborted.get() && self.incoming.borrow().is_some()
     }
 
     /// No backend reads on. A response that is still arriving goes on: its connection ends only behind it.
@@ -336,7 +336,7 @@
         match polled {
             None => Poll::Ready(None),
             Some(Err(error)) => {
-                upload.is_broken.set(true);
+                upload.is_aborted.set(true);
                 Poll::Ready(Some(Err(io::Error::other(error))))
             }
             Some(Ok(frame)) => {
--- a/adapters/http/src/upstream/attempt.rs
+++ b/adapters/http/src/upstream/attempt.rs
@@ -49,7 +49,7 @@
     if end.response.is_some() {
         command.payload.body.response_received();
     } else {
-        command.payload.body.abandon();
+        command.payload.body.stop_forwarding();
     }
     let may_finish_late = attempt.may_finish_late(end.outcome);
     engine.attempt_ended(command.attempt, end);
@@ -162,10 +162,10 @@
             leased.release();
             return Some(AttemptEnd::bare(Outcome::NotSent));
         }
-        let Some(mut message) = self.message() else {
+        let Some(mut message) = self.outgoing_request() else {
             return Some(AttemptEnd::bare(Outcome::NotSent));
         };
-        leased.upload = self.command.payload.body.exchange();
+        leased.upload = self.command.payload.body.start_exchange();
         let idle_time = leased.idle_time;
         let activity = leased.connection.response_activity.clone();
         activity.expect_response(&mut message);
@@ -206,7 +206,7 @@
     /// The outcome of an exchange that ended because its request was not uploaded whole; none for any other.
     fn upload_failure(&self, end: &AttemptEnd) -> Option<Outcome> {
         let body = &self.command.payload.body;
-        if body.is_broken() {
+        if body.is_aborted() {
             // A client that breaks off its request is no fault of the backend's.
             Some(Outcome::NotSent)
         } else if end.outcome == Outcome::Reset && !body.is_complete() {
@@ -218,13 +218,17 @@
     }
 
     /// The request as it is written to the backend; none if the backend's address makes no valid header.
-    fn message(&self) -> Option<Request<OutgoingBody>> {
+    fn outgoing_request(&self) -> Option<Request<OutgoingBody>> {
         let request = &self.command.payload;
         let ends_at = self.command.attempt_deadline.min(self.command.expires_at);
         let time_left_ms = ends_at.saturating_sub(self.pool.clock.now()) / MILLISECOND;
         // While its body is being uploaded, its client's time has not begun.
         let budget_ms = time_left_ms.min(request.budget_ms);
-        let mut message = Request::new(request.body.message(self.engine, self.command.attempt));
+        let mut message = Request::new(
+            request
+                .body
+                .outgoing_body(self.engine, self.command.attempt),
+        );
         *message.method_mut() = request.method.clone();
         *message.uri_mut() = request.target.clone();
         *message.headers_mut() = request.headers.clone();
--- a/adapters/http/src/upstream/idle_reset_rates.rs
+++ b/adapters/http/src/upstream/idle_reset_rates.rs
@@ -6,7 +6,7 @@
 use badgerpost_time::{MILLISECOND, Nanos};
 
 /// Number of ranges of idle time. Each is as long as all before it together.
-const RANGES: usize = 12;
+const RANGE_COUNT: usize = 12;
 /// End of the first range.
 const FIRST_RANGE_END: Nanos = 16 * MILLISECOND;
 /// Weight of one request in the moving average of its range.
@@ -18,7 +18,7 @@
 
 /// The share of requests whose connection was reset, as a moving average for each range of idle time.
 #[derive(Default)]
-pub(crate) struct IdleResetRates([Cell<f64>; RANGES]);
+pub(crate) struct IdleResetRates([Cell<f64>; RANGE_COUNT]);
 
 impl IdleResetRates {
     /// Records a request on a connection that had been idle for this long, and whether it was reset.
@@ -45,7 +45,7 @@
         let doublings = (idle_time / FIRST_RANGE_END)
             .checked_ilog2()
             .map_or(0, |log| log as usize + 1);
-        &self.0[doublings.min(RANGES - 1)]
+        &self.0[doublings.min(RANGE_COUNT - 1)]
     }
 }
 
--- a/adapters/http/src/upstream/idle_reset_rates/tests.rs
+++ b/adapters/http/src/upstream/idle_reset_rates/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_first_and_the_last_range_hold_all_idle_times_beyond() {
+fn idle_times_beyond_the_ranges_fall_into_the_first_or_the_last_range() {
     let rates = IdleResetRates::default();
     for _ in 0..3 {
         rates.record(0, true);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn reuse_is_tried_again_after_served_requests_or_some_time() {
+fn reuse_is_allowed_again_after_a_served_request_or_decay() {
     let rates = IdleResetRates::default();
     for idle_time in [100 * MILLISECOND, 1000 * MILLISECOND] {
         for _ in 0..3 {
--- a/adapters/http/src/upstream/load_report/tests.rs
+++ b/adapters/http/src/upstream/load_report/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn figures(text: &str) -> [Option<f64>; 3] {
+fn reported_values(text: &str) -> [Option<f64>; 3] {
     let report = parse(text.as_bytes());
     [
         report.utilization,
@@ -10,25 +10,25 @@
 }
 
 #[test]
-fn figures_are_read_under_either_name() {
+fn values_are_read_under_either_field_name() {
     let expected = [Some(0.5), Some(12.0), Some(3.0)];
     for text in [
         r#"{"util":0.5,"qps":12,"inflight":3}"#,
         r#"{"load_share":0.5,"tps":12,"concurrent":3}"#,
     ] {
-        assert_eq!(figures(text), expected, "{text}");
+        assert_eq!(reported_values(text), expected, "{text}");
     }
 }
 
 #[test]
-fn an_absent_figure_leaves_the_others_valid() {
-    assert_eq!(figures(r#"{"util":0.5}"#), [Some(0.5), None, None]);
+fn an_absent_value_leaves_the_others_valid() {
+    assert_eq!(reported_values(r#"{"util":0.5}"#), [Some(0.5), None, None]);
 }
 
 #[test]
 fn a_report_that_can_not_be_parsed_is_empty() {
     for text in ["", "{", "[]", "null", r#"{"util":"half"}"#, r#"{"qps":[]}"#] {
-        assert_eq!(figures(text), [None; 3], "{text}");
+        assert_eq!(reported_values(text), [None; 3], "{text}");
     }
 }
 
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -9,7 +9,7 @@
 
 use super::pool::LeasedConnection;
 use super::{AttemptEnd, load_report};
-use crate::MAX_BUFFERED_BODY;
+use crate::MAX_BUFFERED_BODY_BYTES;
 use crate::backend_response::{BackendResponse, BackendResponseBody, StreamEnd, StreamingResponse};
 use crate::memory_budget::{BufferedBytes, BytesCollector, Reservation};
 
@@ -45,7 +45,7 @@
 }
 
 /// How far a body was read.
-enum BodyProgress {
+enum ReadProgress {
     Complete,
     /// As many bytes as were asked for are here, and more is to come.
     Partial,
@@ -64,25 +64,32 @@
         return AttemptEnd::bare(Outcome::InvalidResponse);
     }
     let head = ResponseHead::new(&parts, body.size_hint().exact(), forwarded_errors);
-    let max_body = MAX_BUFFERED_BODY as u64;
+    let max_body = MAX_BUFFERED_BODY_BYTES as u64;
     let buffer_bytes = head.length.map_or(max_body, |length| length.min(max_body)) as usize;
     let reservation = leased.pool.response_budget.reserve(buffer_bytes);
     let is_large = reservation.is_none() || head.length.is_some_and(|length| length > max_body);
-    let enough_bytes = if is_large {
+    let streaming_threshold_bytes = if is_large {
         STREAMING_START_BYTES
     } else {
-        MAX_BUFFERED_BODY + 1
+        MAX_BUFFERED_BODY_BYTES + 1
     };
     let mut received = BytesCollector::default();
-    match read_body(&mut body, head.length, enough_bytes, &mut received).await {
+    match read_body(
+        &mut body,
+        head.length,
+        streaming_threshold_bytes,
+        &mut received,
+    )
+    .await
+    {
         Err(error) => AttemptEnd::bare(failure_outcome(&error)),
-        Ok(BodyProgress::Partial) => streaming_end(&head, leased, received, reservation, body),
-        Ok(BodyProgress::Complete)
-            if received.len() == 0 && ends_unannounced(&parts, head.length) =>
+        Ok(ReadProgress::Partial) => streaming_end(&head, leased, received, reservation, body),
+        Ok(ReadProgress::Complete)
+            if received.len() == 0 && has_unannounced_close(&parts, head.length) =>
         {
             AttemptEnd::bare(Outcome::InvalidResponse)
         }
-        Ok(BodyProgress::Complete) => {
+        Ok(ReadProgress::Complete) => {
             leased.release();
             let bytes = BufferedBytes::new(received.into_bytes(), reservation);
             head.end(Some(BackendResponseBody::Buffered(bytes)))
@@ -90,24 +97,24 @@
     }
 }
 
-/// Reads until the body is complete, or `enough_bytes` of it are here and more are to come.
+/// Reads until the body is complete, or `streaming_threshold_bytes` of it are here and more are to come.
 async fn read_body(
     body: &mut Incoming,
     length: Option<u64>,
-    enough_bytes: usize,
+    streaming_threshold_bytes: usize,
     received: &mut BytesCollector,
-) -> Result<BodyProgress, hyper::Error> {
+) -> Result<ReadProgress, hyper::Error> {
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else {
             continue;
         };
         received.add(data);
         let has_all = length == Some(received.len() as u64);
-        if !has_all && received.len() >= enough_bytes {
-            return Ok(BodyProgress::Partial);
+        if !has_all && received.len() >= streaming_threshold_bytes {
+            return Ok(ReadProgress::Partial);
         }
     }
-    Ok(BodyProgress::Complete)
+    Ok(ReadProgress::Complete)
 }
 
 /// The end of an attempt whose response is forwarded as it comes.
@@ -185,7 +192,7 @@
 /// Whether a response ends with its connection only (RFC 9112, section 6.3) and its backend has not announced the close
 /// (section 9.6). The end of the connection is its end, a reset is none. Without a single byte of the body, it is more
 /// likely the end of a backend that stopped before it had answered.
-fn ends_unannounced(head: &Parts, length: Option<u64>) -> bool {
+fn has_unannounced_close(head: &Parts, length: Option<u64>) -> bool {
     let is_framed = length.is_some() || head.headers.contains_key(TRANSFER_ENCODING);
     let lines = head
         .headers
--- a/adapters/http/src/upstream/response_reader/tests.rs
+++ b/adapters/http/src/upstream/response_reader/tests.rs
@@ -30,9 +30,9 @@
 }
 
 #[test]
-fn an_unframed_response_ends_unannounced_unless_the_close_was_announced() {
-    assert!(ends_unannounced(&head(200, &[]), None));
-    assert!(ends_unannounced(
+fn a_close_delimited_response_without_connection_close_has_an_unannounced_close() {
+    assert!(has_unannounced_close(&head(200, &[]), None));
+    assert!(has_unannounced_close(
         &head(200, &[("connection", "keep-alive")]),
         None
     ));
@@ -41,14 +41,17 @@
         &[("connection", "x, Close")],
         &[("transfer-encoding", "chunked")],
     ] {
-        assert!(!ends_unannounced(&head(200, headers), None), "{headers:?}");
+        assert!(
+            !has_unannounced_close(&head(200, headers), None),
+            "{headers:?}"
+        );
     }
 }
 
 #[test]
-fn a_response_of_known_length_or_of_http_1_0_does_not_end_unannounced() {
-    assert!(!ends_unannounced(&head(200, &[]), Some(0)));
+fn a_response_of_known_length_or_of_http_1_0_has_no_unannounced_close() {
+    assert!(!has_unannounced_close(&head(200, &[]), Some(0)));
     let mut old = head(200, &[]);
     old.version = Version::HTTP_10;
-    assert!(!ends_unannounced(&old, None));
+    assert!(!has_unannounced_close(&old, None));
 }
