--- a/adapters/http/src/api.rs
+++ b/adapters/http/src/api.rs
@@ -1,4 +1,4 @@
-//! The API's endpoint: parses a request, submits it to the engine, awaits its outcome and responds.
+//! The API endpoint: parses a request, submits it to the engine, waits for the outcome and responds.
 
 use std::rc::Rc;
 
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 ///
-/// The request is invalid, or its body does not arrive. It has not been forwarded, or not completely.
+/// The request is invalid, its id belongs to an open request, or its body was not received completely.
 pub(crate) async fn handle(
     context: &ServerContext,
     connection: &Rc<TrackedConnection>,
@@ -74,12 +74,11 @@
     }))
 }
 
-/// Whether a request has no body.
 fn is_empty(body: &RequestBody) -> bool {
     matches!(body, RequestBody::Buffered(buffered) if buffered.bytes.is_empty())
 }
 
-/// The target in the form that backends expect, path and query: clients may send it in absolute form (RFC 9112, section
+/// The request target as path and query, as backends expect it. Clients may send the absolute form (RFC 9112, section
 /// 3.2.2).
 fn origin_form(target: &Uri) -> Uri {
     target
@@ -92,14 +91,15 @@
 struct Submission<'a> {
     context: &'a ServerContext,
     connection: &'a TrackedConnection,
-    /// How long the client waits, from the last byte of the request on.
+    /// How long the client waits from the last byte of the request on.
     budget: Nanos,
     failure_guard: FailureGuard<'a>,
 }
 
 impl Submission<'_> {
-    /// How long the client still waits. The budget is used up from the request's last byte on, also while the request
-    /// waits behind another one of its connection. A node that shuts down has no more time than until its exit.
+    /// How long the client still waits. The budget runs from the last byte of the request, also while the request is
+    /// queued behind another one on its connection. During a shutdown it also ends with the deadline for the last
+    /// response.
     fn remaining_budget(&self) -> Nanos {
         self.budget
             .saturating_sub(self.connection.time_since_complete())
@@ -168,8 +168,8 @@
 }
 
 impl Submission<'_> {
-    /// The request has its outcome though its body is still arriving: the connection goes on with the body while the
-    /// response is sent, and closes.
+    /// Starts the response to a request whose body is still arriving. The rest of the body is forwarded or discarded
+    /// while the response is sent, and the connection closes after the response.
     fn respond_early(&self, upload: &Rc<Upload>, outcome: &Outcome) {
         match outcome {
             RequestOutcome::Served(_) | RequestOutcome::FailedWith(_) => upload.resume(),
@@ -180,8 +180,8 @@
     }
 }
 
-/// Counts a request of a known class as failed when dropped, unless the request has been submitted: from then on the
-/// engine counts it.
+/// Counts a request as failed when dropped, unless the request has been submitted. The engine counts submitted
+/// requests.
 struct FailureGuard<'a> {
     engine: &'a HttpEngine,
     class: ClassId,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The request has been submitted.
+    /// Called once the request has been submitted.
     fn disarm(&mut self) {
         self.is_armed = false;
     }
--- a/adapters/http/src/api_request.rs
+++ b/adapters/http/src/api_request.rs
@@ -14,19 +14,18 @@
 };
 use crate::timeouts::NETWORK_ALLOWANCE;
 
-/// Longest request id in bytes: ids are remembered for a while, and no client's is longer.
+/// Longest request id in bytes. Bounds the memory for ids, which are kept after their requests have ended.
 const MAX_REQUEST_ID_BYTES: usize = 256;
 
-/// Who a request is, as its head says.
+/// The id and the class of a request.
 pub(crate) struct RequestIdentity {
-    /// The client's id of the request.
+    /// Chosen by the client; no two open requests may have the same id.
     pub(crate) id: Box<str>,
-    /// The request's class.
     pub(crate) class: RequestClass,
 }
 
 impl RequestIdentity {
-    /// Reads the id and the class.
+    /// Reads the id and the class from the headers.
     pub(crate) fn parse(engine: &HttpEngine, headers: &HeaderMap) -> Result<Self, BadRequest> {
         let id = required_value(headers, CALL_ID)?;
         if !(1..=MAX_REQUEST_ID_BYTES).contains(&id.len()) {
@@ -40,22 +39,22 @@
     }
 }
 
-/// What else a request's head says.
+/// The other parameters in a request's head.
 pub(crate) struct RequestParameters {
-    /// The tenant's number, on a site with tenants.
+    /// The tenant's number; `None` if the settings list no tenants.
     pub(crate) tenant: Option<u32>,
-    /// A hash of the affinity key.
+    /// Hash of the affinity key; `None` without the cookie.
     pub(crate) affinity_key: Option<u64>,
-    /// The client's estimate of the work.
+    /// The client's estimate of the service time; `None` if absent or above the deadline of the class.
     pub(crate) expected_service_time: Option<Nanos>,
     /// Whether the client marked the request as a retry.
     pub(crate) is_retry: bool,
-    /// How long the client waits, from the last byte of the request on, less what the network takes.
+    /// How long the client waits from the last byte of the request on, less [`NETWORK_ALLOWANCE`].
     pub(crate) budget: Nanos,
 }
 
 impl RequestParameters {
-    /// Reads the parameters of a request of this class, and checks that its form agrees with the class.
+    /// Reads the parameters, and checks that the method and the idempotency key match the class.
     pub(crate) fn parse(
         engine: &HttpEngine,
         class: &RequestClass,
@@ -81,13 +80,13 @@
     }
 }
 
-/// The client's estimate of the work. One above the class's deadline says nothing.
+/// The client's estimate of the service time. An estimate above the deadline of the class is ignored.
 fn expected_service_time(cost_us: u64, deadline: Nanos) -> Option<Nanos> {
     let estimate = cost_us.saturating_mul(MICROSECOND);
     (estimate <= deadline).then_some(estimate)
 }
 
-/// How long a client waits: no longer than its class's deadline, less what the network takes.
+/// How long the client waits: its budget, limited to the deadline of its class, less [`NETWORK_ALLOWANCE`].
 fn budget(budget_ms: u64, deadline: Nanos) -> Nanos {
     budget_ms
         .saturating_mul(MILLISECOND)
--- a/adapters/http/src/api_request/tests.rs
+++ b/adapters/http/src/api_request/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards against responses that leave when the client's time is up and so come too late.
+/// Guards against responses that are sent before the client's deadline and arrive after it.
 #[test]
 fn network_time_is_subtracted_from_a_budget() {
     assert_eq!(budget(200, 500 * MILLISECOND), 196 * MILLISECOND);
--- a/adapters/http/src/bad_request.rs
+++ b/adapters/http/src/bad_request.rs
@@ -1,9 +1,9 @@
-//! The ways in which a client's request can be invalid. Their texts are the bodies of the responses.
+//! Errors in a client's request. Their texts are the bodies of the responses.
 
 use badgerpost_http_framing::FramingError;
 use hyper::{Method, StatusCode};
 
-/// What is wrong with a request.
+/// Why a request is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BadRequest {
     /// A required header is missing.
@@ -12,22 +12,22 @@
     /// A header is repeated, or its value can't be parsed.
     #[error("{0} can't be read")]
     Malformed(&'static str),
-    /// A header names something that the settings don't list.
+    /// A header names a class or tenant that the settings don't list.
     #[error("{0} is not known")]
     Unknown(&'static str),
     /// The request's class requires this method.
     #[error("this class takes {0} only")]
     Method(Method),
-    /// The request's class does not allow this part of a request.
+    /// The request's class does not allow this header, or a body.
     #[error("{0} does not go with this class")]
     NotAllowed(&'static str),
-    /// The body was aborted, or arrived too slowly.
+    /// The client aborted the body, or sent it too slowly.
     #[error("the body did not arrive")]
     BodyIncomplete,
     /// The request's framing is ambiguous.
     #[error(transparent)]
     Framing(#[from] FramingError),
-    /// An open request has the same id.
+    /// Another open request has the same id.
     #[error("{0} is that of an open request")]
     Duplicate(&'static str),
 }
--- a/adapters/http/src/client_connection.rs
+++ b/adapters/http/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! One client connection, from its accept to its close.
+//! The task of one client connection, from its accept to its close.
 
 use std::future::{Future, poll_fn};
 use std::rc::Rc;
@@ -19,9 +19,9 @@
 use crate::timeouts::{LINGER_TIMEOUT, SHUTDOWN_CHECK_INTERVAL};
 use crate::tracked_connection::{CloseMode, ForcedClose, RequestTracker, TrackedConnection};
 
-/// Largest head of a request in bytes.
+/// Largest request head in bytes.
 const MAX_REQUEST_HEAD_BYTES: usize = 32 * 1024;
-/// The response to a request that has begun to arrive and is incomplete when the node exits: it has not run.
+/// The response to a request that is still incomplete when the node exits. Such a request has not run on any backend.
 const SHUTDOWN_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
@@ -38,7 +38,7 @@
             () = connection.abort_requested() => {}
             result = serve_and_close(stream, &context, connection) => {
                 if let Err(error) = result {
-                    tracing::debug!(%error, "client connection failed");
+                    tracing::debug!(%error, "client connection closed after an error");
                 }
             }
         }
@@ -55,11 +55,11 @@
 
 /// Why no more requests are served on a connection.
 enum ServeEnd {
-    /// The HTTP library has ended it, or failed.
+    /// hyper has ended the connection, or failed.
     Http(Result<(), hyper::Error>),
-    /// The client disconnected while it was owed a response.
+    /// The client disconnected while a submitted request awaited its response.
     ClientDisconnected,
-    /// It timed out, or is closed to admit another one.
+    /// A time limit has expired, or the connection is evicted.
     Forced(ForcedClose),
     /// The node is shutting down.
     Shutdown,
@@ -118,7 +118,7 @@
     let http_connection = http1::Builder::new()
         .max_buf_size(MAX_REQUEST_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream.clone()), service);
-    // The HTTP library notices that the client disconnects only while no bytes have arrived behind the request.
+    // hyper detects a disconnect of the client only while no bytes have arrived behind the request.
     let mut disconnected = std::pin::pin!(stream.peer_closed(context.clock()));
     let disconnected_before_response = poll_fn(|cx| {
         if connection.awaits_response() {
@@ -137,8 +137,9 @@
     }
 }
 
-/// Resolves once the connection has to be closed by a time limit, or to admit another one. A node that has stood still
-/// learns of the limit before it has seen what happened in time: both sides of the socket are looked at first.
+/// Resolves once the connection has to be closed by a time limit or an eviction. After a stall of the process, a time
+/// limit may seem to have expired although bytes have arrived in time. So all tasks first lifecycle what has arrived, and
+/// then the state and the socket are checked again.
 async fn closed_by_limit(
     connection: &TrackedConnection,
     stream: &ObservedStream<RequestTracker>,
@@ -153,7 +154,7 @@
     }
 }
 
-/// Resolves once a node that has closed its listener has waited long enough for clients that still send.
+/// Resolves once a node that has closed its listener has waited [`LINGER_TIMEOUT`] for clients that are still sending.
 async fn linger_after_shutdown(context: &ServerContext) {
     let mut stage = context.lifecycle.stage.clone();
     // An error means that the process is ending.
@@ -161,9 +162,9 @@
     context.clock().sleep(LINGER_TIMEOUT).await;
 }
 
-/// Resolves once the node closes idle connections and this one is quiescent. A new connection is closed after its first
-/// response, so that the request it was opened for is not lost. An incomplete request is waited for until the last
-/// response has to be sent.
+/// Resolves once the node closes idle connections and this one is quiescent. A new connection is closed only after its
+/// first response, so that its first request is not lost. An incomplete request is awaited until the deadline for the
+/// last response.
 async fn closed_by_shutdown(
     connection: &TrackedConnection,
     stream: &ObservedStream<RequestTracker>,
@@ -172,12 +173,12 @@
     let mut stage = context.lifecycle.stage.clone();
     loop {
         if stage.wait_for(|stage| stage.closes_idle()).await.is_err() {
-            // The sender lives as long as the process.
+            // The sender is dropped only when the process ends.
             return;
         }
         let is_closed = *context.lifecycle.stage.borrow() == Stage::Closed;
         let is_past_response_deadline = is_closed && context.time_until_last_response() == 0;
-        // A request that has arrived is served, though the node has not read it yet.
+        // A request whose bytes are still unread in the socket is served too.
         let has_request = connection.expects_request() && stream.has_unread_bytes();
         let is_quiescent = connection.is_quiescent() && !has_request;
         if is_quiescent || (connection.is_reading_head() && is_past_response_deadline) {
--- a/adapters/http/src/client_response.rs
+++ b/adapters/http/src/client_response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients: a backend's own, or those with which the node rejects and fails requests.
+//! Responses to clients: responses of backends, and the node's own responses to rejected and failed requests.
 
 use badgerpost_engine::{RequestEnd, RequestOutcome};
 use badgerpost_time::{MILLISECOND, Nanos};
@@ -10,10 +10,9 @@
     BackendResponse, BackendResponseBody, ResponseBody, StreamingResponse, StreamingResponseBody,
 };
 
-/// A response to a client.
 pub(crate) type ClientResponse = Response<ResponseBody>;
 
-/// A response of the node's own.
+/// A response that the node generates itself.
 pub(crate) fn plain_text(status: StatusCode, text: &str) -> ClientResponse {
     let body = ResponseBody::from(Bytes::copy_from_slice(text.as_bytes()));
     let mut response = Response::new(body);
@@ -21,7 +20,8 @@
     response
 }
 
-/// The response for a request's outcome. `stream` forwards a backend's response that has begun, of a request that ends so.
+/// The response for a request's outcome. `stream` turns a streaming response of a backend into a response body, given
+/// how the request ends once that body is complete.
 pub(crate) fn from_outcome(
     outcome: RequestOutcome<BackendResponse>,
     stream: impl FnOnce(StreamingResponse, RequestEnd) -> StreamingResponseBody,
@@ -43,12 +43,12 @@
     client_response
 }
 
-/// The response to a rejected request, which should not be retried within this time if it is above 0.
+/// The response to a rejected request. A `retry_after` above 0 is sent as `Retry-After`.
 fn rejected(retry_after: Nanos) -> ClientResponse {
     let text = "refused; trying again does no harm";
     let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, text);
     if retry_after > 0 {
-        // Rounded up to milliseconds, so that the client does not retry too soon.
+        // Rounded up to whole milliseconds, so that the client does not retry too early.
         let milliseconds = retry_after.div_ceil(MILLISECOND);
         let seconds = format!("{:.3}", milliseconds as f64 / 1000.0);
         if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/adapters/http/src/headers.rs
+++ b/adapters/http/src/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of a client's request: their names, parsing, and which of them are forwarded.
+//! The headers of a client's request: names, parsing, and which of them are forwarded.
 
 use badgerpost_balancer::Idempotency;
 use hyper::Method;
@@ -6,28 +6,27 @@
 
 use crate::bad_request::BadRequest;
 
-/// The request id.
+/// Id of the request, chosen by the client.
 pub(crate) const CALL_ID: &str = "x-call-id";
-/// The name of the request's class.
+/// Name of the request's class.
 pub(crate) const CALL_CLASS: &str = "x-call-class";
-/// The tenant.
+/// Name of the tenant.
 pub(crate) const CALLER: &str = "x-caller";
-/// The client's deadline, in milliseconds from the last byte of the request.
+/// How long the client waits, in milliseconds from the last byte of the request.
 pub(crate) const BUDGET_MS: &str = "x-budget-ms";
-/// `1` if the client marks the request as a retry.
+/// `1` if the request is a retry by the client.
 pub(crate) const RETRY_MARK: &str = "x-again";
-/// The client's estimate of the work, in microseconds.
+/// The client's estimate of the service time, in microseconds.
 pub(crate) const CALL_COST: &str = "x-call-cost";
-/// The idempotency key.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The cookie whose value is the affinity key.
+/// Name of the cookie whose value is the affinity key.
 pub(crate) const AFFINITY_COOKIE: &str = "user";
 
-/// A header's value, trimmed; none if the header is missing.
+/// The value of a header without surrounding whitespace; `None` if the header is missing.
 ///
 /// # Errors
 ///
-/// The header is repeated, or its value is not text.
+/// The header is repeated, or its value is not visible ASCII.
 pub(crate) fn single_value<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
@@ -45,7 +44,7 @@
         .map_err(|_| BadRequest::Malformed(name))
 }
 
-/// The value of a header that must not be missing, otherwise like [`single_value`].
+/// Like [`single_value`], but a missing header is an error.
 pub(crate) fn required_value<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
@@ -53,12 +52,13 @@
     single_value(headers, name)?.ok_or(BadRequest::Missing(name))
 }
 
-/// Parses the value of this header as a whole number.
+/// Parses the value of the header `name` as an unsigned integer.
 pub(crate) fn parse_integer(name: &'static str, text: &str) -> Result<u64, BadRequest> {
     text.parse().map_err(|_| BadRequest::Malformed(name))
 }
 
-/// A cookie's value (RFC 6265, section 4.2); none if the cookie is missing, empty or not text.
+/// The value of a cookie (RFC 6265, section 4.2); `None` if the cookie is missing or empty, or its header is not
+/// visible ASCII.
 pub(crate) fn cookie<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let lines = headers
         .get_all(header::COOKIE)
@@ -70,7 +70,7 @@
     })
 }
 
-/// Checks that the method and the idempotency key agree with the request's class.
+/// Checks that the method and the idempotency key match the request's class.
 pub(crate) fn check_idempotency(
     method: &Method,
     headers: &HeaderMap,
@@ -91,8 +91,8 @@
     }
 }
 
-/// Removes hop-by-hop headers (RFC 9110, section 7.6.1) and those that frame the message: both are set anew for the
-/// connection to the backend. The request id and the idempotency key stay even if `Connection` names them.
+/// Removes hop-by-hop headers (RFC 9110, section 7.6.1) and the headers that frame the message; the connection to the
+/// backend sets its own. The request id and the idempotency key are kept even if `Connection` lists them.
 pub(crate) fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
     let named_by_connection: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/adapters/http/src/headers/tests.rs
+++ b/adapters/http/src/headers/tests.rs
@@ -47,12 +47,12 @@
     let repeated = single_value(&[(CALL_ID, "a"), (CALL_ID, "a")]);
     assert!(matches!(repeated, Err(BadRequest::Malformed(CALL_ID))));
     let mut not_text = HeaderMap::new();
-    let value = HeaderValue::from_bytes(&[0xe9]).expect("a valid value");
+    let value = HeaderValue::from_bytes(&[0xe9]).expect("a valid header value");
     not_text.insert(CALL_ID, value);
     let not_text = super::single_value(&not_text, CALL_ID);
     assert!(matches!(not_text, Err(BadRequest::Malformed(CALL_ID))));
     let (none, missing) = (headers(&[]), BadRequest::Missing(CALL_ID).to_string());
-    let error = required_value(&none, CALL_ID).expect_err("it is missing");
+    let error = required_value(&none, CALL_ID).expect_err("the header is missing");
     assert_eq!(error.to_string(), missing);
 }
 
@@ -100,7 +100,8 @@
             BadRequest::NotAllowed(IDEMPOTENCY_KEY),
         ),
     ] {
-        let error = check_idempotency(&method, headers, idempotency).expect_err("it is invalid");
+        let error =
+            check_idempotency(&method, headers, idempotency).expect_err("the request is invalid");
         assert_eq!(error.to_string(), expected.to_string());
     }
 }
--- a/adapters/http/src/lib.rs
+++ b/adapters/http/src/lib.rs
@@ -1,8 +1,8 @@
-//! The HTTP/1.1 adapter: serves clients ([`server`]), makes attempts at backends ([`upstream`]) and watches the platform's
-//! endpoint list ([`discovery`]). Which backend a request is sent to, and whether it is retried, the engine decides.
+//! The HTTP/1.1 adapter: serves clients ([`server`]), sends attempts to backends ([`upstream`]) and follows the
+//! platform's endpoint list ([`discovery`]). The engine selects the backend of each request and decides on retries.
 //!
-//! A client's request passes through `server`, `connection_limiter`, `client_connection`, `routes`, `api` and from there
-//! to the engine, which calls `upstream` for each attempt.
+//! A client's request passes through `server`, `connection_limiter`, `client_connection`, `routes`, `api` and from
+//! there to the engine, which calls `upstream` for each attempt.
 
 mod api;
 mod api_request;
@@ -34,25 +34,24 @@
 use badgerpost_engine::{Engine, Protocol};
 use hyper::{HeaderMap, Method, Uri};
 
-/// Largest body in bytes that is buffered: such a request can be sent again, and such a response can be replaced by that of
-/// another attempt if it is truncated. A larger body is streamed.
+/// Largest body in bytes that is buffered as a whole. A request with a buffered body can be retried, and a truncated
+/// response that was still being buffered can be replaced by the response to another attempt. Larger bodies are
+/// streamed.
 pub(crate) const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
-/// A client's request as it is forwarded to backends.
+/// A client's request in the form in which it is forwarded to backends.
 pub struct ForwardedRequest {
-    /// The method.
     pub(crate) method: Method,
-    /// The path and query.
+    /// Path and query.
     pub(crate) target: Uri,
-    /// The end-to-end headers.
+    /// End-to-end headers only.
     pub(crate) headers: HeaderMap,
-    /// The body.
     body: upload::RequestBody,
-    /// How long the client waits from the last byte of the request on, in milliseconds.
+    /// How long the client waits, in milliseconds from the last byte of the request.
     pub(crate) budget_ms: u64,
 }
 
-/// The types of HTTP requests and responses, for the engine.
+/// The [`Protocol`] of the engine: HTTP requests and responses.
 pub struct Http;
 
 impl Protocol for Http {
@@ -60,5 +59,5 @@
     type Response = backend_response::BackendResponse;
 }
 
-/// The engine of an HTTP fleet.
+/// An engine that balances HTTP requests.
 pub type HttpEngine = Engine<Http>;
--- a/adapters/http/src/routes.rs
+++ b/adapters/http/src/routes.rs
@@ -1,4 +1,4 @@
-//! The route table of the client side, and whether a connection is kept alive after a response.
+//! The routes of the HTTP server, and whether a connection is kept alive after a response.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 }
 
 impl RoutedResponse {
-    /// A response to a request that has been read.
+    /// A response to a request that has been read completely.
     fn for_valid_request(status: StatusCode, text: &str) -> Self {
         Self {
             response: client_response::plain_text(status, text),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A response to a request that is invalid: its client may still be sending it.
+    /// A response to an invalid request, which the client may still be sending.
     fn for_invalid_request(status: StatusCode, text: &str) -> Self {
         Self {
             response: client_response::plain_text(status, text),
@@ -54,7 +54,7 @@
         close_mode,
     } = match connection.head_parsed() {
         Ok(()) => route(context, connection, request).await,
-        // Read in another way, the request could hide a second one: nothing of it is forwarded.
+        // Another HTTP parser could find a second request in this one (request smuggling): nothing is forwarded.
         Err(error) => BadRequest::from(error).into(),
     };
     if !keeps_alive(context, connection, close_mode) {
@@ -89,7 +89,8 @@
     }
 }
 
-/// Whether the node takes new requests.
+/// The response to a readiness check: 200 if new requests should be routed to this node, else 503; 405 for methods
+/// other than GET.
 fn readiness(context: &ServerContext, method: &Method) -> RoutedResponse {
     if method != Method::GET {
         return RoutedResponse::for_invalid_request(StatusCode::METHOD_NOT_ALLOWED, "GET only");
@@ -110,11 +111,11 @@
     connection: &TrackedConnection,
     close_mode: CloseMode,
 ) -> bool {
-    // It can't be told where a request begins that follows an incomplete one, or one whose framing is ambiguous.
+    // After a request that is incomplete or whose framing is ambiguous, the start of the next request is unknown.
     if !connection.is_request_complete() {
         return false;
     }
-    // Requests that have been read behind a complete one are owed their responses.
+    // Pipelined requests that have already been read still get their responses.
     if connection.has_pipelined_request() {
         return true;
     }
--- a/adapters/http/src/server.rs
+++ b/adapters/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections until the node closes.
+//! The accept loop for client connections.
 
 use std::rc::Rc;
 
@@ -32,7 +32,7 @@
         memory_budget: limits.memory_budget,
         lifecycle,
     });
-    // Accepting is polled first: connections in the backlog are accepted before the listener is closed.
+    // The accept branch is polled first, so that connections in the backlog are accepted before the listener is closed.
     tokio::select! {
         biased;
         () = accept_connections(&listener, &limiter, &context) => {}
@@ -43,7 +43,7 @@
     timeouts.abort();
 }
 
-/// Accepts connections and starts to serve them; never ends.
+/// Accepts connections and serves each in its own task. Never returns.
 async fn accept_connections(
     listener: &TcpListener,
     limiter: &Rc<ConnectionLimiter>,
@@ -53,7 +53,7 @@
     let mut log = LogLimiter::new(context.clock().clone());
     let mut backoff = AcceptBackoff::default();
     loop {
-        // A node that shuts down leaves new connections to its successor on the same socket, if it has one.
+        // During a shutdown, new connections are left to the successor process on the same socket, if there is one.
         if accepts.wait_for(|accepts| *accepts).await.is_err() {
             return std::future::pending().await;
         }
