--- a/adapters/http/src/close_recorder.rs
+++ b/adapters/http/src/close_recorder.rs
@@ -1,4 +1,4 @@
-//! Counts the client connections that a limit closes, and logs them at a limited rate.
+//! Counts client connections that are closed by a limit, and logs them at a limited rate.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
         }
     }
 
-    /// This limit has closed a connection.
+    /// Records that `limit` has closed a connection.
     pub(crate) fn record(&self, limit: ConnectionLimit) {
         self.metrics.connection_closed(limit);
         self.log.borrow_mut().log(|suppressed| {
--- a/adapters/http/src/connection_limiter.rs
+++ b/adapters/http/src/connection_limiter.rs
@@ -1,5 +1,6 @@
-//! Admission of client connections: bounds their number, evicts one to admit another, and closes those that time out. A
-//! connection with a complete request, or with an upload that waits for a backend, is never evicted.
+//! Admission of client connections: limits their number, evicts connections to admit new ones, and closes connections
+//! that time out. A connection is never evicted while a complete request on it is being served, or while its upload
+//! waits for a backend.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,7 +16,7 @@
 
 /// All client connections; at most `max_connections` are open at a time.
 pub(crate) struct ConnectionLimiter {
-    /// By number, in the order of their admission.
+    /// Keyed by a sequence number, in the order of admission.
     connections: RefCell<BTreeMap<u64, Rc<TrackedConnection>>>,
     idle_connections: Rc<IdleConnections>,
     close_recorder: Rc<CloseRecorder>,
@@ -27,7 +28,7 @@
 }
 
 impl ConnectionLimiter {
-    /// A limiter with no connections. Those that it closes are counted in `metrics`.
+    /// Creates a limiter without connections. Connections closed by a limit are counted in `metrics`.
     pub(crate) fn new(
         max_connections: Rc<Cell<usize>>,
         clock: Clock,
@@ -44,11 +45,11 @@
         })
     }
 
-    /// Waits until a new connection can be admitted, and evicts others for it.
+    /// Waits until a new connection can be admitted. Evicts connections while the limit is reached.
     pub(crate) async fn admit(self: &Rc<Self>) -> ConnectionPermit {
         while self.connections.borrow().len() >= self.max_connections.get() {
             self.evict_one();
-            // Another may end by itself meanwhile, or become old enough to be evicted.
+            // Meanwhile another connection may end, or become old enough to be evicted.
             let released = self.released.notified();
             let _ = self.clock.timeout(EVICTION_RETRY_INTERVAL, released).await;
         }
@@ -80,10 +81,10 @@
         }
     }
 
-    /// Closes connections that time out; never ends.
+    /// Closes connections that time out. Never returns.
     pub(crate) async fn run_timeouts(self: Rc<Self>) {
         loop {
-            // Also the heartbeat of the process: no other task waits as regularly.
+            // This loop also serves as the heartbeat by which a stall of the process is detected.
             self.clock.heartbeat(TIMEOUT_CHECK_INTERVAL).await;
             let now = self.clock.now();
             for connection in self.connections.borrow().values() {
@@ -92,7 +93,6 @@
         }
     }
 
-    /// Waits until no connection is open.
     pub(crate) async fn wait_until_empty(&self) {
         while !self.connections.borrow().is_empty() {
             self.released.notified().await;
@@ -100,7 +100,7 @@
     }
 }
 
-/// Permission for one connection to be open, until it is dropped.
+/// Admission of one connection, which counts against the limit until the permit is dropped.
 pub(crate) struct ConnectionPermit {
     limiter: Rc<ConnectionLimiter>,
     number: u64,
@@ -108,7 +108,6 @@
 }
 
 impl ConnectionPermit {
-    /// The connection's state.
     pub(crate) fn connection(&self) -> &Rc<TrackedConnection> {
         &self.connection
     }
--- a/adapters/http/src/connection_limiter/tests.rs
+++ b/adapters/http/src/connection_limiter/tests.rs
@@ -9,7 +9,7 @@
 use crate::observed_stream::StreamObserver;
 use crate::tracked_connection::{ForcedClose, RequestTracker};
 
-/// A limiter whose clock the test moves.
+/// A limiter with a clock that is controlled by the test.
 struct TestLimiter {
     limiter: Rc<ConnectionLimiter>,
     metrics: Arc<Metrics>,
@@ -39,11 +39,11 @@
             .advance(now + nanos(Duration::from_millis(milliseconds)));
     }
 
-    /// Admits a connection for which there is room.
+    /// Admits a connection while the limit is not reached.
     fn admit(&self) -> ConnectionPermit {
         match poll(pin!(self.limiter.admit())) {
             Poll::Ready(permit) => permit,
-            Poll::Pending => panic!("the limit is reached"),
+            Poll::Pending => panic!("the connection limit is reached"),
         }
     }
 }
@@ -52,7 +52,7 @@
     future.poll(&mut Context::from_waker(Waker::noop()))
 }
 
-/// How a connection is closed that is to be closed now, and on which nothing has arrived meanwhile.
+/// How a connection has to be closed now, if a close was requested and no bytes are unread.
 fn forced_close(permit: &ConnectionPermit) -> Option<ForcedClose> {
     let is_requested = poll(pin!(permit.connection().close_requested())).is_ready();
     is_requested
@@ -74,7 +74,7 @@
     let first = test.admit();
     let mut second = pin!(test.limiter.admit());
     assert!(poll(second.as_mut()).is_pending());
-    assert!(!is_aborted(&first), "its first request is on its way");
+    assert!(!is_aborted(&first), "its first request may still arrive");
     drop(first);
     assert!(poll(second.as_mut()).is_ready());
 }
@@ -142,7 +142,7 @@
     assert!(!test.admit().connection().should_close_after_response());
 }
 
-/// For a client's part in it and a backend's: the time limit is the same, what an operator does is not.
+/// Operators need to tell stalls of clients from stalls of backends, although the time limit is the same.
 #[test]
 fn a_stalled_stream_is_counted_for_the_side_that_stalls() {
     for (is_waiting_for_backend, limit) in [
@@ -170,7 +170,7 @@
     }
 }
 
-/// The client could send nothing while no backend took its body.
+/// While no backend reads the body, the client cannot send.
 #[test]
 fn an_upload_is_not_stalled_right_after_it_has_waited_for_a_backend() {
     let test = TestLimiter::new(1);
@@ -190,7 +190,7 @@
     assert!(upload.connection().eviction_rank(now()).is_some());
 }
 
-/// A time limit, or the need of another connection, is decided on when it is known what has arrived by then.
+/// Guards against closing a connection by a time limit or an eviction although bytes have arrived in time.
 #[test]
 fn a_connection_that_received_bytes_in_time_is_not_closed_by_a_limit() {
     let test = TestLimiter::new(3);
@@ -202,12 +202,12 @@
         test.advance(100);
     }
     assert!(poll(timeouts.as_mut()).is_pending());
-    // The rest of the head is read in the moment in which the limit strikes.
+    // The rest of the head arrives in the moment in which the time limit expires.
     receive(&resumed, b" a\r\n\r\n");
     resumed.connection().head_parsed().expect("plain framing");
     resumed.connection().request_complete();
     assert_eq!(forced_close(&resumed), None);
-    // A byte lies in the socket.
+    // The socket holds an unread byte.
     assert_eq!(silent.connection().forced_close(|| true), None);
     assert_eq!(forced_close(&silent), Some(ForcedClose::Graceful));
     idle.connection().request_eviction();
--- a/adapters/http/src/connection_state.rs
+++ b/adapters/http/src/connection_state.rs
@@ -1,5 +1,5 @@
-//! The state machine of one client connection: phases of a request and its response, the time limit of each, and the order
-//! in which connections are closed to admit new ones.
+//! The state machine of a client connection: the phases of a request and its response, the time limit of each phase,
+//! and the order in which connections are evicted to admit new ones.
 //!
 //! ```text
 //!        bytes arrive          head parsed          body complete
@@ -13,7 +13,7 @@
 //!   any of these ----> Closing or LingeringClose, once no more requests are served
 //! ```
 //!
-//! A head is also parsed in `Sending`, if its request was pipelined. The machine does no I/O and reads no clock.
+//! The head of a pipelined request is also parsed in `Sending`. The state machine does no I/O and reads no clock.
 
 use badgerpost_engine::{ConnectionLimit, nanos};
 use badgerpost_time::{Nanos, SECOND};
@@ -32,13 +32,13 @@
     New { accepted_at: Nanos },
     /// The head of a request is arriving.
     ReadingHead { started_at: Nanos },
-    /// The head has been parsed by the HTTP library; the body, if any, is arriving.
+    /// hyper has parsed the head; the body, if any, is arriving.
     ReadingBody(BodyProgress),
-    /// The request is complete, its response has not begun.
+    /// The request is complete; the response has not begun.
     AwaitingResponse,
     /// A response is forwarded as it arrives from a backend.
     Streaming { last_progress_at: Nanos },
-    /// A response that is complete here is being sent.
+    /// A response that is available as a whole is being sent.
     Sending { started_at: Nanos },
     /// Between requests.
     Idle { since: Nanos },
@@ -51,24 +51,24 @@
 /// Progress of a request's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BodyProgress {
-    /// Since when the client is waited for: when the last byte of the head arrived; if that had been pipelined, when the
-    /// response before it was sent, or the head processed.
+    /// Start of the wait for the body: when the last byte of the head arrived, or when hyper parsed the head of a
+    /// pipelined request.
     started_at: Nanos,
-    /// Bytes that have arrived since the head was parsed.
+    /// Number of bytes received since the head was parsed.
     received_bytes: u64,
-    /// Whether the request has been submitted with its body still arriving.
+    /// Whether the request was submitted while its body was still arriving.
     is_submitted: bool,
-    /// Whether the upload waits for a backend to take bytes, and not for its client.
+    /// Whether the upload waits for a backend to read, and not for the client.
     is_backend_blocked: bool,
 }
 
 impl BodyProgress {
-    /// The time that a body of this size may take at the lowest rate.
+    /// The time that a body of this size may take at [`MIN_BODY_BYTES_PER_SECOND`].
     fn time_at_lowest_rate(self) -> Nanos {
         self.received_bytes.saturating_mul(SECOND) / MIN_BODY_BYTES_PER_SECOND
     }
 
-    /// When the body has to be complete, or more of it to have arrived.
+    /// When the body has to be complete, unless more bytes arrive first.
     fn deadline(self, last_progress_at: Nanos) -> Nanos {
         let stall_timeout = nanos(BODY_STALL_TIMEOUT);
         let by_rate = self
@@ -79,15 +79,15 @@
     }
 }
 
-/// How soon a connection is closed to admit a new one: the lowest rank first.
+/// Order of eviction: connections with the lowest rank are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EvictionRank {
     class: EvictionClass,
-    /// The connection that has been in its class for longest is closed first.
+    /// Within a class, the connection with the earliest time is evicted first.
     since: Nanos,
 }
 
-/// Classes of connections that may be evicted, in this order.
+/// Classes of connections that may be evicted, in order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
     Closing,
@@ -128,8 +128,8 @@
         }
     }
 
-    /// All bytes written so far are with the system. `next_request_since` is when the first byte of the next request
-    /// arrived, if that is incomplete.
+    /// All bytes written so far have been passed to the operating system. `next_request_since` is when the first byte
+    /// of the next request arrived, if that request is incomplete.
     pub(crate) fn flushed(self, now: Nanos, next_request_since: Option<Nanos>) -> Self {
         match (self, next_request_since) {
             (Self::Sending { .. }, Some(started_at)) => Self::ReadingHead { started_at },
@@ -138,11 +138,11 @@
         }
     }
 
-    /// The HTTP library has parsed the head of the next request.
+    /// hyper has parsed the head of the next request.
     pub(crate) fn head_parsed(self, now: Nanos, last_progress_at: Nanos) -> Self {
         let started_at = match self {
             Self::ReadingHead { .. } => last_progress_at,
-            // The head had been pipelined.
+            // The request was pipelined.
             _ => now,
         };
         Self::ReadingBody(BodyProgress {
@@ -153,7 +153,7 @@
         })
     }
 
-    /// The request has been submitted with its body still arriving.
+    /// The request has been submitted while its body is still arriving.
     pub(crate) fn upload_submitted(self) -> Self {
         match self {
             Self::ReadingBody(body) => Self::ReadingBody(BodyProgress {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// The upload has begun, or ceased, to wait for a backend and not for its client.
+    /// The upload has started or stopped waiting for a backend.
     pub(crate) fn backend_blocked(self, is_backend_blocked: bool) -> Self {
         match self {
             Self::ReadingBody(body) => Self::ReadingBody(BodyProgress {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// A response has begun that is complete here, or whose rest is streamed already.
+    /// A response has begun that is available as a whole, or that is already being streamed.
     pub(crate) fn response_started(self, now: Nanos) -> Self {
         match self {
             Self::Streaming { .. } => self,
@@ -183,7 +183,8 @@
         }
     }
 
-    /// More of a body has arrived whose response has begun: its client takes the response when it has sent all.
+    /// More of the body has arrived after the response began. The client may read the response only after it has sent
+    /// the whole body.
     pub(crate) fn body_continued(self, now: Nanos) -> Self {
         match self {
             Self::Sending { .. } => Self::Sending { started_at: now },
@@ -202,7 +203,7 @@
 
 /// Queries.
 impl ConnectionState {
-    /// Whether the first request of a connection that was just accepted is expected to arrive.
+    /// Whether the first request on a new connection is expected to arrive soon.
     pub(crate) fn expects_first_request(&self, now: Nanos) -> bool {
         match *self {
             Self::New { accepted_at } => {
@@ -212,32 +213,29 @@
         }
     }
 
-    /// Whether a response that is complete here is being sent.
+    /// Whether a response that is available as a whole is being sent.
     pub(crate) fn is_sending(&self) -> bool {
         matches!(self, Self::Sending { .. })
     }
 
-    /// Whether an upload waits for a backend, and not for its client.
+    /// Whether an upload waits for a backend, and not for the client.
     pub(crate) fn is_backend_blocked(&self) -> bool {
         matches!(self, Self::ReadingBody(body) if body.is_backend_blocked)
     }
 
-    /// Whether no more requests are served.
+    /// Whether the connection is being closed and serves no more requests.
     pub(crate) fn is_closing(&self) -> bool {
         matches!(self, Self::Closing { .. } | Self::LingeringClose { .. })
     }
 
-    /// Whether a request's head is arriving.
     pub(crate) fn is_reading_head(&self) -> bool {
         matches!(self, Self::ReadingHead { .. })
     }
 
-    /// Whether a request's head or body is arriving.
     pub(crate) fn is_reading_request(&self) -> bool {
         matches!(self, Self::ReadingHead { .. } | Self::ReadingBody(_))
     }
 
-    /// Whether a submitted request awaits its response.
     pub(crate) fn awaits_response(&self) -> bool {
         match self {
             Self::ReadingBody(body) => body.is_submitted,
@@ -246,7 +244,7 @@
         }
     }
 
-    /// When the body that is arriving has to be complete, or more of it to have arrived; none in other states.
+    /// When the body has to be complete, unless more bytes arrive first; `None` if no body is being read.
     pub(crate) fn body_deadline(&self, last_progress_at: Nanos) -> Option<Nanos> {
         match self {
             Self::ReadingBody(body) => Some(body.deadline(last_progress_at)),
@@ -254,7 +252,8 @@
         }
     }
 
-    /// The time that the part of a body that has arrived may take at the lowest rate; 0 in other states.
+    /// The time that the received part of the body may take at [`MIN_BODY_BYTES_PER_SECOND`]; 0 if no body is being
+    /// read.
     pub(crate) fn body_time_at_lowest_rate(&self) -> Nanos {
         match self {
             Self::ReadingBody(body) => body.time_at_lowest_rate(),
@@ -262,7 +261,7 @@
         }
     }
 
-    /// When the connection is closed unless something happens; none while its end is up to whoever responds.
+    /// When the connection times out unless there is progress; `None` in states without a time limit of their own.
     pub(crate) fn times_out_at(&self, last_progress_at: Nanos) -> Option<Nanos> {
         let (since, timeout) = match *self {
             Self::New { accepted_at: since } | Self::ReadingHead { started_at: since } => {
@@ -283,7 +282,7 @@
         Some(since.saturating_add(nanos(timeout)))
     }
 
-    /// The limit that [`times_out_at`](Self::times_out_at) enforces; none where that is none.
+    /// The limit that [`times_out_at`](Self::times_out_at) enforces; `None` in states without one.
     pub(crate) fn limit(&self) -> Option<ConnectionLimit> {
         match self {
             Self::New { .. } => Some(ConnectionLimit::FirstRequest),
@@ -299,7 +298,7 @@
         }
     }
 
-    /// Whether a connection that times out in this state is closed in good order, and not aborted.
+    /// Whether a connection that times out in this state is closed gracefully instead of being aborted.
     pub(crate) fn times_out_gracefully(&self) -> bool {
         matches!(
             self,
@@ -307,7 +306,7 @@
         )
     }
 
-    /// Whether the next thing that happens is that bytes arrive from the client.
+    /// Whether the next expected event is the arrival of bytes from the client.
     pub(crate) fn waits_for_client(&self) -> bool {
         match self {
             Self::New { .. } | Self::ReadingHead { .. } | Self::Idle { .. } => true,
@@ -320,7 +319,7 @@
         }
     }
 
-    /// How soon the connection is closed to admit a new one; none if it may not be closed for that.
+    /// The order of eviction; `None` if the connection may not be evicted.
     pub(crate) fn eviction_rank(
         &self,
         now: Nanos,
--- a/adapters/http/src/connection_state/tests.rs
+++ b/adapters/http/src/connection_state/tests.rs
@@ -4,7 +4,7 @@
 
 const MS: Nanos = MILLISECOND;
 
-/// A state in which a body of which `received_bytes` have arrived since the head, at 0, is read.
+/// A state in which `received_bytes` bytes of a body have arrived. The head was parsed at time 0.
 fn reading_body(received_bytes: u64) -> ConnectionState {
     ConnectionState::ReadingHead { started_at: 0 }
         .head_parsed(0, 0)
@@ -20,7 +20,7 @@
     assert_eq!(
         first.bytes_received(900 * MS, 1),
         first,
-        "more bytes extend nothing"
+        "further bytes do not extend the time limit"
     );
     let idle = ConnectionState::Idle { since: 0 };
     let later = idle.bytes_received(400 * MS, 1);
@@ -31,8 +31,16 @@
 fn a_body_times_out_by_its_rate_or_when_it_stalls() {
     let slow = reading_body(64 * 1024);
     assert_eq!(slow.body_time_at_lowest_rate(), 2 * SECOND);
-    assert_eq!(slow.body_deadline(1900 * MS), Some(4200 * MS), "it stalls");
-    assert_eq!(slow.body_deadline(2100 * MS), Some(4300 * MS), "it is slow");
+    assert_eq!(
+        slow.body_deadline(1900 * MS),
+        Some(4200 * MS),
+        "stall timeout"
+    );
+    assert_eq!(
+        slow.body_deadline(2100 * MS),
+        Some(4300 * MS),
+        "minimum rate"
+    );
     assert_eq!(slow.times_out_at(2100 * MS), Some(4500 * MS));
     assert_eq!(slow.upload_submitted().times_out_at(0), None);
 }
@@ -94,7 +102,7 @@
         assert_eq!(
             moved.response_started(3 * SECOND),
             moved,
-            "its head follows"
+            "the response is still streaming"
         );
     }
     let ended = streaming.stream_ended(4 * SECOND);
--- a/adapters/http/src/observed_stream.rs
+++ b/adapters/http/src/observed_stream.rs
@@ -1,5 +1,6 @@
-//! A socket whose bytes are observed on their way to the HTTP library, which does not tell of them, or not in time. It
-//! also sees a peer close while nobody reads, and closes without losing what was written last.
+//! A socket that reports its reads and writes to an observer, as hyper does not expose them, or only later. The stream
+//! also detects a close by the peer while hyper does not read, and closes connections without losing the bytes written
+//! last.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -14,58 +15,56 @@
 
 use badgerpost_engine::{Clock, TcpStream, activity};
 
-/// Observes one connection.
+/// Is notified of the bytes on one connection.
 pub trait StreamObserver {
-    /// These bytes have been read from the socket.
+    /// Called when these bytes have been read from the socket.
     fn bytes_read(&mut self, bytes: &[u8]);
 
-    /// Bytes have been written to the socket.
+    /// Called when bytes have been written to the socket.
     fn bytes_written(&mut self) {}
 
-    /// All that was to be written is with the system.
+    /// Called when all bytes written so far have been passed to the operating system.
     fn flushed(&mut self) {}
 
-    /// No more is read ahead: what the peer sends from now on waits in the system.
+    /// Called when the read-ahead buffer is full: what the peer sends from now on stays in the socket's receive buffer.
     fn read_ahead_full(&mut self) {}
 }
 
-/// Observes nothing: the socket's bytes are counted and no more.
+/// An observer that ignores all notifications.
 pub struct NoopObserver;
 
 impl StreamObserver for NoopObserver {
     fn bytes_read(&mut self, _bytes: &[u8]) {}
 }
 
-/// No more is read ahead: some requests. What a peer sends beyond that waits in the system.
+/// Size of the read-ahead buffer. What a peer sends beyond that stays in the socket's receive buffer.
 const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
-/// How much is read ahead at a time.
 const READ_AHEAD_CHUNK_BYTES: usize = 2 * 1024;
-/// How much is read at a time to be dropped.
 const DISCARD_CHUNK_BYTES: usize = 16 * 1024;
-/// How often a peer's close is looked for where bytes that are not to be read hide it.
+/// Interval at which a close by the peer is checked for while unread bytes hide the close.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An observed socket. Clones are handles on the same one.
+/// An observed socket. Clones share the same socket.
 pub struct ObservedStream<O>(Rc<RefCell<ObservedStreamState<O>>>);
 
 struct ObservedStreamState<O> {
     stream: TcpStream,
     observer: O,
-    /// Bytes that were read before the HTTP library asked for them.
+    /// Bytes that were read before hyper asked for them.
     read_ahead: BytesMut,
     connection: activity::Connection,
     write_errors: WriteErrors,
 }
 
-/// What becomes of an error of a write.
+/// How errors of writes are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteErrors {
-    /// It is returned.
+    /// Write errors are returned to the caller.
     Reported,
-    /// Writes wait instead, and the connection ends by what is read from it. The peer may have responded before it
-    /// stopped reading, and the HTTP library reads nothing more once a write has failed.
+    /// A failed write stays pending instead, and the connection ends by what is read from it. The peer may have sent a
+    /// response before it closed, and hyper stops reading once a write has failed.
     Deferred,
-    /// A write has failed, and reads are to tell how the connection ends.
+    /// A write has failed; the result of the reads decides how the connection ends.
     Pending,
 }
 
@@ -75,12 +74,12 @@
     }
 }
 
-/// What is known of the peer's side of a connection.
+/// The state of the peer's side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PeerState {
-    /// It has closed its side, or the connection is broken.
+    /// The peer has closed its side, or the connection has failed.
     Closed,
-    /// Bytes that are not to be read yet come first.
+    /// Received bytes that must not be read yet may hide a close.
     HasUnreadBytes,
 }
 
@@ -95,7 +94,7 @@
 }
 
 impl<O: StreamObserver> ObservedStream<O> {
-    /// Observes this socket.
+    /// Creates a stream that reports to `observer`.
     pub fn new(stream: TcpStream, observer: O) -> Self {
         let connection = activity::Connection::default();
         Self(Rc::new(RefCell::new(ObservedStreamState {
@@ -107,13 +106,14 @@
         })))
     }
 
-    /// Has a connection whose writes fail end by what is read from it: a response that came before, or the error.
+    /// Ends a connection whose writes fail by what is read from it: a response that the peer has already sent, or the
+    /// error.
     pub fn defer_write_errors(self) -> Self {
         self.0.borrow_mut().write_errors = WriteErrors::Deferred;
         self
     }
 
-    /// Reads and discards what the peer sends, until it closes its side or the connection breaks.
+    /// Reads and discards what the peer sends, until the peer closes its side or the connection fails.
     pub async fn discard_input(&self) {
         self.0.borrow_mut().read_ahead = BytesMut::new();
         let mut discarded = vec![0; DISCARD_CHUNK_BYTES];
@@ -121,16 +121,16 @@
         while stream.read(&mut discarded).await.is_ok_and(|read| read > 0) {}
     }
 
-    /// Resolves once the peer has closed its side, or broken the connection, also while nobody reads: what the peer
-    /// sends is read ahead. Polled by the task that reads.
+    /// Resolves once the peer has closed its side or the connection has failed. Reads ahead, so that a close is
+    /// detected while hyper does not read. Must be polled by the task that reads from the stream.
     pub async fn peer_closed(&self, clock: &Clock) {
         while poll_fn(|cx| self.0.borrow_mut().poll_read_ahead(cx)).await != PeerState::Closed {
             clock.sleep(CLOSE_CHECK_INTERVAL).await;
         }
     }
 
-    /// Closes the writing side, and waits for the peer to close too. Bytes that still come are left unread: from the
-    /// reset that follows, a peer can tell that what it sent was not handled.
+    /// Closes the writing side, and waits for the peer to close its side. Bytes that still arrive are left unread, so
+    /// that the close of the socket sends a reset: the peer can tell that these bytes were not processed.
     pub async fn close_gracefully(&self, clock: &Clock) {
         self.close_writing().await;
         while poll_fn(|cx| self.0.borrow_mut().poll_peer_state(cx)).await != PeerState::Closed {
@@ -138,25 +138,25 @@
         }
     }
 
-    /// A lingering close: closes the writing side, and reads and drops what still comes until the peer closes too. A
-    /// socket that is closed over unread bytes resets its connection, and the last response may be lost with it.
+    /// A lingering close: closes the writing side, and discards what still arrives until the peer closes its side.
+    /// Closing a socket with unread bytes would send a reset, which can destroy the last response.
     pub async fn close_lingering(&self) {
         self.close_writing().await;
         self.discard_input().await;
     }
 
-    /// Whether bytes have arrived that nobody has read, by the system itself.
+    /// Whether the socket's receive buffer holds unread bytes; asks the operating system.
     pub fn has_unread_bytes(&self) -> bool {
         self.0.borrow().stream.has_unread_bytes()
     }
 
-    /// Has the connection end by a reset, once its last handle is dropped.
+    /// Makes the connection end with a reset once the last clone is dropped.
     pub fn reset_on_close(&self) -> io::Result<()> {
         self.0.borrow().stream.set_reset_on_close()
     }
 
     async fn close_writing(&self) {
-        // It may be closed already, or the connection broken: then the wait for the peer is over at once.
+        // An error means that the stream is already closed or has failed, so that the wait for the peer ends at once.
         let _ = poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().stream).poll_shutdown(cx)).await;
     }
 }
@@ -174,17 +174,18 @@
             activity::read(buffer.filled().len() - before);
             self.observer.bytes_read(&buffer.filled()[before..]);
         } else if read.is_ready() && buffer.remaining() > 0 {
-            // The peer has closed, or there was an error.
+            // The peer has closed its side, or the read has failed.
             self.connection.mark_ended();
             if self.write_errors == WriteErrors::Pending {
-                // The system reports an error once, and a write may have had it: this is no end in good order.
+                // The operating system reports a connection error only once. If the failed write has consumed it, the
+                // read sees a regular end of the stream instead.
                 return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
             }
         }
         read
     }
 
-    /// Records a write, and defers its error where that is wanted.
+    /// Notifies the observer of a write, and defers a write error if this is configured.
     fn record_write(&mut self, write: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         match &write {
             Poll::Ready(Ok(written)) => {
@@ -200,7 +201,7 @@
         write
     }
 
-    /// Reads ahead until the peer closes, or as much is read ahead as may be.
+    /// Reads ahead until the peer closes its side or the read-ahead buffer is full.
     fn poll_read_ahead(&mut self, cx: &mut Context<'_>) -> Poll<PeerState> {
         while self.read_ahead.len() < MAX_READ_AHEAD_BYTES {
             let mut chunk = [0; READ_AHEAD_CHUNK_BYTES];
@@ -215,7 +216,7 @@
         Poll::Ready(PeerState::new(self.stream.is_read_closed(cx)))
     }
 
-    /// Waits until the peer has closed, or there are bytes, and reads none of them.
+    /// Waits until the peer has closed its side or bytes have arrived, without reading them.
     fn poll_peer_state(&mut self, cx: &mut Context<'_>) -> Poll<PeerState> {
         let found = ready!(self.stream.poll_peek(cx, &mut [0])).unwrap_or_default();
         let is_closed = found == 0 || self.stream.is_read_closed(cx);
@@ -239,7 +240,7 @@
         let count = state.read_ahead.len().min(buffer.remaining());
         buffer.put_slice(&state.read_ahead.split_to(count));
         if state.read_ahead.is_empty() {
-            // Most connections never need it again.
+            // Releases the memory: most connections never need the buffer again.
             state.read_ahead = BytesMut::new();
         }
         Poll::Ready(Ok(()))
--- a/adapters/http/src/request_queue.rs
+++ b/adapters/http/src/request_queue.rs
@@ -1,13 +1,13 @@
-//! The pipelined requests of one client connection, in their order: which of them have arrived, since when one is
-//! incomplete, and which one the HTTP library is serving.
+//! The pipelined requests of one client connection, in order: which of them have arrived, when the first byte of an
+//! incomplete one arrived, and which request hyper is serving.
 
 use std::collections::VecDeque;
 
 use badgerpost_http_framing::{FramingError, FramingEvent};
 use badgerpost_time::Nanos;
 
-/// Most pipelined requests that are remembered. No more can have been read: 32 KiB by the HTTP library and 16 KiB ahead of
-/// it, and no request is shorter than 16 bytes.
+/// Maximum number of pipelined requests that are tracked. More cannot have been read: hyper buffers 32 KiB, the
+/// read-ahead buffer holds 16 KiB, and no request is shorter than 16 bytes.
 const MAX_PIPELINED_REQUESTS: usize = 4096;
 
 /// The requests of one connection, numbered from 1.
@@ -15,20 +15,20 @@
 pub(crate) struct RequestQueue {
     /// Number of requests whose first byte has arrived.
     started: u64,
-    /// When the first byte of the last of these arrived.
+    /// When the first byte of the latest started request arrived.
     last_started_at: Nanos,
-    /// Whether the framing of each request is unambiguous, for those whose head is complete and has not been parsed.
+    /// Whether the framing is unambiguous, for each request whose head is complete and has not been parsed by hyper.
     head_results: VecDeque<Result<(), FramingError>>,
     /// Number of requests whose last byte has arrived.
     completed: u64,
-    /// When the last byte of each of these arrived, from the current request on.
+    /// When the last byte of each completed request arrived, from the current request on.
     completed_at: VecDeque<Nanos>,
-    /// Number of the request whose head the HTTP library parsed last; 0 before the first.
+    /// Number of the request whose head hyper parsed last; 0 before the first.
     current: u64,
 }
 
 impl RequestQueue {
-    /// Records what the bytes that have just arrived mean.
+    /// Records a framing event of the bytes that have just arrived.
     pub(crate) fn record(&mut self, event: FramingEvent, now: Nanos) {
         match event {
             FramingEvent::Started => {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The HTTP library has parsed the head of the next request, which becomes the current one.
+    /// Makes the next request the current one. Called when hyper has parsed its head.
     ///
     /// # Errors
     ///
@@ -61,7 +61,7 @@
         self.head_results.pop_front().unwrap_or(Ok(()))
     }
 
-    /// When the last byte of the current request arrived; none before that.
+    /// When the last byte of the current request arrived; `None` while the request is incomplete.
     pub(crate) fn completed_at(&self) -> Option<Nanos> {
         let is_complete = self.first_completed() == self.current;
         self.completed_at.front().copied().filter(|_| is_complete)
@@ -77,14 +77,14 @@
         !self.head_results.is_empty()
     }
 
-    /// When the first byte of the next request arrived, if that is incomplete.
+    /// When the first byte of the next request arrived; `None` unless the next request is incomplete.
     pub(crate) fn incomplete_since(&self) -> Option<Nanos> {
         let is_last = self.started == self.current + 1;
         let is_incomplete = self.completed < self.started;
         (is_last && is_incomplete).then_some(self.last_started_at)
     }
 
-    /// The number of the request whose completion is the first one remembered.
+    /// The number of the first request in `completed_at`.
     fn first_completed(&self) -> u64 {
         self.completed + 1 - self.completed_at.len() as u64
     }
--- a/adapters/http/src/request_queue/tests.rs
+++ b/adapters/http/src/request_queue/tests.rs
@@ -2,7 +2,7 @@
 
 const HEAD: FramingEvent = FramingEvent::HeadComplete(Ok(()));
 
-/// A queue that has recorded these events, each at the time beside it.
+/// A queue that has recorded these events at the given times.
 fn recorded(events: &[(FramingEvent, Nanos)]) -> RequestQueue {
     let mut queue = RequestQueue::default();
     for (event, now) in events {
@@ -37,7 +37,11 @@
     queue.record(FramingEvent::Started, 11);
     queue.record(HEAD, 12);
     assert_eq!(queue.advance(), Ok(()));
-    assert_eq!(queue.completed_at(), None, "that was the one before");
+    assert_eq!(
+        queue.completed_at(),
+        None,
+        "only the previous request is complete"
+    );
 }
 
 #[test]
@@ -51,9 +55,13 @@
     assert_eq!(queue.incomplete_since(), Some(3));
     queue.record(HEAD, 4);
     queue.record(FramingEvent::MessageComplete, 4);
-    assert_eq!(queue.incomplete_since(), None, "it is complete");
+    assert_eq!(queue.incomplete_since(), None, "the request is complete");
     queue.record(FramingEvent::Started, 5);
-    assert_eq!(queue.incomplete_since(), None, "one waits before it");
+    assert_eq!(
+        queue.incomplete_since(),
+        None,
+        "another request is ahead of the incomplete one"
+    );
 }
 
 #[test]
--- a/adapters/http/src/tracked_connection.rs
+++ b/adapters/http/src/tracked_connection.rs
@@ -1,4 +1,4 @@
-//! The state of one client connection, shared by all that read from, write to or may close it.
+//! The state of one client connection, shared by the tasks that read from, write to or close the connection.
 
 mod closing;
 mod request_tracker;
@@ -20,18 +20,18 @@
 pub(crate) use self::closing::ForcedClose;
 pub(crate) use self::request_tracker::RequestTracker;
 
-/// How a connection has to be closed, by its last response.
+/// How a connection is closed after its last response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CloseMode {
     /// The client has nothing more to send.
     Graceful,
     /// The client may still be sending the request that was responded to.
     Lingering,
-    /// By a reset: the response was truncated, and its framing does not show that to the client.
+    /// With a reset: the response was truncated, and its framing does not show this to the client.
     Reset,
 }
 
-/// The number of idle connections, and how many may be open in all.
+/// The number of idle connections, and the connection limit.
 pub(crate) struct IdleConnections {
     count: Cell<usize>,
     max_connections: Rc<Cell<usize>>,
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Whether there are so many that a further connection had better close than become idle.
+    /// Whether so many connections are idle that further ones should close instead of becoming idle.
     fn is_at_limit(&self) -> bool {
         self.count.get() >= self.max_connections.get() / IDLE_LIMIT_DIVISOR
     }
 
-    /// A connection has changed its state.
+    /// Records a state change of a connection.
     fn record(&self, from: ConnectionState, to: ConnectionState) {
         let is_idle = |state| usize::from(matches!(state, ConnectionState::Idle { .. }));
         self.count
@@ -62,21 +62,22 @@
 pub(crate) struct TrackedConnection {
     state: Cell<ConnectionState>,
     last_received_at: Cell<Nanos>,
-    /// Since when the request that is arriving is read: nothing before that tells how fast its client sends.
+    /// Since when the current request is being read. The node's own delays before this time do not count against the
+    /// client.
     read_since: Cell<Nanos>,
-    /// Whether a part of what the client has sent is left unread until the response in progress has been sent.
+    /// Whether some of the client's bytes stay unread until the response in progress has been sent.
     is_reading_paused: Cell<bool>,
     /// The requests that have begun to arrive.
     requests: RefCell<RequestQueue>,
     close_mode: Cell<CloseMode>,
     early_response: EarlyResponse,
-    /// Notified when the connection has to be closed at once.
+    /// Notified when the connection has to be closed immediately.
     abort: Notify,
-    /// Notified when the connection is to be closed, unless its client has done meanwhile what it is waited for.
+    /// Notified when the connection should be closed, unless the client has made progress meanwhile.
     close_requested: Notify,
-    /// Whether it is to be closed so that another one can be admitted.
+    /// Whether the connection should be closed to admit another one.
     is_eviction_requested: Cell<bool>,
-    /// Whether the response that is streamed waits for its backend, and not for its client.
+    /// Whether the streamed response waits for the backend, and not for the client.
     is_stream_waiting_for_backend: Cell<bool>,
     idle_connections: Rc<IdleConnections>,
     close_recorder: Rc<CloseRecorder>,
@@ -84,7 +85,7 @@
 }
 
 impl TrackedConnection {
-    /// A connection that has just been accepted.
+    /// The state of a connection that has just been accepted.
     pub(crate) fn new(
         idle_connections: Rc<IdleConnections>,
         close_recorder: Rc<CloseRecorder>,
@@ -115,9 +116,9 @@
     }
 }
 
-/// The request that is being served, and those behind it.
+/// The requests: the one being served, and those pipelined behind it.
 impl TrackedConnection {
-    /// The HTTP library has parsed the head of the next request.
+    /// Called when hyper has parsed the head of the next request.
     ///
     /// # Errors
     ///
@@ -128,54 +129,53 @@
         self.requests.borrow_mut().advance()
     }
 
-    /// How long ago the last byte of the request arrived; 0 before that.
+    /// Time since the last byte of the request arrived; 0 while the request is incomplete.
     pub(crate) fn time_since_complete(&self) -> Nanos {
         let completed_at = self.requests.borrow().completed_at();
         completed_at.map_or(0, |at| self.clock.now().saturating_sub(at))
     }
 
-    /// Whether the last byte of the request has arrived: what follows is another one.
+    /// Whether the last byte of the request has arrived. Any further bytes belong to the next request.
     pub(crate) fn is_request_complete(&self) -> bool {
         self.requests.borrow().completed_at().is_some()
     }
 
-    /// Whether another request has begun to arrive behind the current one. It is owed a response too.
+    /// Whether another request has begun to arrive behind the current one.
     pub(crate) fn has_pipelined_request(&self) -> bool {
         self.requests.borrow().has_next()
     }
 
-    /// Whether a request has begun to arrive whose head has not been parsed.
+    /// Whether a request has begun to arrive and its head has not been parsed.
     pub(crate) fn has_partial_request(&self) -> bool {
         self.is_reading_head() && self.has_pipelined_request()
     }
 
-    /// Whether a request's head is arriving.
     pub(crate) fn is_reading_head(&self) -> bool {
         self.state.get().is_reading_head()
     }
 
-    /// Whether a request's head or body is arriving.
     pub(crate) fn is_reading_request(&self) -> bool {
         self.state.get().is_reading_request()
     }
 
-    /// When the request's body has to be complete, or more of it to have arrived.
+    /// When the request's body has to be complete, unless more bytes arrive first; `Nanos::MAX` if no body is being
+    /// read.
     pub(crate) fn body_deadline(&self) -> Nanos {
         let deadline = self.state.get().body_deadline(self.last_progress_at());
         deadline.unwrap_or(Nanos::MAX)
     }
 
-    /// The time that the part of the body that has arrived may take at the lowest rate.
+    /// The time that the received part of the body may take at the minimum rate.
     pub(crate) fn body_time_at_lowest_rate(&self) -> Nanos {
         self.state.get().body_time_at_lowest_rate()
     }
 
-    /// The request has been submitted with its body still arriving.
+    /// Called when the request has been submitted while its body is still arriving.
     pub(crate) fn upload_submitted(&self) {
         self.enter(self.state.get().upload_submitted());
     }
 
-    /// Sets whether the upload waits for a backend, and not for its client.
+    /// Sets whether the upload waits for a backend, and not for the client.
     pub(crate) fn set_backend_blocked(&self, is_backend_blocked: bool) {
         let state = self.state.get();
         if state.is_backend_blocked() && !is_backend_blocked {
@@ -184,19 +184,20 @@
         self.enter(state.backend_blocked(is_backend_blocked));
     }
 
-    /// When the client last did what is waited for: when its last bytes arrived, or when the node began to read on. A
-    /// time limit that counted from the arrival alone would also count the time in which the client's next bytes lay
-    /// unread, because the response to an earlier request was not sent yet, or no backend took the body.
+    /// The start of the current wait for the client: when the last bytes arrived or when the node resumed reading,
+    /// whichever is later. While an earlier response was unsent or no backend read the body, the client's bytes may
+    /// have been left unread; this time must not count against the client.
     fn last_progress_at(&self) -> Nanos {
         self.last_received_at.get().max(self.read_since.get())
     }
 
-    /// The response in progress has been sent, and the next request is read.
+    /// Called when the response in progress has been sent: the next request is read.
     fn read_next_request(&self, now: Nanos) {
         self.read_since.set(now);
         let is_paused = self.is_reading_paused.replace(false);
         let requests = self.requests.borrow();
-        // A head that was read as it arrived has its time from its first byte on, also behind another request.
+        // The time limit of a head that was read as it arrived counts from its first byte, also if the head was
+        // pipelined.
         let since = requests.incomplete_since().map(|started_at| {
             let is_waited_for = !is_paused && !requests.has_next_head();
             if is_waited_for { started_at } else { now }
@@ -204,12 +205,12 @@
         self.enter(self.state.get().flushed(now, since));
     }
 
-    /// The request is complete and has been submitted.
+    /// Called when the request is complete and has been submitted.
     pub(crate) fn request_complete(&self) {
         self.enter(ConnectionState::AwaitingResponse);
     }
 
-    /// Whether a submitted request awaits its response: if its client disconnects, it is cancelled.
+    /// Whether a submitted request awaits its response. Such a request is cancelled if the client disconnects.
     pub(crate) fn awaits_response(&self) -> bool {
         self.state.get().awaits_response()
     }
@@ -217,7 +218,7 @@
 
 /// The response.
 impl TrackedConnection {
-    /// A response has begun that is forwarded as it arrives from a backend.
+    /// Called when a response begins that is forwarded as it arrives from a backend.
     pub(crate) fn stream_started(&self) {
         self.is_reading_paused.set(true);
         self.enter(ConnectionState::Streaming {
@@ -225,12 +226,12 @@
         });
     }
 
-    /// The response that has begun before its request was complete.
+    /// The response that began before its request was complete, if there is one.
     pub(crate) fn early_response(&self) -> &EarlyResponse {
         &self.early_response
     }
 
-    /// All of a response is with the system.
+    /// Called when the whole response has been passed to the operating system.
     fn response_sent(&self) {
         if self.early_response.has_begun() {
             self.lingering_close_started();
@@ -239,23 +240,23 @@
         }
     }
 
-    /// Sets whether the response that is streamed waits for its backend, and not for its client.
+    /// Sets whether the streamed response waits for the backend, and not for the client.
     pub(crate) fn set_stream_waiting_for_backend(&self, is_waiting_for_backend: bool) {
         self.is_stream_waiting_for_backend
             .set(is_waiting_for_backend);
     }
 
-    /// The last byte of a streamed response has arrived from the backend.
+    /// Called when the last byte of a streamed response has arrived from the backend.
     pub(crate) fn stream_ended(&self) {
         self.enter(self.state.get().stream_ended(self.clock.now()));
     }
 
-    /// The response that is streamed has been truncated, and only a reset shows that to the client.
+    /// Called when the streamed response was truncated and only a reset can show this to the client.
     pub(crate) fn stream_truncated(&self) {
         self.close_mode.set(CloseMode::Reset);
     }
 
-    /// A response has begun. If it ends the connection, it does so in this mode.
+    /// Called when a response begins. `close_mode` applies if the connection closes after the response.
     pub(crate) fn response_started(&self, close_mode: CloseMode) {
         self.close_mode.set(close_mode);
         self.enter(self.state.get().response_started(self.clock.now()));
--- a/adapters/http/src/tracked_connection/closing.rs
+++ b/adapters/http/src/tracked_connection/closing.rs
@@ -1,4 +1,4 @@
-//! The end of a client connection: when it is closed, by whom, and how.
+//! Closing of a client connection: when, why and how the connection is closed.
 
 use badgerpost_engine::ConnectionLimit;
 use badgerpost_time::Nanos;
@@ -6,69 +6,70 @@
 use super::{CloseMode, TrackedConnection};
 use crate::connection_state::{ConnectionState, EvictionRank};
 
-/// How a connection has to be closed that a time limit ends, or that makes room for another one.
+/// How a connection is closed by a time limit or an eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ForcedClose {
-    /// No request has been parsed on it that is owed a response.
+    /// Gracefully: no parsed request awaits a response.
     Graceful,
-    /// Nothing more can be sent on it, or it makes room for another one.
+    /// Without any further output: nothing more can be sent, or the connection is evicted.
     Abort,
 }
 
 impl TrackedConnection {
-    /// Whether too many connections are idle, so that this one had better close after its response.
+    /// Whether the connection should close after its response because too many connections are idle.
     pub(crate) fn should_close_after_response(&self) -> bool {
         self.idle_connections.is_at_limit()
     }
 
-    /// Whether it may be closed without a response: no request is arriving, served or expected at once.
+    /// Whether the connection may be closed without a response: no request is arriving, being served or expected soon.
     pub(crate) fn is_quiescent(&self) -> bool {
         let state = self.state.get();
         match state {
             ConnectionState::New { .. } => !state.expects_first_request(self.clock.now()),
             ConnectionState::Idle { .. } => !self.has_pipelined_request(),
-            // The response to a request that is still arriving has been sent.
+            // The response to the request that is still arriving has already been sent.
             ConnectionState::LingeringClose { .. } => true,
             _ => false,
         }
     }
 
-    /// How the connection has to be closed.
     pub(crate) fn close_mode(&self) -> CloseMode {
         self.close_mode.get()
     }
 
-    /// The node's side is being closed; what the client still sends is not read.
+    /// Called when the node's side is being closed. What the client still sends is not read.
     pub(crate) fn close_started(&self) {
         self.enter(ConnectionState::Closing {
             since: self.clock.now(),
         });
     }
 
-    /// The node's side is being closed after an error; what the client still sends is read and discarded.
+    /// Called when the node's side is being closed after an error or an early response. What the client still sends is
+    /// discarded.
     pub(crate) fn lingering_close_started(&self) {
         self.enter(ConnectionState::LingeringClose {
             since: self.clock.now(),
         });
     }
 
-    /// Resolves once the connection is to be closed. Whether it is, and how, [`forced_close`](Self::forced_close) decides.
+    /// Resolves once a close of the connection is requested. [`forced_close`](Self::forced_close) then decides whether and
+    /// how to close.
     pub(crate) async fn close_requested(&self) {
         self.close_requested.notified().await;
     }
 
-    /// Resolves once the connection has to be closed at once.
+    /// Resolves once the connection has to be closed immediately.
     pub(crate) async fn abort_requested(&self) {
         self.abort.notified().await;
     }
 
-    /// Requests that the connection is closed, so that another one can be admitted.
+    /// Requests a close of the connection, so that another one can be admitted.
     pub(crate) fn request_eviction(&self) {
         self.is_eviction_requested.set(true);
         self.request_close();
     }
 
-    /// A connection that is being closed already serves no requests, and has nobody who would decide.
+    /// A connection that is already being closed serves no requests, so that no task waits for `close_requested`.
     fn request_close(&self) {
         if self.state.get().is_closing() {
             self.record_close();
@@ -78,9 +79,9 @@
         }
     }
 
-    /// How the connection has to be closed now, by its time limit or to admit another one; none if it may stay. Bytes
-    /// that have arrived and were not read are the request that it is closed for lack of: `has_unread_bytes` tells of
-    /// them.
+    /// How the connection has to be closed now because of a time limit or an eviction; `None` if the connection may
+    /// stay open. While the connection waits for the client, unread bytes prevent the close: `has_unread_bytes` tells
+    /// whether there are any.
     pub(crate) fn forced_close(&self, has_unread_bytes: impl Fn() -> bool) -> Option<ForcedClose> {
         let now = self.clock.now();
         let state = self.state.get();
@@ -112,12 +113,12 @@
         times_out_at.is_some_and(|at| now >= at)
     }
 
-    /// A limit ends the request that is arriving.
+    /// Records that a time limit ends the request that is arriving.
     pub(crate) fn request_timed_out(&self) {
         self.close_recorder.record(ConnectionLimit::RequestBody);
     }
 
-    /// The limit that the connection's state enforces.
+    /// The limit that applies in the current state.
     fn limit(&self) -> Option<ConnectionLimit> {
         match self.state.get().limit() {
             Some(ConnectionLimit::StreamToClient) if self.is_stream_waiting_for_backend.get() => {
@@ -127,14 +128,14 @@
         }
     }
 
-    /// Requests that the connection is closed if it has timed out.
+    /// Requests a close of the connection if it has timed out.
     pub(crate) fn check_timeout(&self, now: Nanos) {
         if self.has_timed_out(now) {
             self.request_close();
         }
     }
 
-    /// Whether a request may be on its way that has not begun to arrive.
+    /// Whether a request may be in transit of which no byte has arrived.
     pub(crate) fn expects_request(&self) -> bool {
         let state = self.state.get();
         matches!(
@@ -143,7 +144,7 @@
         )
     }
 
-    /// How soon the connection is closed to admit a new one; none if it may not be closed for that.
+    /// The order of eviction; `None` if the connection may not be evicted.
     pub(crate) fn eviction_rank(&self, now: Nanos) -> Option<EvictionRank> {
         let state = self.state.get();
         state.eviction_rank(now, self.last_progress_at())
--- a/adapters/http/src/tracked_connection/request_tracker.rs
+++ b/adapters/http/src/tracked_connection/request_tracker.rs
@@ -1,5 +1,3 @@
-//! Observes the bytes on a client's socket for its [`TrackedConnection`].
-
 use std::rc::Rc;
 
 use badgerpost_http_framing::{FramingEvent, RequestFramer};
@@ -7,14 +5,14 @@
 use super::TrackedConnection;
 use crate::observed_stream::StreamObserver;
 
-/// Observes the client's stream for a [`TrackedConnection`].
+/// Updates a [`TrackedConnection`] from the bytes on its socket.
 pub(crate) struct RequestTracker {
     connection: Rc<TrackedConnection>,
     framer: RequestFramer,
 }
 
 impl RequestTracker {
-    /// The observer of this connection's stream.
+    /// Creates the observer for the stream of this connection.
     pub(crate) fn new(connection: Rc<TrackedConnection>) -> Self {
         Self {
             connection,
