--- a/adapters/http/src/backend_response.rs
+++ b/adapters/http/src/backend_response.rs
@@ -1,4 +1,4 @@
-//! Responses on their way from a backend to a client.
+//! Responses that are forwarded from a backend to a client.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -16,81 +16,76 @@
 use crate::memory_budget::BufferedBytes;
 use crate::tracked_connection::TrackedConnection;
 
-/// A backend's response that is forwarded to a client.
+/// A response of a backend that is forwarded to a client.
 pub struct BackendResponse {
-    /// Its status.
     pub status: StatusCode,
-    /// Its body.
     pub body: BackendResponseBody,
 }
 
 /// The body of a backend's response.
 pub enum BackendResponseBody {
-    /// Held whole.
+    /// Read completely and held in memory.
     Buffered(BufferedBytes),
     /// Forwarded as it arrives.
     Streaming(StreamingResponse),
 }
 
-/// How a response that is forwarded as it arrives has ended.
+/// How a streamed response has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// All of it was read from the backend.
+    /// The whole response was read from the backend.
     Complete,
-    /// The backend has broken it off.
+    /// The backend aborted the response.
     Aborted,
-    /// Its client has disconnected, or reads no more.
+    /// The client disconnected, or stopped reading.
     Abandoned,
 }
 
-/// Called once with how a response ended.
+/// Called once when a streamed response ends.
 pub type EndHandler = Box<dyn FnOnce(StreamEnd)>;
 
-/// A response that has begun to arrive.
+/// A response whose body is still arriving.
 pub struct StreamingResponse {
-    /// What has arrived of its body.
+    /// The part of the body that has arrived.
     pub received: BufferedBytes,
-    /// The rest of its body.
+    /// The rest of the body.
     pub incoming: Incoming,
-    /// The length of all of its body, where the backend has told it.
+    /// Length of the whole body in bytes; `None` if the backend has not declared one.
     pub length: Option<u64>,
-    /// Told how the response ended.
     pub on_end: EndHandler,
 }
 
-/// The body of a response to a client.
 pub type ResponseBody = ForwardedBody<ResponseSource>;
 
-/// What is known of the request whose response is forwarded as it arrives.
+/// The request whose response is streamed.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamedRequest {
-    /// Its class.
     pub class: ClassId,
-    /// The version of HTTP that its client speaks.
+    /// The client's HTTP version.
     pub version: Version,
-    /// How it ends once the client has all of the response.
+    /// How the request ends once the whole response has been read from the backend.
     pub end: RequestEnd,
 }
 
-/// The body of a response that is forwarded as it arrives.
+/// The body of a streamed response.
 pub type StreamingResponseBody = StreamingBody<ResponseSource>;
 
-/// The rest of a response that is forwarded as it arrives. Counts its end.
+/// The source of a streamed response. Reports and counts the end of the response.
 pub struct ResponseSource {
     incoming: Incoming,
-    /// Present until the end.
+    /// `None` once the end has been reported.
     on_end: Option<EndHandler>,
     client: Rc<TrackedConnection>,
     metrics: Arc<Metrics>,
     class: ClassId,
-    /// How its request ends once the client has all of the response.
+    /// How the request ends if the response is complete.
     request_end: RequestEnd,
-    /// The client sees the end of the body by that of the connection only.
+    /// Whether the end of the response is indicated to the client only by the close of the connection.
     is_close_delimited: bool,
 }
 
 impl StreamingResponseBody {
-    /// Forwards a response to this client.
+    /// Creates the body that forwards `response` to `client`.
     pub fn new(
         response: StreamingResponse,
         client: Rc<TrackedConnection>,
@@ -118,7 +113,7 @@
 }
 
 impl ResponseSource {
-    /// Reports the end; only the first one counts.
+    /// Reports the end of the response. Calls after the first have no effect.
     fn end(&mut self, end: StreamEnd) {
         let Some(on_end) = self.on_end.take() else {
             return;
@@ -149,7 +144,7 @@
         self.client
             .set_stream_waiting_for_backend(polled.is_pending());
         if matches!(polled, Poll::Ready(Some(Err(_)))) {
-            // The client's connection ends in the midst of the body, so that the client can tell.
+            // The connection is reset, as a close would look like the regular end of the response.
             if self.is_close_delimited {
                 self.client.stream_truncated();
             }
@@ -164,7 +159,7 @@
 }
 
 impl Drop for ResponseSource {
-    /// The client has disconnected, or reads no more.
+    /// The client has disconnected, or stopped reading.
     fn drop(&mut self) {
         self.end(StreamEnd::Abandoned);
     }
--- a/adapters/http/src/early_response.rs
+++ b/adapters/http/src/early_response.rs
@@ -1,6 +1,6 @@
-//! Responses that begin while their request's body is still arriving. The backend may read the rest of the body, and what
-//! no backend reads is discarded: a client that reads only once it has sent everything would wait for the node for ever
-//! otherwise, and the node for its client.
+//! Early responses: responses that begin while the body of their request is still arriving. The backend may read the
+//! rest of the body; what no backend reads is discarded. Without this, a client that reads the response only after it
+//! has sent the whole body would be deadlocked with the node.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -19,8 +19,7 @@
 use crate::tracked_connection::{RequestTracker, TrackedConnection};
 use crate::upload::Upload;
 
-/// The response of one connection that has begun before its request was complete. There is one at most: the connection
-/// closes after it.
+/// The early response of one connection. There is at most one, as the connection closes after an early response.
 #[derive(Default)]
 pub(crate) struct EarlyResponse {
     upload: RefCell<Option<Rc<Upload>>>,
@@ -29,19 +28,18 @@
 }
 
 impl EarlyResponse {
-    /// A response begins while this upload is incomplete.
+    /// Starts the response while `upload` is incomplete.
     pub(crate) fn begin(&self, upload: Rc<Upload>, now: Nanos) {
         self.begun_at.set(now);
         self.upload.replace(Some(upload));
         self.begun.notify_one();
     }
 
-    /// Whether it has begun.
     pub(crate) fn has_begun(&self) -> bool {
         self.upload.borrow().is_some()
     }
 
-    /// Whether its client is still waited for while it sends, and does not take the response.
+    /// Whether the client may still postpone reading the response while it sends the body.
     pub(crate) fn allows_sending(&self, now: Nanos) -> bool {
         let ends_at = self
             .begun_at
@@ -50,7 +48,7 @@
         self.has_begun() && now < ends_at
     }
 
-    /// Waits until it begins, and returns its upload.
+    /// Waits until the response begins, and returns the upload of its request.
     async fn begun(&self) -> Rc<Upload> {
         loop {
             if let Some(upload) = &*self.upload.borrow() {
@@ -61,8 +59,8 @@
     }
 }
 
-/// Goes on with a body whose response has begun: waits while the backend reads it, then reads and discards what the
-/// client still sends. Never resolves; it ends with the connection, by whose time limits it is bounded.
+/// Handles the rest of the body after an early response has begun: waits while the backend reads the body, then
+/// discards what the client still sends. Never resolves; the time limits of the connection bound it.
 pub(crate) async fn finish_upload(
     connection: &TrackedConnection,
     stream: &ObservedStream<RequestTracker>,
@@ -72,7 +70,7 @@
     while !upload.is_complete() {
         if has_stalled(connection, &upload, clock) {
             upload.discard_rest();
-            // The HTTP library stops reading before anything is taken away from it.
+            // hyper stops reading the body before the bytes are taken from the socket.
             yield_now().await;
             stream.discard_input().await;
             break;
@@ -82,7 +80,7 @@
     pending().await
 }
 
-/// Whether a body that is forwarded after its response has begun has made no progress for too long, on either side.
+/// Whether the client or the backend has made no progress on the rest of the body for too long.
 fn has_stalled(connection: &TrackedConnection, upload: &Upload, clock: &Clock) -> bool {
     let now = clock.now();
     if !upload.can_forward() {
--- a/adapters/http/src/forwarded_body.rs
+++ b/adapters/http/src/forwarded_body.rs
@@ -1,5 +1,5 @@
-//! A message body on its way through the node: held whole, or forwarded as it arrives, with back pressure. Requests and
-//! responses differ in the [`BodySource`] only.
+//! A message body that the node forwards: buffered, or streamed with back pressure. The [`BodySource`] differs between
+//! requests and responses.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -10,31 +10,28 @@
 
 use crate::memory_budget::BufferedBytes;
 
-/// What the rest of a body is read from, and what has to know how far it was forwarded.
+/// The source of a streamed body. It is notified when the whole body has been read.
 pub trait BodySource {
-    /// Why a body breaks off.
+    /// Why the body was aborted.
     type Error;
 
-    /// Whether the body may still be forwarded; an error breaks it off.
+    /// Returns an error if the body must not be forwarded any further.
     fn check(&self) -> Result<(), Self::Error>;
 
-    /// Reads the next frame.
     fn poll_frame(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>>;
 
-    /// The last byte was read. May be called again.
+    /// Called when the last byte has been read, possibly more than once.
     fn complete(&mut self);
 }
 
-/// A body of a message that the node sends.
+/// The body of a message that the node sends.
 pub enum ForwardedBody<S> {
-    /// Held whole.
     Buffered {
-        /// The bytes.
         body: Full<Bytes>,
-        /// Their part of the memory budget, until the last of them is with the connection.
+        /// Keeps the bytes' part of the memory budget reserved until the body has been sent.
         _buffered: BufferedBytes,
     },
     /// Forwarded as it arrives.
@@ -59,14 +56,14 @@
 /// A body that is forwarded as it arrives.
 pub struct StreamingBody<S> {
     source: S,
-    /// What had arrived before; forwarded first.
+    /// The part that had arrived before, which is forwarded first.
     received: Option<BufferedBytes>,
-    /// How much is still to be forwarded; none if the body's length is unknown.
+    /// Number of bytes still to be forwarded; `None` if the length of the body is unknown.
     remaining: Option<u64>,
 }
 
 impl<S: BodySource> StreamingBody<S> {
-    /// A body of this length, if that is known, of which `received` has arrived.
+    /// Creates a body of which `received` has already arrived. `length` is the length of the whole body, if known.
     pub fn from_source(source: S, received: BufferedBytes, length: Option<u64>) -> Self {
         Self {
             source,
@@ -89,7 +86,7 @@
                     return Poll::Ready(None);
                 }
                 Some(Err(error)) => return Poll::Ready(Some(Err(error))),
-                // Trailers concern one connection only, and are dropped.
+                // Trailers are not forwarded.
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         return self.forward(data);
@@ -103,7 +100,7 @@
         if let Some(remaining) = &mut self.remaining {
             *remaining = remaining.saturating_sub(data.len() as u64);
             if *remaining == 0 {
-                // The HTTP library does not ask a body of known length for more.
+                // hyper does not poll a body of known length after its last byte.
                 self.source.complete();
             }
         }
--- a/adapters/http/src/forwarded_body/tests.rs
+++ b/adapters/http/src/forwarded_body/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-/// A source that yields what a test has put there.
+/// A source that yields the given frames.
 #[derive(Default)]
 struct FakeSource {
     frames: VecDeque<Result<Frame<Bytes>, &'static str>>,
@@ -53,18 +53,18 @@
     ForwardedBody::Streaming(StreamingBody::from_source(source, received, length))
 }
 
-/// The next piece of a body; none at its end.
+/// The next chunk of a body; `None` at the end.
 fn next(body: &mut ForwardedBody<FakeSource>) -> Option<Result<Bytes, &'static str>> {
     let mut cx = Context::from_waker(Waker::noop());
     let Poll::Ready(frame) = Pin::new(body).poll_frame(&mut cx) else {
         panic!("the fake source is always ready")
     };
-    frame.map(|frame| frame.map(|frame| frame.into_data().expect("data")))
+    frame.map(|frame| frame.map(|frame| frame.into_data().expect("a data frame")))
 }
 
 fn source(body: &mut ForwardedBody<FakeSource>) -> &mut FakeSource {
     let ForwardedBody::Streaming(body) = body else {
-        panic!("a streaming body")
+        panic!("expected a streaming body")
     };
     &mut body.source
 }
--- a/adapters/http/src/memory_budget.rs
+++ b/adapters/http/src/memory_budget.rs
@@ -1,26 +1,26 @@
-//! A memory budget for buffered bodies, shared by all requests and responses. A body that does not fit is not waited for:
-//! it is streamed, and takes no more memory than the buffers of its connections.
+//! A memory budget for buffered bodies, shared by all requests and responses. A body for which no memory can be
+//! reserved is streamed; it occupies only the buffers of its connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use bytes::{Bytes, BytesMut};
 
-/// A number of bytes from which reservations are made. Clones share it.
+/// A number of bytes from which reservations are made. Clones share the same budget.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
     available_bytes: Rc<Cell<usize>>,
 }
 
 impl MemoryBudget {
-    /// A budget of this many bytes.
+    /// Creates a budget of `bytes` bytes.
     pub fn new(bytes: usize) -> Self {
         Self {
             available_bytes: Rc::new(Cell::new(bytes)),
         }
     }
 
-    /// Reserves this many bytes until the reservation is dropped; none if there are fewer.
+    /// Reserves `bytes` bytes until the reservation is dropped; `None` if fewer are available.
     pub fn reserve(&self, bytes: usize) -> Option<Reservation> {
         let available_bytes = self.available_bytes.get().checked_sub(bytes)?;
         self.available_bytes.set(available_bytes);
@@ -31,17 +31,16 @@
     }
 }
 
-/// A part of a [`MemoryBudget`], returned to it when dropped.
+/// Reserved bytes of a [`MemoryBudget`], returned to the budget on drop.
 #[derive(Debug)]
 pub struct Reservation {
-    /// What is left of the budget.
+    /// The bytes that are still available in the budget.
     available_bytes: Rc<Cell<usize>>,
-    /// The size of the reservation.
     bytes: usize,
 }
 
 impl Reservation {
-    /// Returns what exceeds this size.
+    /// Reduces the reservation to `bytes` bytes, if it is larger.
     fn shrink(&mut self, bytes: usize) {
         let excess = self.bytes.saturating_sub(bytes);
         self.bytes -= excess;
@@ -62,14 +61,14 @@
 /// Buffered bytes, and the reservation for them.
 #[derive(Debug, Default)]
 pub struct BufferedBytes {
-    /// The bytes.
+    /// Contents of the buffer.
     pub bytes: Bytes,
-    /// Released together with the bytes.
+    /// Released together with the bytes. `None` if no memory was reserved for them.
     _reservation: Option<Reservation>,
 }
 
 impl BufferedBytes {
-    /// Buffers these bytes; what is reserved beyond them is returned.
+    /// Buffers `bytes`, and returns the excess of the reservation to the budget.
     pub fn new(bytes: Bytes, mut reservation: Option<Reservation>) -> Self {
         if let Some(reservation) = &mut reservation {
             reservation.shrink(bytes.len());
@@ -81,7 +80,7 @@
     }
 }
 
-/// Collects bytes that arrive in chunks. A single chunk is not copied.
+/// Concatenates chunks. A single chunk is not copied.
 #[derive(Debug, Default)]
 pub(crate) struct BytesCollector {
     /// The only chunk so far; empty once there are more.
@@ -91,7 +90,6 @@
 }
 
 impl BytesCollector {
-    /// Appends a chunk.
     pub(crate) fn add(&mut self, chunk: Bytes) {
         if self.len() == 0 {
             self.first = chunk;
--- a/adapters/http/src/memory_budget/tests.rs
+++ b/adapters/http/src/memory_budget/tests.rs
@@ -14,11 +14,14 @@
 #[test]
 fn a_dropped_reservation_returns_to_the_budget() {
     let budget = MemoryBudget::new(100);
-    let mut first = budget.reserve(60).expect("there is room");
-    assert!(budget.reserve(41).is_none(), "nor is a part of it reserved");
+    let mut first = budget.reserve(60).expect("60 of 100 bytes fit");
+    assert!(
+        budget.reserve(41).is_none(),
+        "a reservation is never partial"
+    );
     first.shrink(10);
     first.shrink(70);
-    let second = budget.reserve(90).expect("room again");
+    let second = budget.reserve(90).expect("90 of 90 bytes fit");
     drop(first);
     assert!(budget.reserve(11).is_none());
     drop(second);
--- a/adapters/http/src/request_body.rs
+++ b/adapters/http/src/request_body.rs
@@ -1,5 +1,5 @@
-//! Reads the bodies of clients' requests. A small one is buffered if the memory budget allows; any other is an upload,
-//! which is forwarded as it arrives.
+//! Reads the bodies of clients' requests. A small body is buffered if the memory budget allows; any other body is an
+//! upload, which is forwarded as it arrives.
 
 use badgerpost_engine::{Clock, nanos};
 use badgerpost_time::Nanos;
@@ -52,7 +52,7 @@
     Ok(RequestBody::Buffered(bytes))
 }
 
-/// Bytes to reserve for a body of this length; one of unknown length may be as large as the largest.
+/// Number of bytes to reserve for a body of this length. For an unknown length it is the maximum.
 fn buffer_size(length: Option<u64>) -> usize {
     length.map_or(MAX_BUFFERED_BODY_BYTES, |length| {
         usize::try_from(length)
@@ -70,7 +70,7 @@
         let deadline = connection.body_deadline();
         match clock.timeout_at(deadline, body.frame()).await {
             Ok(frame) => return frame.transpose().map_err(|_| BadRequest::BodyIncomplete),
-            // Bytes have arrived meanwhile that the HTTP library has not passed on.
+            // Meanwhile bytes have arrived that hyper has not passed on yet.
             Err(_) if connection.body_deadline() > deadline => {}
             Err(_) => {
                 connection.request_timed_out();
@@ -80,22 +80,22 @@
     }
 }
 
-/// Whom an upload waits for that has made no progress for too long.
+/// Which side has stalled an upload.
 pub(crate) enum StalledSide {
-    /// Its client.
+    /// The client sends nothing.
     Client,
-    /// A backend that takes its bytes.
+    /// No backend reads the body.
     Backend,
 }
 
-/// When an upload will have made no progress for too long, unless it does.
+/// When an upload is considered stalled unless it makes progress, and which side is then responsible.
 struct Stall {
     deadline: Nanos,
     side: StalledSide,
 }
 
-/// Resolves once an upload has made no progress for too long. Either its client is too slow; or the client has sent all
-/// that was taken from it, its budget has passed since, and no backend takes the rest: then the request has not run.
+/// Resolves once an upload has stalled. Either the client is too slow, or no backend has read the rest of the body for
+/// the duration of the client's budget. In the second case the request has not run.
 pub(crate) async fn upload_stalled(
     clock: &Clock,
     connection: &TrackedConnection,
@@ -109,7 +109,7 @@
             clock.sleep_until(stall.deadline.min(next_check)).await;
             continue;
         }
-        // Bytes that have arrived by now are with their reader after that, and the stall is over.
+        // Readers handle the bytes that have arrived by now, which may end the stall.
         clock.settle().await;
         let stall = next_stall(clock, connection, upload, budget);
         if clock.now() >= stall.deadline {
@@ -118,7 +118,7 @@
     }
 }
 
-/// The stall that an upload is heading for now.
+/// The next possible stall, given the current state of the upload.
 fn next_stall(
     clock: &Clock,
     connection: &TrackedConnection,
--- a/adapters/http/src/upload.rs
+++ b/adapters/http/src/upload.rs
@@ -1,13 +1,13 @@
-//! Request bodies on their way from a client to a backend. What has arrived of a body before the first attempt is kept,
-//! so that an attempt that got no further can be retried. Once a byte beyond that was forwarded, it can't be.
+//! Forwards request bodies from a client to a backend. The part of a body that arrived before the first attempt is
+//! kept, so that an attempt can be retried as long as it has forwarded nothing beyond that part.
 //!
-//! A body is read by the message of the latest attempt. If that is responded to before the body is complete, the reader
-//! is suspended until it is known whether the response is final:
+//! The request of the latest attempt reads the body. If a backend responds before the body is complete, the reader is
+//! suspended until the engine has decided whether the response is final:
 //!
 //! ```text
-//! forwarded --> suspended --> forwarded    the response is final, and the backend may read on
-//!     \             \-------> replaced     another attempt follows; its message begins again
-//!      \-------------------> discarded    no backend reads on: the rest is the connection's to discard
+//! forwarded --> suspended --> forwarded    the response is final, and the backend may read the rest
+//!     \             \-------> replaced     another attempt follows and forwards the body from the start
+//!      \-------------------> discarded    no backend reads the rest, and the client connection discards it
 //! ```
 
 use std::cell::{Cell, RefCell};
@@ -27,19 +27,18 @@
 use crate::forwarded_body::{BodySource, ForwardedBody, StreamingBody};
 use crate::memory_budget::BufferedBytes;
 
-/// A request's body.
 pub enum RequestBody {
-    /// Held whole.
+    /// Read completely and held in memory.
     Buffered(BufferedBytes),
-    /// Being uploaded.
+    /// Forwarded as it arrives.
     Streaming(Rc<Upload>),
 }
 
-/// The body of a message to a backend.
+/// The body of a request to a backend.
 pub type OutgoingBody = ForwardedBody<UploadReader>;
 
 impl RequestBody {
-    /// Whether all of it has been read from the client.
+    /// Whether the whole body has been read from the client.
     pub fn is_complete(&self) -> bool {
         match self {
             Self::Buffered(_) => true,
@@ -47,12 +46,13 @@
         }
     }
 
-    /// Whether its client has broken it off.
+    /// Whether the client has aborted the body.
     pub fn is_aborted(&self) -> bool {
         matches!(self, Self::Streaming(upload) if upload.is_aborted.get())
     }
 
-    /// The body of a message to a backend. One made before for the same request ends with an error.
+    /// Creates the body for the request of an attempt. A body created before for the same client request ends with an
+    /// error.
     pub fn outgoing_body(&self, engine: &HttpEngine, attempt: AttemptId) -> OutgoingBody {
         match self {
             Self::Buffered(buffered) => OutgoingBody::from(buffered.bytes.clone()),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Ends all messages that were made: none reads any more of the body.
+    /// Ends all bodies that were created for attempts: none reads the upload any more.
     pub fn stop_forwarding(&self) {
         if let Self::Streaming(upload) = self {
             upload.replace_reader();
@@ -80,8 +80,8 @@
         }
     }
 
-    /// A backend has responded. Nothing more of an incomplete body is read until it is known whether the response is
-    /// final: another attempt might still be made, with all of the body.
+    /// Suspends an incomplete upload after a backend has responded, until it is decided whether the response is final.
+    /// If it is not, another attempt needs the whole body.
     pub fn response_received(&self) {
         if let Self::Streaming(upload) = self
             && !upload.is_complete()
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The exchange that the message made last belongs to.
+    /// Starts the exchange with a backend that uses the body created last.
     pub fn start_exchange(&self) -> UploadExchange {
         match self {
             Self::Buffered(_) => UploadExchange(None),
@@ -103,7 +103,7 @@
     }
 }
 
-/// The upload's part in an exchange with a backend. The exchange has ended once this is dropped.
+/// The upload's share in an exchange with a backend. The drop marks the end of the exchange.
 #[derive(Default)]
 pub struct UploadExchange(Option<ActiveUpload>);
 
@@ -115,15 +115,15 @@
 }
 
 impl UploadExchange {
-    /// The response has begun.
+    /// Called when the response has begun.
     pub fn response_started(&mut self) {
         if let Some(active) = &mut self.0 {
             active.has_early_response = !active.upload.is_complete();
         }
     }
 
-    /// Whether the response began before the request had been sent. What is sent since may lie unread in the system of a
-    /// backend that has done with the request, so the connection is of no use to another one.
+    /// Whether the response began before the request was sent completely. The backend may leave the rest of the request
+    /// unread, so the connection must not be reused.
     pub fn has_early_response(&self) -> bool {
         self.0
             .as_ref()
@@ -141,38 +141,38 @@
 
 /// A request body that is being uploaded.
 pub struct Upload {
-    /// What had arrived before the first attempt.
+    /// The part that arrived before the first attempt.
     received: BufferedBytes,
-    /// None once the rest is discarded.
+    /// `None` once the rest of the body is discarded.
     incoming: RefCell<Option<Incoming>>,
-    /// The length of the whole body, where its client has told it.
+    /// Length of the whole body in bytes; `None` if the client has not declared one.
     length: Option<u64>,
-    /// The number of the reader that may read: the one made last.
+    /// Number of the reader created last, the only one that may read.
     current_reader: Cell<u64>,
-    /// Whether that reader exists: it ends with its connection.
+    /// Whether the current reader exists. It is dropped together with its connection to the backend.
     has_reader: Cell<bool>,
-    /// Whether it waits for the decision on a response.
+    /// Whether the current reader is suspended until a response is known to be final.
     is_suspended: Cell<bool>,
-    /// Whether the exchange that it belongs to has ended.
+    /// Whether the exchange of the current reader has ended.
     has_exchange_ended: Cell<bool>,
-    /// Wakes a reader that waits.
+    /// Waker of the reader that was polled last.
     reader_waker: RefCell<Option<Waker>>,
-    /// A byte beyond `received` was read.
+    /// Whether a byte beyond `received` has been read.
     is_consumed: Cell<bool>,
     is_aborted: Cell<bool>,
     is_complete: Cell<bool>,
     completed: Notify,
-    /// Since when a reader waits for the client; none while the client waits for a reader.
+    /// Since when a reader waits for the client; `None` while the client waits for a reader.
     waiting_for_client_since: Cell<Option<Nanos>>,
-    /// How long readers have waited for the client before that.
+    /// Total time that readers have waited for the client, without the wait in progress.
     total_client_wait: Cell<Nanos>,
-    /// When the upload began, or the client last sent something that was read.
+    /// When the upload began, or when bytes from the client were last read.
     last_progress_at: Cell<Nanos>,
     clock: Clock,
 }
 
 impl Upload {
-    /// An upload of which `received` has arrived.
+    /// Creates an upload of which `received` has arrived.
     pub fn new(
         received: BufferedBytes,
         incoming: Incoming,
@@ -199,24 +199,23 @@
         })
     }
 
-    /// Whether its last byte has been read.
     pub fn is_complete(&self) -> bool {
         self.is_complete.get()
     }
 
-    /// Resolves once its last byte has been read.
+    /// Resolves once the last byte has been read.
     pub async fn completed(&self) {
         self.completed.notified().await;
     }
 
-    /// Since when its client waits for a backend to read on; none while the client is waited for.
+    /// Since when the client waits for a backend to read; `None` while a backend waits for the client.
     pub fn waiting_for_backend_since(&self) -> Option<Nanos> {
         let waits_for_client = self.waiting_for_client_since.get().is_some();
         (!waits_for_client).then_some(self.last_progress_at.get())
     }
 
-    /// When the client will have been waited for too long: `max_wait` at a stretch, or `max_wait` and `allowance` in
-    /// all. None while the client waits for a backend.
+    /// When the wait for the client becomes too long: after `max_wait` without interruption, or after `max_wait` plus
+    /// `allowance` in total. `None` while the client waits for a backend.
     pub fn client_stall_deadline(&self, max_wait: Nanos, allowance: Nanos) -> Option<Nanos> {
         let since = self.waiting_for_client_since.get()?;
         let remaining = max_wait
@@ -225,7 +224,7 @@
         Some(since.saturating_add(remaining.min(max_wait)))
     }
 
-    /// Records whether the client is waited for from now on.
+    /// Records whether a reader waits for the client from now on.
     fn set_waiting_for_client(&self, is_waiting: bool) {
         let now = self.clock.now();
         match (self.waiting_for_client_since.get(), is_waiting) {
@@ -240,7 +239,8 @@
         }
     }
 
-    /// Has only the next reader read; returns its number. The one before it ends at once, and its connection with it.
+    /// Makes the next reader the current one, and returns its number. The previous reader fails, which closes its
+    /// connection to the backend.
     fn replace_reader(&self) -> u64 {
         let number = self.current_reader.get() + 1;
         self.current_reader.set(number);
@@ -261,19 +261,20 @@
         self.set_waiting_for_client(false);
     }
 
-    /// The response is final: its backend may read on.
+    /// Called when the response is final: its backend may read the rest of the body.
     pub fn resume(&self) {
         self.is_suspended.set(false);
         self.last_progress_at.set(self.clock.now());
         self.wake_reader();
     }
 
-    /// Whether a backend may read on.
+    /// Whether a backend can still read from the body.
     pub fn can_forward(&self) -> bool {
         self.has_reader.get() && !self.is_aborted.get() && self.incoming.borrow().is_some()
     }
 
-    /// No backend reads on. A response that is still arriving goes on: its connection ends only behind it.
+    /// Discards the rest of the body. The connection to a backend that is still sending its response stays open until
+    /// the response has ended.
     pub fn discard_rest(&self) {
         self.suspend();
         self.incoming.take();
@@ -282,8 +283,8 @@
         }
     }
 
-    /// The exchange that the current reader belongs to has ended. Its connection has no further use, but for a backend
-    /// that reads on.
+    /// Called when the exchange of the current reader has ended. Closes its connection to the backend if the rest of
+    /// the body is discarded.
     fn exchange_ended(&self) {
         self.has_exchange_ended.set(true);
         if self.incoming.borrow().is_none() {
@@ -298,7 +299,7 @@
     }
 }
 
-/// Reads an upload for one attempt, until another one does.
+/// Reads an upload for one attempt, until another reader replaces it.
 pub struct UploadReader {
     upload: Rc<Upload>,
     number: u64,
@@ -314,7 +315,9 @@
             return Ok(());
         }
         self.upload.set_waiting_for_client(false);
-        Err(io::Error::other("the attempt has ended"))
+        Err(io::Error::other(
+            "the attempt ended before the request body was sent completely",
+        ))
     }
 
     fn poll_frame(
@@ -354,7 +357,7 @@
 }
 
 impl Drop for UploadReader {
-    /// The connection to the backend has ended, or has all of the body.
+    /// The connection to the backend has ended, or the whole body has been read.
     fn drop(&mut self) {
         if self.number == self.upload.current_reader.get() {
             self.upload.has_reader.set(false);
