--- a/adapters/http/src/discovery.rs
+++ b/adapters/http/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoint list: calls discovery again and again, and reports every update to the engine.
+//! Follows the endpoint list: polls discovery in a loop, and reports every update to the engine.
 
 mod poll;
 
@@ -16,25 +16,25 @@
 use crate::poll_schedule::{PollCall, PollKind, PollSchedule};
 use poll::{DiscoveryConnection, PollError, PollResponse, poll_once};
 
-/// Where discovery serves the list.
+/// Path of the endpoint list on the discovery service.
 const LIST_PATH: &str = "/registry/instances";
 
 /// Follows the endpoint list of one fleet.
 pub struct EndpointWatcher<P: Protocol> {
     engine: Engine<P>,
     address: SocketAddr,
-    /// The version that is known; none where a snapshot has to be asked for.
+    /// The version that was received last; `None` if the next call has to request a snapshot.
     version: Option<u64>,
     entries: KnownEntries,
-    /// Kept from the last call that got a response.
+    /// Kept open from the last successful call.
     connection: Option<DiscoveryConnection>,
     schedule: PollSchedule,
     log: LogLimiter,
 }
 
 impl<P: Protocol> EndpointWatcher<P> {
-    /// A watcher of the list at this address, which starts from `cached`, a list that may be old. The seed drives how
-    /// long watches are held.
+    /// Creates a watcher of the list at `address`. `cached` is a list from an earlier run, which may be outdated.
+    /// `seed` randomizes how long watches are held open.
     pub fn new(
         engine: Engine<P>,
         address: SocketAddr,
@@ -62,7 +62,7 @@
         watcher
     }
 
-    /// Follows the list, at the address that came last through the channel. Never returns.
+    /// Follows the list at the latest address from the channel. Never returns.
     pub async fn run(mut self, mut address: watch::Receiver<SocketAddr>) {
         loop {
             let result = tokio::select! {
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Goes on at another address. Versions count at one address only, so that a snapshot is asked for; what has been
-    /// learned of the backends stays, as they keep their names.
+    /// Switches to another address. The next call requests a snapshot, because versions of different addresses are not
+    /// comparable. Known entries are kept, as backends keep their names.
     fn switch_address(&mut self, address: SocketAddr) {
         self.address = address;
         self.version = None;
@@ -99,7 +99,7 @@
         self.log = LogLimiter::new(self.engine.clock().clone());
     }
 
-    /// Reports a list to the engine, and logs its invalid entries.
+    /// Reports a list to the engine, and logs the invalid entries.
     fn apply(&mut self, list: EndpointList) {
         self.version = Some(list.version);
         let MergedList {
@@ -124,7 +124,7 @@
             .log(|suppressed| tracing::warn!(%at, %error, suppressed, "asking discovery failed"));
     }
 
-    /// Waits after a failure, until the balancer wants an update or the address has changed.
+    /// Waits after a failure, until the backoff has passed, the balancer requests an update or the address has changed.
     async fn back_off(&mut self, address: watch::Receiver<SocketAddr>) {
         let backoff = self.schedule.failed();
         if backoff.needs_snapshot {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Makes the call that is next on the schedule.
+    /// Makes the next call of the schedule.
     async fn poll(&mut self) -> Result<EndpointList, PollError> {
         let is_snapshot_requested = self.engine.take_snapshot_request();
         let version = self.version.filter(|_| !is_snapshot_requested);
@@ -160,8 +160,8 @@
             .unwrap_or(Err(timed_out))
     }
 
-    /// Makes one call, and the same again beside it as long as there is no response; the first response counts. Dropped
-    /// with all calls that are in flight.
+    /// Makes a hedged call: repeats the call while there is no response, and returns the first response. The other
+    /// calls are dropped.
     async fn poll_hedged(
         &mut self,
         target: String,
@@ -189,7 +189,7 @@
     }
 }
 
-/// The path and query of a call by a node that knows this version.
+/// The request target of a call. `version` is the version that was received last.
 fn request_target(kind: PollKind, version: Option<u64>) -> String {
     let hold = match kind {
         PollKind::Snapshot => return LIST_PATH.to_owned(),
@@ -200,7 +200,8 @@
     format!("{LIST_PATH}?from={version}&hold_ms={}", hold.as_millis())
 }
 
-/// Resolves once another address has come through the channel. The change stays unseen there.
+/// Resolves once another address has come through the channel. The receiver of the caller does not mark the change as
+/// seen.
 async fn address_changed(mut address: watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
--- a/adapters/http/src/discovery/poll.rs
+++ b/adapters/http/src/discovery/poll.rs
@@ -1,4 +1,4 @@
-//! One call to discovery, over a connection that is kept for the next one.
+//! One call to discovery, over a connection that is reused by the next call.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,47 +16,47 @@
 use crate::endpoint_list::EndpointList;
 use crate::observed_stream::{NoopObserver, ObservedStream};
 
-/// Discovery is near: a connect that takes longer does not succeed any more.
+/// Discovery runs on the same host or a nearby one, so that a slower connect is unlikely to succeed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest list that is read: thousands of backends fit.
+/// Largest endpoint list that is read.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// An open connection to discovery.
+/// A connection to discovery, kept open between calls.
 pub(super) type DiscoveryConnection = SendRequest<Empty<Bytes>>;
 
-/// Why a call to discovery has brought no list.
+/// Why a call to discovery has failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PollError {
-    #[error("no connection: {0}")]
+    #[error("connecting to discovery failed: {0}")]
     Connect(#[source] io::Error),
     #[error("no answer in time")]
     ConnectTimedOut,
-    #[error("the call broke: {0}")]
+    #[error("HTTP handshake with discovery failed: {0}")]
     Handshake(#[source] hyper::Error),
-    #[error("no such request: {0}")]
+    #[error("building the request failed: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    #[error("the call broke: {0}")]
+    #[error("connection to discovery failed before the response headers: {0}")]
     Exchange(#[source] hyper::Error),
     #[error("no answer in time")]
     ResponseTimedOut,
     #[error("the watch has fallen silent")]
     WatchTimedOut,
-    #[error("the answer broke or was too long: {0}")]
+    #[error("response body is truncated or longer than 4 MiB: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    #[error("answered {0}")]
+    #[error("unexpected response status {0}; expected 200 OK")]
     Status(StatusCode),
-    #[error("not a list: {0}")]
+    #[error("not a list of endpoints: {0}")]
     InvalidList(#[from] serde_json::Error),
 }
 
-/// What a call has brought.
+/// The result of a successful call.
 pub(super) struct PollResponse {
     pub(super) list: EndpointList,
     /// The connection, for the next call.
     pub(super) connection: DiscoveryConnection,
 }
 
-/// Makes one call, over this connection if it is still open, else over a new one.
+/// Makes one call over `connection` if that is still open, else over a new connection.
 pub(super) async fn poll_once(
     clock: Clock,
     address: SocketAddr,
@@ -103,7 +103,11 @@
         .map_err(PollError::Handshake)?;
     spawn(async move {
         if let Err(error) = connection.await {
-            tracing::debug!(at = %address, %error, "connection to discovery failed");
+            tracing::debug!(
+                at = %address,
+                %error,
+                "connection to discovery closed after an error; the next call reconnects"
+            );
         }
     });
     Ok(sender)
--- a/adapters/http/src/endpoint_list.rs
+++ b/adapters/http/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery words it, and what a node makes of an entry that can't be read.
+//! The wire format of the endpoint list, and the handling of invalid entries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 use badgerpost_engine::DiscoveredEndpoint;
 
-/// A list of endpoints, or of changes to one.
+/// An endpoint list, or a list of changes.
 #[derive(Deserialize)]
 pub struct EndpointList {
     #[serde(rename = "rev")]
@@ -22,7 +22,7 @@
     invalid: Vec<InvalidEntry>,
 }
 
-/// The same, with entries that are not parsed yet.
+/// An [`EndpointList`] whose entries are not parsed yet.
 #[derive(Deserialize)]
 struct RawList {
     #[serde(rename = "rev")]
@@ -33,18 +33,18 @@
     entries: Vec<Value>,
 }
 
-/// An entry that can't be read as a whole.
+/// An entry with at least one invalid field.
 #[derive(Debug)]
 pub(crate) struct InvalidEntry {
-    /// The backend's name, if that can be read.
+    /// The backend's name, if that field is valid.
     pub(crate) name: Option<String>,
-    /// Its state, if that can be read.
+    /// The backend's state, if that field is valid.
     state: Option<ListedState>,
-    /// What is wrong with the entry.
+    /// Why the entry is invalid.
     pub(crate) error: serde_json::Error,
 }
 
-/// One backend on the list.
+/// An entry of the list: one backend.
 #[derive(Clone, Deserialize)]
 struct Entry {
     #[serde(rename = "uid")]
@@ -64,7 +64,7 @@
     started_at_ms: u64,
 }
 
-/// A backend's state, by its name on the wire.
+/// A backend's state, with the names used on the wire.
 #[derive(Clone, Copy, Debug, Deserialize)]
 enum ListedState {
     #[serde(rename = "Ready")]
@@ -73,7 +73,7 @@
     Draining,
     #[serde(rename = "Gone")]
     Removed,
-    /// A state that this version does not know.
+    /// A state that this version does not support.
     #[serde(other)]
     Unknown,
 }
@@ -82,7 +82,7 @@
     fn from(state: ListedState) -> Self {
         match state {
             ListedState::InService => Self::InService,
-            // Nothing new goes to a backend of which it is not certain that it is in service.
+            // A backend in an unknown state gets no new requests.
             ListedState::Draining | ListedState::Unknown => Self::Draining,
             ListedState::Removed => Self::Removed,
         }
@@ -90,7 +90,7 @@
 }
 
 impl EndpointList {
-    /// Parses a list. Invalid entries do not invalidate the others; a list in which no entry is valid is an error.
+    /// Parses a list. Valid entries are kept if others are invalid; a list that has only invalid entries is an error.
     pub(crate) fn parse(text: &[u8]) -> Result<Self, serde_json::Error> {
         let error = match serde_json::from_slice(text) {
             Ok(list) => return Ok(list),
@@ -117,7 +117,7 @@
         })
     }
 
-    /// The backends on the list, by name, and where they listen.
+    /// The names and addresses of the backends on the list.
     pub fn endpoints(&self) -> impl Iterator<Item = (&str, SocketAddr)> {
         self.entries
             .iter()
@@ -150,11 +150,11 @@
     }
 }
 
-/// The entries as they could last be read. Bounded by the list, as removed backends are removed here.
+/// The latest valid entry of each backend that has not been removed.
 #[derive(Default)]
 pub(crate) struct KnownEntries(BTreeMap<String, Entry>);
 
-/// What a list tells the engine.
+/// A list after the merge with the known entries, ready for the engine.
 pub(crate) struct MergedList {
     pub(crate) update: EndpointUpdate,
     pub(crate) endpoints: Vec<DiscoveredEndpoint>,
@@ -162,8 +162,8 @@
 }
 
 impl KnownEntries {
-    /// Merges a list into the known entries. A backend with an invalid entry stays as it was, except for a state that
-    /// could be read: a drain must not be missed for an address that nobody needs any more.
+    /// Merges a list into the known entries. A backend with an invalid entry keeps its known values, except for a valid
+    /// state: a drain must be applied even if the address of the entry is invalid.
     pub(crate) fn merge(&mut self, list: EndpointList) -> MergedList {
         let EndpointList {
             is_snapshot,
@@ -192,7 +192,7 @@
         }
     }
 
-    /// An invalid entry, with what is known of its backend in place of what can't be read.
+    /// The invalid entry with known values in place of the invalid fields; `None` if the backend is unknown.
     fn repaired(&self, invalid: &InvalidEntry) -> Option<Entry> {
         let known = self.0.get(invalid.name.as_ref()?)?;
         Some(Entry {
--- a/adapters/http/src/endpoint_list/tests.rs
+++ b/adapters/http/src/endpoint_list/tests.rs
@@ -14,7 +14,7 @@
     entries: &mut KnownEntries,
     text: &str,
 ) -> (EndpointUpdate, Vec<(String, EndpointState)>, usize) {
-    let merged = entries.merge(EndpointList::parse(text.as_bytes()).expect("a list"));
+    let merged = entries.merge(EndpointList::parse(text.as_bytes()).expect("a valid list"));
     let mut endpoints: Vec<_> = merged
         .endpoints
         .into_iter()
@@ -30,7 +30,7 @@
     entries
 }
 
-/// One entry that nobody can read must not keep the drain of another from being honoured.
+/// Guards against an invalid entry that prevents the drain of another backend from being applied.
 #[test]
 fn an_invalid_entry_leaves_the_others_valid() {
     let draining = OTHER.replace("Ready", "Terminating");
@@ -57,7 +57,7 @@
     }
 }
 
-/// Of an unknown backend an invalid entry tells nothing; one that is no entry at all does no harm.
+/// Guards against an endpoint that is made up from an invalid entry.
 #[test]
 fn an_invalid_entry_of_an_unknown_backend_is_skipped() {
     for invalid in [
@@ -87,7 +87,7 @@
     }
 }
 
-/// Nothing new goes where it is not certain that it is wanted.
+/// Guards against new requests to a backend that may not be in service.
 #[test]
 fn a_backend_in_an_unknown_state_counts_as_draining() {
     let (_, endpoints, invalid) = merge(
@@ -115,7 +115,7 @@
     }
     assert!(
         EndpointList::parse(list(true, &[]).as_bytes()).is_ok(),
-        "an empty one is a list"
+        "an empty list is valid"
     );
 }
 
--- a/adapters/http/src/poll_schedule.rs
+++ b/adapters/http/src/poll_schedule.rs
@@ -1,16 +1,15 @@
-//! Decides which call to discovery comes next, how long it may take, and how long to back off after a failure. No I/O
-//! and no clock: a [`PollSchedule`] is told how calls ended.
+//! Decides which call to discovery comes next, its timeout, and the backoff after a failure. A [`PollSchedule`] does no
+//! I/O and reads no clock.
 //!
-//! An update has to be in force 6 s after discovery had it and could be reached, and 2 s after the end of a watch's
-//! hold, whatever became of the call that should have brought it. Calls to an agent beside the node cost nothing, and all
-//! waits together stay under that limit: a watch that times out costs its hold, [`WATCH_GRACE`], a connect and a
-//! response. A service that all nodes poll bears about one call from each in 5 to 8 s, so that watches there are held
-//! for longer, and for a random time: nodes whose watches time out together would call again together, and the last of
-//! them would be answered seconds later.
+//! An update has to be in force within 6 s after discovery has it and can be reached, and within 2 s after the end of a
+//! watch's hold, even if a call fails. Calls to an agent on the same host are cheap, and their waits together stay
+//! below these limits: a watch that times out takes its hold, [`WATCH_GRACE`], a connect and a response. A discovery
+//! service that all nodes poll can serve each node about once in 5 to 8 s. Watches of the service are therefore held
+//! for longer, and for a random time, so that nodes whose watches time out do not all call again at the same moment.
 
 use std::time::Duration;
 
-/// A response to a watch that is later than its hold by this much does not come any more.
+/// How long after its hold the response to a watch may arrive.
 const WATCH_GRACE: Duration = Duration::from_millis(700);
 
 /// The time limits of calls to one kind of discovery.
@@ -19,22 +18,21 @@
     min_watch_hold: Duration,
     /// The longest hold of a watch.
     max_watch_hold: Duration,
-    /// How long the response to a call that is answered at once may take.
+    /// How long the response to a snapshot or delta call may take.
     response_timeout: Duration,
-    /// The time without a response after which such a call is made again beside the first.
+    /// Time without a response after which a snapshot or delta call is repeated in parallel.
     hedge_delay: Duration,
-    /// The backoff after a first failure; it doubles with each further one.
+    /// Backoff after the first failure. Doubles with each further failure.
     initial_backoff: Duration,
-    /// The longest backoff.
     max_backoff: Duration,
-    /// Whether the call after a failure asks for a snapshot.
+    /// Whether the call after a failure requests a snapshot.
     snapshot_after_failure: bool,
 }
 
-/// An agent beside the node, to which discovery pushes. It is silent while discovery is down, and never answers calls
-/// made then; updates that it gets at the return of discovery count at once. So calls are hedged after a time in which
-/// the one before may only be late, and the backoff is next to none. A snapshot costs nothing, and an agent that has
-/// restarted may count versions from the beginning.
+/// Timings for an agent on the same host, to which discovery pushes updates. While discovery is down, the agent does
+/// not respond, and it never answers the calls of that time. Once discovery is back, updates have to be in force
+/// quickly. So calls are hedged early, and the backoff is minimal. Snapshots are cheap, and needed because a restarted
+/// agent may restart its versions.
 const AGENT_TIMINGS: PollTimings = PollTimings {
     min_watch_hold: Duration::from_secs(2),
     max_watch_hold: Duration::from_secs(2),
@@ -45,8 +43,8 @@
     snapshot_after_failure: true,
 };
 
-/// A service that all nodes poll. It responds once it has come round to the call. The balancer itself asks for the call
-/// after a failure; the backoff is there in case it does not.
+/// Timings for a discovery service that all nodes poll. Responses may be slow, as the service handles the calls of all
+/// nodes in turn. Usually the balancer requests the call after a failure; the backoff covers the case that it does not.
 const SERVICE_TIMINGS: PollTimings = PollTimings {
     min_watch_hold: Duration::from_secs(8),
     max_watch_hold: Duration::from_secs(16),
@@ -57,49 +55,48 @@
     snapshot_after_failure: false,
 };
 
-/// What a call asks for.
+/// What a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PollKind {
     /// The whole list.
     Snapshot,
-    /// Changes since a version, if any, at once.
+    /// The changes since a version, without waiting for any.
     Delta,
-    /// Changes from a version on, as soon as there are any; held open for this long.
+    /// The changes since a version. The call is held open for up to this long until there is a change.
     Watch(Duration),
 }
 
-/// One call.
+/// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PollCall {
     pub(crate) kind: PollKind,
-    /// When to give up.
     pub(crate) timeout: Duration,
-    /// The time without a response after which the same call is made again beside it, and again.
+    /// Time without a response after which the same call is repeated in parallel, again and again.
     pub(crate) hedge_delay: Duration,
 }
 
-/// What follows a failed call.
+/// How to continue after a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Backoff {
-    /// How long to wait before the next call.
+    /// Time until the next call.
     pub(crate) delay: Duration,
-    /// Whether that call has to ask for a snapshot.
+    /// Whether the next call has to request a snapshot.
     pub(crate) needs_snapshot: bool,
 }
 
 /// Schedules the calls to discovery.
 pub(crate) struct PollSchedule {
     timings: &'static PollTimings,
-    /// The state of the random numbers.
+    /// State of the pseudorandom number generator.
     random_state: u64,
-    /// The last watch timed out: what it missed is asked for before the next one.
+    /// Whether the last watch timed out, so that the next call requests the changes that it may have missed.
     needs_delta: bool,
     next_backoff: Duration,
 }
 
 impl PollSchedule {
-    /// The schedule of a node that polls the discovery service, or of one with an agent beside it. The seed drives how
-    /// long watches are held.
+    /// Creates the schedule of a node that polls the discovery service, or of one with an agent on its host. `seed`
+    /// randomizes how long watches are held open.
     pub(crate) fn new(polls_service: bool, seed: u64) -> Self {
         let timings = if polls_service {
             &SERVICE_TIMINGS
@@ -114,13 +111,13 @@
         }
     }
 
-    /// Forgets the calls so far, as the address has changed.
+    /// Resets the schedule. Called after a success, and when the address of discovery has changed.
     pub(crate) fn reset(&mut self) {
         self.needs_delta = false;
         self.next_backoff = self.timings.initial_backoff;
     }
 
-    /// The next call, for a node that needs a snapshot, or knows a version.
+    /// The next call. `needs_snapshot` is whether the node has no version to request changes from.
     pub(crate) fn next_call(&mut self, needs_snapshot: bool) -> PollCall {
         if needs_snapshot {
             return self.immediate_call(PollKind::Snapshot);
@@ -141,7 +138,7 @@
         }
     }
 
-    /// A call that is answered at once.
+    /// A call to which discovery responds without a hold.
     fn immediate_call(&self, kind: PollKind) -> PollCall {
         PollCall {
             kind,
@@ -150,17 +147,17 @@
         }
     }
 
-    /// A call has brought a list.
+    /// Called when a call has returned a list.
     pub(crate) fn succeeded(&mut self) {
         self.reset();
     }
 
-    /// A watch has timed out. Nothing was rejected, so that what it missed is asked for at once.
+    /// Called when a watch has timed out. The next call requests the missed changes without a backoff.
     pub(crate) fn watch_timed_out(&mut self) {
         self.needs_delta = true;
     }
 
-    /// A call has failed.
+    /// Called when any other call has failed.
     pub(crate) fn failed(&mut self) -> Backoff {
         let delay = self.next_backoff;
         self.next_backoff = (delay * 2).min(self.timings.max_backoff);
@@ -170,7 +167,7 @@
         }
     }
 
-    /// A random number from 0 to 1, by SplitMix64.
+    /// A pseudorandom number from 0 to 1 (SplitMix64).
     fn random_fraction(&mut self) -> f64 {
         self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.random_state;
--- a/adapters/http/src/poll_schedule/tests.rs
+++ b/adapters/http/src/poll_schedule/tests.rs
@@ -2,20 +2,20 @@
 
 /// The time within which an update has to be in force.
 const UPDATE_LIMIT: Duration = Duration::from_secs(6);
-/// A connect, as `discovery/poll.rs` bounds it.
+/// Equal to the connect timeout in `discovery/poll.rs`.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The next call, which has to be a watch, and its hold.
+/// The next call, which has to be a watch, and the hold of that watch.
 fn next_watch(schedule: &mut PollSchedule) -> (Duration, PollCall) {
     let call = schedule.next_call(false);
     let PollKind::Watch(hold) = call.kind else {
-        panic!("a watch, not {:?}", call.kind)
+        panic!("expected a watch, got {:?}", call.kind)
     };
     (hold, call)
 }
 
-/// The time from the first moment of a watch that times out to the response that brings what it missed, with the next
-/// call failing so many times.
+/// The time from the start of a watch that times out to the response with the missed changes, if `failures` calls fail
+/// in between.
 fn recovery_time(schedule: &mut PollSchedule, failures: u32) -> Duration {
     let (_, watch) = next_watch(schedule);
     schedule.watch_timed_out();
@@ -31,7 +31,7 @@
     total + CONNECT_TIMEOUT + schedule.next_call(needs_snapshot).timeout
 }
 
-/// Guards against a hold and its grace that are as long as what is allowed for all of it (5 s and 1 s stood here).
+/// Guards against a hold and a grace period that together use up the whole limit.
 #[test]
 fn changes_missed_by_a_watch_of_an_agent_arrive_within_the_update_limit() {
     for failures in 0..=2 {
@@ -40,8 +40,7 @@
     }
 }
 
-/// An update that a watch misses counts as known 2 s after its hold, and the backend may be sent to for the grace of a
-/// drain after that.
+/// An update that a watch missed has to be in force within 2 s after the hold: the grace period of a drain starts then.
 #[test]
 fn a_watch_of_a_service_times_out_within_two_seconds_of_its_hold_and_a_delta_follows() {
     for seed in 0..200 {
@@ -53,14 +52,14 @@
             watch.timeout
         );
         schedule.watch_timed_out();
-        // At once, and of what has changed only: a snapshot costs the service several times as much.
+        // The next call is a delta without a backoff, as a snapshot is more expensive for the service.
         assert_eq!(schedule.next_call(false).kind, PollKind::Delta);
         schedule.succeeded();
         assert!(matches!(schedule.next_call(false).kind, PollKind::Watch(_)));
     }
 }
 
-/// Twelve nodes whose watches time out together must not call again together.
+/// Guards against nodes that call again at the same moment after their watches have timed out together.
 #[test]
 fn nodes_that_poll_one_service_hold_their_watches_for_different_times() {
     let hold = |seed| next_watch(&mut PollSchedule::new(true, seed)).0;
@@ -78,8 +77,8 @@
     );
 }
 
-/// What an agent gets when discovery is back counts at once, it answers no call made before, and nothing new may go to
-/// a backend that drains after half a second: a connect that is coming up takes half of that.
+/// An agent that is silent during an outage of discovery answers none of the calls made in that time. After the outage,
+/// a drain has to be in force within half a second, and a new connect may take half of that time.
 #[test]
 fn a_silent_agent_is_called_again_within_a_quarter_of_a_second() {
     let mut schedule = PollSchedule::new(false, 1);
@@ -90,7 +89,7 @@
         assert!(call.timeout >= Duration::from_secs(1));
         assert!(schedule.failed().delay <= Duration::from_millis(100));
     }
-    // Where all nodes poll one service each call is paid for.
+    // Calls to a service that all nodes poll are hedged late, as each call costs capacity.
     let call = PollSchedule::new(true, 1).next_call(true);
     assert!(call.hedge_delay >= Duration::from_secs(3));
 }
