--- a/adapters/http/src/upstream.rs
+++ b/adapters/http/src/upstream.rs
@@ -1,6 +1,6 @@
-//! The backends' side: attempts and health checks over a bounded pool of connections. What happened to an attempt is
-//! reported as an [`Outcome`](badgerpost_balancer::Outcome). Whether a retry follows is the balancer's decision: only a
-//! connection that closed before anything was written to it is replaced here, within the same attempt.
+//! The upstream side: attempts and health checks over a bounded pool of connections to the backends. The result of an
+//! attempt is reported as an [`Outcome`](badgerpost_balancer::Outcome), and the balancer decides on retries. Only a
+//! pooled connection that has closed before anything was written to it is replaced within the same attempt.
 
 mod attempt;
 mod connection;
@@ -27,12 +27,12 @@
 type AttemptCommand = badgerpost_engine::AttemptCommand<Http>;
 type AttemptEnd = badgerpost_engine::AttemptEnd<BackendResponse>;
 
-/// Starts attempts and health checks over a pool of connections, each in a task of its own.
+/// Runs attempts and health checks over a pool of connections, each in a task of its own.
 pub struct HttpTransport(Rc<ConnectionPool>);
 
 impl HttpTransport {
-    /// A transport whose pool holds at most `max_open` connections, which may change while it runs. Responses that are
-    /// held whole take their bytes from `response_budget`.
+    /// Creates a transport whose pool holds at most `max_open` connections; the limit may change at any time. Buffered
+    /// responses reserve memory from `response_budget`.
     pub fn new(
         settings: ConnectionSettings,
         clock: Clock,
@@ -47,12 +47,12 @@
         )))
     }
 
-    /// Closes connections that have been idle for too long. Never returns.
+    /// Closes connections of the pool that have been idle for too long. Never returns.
     pub async fn sweep(pool: Rc<ConnectionPool>) {
         pool.sweep().await;
     }
 
-    /// The pool.
+    /// The connection pool, shared with [`sweep`](Self::sweep).
     pub fn pool(&self) -> Rc<ConnectionPool> {
         self.0.clone()
     }
--- a/adapters/http/src/upstream/attempt.rs
+++ b/adapters/http/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a client's request written to a backend over a leased connection, and its end reported to the engine.
+//! One attempt: writes a client's request to a backend over a leased connection, and reports the result to the engine.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,15 +19,15 @@
 use crate::HttpEngine;
 use crate::upload::{OutgoingBody, RequestBody};
 
-/// A response of which nothing more comes for this long, before it can be forwarded, counts as invalid: backends send
-/// it in one go, and the time is better used for another attempt.
+/// Longest pause in a response that cannot be forwarded yet. Backends send their responses without pauses, so that a
+/// longer pause counts as an invalid response and leaves time for another attempt.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long a response is still read after its client's deadline. One that comes by then leaves its connection fit for
-/// use; otherwise clients with short deadlines would cost a handshake each.
+/// How long a response is still read after the client's deadline. If the response is complete by then, its connection
+/// can be reused, which saves a handshake for the next request.
 const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Tells the backend how long the client still waits, in milliseconds.
+/// How long the client still waits, in milliseconds.
 const BUDGET_HEADER: &str = "x-budget-ms";
 
 /// Makes an attempt, and reports its end to the engine once.
@@ -58,16 +58,16 @@
     }
 }
 
-/// How far an attempt has got with its request.
+/// How far the request of an attempt has been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    /// Nothing of it was written: it never ran.
+    /// Nothing was written, so that the request has not run.
     NotWritten,
-    /// It was handed to a connection.
+    /// The request was passed to a connection.
     Written,
 }
 
-/// An attempt while it is made.
+/// An attempt in progress.
 struct Attempt<'a> {
     pool: &'a Rc<ConnectionPool>,
     engine: &'a HttpEngine,
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Resolves once the attempt is no longer waited for, and what had arrived by then is handled: a response that lies
-    /// in the socket of a node that has stood still is one, and no sign of its backend's health. While its body is being
-    /// uploaded, that time is not known yet.
+    /// Resolves once the attempt has timed out and all bytes that arrived by then are handled. After a stall of the
+    /// process, a response that arrived in time is thus not counted as a timeout of the backend. While the body is
+    /// being uploaded, the deadline is not known yet.
     async fn timed_out(&self) {
         let clock = &self.pool.clock;
         let Some(mut deadline) = self.command.upload_deadline.clone() else {
@@ -101,8 +101,8 @@
         }
     }
 
-    /// The end of an attempt that is no longer waited for. A request that was never written whole has not run: the
-    /// balancer may still reject it.
+    /// The end of an attempt that is cancelled or has timed out. A request that was not written completely has not run,
+    /// so that the balancer may still reject it.
     fn end_early(&self, outcome: Outcome) -> AttemptEnd {
         let may_have_run =
             self.progress.get() == Progress::Written && self.command.payload.body.is_complete();
@@ -113,16 +113,16 @@
         })
     }
 
-    /// Whether the attempt may go on after its end was reported. It may if its client's time is over, as no other
-    /// attempt can follow then.
+    /// Whether the attempt may continue after its end was reported: only after the client's deadline, when no other
+    /// attempt can follow.
     fn may_finish_late(&self, outcome: Outcome) -> bool {
         outcome == Outcome::TimedOut
             && self.command.attempt_deadline >= self.command.expires_at
             && self.command.upload_deadline.is_none()
     }
 
-    /// Sends the request and reads its response. A pooled connection that has ended before anything was written to it
-    /// costs nothing: the next one is used.
+    /// Sends the request and reads the response. A pooled connection that has closed before anything was written to it
+    /// is replaced by the next one.
     async fn send(&self) -> AttemptEnd {
         loop {
             let Ok(leased) = self.lease().await else {
@@ -138,10 +138,11 @@
         }
     }
 
-    /// Leases a connection to which a request can be written.
+    /// Leases a connection that is ready for a request.
     async fn lease(&self) -> Result<LeasedConnection, ConnectError> {
         while let Some(mut leased) = self.pool.lease_idle(self.engine, self.destination()) {
-            // A close or stray bytes that the system has already received are seen first.
+            // The connection's task first handles a close or unexpected bytes that the operating system has already
+            // received.
             yield_now().await;
             if leased.is_ready().await {
                 return Ok(leased);
@@ -155,9 +156,9 @@
         }
     }
 
-    /// Makes the exchange over one connection. None if nothing of the request was written.
+    /// Makes the exchange over one connection. `None` if nothing of the request was written.
     async fn send_over(&self, mut leased: LeasedConnection) -> Option<AttemptEnd> {
-        // The connect may have outlasted the request, or the backend's place on the list.
+        // During the connect, the request may have ended or the backend may have left the list.
         if !self.engine.may_write(self.command.attempt) {
             leased.release();
             return Some(AttemptEnd::bare(Outcome::NotSent));
@@ -194,8 +195,8 @@
         Some(end)
     }
 
-    /// Which error responses are for the client. A request that is held whole may be sent again, and is answered by the
-    /// node if all its attempts fail. An upload is not: what its backend says of it is the answer.
+    /// Which error responses are forwarded to the client. A buffered request may be retried, and the node responds if
+    /// all attempts fail. An upload is usually not retried, so that the backend's error response is the result.
     fn forwarded_errors(&self) -> ForwardedErrors {
         match &self.command.payload.body {
             RequestBody::Buffered(_) => ForwardedErrors::None,
@@ -203,26 +204,27 @@
         }
     }
 
-    /// The outcome of an exchange that ended because its request was not uploaded whole; none for any other.
+    /// The outcome of an exchange that failed because the body was incomplete; `None` for any other exchange.
     fn upload_failure(&self, end: &AttemptEnd) -> Option<Outcome> {
         let body = &self.command.payload.body;
         if body.is_aborted() {
-            // A client that breaks off its request is no fault of the backend's.
+            // The client aborted its request, which is not a failure of the backend.
             Some(Outcome::NotSent)
         } else if end.outcome == Outcome::Reset && !body.is_complete() {
-            // A request that the backend never had all of has not run, and unlike above the backend is to blame.
+            // The backend reset the connection before it had received the whole request. The request has not run, and
+            // the failure is the backend's.
             Some(Outcome::ConnectFailed)
         } else {
             None
         }
     }
 
-    /// The request as it is written to the backend; none if the backend's address makes no valid header.
+    /// The request as written to the backend; `None` if the address is not a valid `Host` header.
     fn outgoing_request(&self) -> Option<Request<OutgoingBody>> {
         let request = &self.command.payload;
         let ends_at = self.command.attempt_deadline.min(self.command.expires_at);
         let time_left_ms = ends_at.saturating_sub(self.pool.clock.now()) / MILLISECOND;
-        // While its body is being uploaded, its client's time has not begun.
+        // While the body is being uploaded, the client's budget has not started.
         let budget_ms = time_left_ms.min(request.budget_ms);
         let mut message = Request::new(
             request
@@ -242,7 +244,7 @@
     }
 }
 
-/// Writes one request and reads its response. None if nothing of the request was written.
+/// Writes one request and reads its response. `None` if nothing of the request was written.
 async fn exchange(
     mut leased: LeasedConnection,
     message: Request<OutgoingBody>,
--- a/adapters/http/src/upstream/connection.rs
+++ b/adapters/http/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend: how it is opened, and how the pool sees that it is still of use.
+//! A connection to a backend: how it is opened, and whether it can be reused.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,25 +14,27 @@
 use crate::observed_stream::ObservedStream;
 use crate::upload::OutgoingBody;
 
-/// No response's head is larger.
+/// Largest response head that is accepted.
 const MAX_RESPONSE_HEAD_BYTES: usize = 16 * 1024;
-/// No response has more header lines.
+/// Maximum number of header lines that a response may have.
 const MAX_RESPONSE_HEADERS: usize = 64;
 
-/// Why there is no new connection to a backend.
+/// Why no new connection to a backend could be opened.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
-    #[error("a node on a virtual clock connects to loopback addresses only")]
+    #[error(
+        "the backend's address is not a loopback address, and the node runs on a test-controlled clock"
+    )]
     NotLoopback,
-    #[error("too many connections are open")]
+    #[error("the limit on open connections to backends is reached")]
     TooManyConnections,
-    #[error("no connection in time")]
+    #[error("the backend did not accept the connection before the connect timeout")]
     TimedOut,
-    #[error("the connection was closed at once")]
+    #[error("the backend closed the new connection before a request was written")]
     Closed,
-    #[error("the socket failed: {0}")]
+    #[error("socket error: {0}")]
     Socket(#[from] io::Error),
-    #[error("the HTTP client failed: {0}")]
+    #[error("HTTP handshake failed: {0}")]
     Http(#[from] hyper::Error),
 }
 
@@ -43,7 +45,8 @@
 }
 
 impl BackendConnection {
-    /// Connects to a backend. The connection counts as open until `guard` is dropped by its task, which ends with it.
+    /// Connects to a backend. The connection's task holds `guard`, so that the connection counts as open until the task
+    /// ends.
     pub(super) async fn open(
         address: SocketAddr,
         connect_timeout: Duration,
@@ -67,7 +70,11 @@
         spawn(async move {
             let _guard = guard;
             if let Err(error) = connection.await {
-                tracing::debug!(endpoint = %address, %error, "server connection failed");
+                tracing::debug!(
+                    endpoint = %address,
+                    %error,
+                    "connection to a backend closed after an error"
+                );
             }
         });
         Ok(Self {
@@ -78,7 +85,8 @@
 }
 
 impl IdleCheck for BackendConnection {
-    /// A close, or bytes that belong to no response, end the connection's task.
+    /// Whether the connection is still open. A close by the backend, or bytes that belong to no response, end the
+    /// connection.
     fn is_idle(&mut self) -> bool {
         !self.sender.is_closed()
     }
--- a/adapters/http/src/upstream/health_check.rs
+++ b/adapters/http/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: one call each that asks a backend for its load report.
+//! Health checks: each requests the load report of a backend.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,9 +17,9 @@
 use crate::backend_response::{BackendResponse, BackendResponseBody};
 use crate::upload::OutgoingBody;
 
-/// Where a backend tells its load.
+/// Path of the load report on a backend.
 const HEALTH_CHECK_PATH: &str = "/stats";
-/// How long a response is waited for: a load report that comes later is older than the next one.
+/// Timeout of a health check. A later load report would be outdated by the next one.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Checks a backend's health, and reports the result to the engine.
@@ -38,8 +38,8 @@
     });
 }
 
-/// Asks a backend for its load, over an idle connection if there is one. Where connections are scarce none is opened:
-/// requests need them more.
+/// Requests a backend's load report, over an idle connection if there is one. Opens no connection while few are left,
+/// as requests have priority.
 async fn request_load(
     pool: &Rc<ConnectionPool>,
     engine: &HttpEngine,
@@ -81,7 +81,7 @@
     end
 }
 
-/// The request for a load report; none if the address makes no valid header.
+/// The request for a load report; `None` if the address is not a valid `Host` header.
 fn load_request(address: SocketAddr) -> Option<Request<OutgoingBody>> {
     let host = HeaderValue::from_str(&address.to_string()).ok()?;
     let mut message = Request::new(OutgoingBody::from(Bytes::new()));
--- a/adapters/http/src/upstream/load_report.rs
+++ b/adapters/http/src/upstream/load_report.rs
@@ -1,4 +1,4 @@
-//! A backend's own figures of its load, as a response header or the answer to a health check tells them.
+//! Parses the load reports of backends, which come in a response header or in the response to a health check.
 
 use badgerpost_balancer::LoadReport;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -6,7 +6,7 @@
 
 const LOAD_REPORT_HEADER: &str = "x-load-report";
 
-/// The figures on the wire, under either of the names in use.
+/// The wire format of a load report. Each field has two names.
 #[derive(Default, Deserialize)]
 struct ReportedLoad {
     #[serde(alias = "load_share")]
@@ -17,7 +17,7 @@
     inflight: Option<f64>,
 }
 
-/// The load report in a response's headers; empty if there is none.
+/// The load report in a response's headers; empty if the header is missing.
 pub(super) fn from_headers(headers: &HeaderMap) -> LoadReport {
     parse(
         headers
@@ -27,7 +27,7 @@
     )
 }
 
-/// Parses a load report. One that can't be parsed counts as empty: it must not fail a response that was served.
+/// Parses a load report. An invalid report counts as empty, because it must not fail the response that it came with.
 pub(super) fn parse(text: &[u8]) -> LoadReport {
     let reported: ReportedLoad = serde_json::from_slice(text).unwrap_or_default();
     LoadReport {
--- a/adapters/http/src/upstream/pool.rs
+++ b/adapters/http/src/upstream/pool.rs
@@ -1,5 +1,5 @@
-//! The bounded pool of connections to backends. A connection is leased for one exchange: an idle one where there is one
-//! that can be trusted, else a new one.
+//! The bounded pool of connections to backends. A connection is leased for one exchange: an idle connection if one can
+//! be reused, else a new one.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -17,37 +17,36 @@
 use crate::memory_budget::MemoryBudget;
 use crate::upload::UploadExchange;
 
-/// A connection is not used again before it has been idle for this long. Stray bytes behind a response would pass for
-/// the next one's response; on an idle connection they show as unexpected, and it is dropped. So does a close.
+/// Minimum idle time before a connection is reused. Unexpected bytes behind a response would be taken for the next
+/// response. While the connection is idle, such bytes or a close are detected, and the connection is dropped.
 const MIN_IDLE_TIME: Nanos = 10 * MILLISECOND;
 
-/// An idle connection is kept for the backends' idle timeout divided by this: a request written just as its backend
-/// closes the connection ends in a reset, and may have run.
+/// Divisor of the backends' idle timeout: idle connections are kept for this fraction of it. A request written while
+/// the backend closes the connection would be reset, and may have run.
 const IDLE_TIMEOUT_DIVISOR: u64 = 2;
 
-/// How often idle connections are checked.
+/// Interval at which idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The limit on open connections may be exceeded by the limit divided by this: the task of a connection that was closed
-/// to make room ends a moment later.
+/// Divisor of the limit on open connections: the limit may be exceeded by this fraction of it. A connection that is
+/// closed to make room counts as open until its task ends.
 const OVERSHOOT_DIVISOR: usize = 8;
 
-/// The limit on open connections divided by this is reserved for requests that are waited for: nothing else uses these
-/// last connections.
+/// Divisor of the limit on open connections: this fraction of it is reserved for requests with a waiting client.
 const RESERVE_DIVISOR: usize = 4;
 
-/// Idle connections to the backends, and the limit on all that are open.
+/// The pool of idle connections to the backends, and the limit on all open connections.
 pub struct ConnectionPool {
     idle: IdlePool<BackendAddress, BackendConnection>,
-    /// Open connections, idle or not.
+    /// Number of open connections, idle or leased.
     open: ConnectionCounter,
-    /// The limit on open connections.
+    /// Maximum number of open connections; may change at any time.
     max_open: Rc<Cell<usize>>,
     settings: ConnectionSettings,
     pub(super) clock: Clock,
-    /// For responses that are held whole.
+    /// Memory for buffered responses.
     pub(super) response_budget: MemoryBudget,
-    /// How often connections were reset at their next request, by how long they had been idle.
+    /// How often connections were reset by their next request, by idle time.
     reset_rates: IdleResetRates,
 }
 
@@ -89,12 +88,13 @@
         });
     }
 
-    /// Whether a connection may be used for something else than a request that is waited for.
+    /// Whether a connection may be used for other purposes than a request with a waiting client.
     pub(super) fn has_spare_connections(&self) -> bool {
         self.open.get() < self.max_open.get() / RESERVE_DIVISOR * (RESERVE_DIVISOR - 1)
     }
 
-    /// Leases the idle connection to a backend that was used last, so that those in excess reach their idle timeout.
+    /// Leases the most recently used idle connection to a backend, so that surplus connections reach their idle
+    /// timeout.
     pub(super) fn lease_idle(
         self: &Rc<Self>,
         engine: &HttpEngine,
@@ -131,7 +131,7 @@
         })
     }
 
-    /// Records a request on a connection that had been idle for this long, and whether it was reset.
+    /// Records whether a request on a connection that had been idle for `idle_time` was reset.
     pub(super) fn record_reuse(&self, idle_time: Nanos, was_reset: bool) {
         self.reset_rates.record(idle_time, was_reset);
     }
@@ -141,7 +141,7 @@
         engine: &HttpEngine,
         address: SocketAddr,
     ) -> Result<BackendConnection, ConnectError> {
-        // A test that steps the node's clock must reach nothing but its fakes.
+        // A node on a test-controlled clock must not connect to anything but the fakes of its test.
         if self.clock.is_controlled() && !address.ip().is_loopback() {
             return Err(ConnectError::NotLoopback);
         }
@@ -162,26 +162,27 @@
     }
 }
 
-/// A connection that is in use for one exchange; closed when dropped, unless it is released.
+/// A connection leased for one exchange. Closed when dropped, unless released.
 pub(super) struct LeasedConnection {
     pub(super) connection: BackendConnection,
-    /// How long it had been idle before; none for a new one.
+    /// How long the connection was idle before the lease; `None` for a new connection.
     pub(super) idle_time: Option<Nanos>,
     pub(super) destination: BackendAddress,
     pub(super) pool: Rc<ConnectionPool>,
     pub(super) engine: HttpEngine,
-    /// The upload that is sent over it, if there is one.
+    /// The upload that is sent over the connection, if there is one.
     pub(super) upload: UploadExchange,
 }
 
 impl LeasedConnection {
-    /// Waits until a request can be written; false if the connection has ended instead.
+    /// Waits until a request can be written. Returns false if the connection has ended instead.
     pub(super) async fn is_ready(&mut self) -> bool {
         self.connection.sender.ready().await.is_ok()
     }
 
-    /// Returns the connection to the pool for the next exchange, unless its backend has left or moved meanwhile, or has
-    /// responded before the request was sent: the next request could wait behind the rest of that one.
+    /// Returns the connection to the pool. Closes it instead if the backend has left the list or changed its address,
+    /// or if it has responded before the request was sent: a next request could get stuck behind the rest of the unread
+    /// body.
     pub(super) fn release(mut self) {
         let BackendAddress { backend, address } = self.destination;
         if !self.upload.has_early_response()
--- a/adapters/http/src/upstream/response_activity.rs
+++ b/adapters/http/src/upstream/response_activity.rs
@@ -1,5 +1,5 @@
-//! Watches the bytes on a backend's connection: when a response has begun to arrive, which the HTTP library shows only
-//! once its head is complete, and when a request has been written whole.
+//! Tracks the bytes on a backend connection: when a response begins to arrive, which hyper reports only after the whole
+//! head, and when a request has been written completely.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,28 +11,28 @@
 
 use crate::observed_stream::StreamObserver;
 
-/// What happens on one connection. Atomic only because the HTTP library wants its callback to be `Send`.
+/// State of one connection. Atomic because hyper requires its callback to be `Send`.
 struct ActivitySignals {
     metrics: Arc<Metrics>,
-    /// Bytes have been received since the last request.
+    /// Whether bytes have been received since the last request.
     has_received: AtomicBool,
     first_bytes_received: Notify,
-    /// How often bytes have been received.
+    /// Number of reads that returned bytes.
     reads: AtomicU64,
-    /// An interim response (RFC 9110, section 15.2) has come since then.
+    /// Whether an interim response (RFC 9110, section 15.2) has been received since the last request.
     has_interim_response: AtomicBool,
-    /// The request that is being written counts as an attempt once it is written whole.
+    /// Whether the request being written is counted as an attempt once it is written completely.
     counts_as_attempt: AtomicBool,
-    /// Bytes of it have been written since the last flush.
+    /// Whether bytes have been written since the last flush.
     has_written: AtomicBool,
 }
 
-/// The activity on one connection. Clones share it.
+/// The activity on one connection. Clones share the same state.
 #[derive(Clone)]
 pub(super) struct ResponseActivity(Arc<ActivitySignals>);
 
 impl ResponseActivity {
-    /// The activity on a new connection, whose attempts are counted in `metrics`.
+    /// Creates the state for a new connection. Attempts are counted in `metrics`.
     pub(super) fn new(metrics: Arc<Metrics>) -> Self {
         Self(Arc::new(ActivitySignals {
             metrics,
@@ -45,7 +45,7 @@
         }))
     }
 
-    /// Watches for the response to this request, which is about to be written.
+    /// Resets the state for the response to `message`, which is about to be written.
     pub(super) fn expect_response<T>(&self, message: &mut Request<T>) {
         self.0.has_received.store(false, Ordering::Relaxed);
         self.0.has_interim_response.store(false, Ordering::Relaxed);
@@ -55,14 +55,14 @@
         });
     }
 
-    /// Counts the request that is about to be written as an attempt, once it is written whole.
+    /// Counts the request that is about to be written as an attempt once it is written completely.
     pub(super) fn count_attempt_when_written(&self) {
         self.0.has_written.store(false, Ordering::Relaxed);
         self.0.counts_as_attempt.store(true, Ordering::Relaxed);
     }
 
-    /// Resolves once a response has begun to arrive and nothing more of it has for this long. Interim responses don't
-    /// count: the final one may take its time.
+    /// Resolves once a response has begun to arrive and then paused for `stall_timeout`. After an interim response, the
+    /// wait starts again with the first bytes of the final response.
     pub(super) async fn stalled(&self, clock: &Clock, stall_timeout: Duration) {
         loop {
             while !self.0.has_received.load(Ordering::Relaxed) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Whether any bytes have been received since the last request.
+    /// Whether bytes have been received since the last request.
     pub(super) fn has_received(&self) -> bool {
         self.0.has_received.load(Ordering::Relaxed)
     }
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a backend's response: whole where it is small, else as far as it takes to forward the rest as it comes.
+//! Reads a backend's response: completely if it is small, else as much as needed before the rest can be streamed.
 
 use badgerpost_balancer::{LoadReport, Outcome};
 use http_body_util::BodyExt;
@@ -13,15 +13,15 @@
 use crate::backend_response::{BackendResponse, BackendResponseBody, StreamEnd, StreamingResponse};
 use crate::memory_budget::{BufferedBytes, BytesCollector, Reservation};
 
-/// A large response is forwarded once this many bytes of it are here: one whose length is wrong has less to show by
-/// then, and the request can still be retried.
+/// Number of bytes of a large response that are read before it is forwarded. Until then, a truncated response can be
+/// replaced by that of a retry.
 const STREAMING_START_BYTES: usize = 4 * 1024;
 
-/// Which responses that are no success are forwarded to the client, should the request fail with them.
+/// Which error responses are forwarded to the client if the request fails with them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ForwardedErrors {
     None,
-    /// All but 429 and 503: from these a client would conclude that its request has not run.
+    /// All but 429 and 503, from which a client would conclude that its request has not run.
     AllButRejections,
 }
 
@@ -33,26 +33,27 @@
     }
 }
 
-/// What is known of a response from its head.
+/// What the head of a response determines.
 struct ResponseHead {
     status: StatusCode,
     outcome: Outcome,
-    /// Whether the response is forwarded to the client: it is a success, or an error that the client is given.
+    /// Whether the response is forwarded to the client: as a success, or as an error response that the client should
+    /// get.
     is_forwarded: bool,
     report: LoadReport,
-    /// The body's length, where the backend has told it.
+    /// Length of the body in bytes; `None` if the backend has not declared one.
     length: Option<u64>,
 }
 
 /// How far a body was read.
 enum ReadProgress {
     Complete,
-    /// As many bytes as were asked for are here, and more is to come.
+    /// The requested number of bytes was read, and more are expected.
     Partial,
 }
 
-/// Reads a response. A connection whose response was read whole is released; with one that is still coming, that
-/// happens at its end.
+/// Reads a response. A connection is released once its response has been read completely, for a streamed response at
+/// the end of the stream.
 pub(super) async fn read_response(
     mut leased: LeasedConnection,
     response: Response<Incoming>,
@@ -97,7 +98,7 @@
     }
 }
 
-/// Reads until the body is complete, or `streaming_threshold_bytes` of it are here and more are to come.
+/// Reads until the body is complete, or until at least `streaming_threshold_bytes` have been read and more are expected.
 async fn read_body(
     body: &mut Incoming,
     length: Option<u64>,
@@ -117,7 +118,7 @@
     Ok(ReadProgress::Complete)
 }
 
-/// The end of an attempt whose response is forwarded as it comes.
+/// The end of an attempt whose response is streamed.
 fn streaming_end(
     head: &ResponseHead,
     leased: LeasedConnection,
@@ -126,7 +127,7 @@
     incoming: Incoming,
 ) -> AttemptEnd {
     if !head.is_forwarded {
-        // No client gets to see it, so that the rest is not waited for.
+        // The response is not forwarded, so that the rest need not be read.
         return head.end(None);
     }
     let on_end = Box::new(move |end| match end {
@@ -171,7 +172,7 @@
     }
 }
 
-/// What a response's head tells of its attempt.
+/// The outcome of an attempt, from the head of its response.
 fn response_outcome(head: &Parts) -> Outcome {
     let rejected = head
         .headers
@@ -182,16 +183,16 @@
             Outcome::Rejected
         }
         StatusCode::OK => Outcome::Success,
-        // What is wrong with the request is not the backend's fault, and tells nothing of its health.
+        // An invalid request is not the backend's fault, and does not affect its health.
         status if status.is_client_error() => Outcome::InvalidResponse,
-        // Whatever the status says, the request may have run.
+        // The request may have run, whatever the status is.
         _ => Outcome::Error,
     }
 }
 
-/// Whether a response ends with its connection only (RFC 9112, section 6.3) and its backend has not announced the close
-/// (section 9.6). The end of the connection is its end, a reset is none. Without a single byte of the body, it is more
-/// likely the end of a backend that stopped before it had answered.
+/// Whether the body is delimited by the close of the connection (RFC 9112, section 6.3) and the backend has not
+/// announced this close (section 9.6). If such a body is empty, the backend has more likely stopped before it could
+/// respond.
 fn has_unannounced_close(head: &Parts, length: Option<u64>) -> bool {
     let is_framed = length.is_some() || head.headers.contains_key(TRANSFER_ENCODING);
     let lines = head
@@ -205,7 +206,7 @@
     !is_framed && !closes && head.version != Version::HTTP_10
 }
 
-/// What a broken exchange was: a connection that ended, or one that brought something else than a response.
+/// The outcome of a failed exchange: the connection ended, or the backend sent no valid HTTP response.
 pub(super) fn failure_outcome(error: &hyper::Error) -> Outcome {
     if error.is_parse() {
         Outcome::InvalidResponse
