--- a/adapters/http/src/api.rs
+++ b/adapters/http/src/api.rs
@@ -98,8 +98,8 @@
 
 impl Submission<'_> {
     /// How long the client still waits. The budget runs from the last byte of the request, also while the request is
-    /// queued behind another one on its connection. During a shutdown it also ends with the deadline for the last
-    /// response.
+    /// queued behind another one on its connection. During a shutdown the budget also ends with the deadline for the
+    /// last response.
     fn remaining_budget(&self) -> Nanos {
         self.budget
             .saturating_sub(self.connection.time_since_complete())
--- a/adapters/http/src/client_connection.rs
+++ b/adapters/http/src/client_connection.rs
@@ -138,7 +138,7 @@
 }
 
 /// Resolves once the connection has to be closed by a time limit or an eviction. After a stall of the process, a time
-/// limit may seem to have expired although bytes have arrived in time. So all tasks first lifecycle what has arrived, and
+/// limit may have expired although the client's bytes arrived in time. So all tasks first handle what has arrived, and
 /// then the state and the socket are checked again.
 async fn closed_by_limit(
     connection: &TrackedConnection,
--- a/adapters/http/src/connection_limiter/tests.rs
+++ b/adapters/http/src/connection_limiter/tests.rs
@@ -87,7 +87,7 @@
         test.admit()
     });
     receive(&busy, b"GET /api HTTP/1.1\r\n\r\n");
-    busy.connection().head_parsed().expect("plain framing");
+    busy.connection().head_parsed().expect("valid framing");
     busy.connection().request_complete();
     test.advance(5000);
     let mut next = pin!(test.limiter.admit());
@@ -103,7 +103,7 @@
     let test = TestLimiter::new(2);
     let [silent, stalled] = [(); 2].map(|()| test.admit());
     receive(&stalled, b"POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\n");
-    stalled.connection().head_parsed().expect("plain framing");
+    stalled.connection().head_parsed().expect("valid framing");
     let mut timeouts = pin!(test.limiter.clone().run_timeouts());
     assert!(poll(timeouts.as_mut()).is_pending());
     for _ in 0..24 {
@@ -126,7 +126,7 @@
     let permits = [(); 3].map(|()| test.admit());
     let respond = |permit: &ConnectionPermit| {
         receive(permit, b"GET /api HTTP/1.1\r\n\r\n");
-        permit.connection().head_parsed().expect("plain framing");
+        permit.connection().head_parsed().expect("valid framing");
         let mut tracker = RequestTracker::new(permit.connection().clone());
         permit
             .connection()
@@ -179,7 +179,7 @@
         &upload,
         b"POST /api HTTP/1.1\r\nContent-Length: 99999\r\n\r\n",
     );
-    upload.connection().head_parsed().expect("plain framing");
+    upload.connection().head_parsed().expect("valid framing");
     upload.connection().upload_submitted();
     upload.connection().set_backend_blocked(true);
     test.advance(5000);
@@ -204,7 +204,7 @@
     assert!(poll(timeouts.as_mut()).is_pending());
     // The rest of the head arrives in the moment in which the time limit expires.
     receive(&resumed, b" a\r\n\r\n");
-    resumed.connection().head_parsed().expect("plain framing");
+    resumed.connection().head_parsed().expect("valid framing");
     resumed.connection().request_complete();
     assert_eq!(forced_close(&resumed), None);
     // The socket holds an unread byte.
--- a/adapters/http/src/forwarded_body.rs
+++ b/adapters/http/src/forwarded_body.rs
@@ -10,7 +10,7 @@
 
 use crate::memory_budget::BufferedBytes;
 
-/// The source of a streamed body. It is notified when the whole body has been read.
+/// The source of a streamed body. The source is notified when the whole body has been read.
 pub trait BodySource {
     /// Why the body was aborted.
     type Error;
--- a/adapters/http/src/request_body.rs
+++ b/adapters/http/src/request_body.rs
@@ -52,7 +52,7 @@
     Ok(RequestBody::Buffered(bytes))
 }
 
-/// Number of bytes to reserve for a body of this length. For an unknown length it is the maximum.
+/// Number of bytes to reserve for a body of this length; the maximum for a body of unknown length.
 fn buffer_size(length: Option<u64>) -> usize {
     length.map_or(MAX_BUFFERED_BODY_BYTES, |length| {
         usize::try_from(length)
@@ -82,7 +82,7 @@
 
 /// Which side has stalled an upload.
 pub(crate) enum StalledSide {
-    /// The client sends nothing.
+    /// The client sends nothing, or sends too slowly.
     Client,
     /// No backend reads the body.
     Backend,
--- a/adapters/http/src/server_context.rs
+++ b/adapters/http/src/server_context.rs
@@ -16,8 +16,8 @@
 pub struct ServerLifecycle {
     /// The current stage.
     pub stage: watch::Receiver<Stage>,
-    /// From this time on the node reports itself as ready even if it knows no backend, as other nodes may know none
-    /// either.
+    /// From this time on the node reports itself as ready even without a backend in service, as other nodes may have
+    /// none either.
     pub ready_by: Nanos,
     /// Deadline for the last response; `None` until the process is asked to exit.
     pub respond_by: Rc<Cell<Option<Nanos>>>,
@@ -51,7 +51,7 @@
         self.lifecycle.stage.borrow().is_ready()
     }
 
-    /// Whether the node knows a backend in service, or the time to wait for one is over.
+    /// Whether a backend is in service, or the time to wait for one is over.
     pub(crate) fn has_backend_or_waited(&self) -> bool {
         self.engine.has_endpoint_in_service() || self.clock().now() >= self.lifecycle.ready_by
     }
--- a/adapters/http/src/timeouts.rs
+++ b/adapters/http/src/timeouts.rs
@@ -7,8 +7,8 @@
 // Reading a request.
 
 /// Longest time from the first byte of a request head to the last; for the first head of a connection, from the accept.
-/// Received bytes do not extend it. With [`TIMEOUT_RESPONSE_GRACE`] it stays below 3 s, within which every client must
-/// get a response or a close.
+/// Received bytes do not extend this limit. Every client must get a response or a close within 3 s, including
+/// [`TIMEOUT_RESPONSE_GRACE`].
 pub(crate) const HEAD_READ_TIMEOUT: Duration = Duration::from_millis(2300);
 /// Longest time without a byte of an incomplete body.
 pub(crate) const BODY_STALL_TIMEOUT: Duration = HEAD_READ_TIMEOUT;
@@ -31,7 +31,7 @@
 // Sending a response.
 
 /// Network time of a request and its response, subtracted from the client's budget. The client's deadline covers the
-/// time from its first byte sent to the last byte of the response received.
+/// time from the first byte that the client sends to the last byte that the client receives.
 pub(crate) const NETWORK_ALLOWANCE: Nanos = 4 * MILLISECOND;
 /// Longest time without progress of a streamed response, on the client's or the backend's side. A client that reads 64
 /// kB/s may take this long to drain the socket buffers before more can be written.
@@ -54,8 +54,8 @@
 /// Minimum time from the accept before a connection without a received byte may be evicted. Clients usually send their
 /// first request immediately after the connect.
 pub(crate) const MIN_SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(20);
-/// Minimum time without a byte of an incomplete request before its connection may be evicted. Above the gaps between
-/// the bytes of legitimate slow clients.
+/// Minimum time without a byte of an incomplete request before its connection may be evicted. Longer than the pauses of
+/// legitimate slow clients.
 pub(crate) const MIN_STALL_BEFORE_EVICTION: Duration = Duration::from_millis(500);
 /// Interval at which admission is retried while no connection may be evicted.
 pub(crate) const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(10);
--- a/adapters/http/src/tracked_connection/closing.rs
+++ b/adapters/http/src/tracked_connection/closing.rs
@@ -80,7 +80,7 @@
     }
 
     /// How the connection has to be closed now because of a time limit or an eviction; `None` if the connection may
-    /// stay open. While the connection waits for the client, unread bytes prevent the close: `has_unread_bytes` tells
+    /// stay open. While the connection waits for the client, unread bytes prevent the close: `has_unread_bytes` returns
     /// whether there are any.
     pub(crate) fn forced_close(&self, has_unread_bytes: impl Fn() -> bool) -> Option<ForcedClose> {
         let now = self.clock.now();
--- a/adapters/http/src/upload.rs
+++ b/adapters/http/src/upload.rs
@@ -81,7 +81,7 @@
     }
 
     /// Suspends an incomplete upload after a backend has responded, until it is decided whether the response is final.
-    /// If it is not, another attempt needs the whole body.
+    /// If another attempt follows, that attempt needs the whole body.
     pub fn response_received(&self) {
         if let Self::Streaming(upload) = self
             && !upload.is_complete()
@@ -149,7 +149,7 @@
     length: Option<u64>,
     /// Number of the reader created last, the only one that may read.
     current_reader: Cell<u64>,
-    /// Whether the current reader exists. It is dropped together with its connection to the backend.
+    /// Whether the current reader exists. The reader is dropped together with its connection to the backend.
     has_reader: Cell<bool>,
     /// Whether the current reader is suspended until a response is known to be final.
     is_suspended: Cell<bool>,
@@ -261,7 +261,7 @@
         self.set_waiting_for_client(false);
     }
 
-    /// Called when the response is final: its backend may read the rest of the body.
+    /// Called when the response is final: the backend that sent the response may read the rest of the body.
     pub fn resume(&self) {
         self.is_suspended.set(false);
         self.last_progress_at.set(self.clock.now());
@@ -283,8 +283,8 @@
         }
     }
 
-    /// Called when the exchange of the current reader has ended. Closes its connection to the backend if the rest of
-    /// the body is discarded.
+    /// Called when the exchange of the current reader has ended. Closes the reader's connection to the backend if the
+    /// rest of the body is discarded.
     fn exchange_ended(&self) {
         self.has_exchange_ended.set(true);
         if self.incoming.borrow().is_none() {
--- a/adapters/http/src/upstream/pool.rs
+++ b/adapters/http/src/upstream/pool.rs
@@ -180,9 +180,9 @@
         self.connection.sender.ready().await.is_ok()
     }
 
-    /// Returns the connection to the pool. Closes it instead if the backend has left the list or changed its address,
-    /// or if it has responded before the request was sent: a next request could get stuck behind the rest of the unread
-    /// body.
+    /// Returns the connection to the pool. The connection is closed instead if the backend has left the list or changed
+    /// its address, or if the backend has responded before the request was sent: the next request could be blocked by
+    /// the unread rest of the body.
     pub(super) fn release(mut self) {
         let BackendAddress { backend, address } = self.destination;
         if !self.upload.has_early_response()
