--- a/adapters/http/src/backend_response.rs
+++ b/adapters/http/src/backend_response.rs
@@ -144,7 +144,8 @@
         self.client
             .set_stream_waiting_for_backend(polled.is_pending());
         if matches!(polled, Poll::Ready(Some(Err(_)))) {
-            // The connection is reset, as a close would look like the regular end of the response.
+            // Only a reset shows the client that a close-delimited response was truncated; a close would look like the
+            // regular end.
             if self.is_close_delimited {
                 self.client.stream_truncated();
             }
--- a/adapters/http/src/discovery.rs
+++ b/adapters/http/src/discovery.rs
@@ -33,8 +33,8 @@
 }
 
 impl<P: Protocol> EndpointWatcher<P> {
-    /// Creates a watcher of the list at `address`. `cached` is a list from an earlier run, which may be outdated.
-    /// `seed` randomizes how long watches are held open.
+    /// Creates a watcher of the list at `address`. `cached` is a list to start from, which may be outdated. `seed`
+    /// randomizes how long watches are held open.
     pub fn new(
         engine: Engine<P>,
         address: SocketAddr,
@@ -200,8 +200,8 @@
     format!("{LIST_PATH}?from={version}&hold_ms={}", hold.as_millis())
 }
 
-/// Resolves once another address has come through the channel. The receiver of the caller does not mark the change as
-/// seen.
+/// Resolves once another address has come through the channel. Takes a clone of the receiver, so that the caller's
+/// receiver still reports the change.
 async fn address_changed(mut address: watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending::<()>().await;
--- a/adapters/http/src/observed_stream.rs
+++ b/adapters/http/src/observed_stream.rs
@@ -15,7 +15,7 @@
 
 use badgerpost_engine::{Clock, TcpStream, activity};
 
-/// Is notified of the bytes on one connection.
+/// Observer of the bytes on one connection.
 pub trait StreamObserver {
     /// Called when these bytes have been read from the socket.
     fn bytes_read(&mut self, bytes: &[u8]);
--- a/adapters/http/src/tracked_connection.rs
+++ b/adapters/http/src/tracked_connection.rs
@@ -226,7 +226,7 @@
         });
     }
 
-    /// The response that began before its request was complete, if there is one.
+    /// State of the response that begins before its request is complete.
     pub(crate) fn early_response(&self) -> &EarlyResponse {
         &self.early_response
     }
--- a/adapters/http/src/upstream/attempt.rs
+++ b/adapters/http/src/upstream/attempt.rs
@@ -27,7 +27,7 @@
 /// can be reused, which saves a handshake for the next request.
 const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long the client still waits, in milliseconds.
+/// Request header with the time that the client still waits, in milliseconds.
 const BUDGET_HEADER: &str = "x-budget-ms";
 
 /// Makes an attempt, and reports its end to the engine once.
--- a/adapters/http/src/upstream/response_reader.rs
+++ b/adapters/http/src/upstream/response_reader.rs
@@ -98,7 +98,8 @@
     }
 }
 
-/// Reads until the body is complete, or until at least `streaming_threshold_bytes` have been read and more are expected.
+/// Reads until the body is complete, or until at least `streaming_threshold_bytes` have been read and more are
+/// expected.
 async fn read_body(
     body: &mut Incoming,
     length: Option<u64>,
