--- a/adapters/http/src/tracked_connection/closing.rs
+++ b/adapters/http/src/tracked_connection/closing.rs
@@ -52,8 +52,8 @@
         });
     }
 
-    /// Resolves once a close of the connection is requested. [`forced_close`](Self::forced_close) then decides whether and
-    /// how to close.
+    /// Resolves once a close of the connection is requested. [`forced_close`](Self::forced_close) then decides whether
+    /// and how to close.
     pub(crate) async fn close_requested(&self) {
         self.close_requested.notified().await;
     }
