--- a/adapters/http/src/api.rs
+++ b/adapters/http/src/api.rs
@@ -1,4 +1,4 @@
-//! The API's endpoint: parses a request, submits it to the engine, awaits its outcome and responds.
+//! The API endpoint: parses a request, submits it to the engine, waits for the outcome and responds.
 
 use std::rc::Rc;
 
@@ -12,8 +12,8 @@
 use crate::backend_response::{BackendResponse, StreamedRequest, StreamingResponseBody};
 use crate::bad_request::BadRequest;
 use crate::client_response::{self, ClientResponse};
-use crate::headers::{CALL_ID, end_to_end};
-use crate::request_body::{self, StalledBody, upload_stalled};
+use crate::headers::{CALL_ID, end_to_end_headers};
+use crate::request_body::{self, StalledSide, upload_stalled};
 use crate::server_context::ServerContext;
 use crate::timeouts::UPLOAD_TIMEOUT;
 use crate::tracked_connection::TrackedConnection;
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 ///
-/// The request is invalid, or its body does not arrive. It has not been forwarded, or not completely.
+/// The request is invalid, its id belongs to an open request, or its body was not received completely.
 pub(crate) async fn handle(
     context: &ServerContext,
     connection: &Rc<TrackedConnection>,
@@ -35,7 +35,7 @@
     let engine = &context.engine;
     let (head, body) = request.into_parts();
     let RequestIdentity { id, class } = RequestIdentity::parse(engine, &head.headers)?;
-    let failure_count = FailureCount::new(engine, class.id);
+    let failure_guard = FailureGuard::new(engine, class.id);
     let parameters = RequestParameters::parse(engine, &class, &head)?;
     let body = request_body::read(context, connection, body).await?;
     if class.idempotency == Idempotency::Idempotent && !is_empty(&body) {
@@ -45,20 +45,20 @@
         context,
         connection,
         budget: parameters.budget,
-        failure_count,
+        failure_guard,
     };
     let incoming = IncomingRequest {
         id,
         class: class.id,
         tenant: parameters.tenant,
         affinity_key: parameters.affinity_key,
-        expected_service_time: parameters.expected_work,
+        expected_service_time: parameters.expected_service_time,
         is_retry: parameters.is_retry,
         budget: submission.remaining_budget(),
         payload: ForwardedRequest {
             method: head.method,
             target: origin_form(&head.uri),
-            headers: end_to_end(head.headers),
+            headers: end_to_end_headers(head.headers),
             body,
             budget_ms: submission.remaining_budget() / MILLISECOND,
         },
@@ -74,12 +74,11 @@
     }))
 }
 
-/// Whether a request has no body.
 fn is_empty(body: &RequestBody) -> bool {
     matches!(body, RequestBody::Buffered(buffered) if buffered.bytes.is_empty())
 }
 
-/// The target in the form that backends expect, path and query: clients may send it in absolute form (RFC 9112, section
+/// The request target as path and query, as backends expect it. Clients may send the absolute form (RFC 9112, section
 /// 3.2.2).
 fn origin_form(target: &Uri) -> Uri {
     target
@@ -92,14 +91,15 @@
 struct Submission<'a> {
     context: &'a ServerContext,
     connection: &'a TrackedConnection,
-    /// How long the client waits, from the last byte of the request on.
+    /// How long the client waits from the last byte of the request on.
     budget: Nanos,
-    failure_count: FailureCount<'a>,
+    failure_guard: FailureGuard<'a>,
 }
 
 impl Submission<'_> {
-    /// How long the client still waits. The budget is used up from the request's last byte on, also while the request
-    /// waits behind another one of its connection. A node that shuts down has no more time than until its exit.
+    /// How long the client still waits. The budget runs from the last byte of the request, also while the request is
+    /// queued behind another one on its connection. During a shutdown the budget also ends with the deadline for the
+    /// last response.
     fn remaining_budget(&self) -> Nanos {
         self.budget
             .saturating_sub(self.connection.time_since_complete())
@@ -126,7 +126,7 @@
             .engine
             .submit(incoming)
             .ok_or(BadRequest::Duplicate(CALL_ID))?;
-        self.failure_count.disarm();
+        self.failure_guard.disarm();
         self.connection.request_complete();
         Ok(pending.into_outcome().await)
     }
@@ -143,18 +143,18 @@
             .engine
             .submit_upload(incoming)
             .ok_or(BadRequest::Duplicate(CALL_ID))?;
-        self.failure_count.disarm();
+        self.failure_guard.disarm();
         let (clock, budget) = (self.context.clock(), self.remaining_budget());
         let early_outcome = tokio::select! {
             biased;
             () = upload.completed() => None,
             outcome = pending.wait() => Some(outcome),
             stalled = upload_stalled(clock, self.connection, upload, budget) => match stalled {
-                StalledBody::AtClient => {
+                StalledSide::Client => {
                     self.connection.request_timed_out();
                     return Err(BadRequest::BodyIncomplete);
                 }
-                StalledBody::AtBackend => Some(pending.reject()),
+                StalledSide::Backend => Some(pending.reject()),
             },
         };
         if let Some(outcome) = early_outcome {
@@ -168,8 +168,8 @@
 }
 
 impl Submission<'_> {
-    /// The request has its outcome though its body is still arriving: the connection goes on with the body while the
-    /// response is sent, and closes.
+    /// Starts the response to a request whose body is still arriving. The rest of the body is forwarded or discarded
+    /// while the response is sent, and the connection closes after the response.
     fn respond_early(&self, upload: &Rc<Upload>, outcome: &Outcome) {
         match outcome {
             RequestOutcome::Served(_) | RequestOutcome::FailedWith(_) => upload.resume(),
@@ -180,15 +180,15 @@
     }
 }
 
-/// Counts a request of a known class as failed when dropped, unless the request has been submitted: from then on the
-/// engine counts it.
-struct FailureCount<'a> {
+/// Counts a request as failed when dropped, unless the request has been submitted. The engine counts submitted
+/// requests.
+struct FailureGuard<'a> {
     engine: &'a HttpEngine,
     class: ClassId,
     is_armed: bool,
 }
 
-impl<'a> FailureCount<'a> {
+impl<'a> FailureGuard<'a> {
     fn new(engine: &'a HttpEngine, class: ClassId) -> Self {
         Self {
             engine,
@@ -197,13 +197,13 @@
         }
     }
 
-    /// The request has been submitted.
+    /// Called once the request has been submitted.
     fn disarm(&mut self) {
         self.is_armed = false;
     }
 }
 
-impl Drop for FailureCount<'_> {
+impl Drop for FailureGuard<'_> {
     fn drop(&mut self) {
         if self.is_armed {
             let metrics = self.engine.metrics();
--- a/adapters/http/src/bad_request.rs
+++ b/adapters/http/src/bad_request.rs
@@ -1,9 +1,9 @@
-//! The ways in which a client's request can be invalid. Their texts are the bodies of the responses.
+//! Errors in a client's request. Their texts are the bodies of the responses.
 
 use badgerpost_http_framing::FramingError;
 use hyper::{Method, StatusCode};
 
-/// What is wrong with a request.
+/// Why a request is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BadRequest {
     /// A required header is missing.
@@ -11,23 +11,23 @@
     Missing(&'static str),
     /// A header is repeated, or its value can't be parsed.
     #[error("{0} can't be read")]
-    Unreadable(&'static str),
-    /// A header names something that the settings don't list.
+    Malformed(&'static str),
+    /// A header names a class or tenant that the settings don't list.
     #[error("{0} is not known")]
     Unknown(&'static str),
     /// The request's class requires this method.
     #[error("this class takes {0} only")]
     Method(Method),
-    /// The request's class does not allow this part of a request.
+    /// The request's class does not allow this header, or a body.
     #[error("{0} does not go with this class")]
     NotAllowed(&'static str),
-    /// The body was aborted, or arrived too slowly.
+    /// The client aborted the body, or sent it too slowly.
     #[error("the body did not arrive")]
     BodyIncomplete,
     /// The request's framing is ambiguous.
     #[error(transparent)]
     Framing(#[from] FramingError),
-    /// An open request has the same id.
+    /// Another open request has the same id.
     #[error("{0} is that of an open request")]
     Duplicate(&'static str),
 }
@@ -40,7 +40,7 @@
             Self::BodyIncomplete => StatusCode::REQUEST_TIMEOUT,
             Self::Duplicate(_) => StatusCode::CONFLICT,
             Self::Missing(_)
-            | Self::Unreadable(_)
+            | Self::Malformed(_)
             | Self::Unknown(_)
             | Self::NotAllowed(_)
             | Self::Framing(_) => StatusCode::BAD_REQUEST,
--- a/adapters/http/src/client_connection.rs
+++ b/adapters/http/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! One client connection, from its accept to its close.
+//! The task of one client connection, from its accept to its close.
 
 use std::future::{Future, poll_fn};
 use std::rc::Rc;
@@ -17,11 +17,11 @@
 use crate::routes::respond;
 use crate::server_context::ServerContext;
 use crate::timeouts::{LINGER_TIMEOUT, SHUTDOWN_CHECK_INTERVAL};
-use crate::tracked_connection::{CloseMode, DueClose, RequestTracker, TrackedConnection};
+use crate::tracked_connection::{CloseMode, ForcedClose, RequestTracker, TrackedConnection};
 
-/// Largest head of a request in bytes.
-const MAX_HEAD_SIZE: usize = 32 * 1024;
-/// The response to a request that has begun to arrive and is incomplete when the node exits: it has not run.
+/// Largest request head in bytes.
+const MAX_REQUEST_HEAD_BYTES: usize = 32 * 1024;
+/// The response to a request that is still incomplete when the node exits. Such a request has not run on any backend.
 const SHUTDOWN_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
@@ -38,7 +38,7 @@
             () = connection.abort_requested() => {}
             result = serve_and_close(stream, &context, connection) => {
                 if let Err(error) = result {
-                    tracing::debug!(%error, "client connection failed");
+                    tracing::debug!(%error, "client connection closed after an error");
                 }
             }
         }
@@ -55,12 +55,12 @@
 
 /// Why no more requests are served on a connection.
 enum ServeEnd {
-    /// The HTTP library has ended it, or failed.
+    /// hyper has ended the connection, or failed.
     Http(Result<(), hyper::Error>),
-    /// The client disconnected while it was owed a response.
+    /// The client disconnected while a submitted request awaited its response.
     ClientDisconnected,
-    /// It timed out, or is closed to admit another one.
-    Due(DueClose),
+    /// A time limit has expired, or the connection is evicted.
+    Forced(ForcedClose),
     /// The node is shutting down.
     Shutdown,
 }
@@ -74,7 +74,7 @@
     let stream = ObservedStream::new(stream, RequestTracker::new(connection.clone()));
     let end = serve_requests(&stream, context, connection).await;
     let close_mode = match &end {
-        ServeEnd::ClientDisconnected | ServeEnd::Due(DueClose::AtOnce) => return Ok(()),
+        ServeEnd::ClientDisconnected | ServeEnd::Forced(ForcedClose::Abort) => return Ok(()),
         ServeEnd::Shutdown if connection.has_partial_request() => {
             connection.lingering_close_started();
             stream.clone().write_all(SHUTDOWN_RESPONSE).await?;
@@ -83,7 +83,7 @@
         ServeEnd::Http(Err(_)) if connection.close_mode() == CloseMode::Graceful => {
             CloseMode::Lingering
         }
-        ServeEnd::Http(_) | ServeEnd::Due(DueClose::InGoodOrder) | ServeEnd::Shutdown => {
+        ServeEnd::Http(_) | ServeEnd::Forced(ForcedClose::Graceful) | ServeEnd::Shutdown => {
             connection.close_mode()
         }
     };
@@ -116,9 +116,9 @@
 ) -> ServeEnd {
     let service = service_fn(|request| respond(context, connection, request));
     let http_connection = http1::Builder::new()
-        .max_buf_size(MAX_HEAD_SIZE)
+        .max_buf_size(MAX_REQUEST_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream.clone()), service);
-    // The HTTP library notices that the client disconnects only while no bytes have arrived behind the request.
+    // hyper detects a disconnect of the client only while no bytes have arrived behind the request.
     let mut disconnected = std::pin::pin!(stream.peer_closed(context.clock()));
     let disconnected_before_response = poll_fn(|cx| {
         if connection.awaits_response() {
@@ -133,54 +133,55 @@
         () = disconnected_before_response => ServeEnd::ClientDisconnected,
         never = finish_upload(connection, stream, context.clock()) => match never {},
         () = closed_by_shutdown(connection, stream, context) => ServeEnd::Shutdown,
-        due = closed_by_limit(connection, stream, context) => ServeEnd::Due(due),
+        close = closed_by_limit(connection, stream, context) => ServeEnd::Forced(close),
     }
 }
 
-/// Resolves once the connection has to be closed by a time limit, or to admit another one. A node that has stood still
-/// learns of the limit before it has seen what happened in time: both sides of the socket are looked at first.
+/// Resolves once the connection has to be closed by a time limit or an eviction. After a stall of the process, a time
+/// limit may have expired although the client's bytes arrived in time. So all tasks first handle what has arrived, and
+/// then the state and the socket are checked again.
 async fn closed_by_limit(
     connection: &TrackedConnection,
     stream: &ObservedStream<RequestTracker>,
     context: &ServerContext,
-) -> DueClose {
+) -> ForcedClose {
     loop {
         connection.close_requested().await;
         context.clock().yield_to_ready_tasks().await;
-        if let Some(due) = connection.due_close(|| stream.has_unread_bytes()) {
-            return due;
+        if let Some(close) = connection.forced_close(|| stream.has_unread_bytes()) {
+            return close;
         }
     }
 }
 
-/// Resolves once a node that has closed its listener has waited long enough for clients that still send.
+/// Resolves once a node that has closed its listener has waited [`LINGER_TIMEOUT`] for clients that are still sending.
 async fn linger_after_shutdown(context: &ServerContext) {
-    let mut stage = context.handle.stage.clone();
+    let mut stage = context.lifecycle.stage.clone();
     // An error means that the process is ending.
     let _ = stage.wait_for(|stage| *stage == Stage::Closed).await;
     context.clock().sleep(LINGER_TIMEOUT).await;
 }
 
-/// Resolves once the node closes idle connections and this one is quiescent. A new connection is closed after its first
-/// response, so that the request it was opened for is not lost. An incomplete request is waited for until the last
-/// response has to be sent.
+/// Resolves once the node closes idle connections and this one is quiescent. A new connection is closed only after its
+/// first response, so that its first request is not lost. An incomplete request is awaited until the deadline for the
+/// last response.
 async fn closed_by_shutdown(
     connection: &TrackedConnection,
     stream: &ObservedStream<RequestTracker>,
     context: &ServerContext,
 ) {
-    let mut stage = context.handle.stage.clone();
+    let mut stage = context.lifecycle.stage.clone();
     loop {
         if stage.wait_for(|stage| stage.closes_idle()).await.is_err() {
-            // The sender lives as long as the process.
+            // The sender is dropped only when the process ends.
             return;
         }
-        let is_closed = *context.handle.stage.borrow() == Stage::Closed;
-        let is_last_moment = is_closed && context.time_until_last_response() == 0;
-        // A request that has arrived is served, though the node has not read it yet.
+        let is_closed = *context.lifecycle.stage.borrow() == Stage::Closed;
+        let is_past_response_deadline = is_closed && context.time_until_last_response() == 0;
+        // A request whose bytes are still unread in the socket is served too.
         let has_request = connection.expects_request() && stream.has_unread_bytes();
         let is_quiescent = connection.is_quiescent() && !has_request;
-        if is_quiescent || (connection.is_reading_head() && is_last_moment) {
+        if is_quiescent || (connection.is_reading_head() && is_past_response_deadline) {
             return;
         }
         context.clock().sleep(SHUTDOWN_CHECK_INTERVAL).await;
--- a/adapters/http/src/forwarded_body/tests.rs
+++ b/adapters/http/src/forwarded_body/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-/// A source that yields what a test has put there.
+/// A source that yields the given frames.
 #[derive(Default)]
 struct FakeSource {
     frames: VecDeque<Result<Frame<Bytes>, &'static str>>,
@@ -53,24 +53,24 @@
     ForwardedBody::Streaming(StreamingBody::from_source(source, received, length))
 }
 
-/// The next piece of a body; none at its end.
+/// The next chunk of a body; `None` at the end.
 fn next(body: &mut ForwardedBody<FakeSource>) -> Option<Result<Bytes, &'static str>> {
     let mut cx = Context::from_waker(Waker::noop());
     let Poll::Ready(frame) = Pin::new(body).poll_frame(&mut cx) else {
         panic!("the fake source is always ready")
     };
-    frame.map(|frame| frame.map(|frame| frame.into_data().expect("data")))
+    frame.map(|frame| frame.map(|frame| frame.into_data().expect("a data frame")))
 }
 
 fn source(body: &mut ForwardedBody<FakeSource>) -> &mut FakeSource {
     let ForwardedBody::Streaming(body) = body else {
-        panic!("a streaming body")
+        panic!("expected a streaming body")
     };
     &mut body.source
 }
 
 #[test]
-fn what_had_been_received_is_forwarded_first() {
+fn the_part_received_before_is_forwarded_first() {
     let mut body = body("ab", [data("cd")], None);
     assert_eq!(next(&mut body), Some(Ok(Bytes::from_static(b"ab"))));
     assert_eq!(next(&mut body), Some(Ok(Bytes::from_static(b"cd"))));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_broken_source_breaks_the_body_off() {
+fn an_error_of_the_source_ends_the_body_with_an_error() {
     let mut body = body("", [data("ab"), Err("reset")], Some(4));
     next(&mut body);
     assert_eq!(next(&mut body), Some(Err("reset")));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn nothing_is_forwarded_of_an_abandoned_body() {
+fn a_failed_check_ends_the_body_with_an_error() {
     let mut body = body("ab", [data("cd")], None);
     source(&mut body).is_abandoned = true;
     assert_eq!(next(&mut body), Some(Err("abandoned")));
--- a/adapters/http/src/request_body.rs
+++ b/adapters/http/src/request_body.rs
@@ -1,5 +1,5 @@
-//! Reads the bodies of clients' requests. A small one is buffered if the memory budget allows; any other is an upload,
-//! which is forwarded as it arrives.
+//! Reads the bodies of clients' requests. A small body is buffered if the memory budget allows; any other body is an
+//! upload, which is forwarded as it arrives.
 
 use badgerpost_engine::{Clock, nanos};
 use badgerpost_time::Nanos;
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming};
 
-use crate::MAX_BUFFERED_BODY;
+use crate::MAX_BUFFERED_BODY_BYTES;
 use crate::bad_request::BadRequest;
 use crate::memory_budget::{BufferedBytes, BytesCollector};
 use crate::server_context::ServerContext;
@@ -41,7 +41,7 @@
             continue;
         };
         collected.add(data);
-        if collected.len() >= MAX_BUFFERED_BODY && !body.is_end_stream() {
+        if collected.len() >= MAX_BUFFERED_BODY_BYTES && !body.is_end_stream() {
             let first = BufferedBytes::new(collected.into_bytes(), Some(reservation));
             return Ok(RequestBody::Streaming(Upload::new(
                 first, body, length, clock,
@@ -52,12 +52,12 @@
     Ok(RequestBody::Buffered(bytes))
 }
 
-/// Bytes to reserve for a body of this length; one of unknown length may be as large as the largest.
+/// Number of bytes to reserve for a body of this length; the maximum for a body of unknown length.
 fn buffer_size(length: Option<u64>) -> usize {
-    length.map_or(MAX_BUFFERED_BODY, |length| {
+    length.map_or(MAX_BUFFERED_BODY_BYTES, |length| {
         usize::try_from(length)
             .unwrap_or(usize::MAX)
-            .min(MAX_BUFFERED_BODY)
+            .min(MAX_BUFFERED_BODY_BYTES)
     })
 }
 
@@ -70,7 +70,7 @@
         let deadline = connection.body_deadline();
         match clock.timeout_at(deadline, body.frame()).await {
             Ok(frame) => return frame.transpose().map_err(|_| BadRequest::BodyIncomplete),
-            // Bytes have arrived meanwhile that the HTTP library has not passed on.
+            // Meanwhile bytes have arrived that hyper has not passed on yet.
             Err(_) if connection.body_deadline() > deadline => {}
             Err(_) => {
                 connection.request_timed_out();
@@ -80,45 +80,45 @@
     }
 }
 
-/// Whom an upload waits for that has made no progress for too long.
-pub(crate) enum StalledBody {
-    /// Its client.
-    AtClient,
-    /// A backend that takes its bytes.
-    AtBackend,
+/// Which side has stalled an upload.
+pub(crate) enum StalledSide {
+    /// The client sends nothing, or sends too slowly.
+    Client,
+    /// No backend reads the body.
+    Backend,
 }
 
-/// When an upload will have made no progress for too long, unless it does.
+/// When an upload is considered stalled unless it makes progress, and which side is then responsible.
 struct Stall {
-    at: Nanos,
-    body: StalledBody,
+    deadline: Nanos,
+    side: StalledSide,
 }
 
-/// Resolves once an upload has made no progress for too long. Either its client is too slow; or the client has sent all
-/// that was taken from it, its budget has passed since, and no backend takes the rest: then the request has not run.
+/// Resolves once an upload has stalled. Either the client is too slow, or no backend has read the rest of the body for
+/// the duration of the client's budget. In the second case the request has not run.
 pub(crate) async fn upload_stalled(
     clock: &Clock,
     connection: &TrackedConnection,
     upload: &Upload,
     budget: Nanos,
-) -> StalledBody {
+) -> StalledSide {
     loop {
         let stall = next_stall(clock, connection, upload, budget);
-        if clock.now() < stall.at {
+        if clock.now() < stall.deadline {
             let next_check = clock.now().saturating_add(nanos(UPLOAD_CHECK_INTERVAL));
-            clock.sleep_until(stall.at.min(next_check)).await;
+            clock.sleep_until(stall.deadline.min(next_check)).await;
             continue;
         }
-        // Bytes that have arrived by now are with their reader after that, and the stall is over.
+        // Readers handle the bytes that have arrived by now, which may end the stall.
         clock.yield_to_ready_tasks().await;
         let stall = next_stall(clock, connection, upload, budget);
-        if clock.now() >= stall.at {
-            return stall.body;
+        if clock.now() >= stall.deadline {
+            return stall.side;
         }
     }
 }
 
-/// The stall that an upload is heading for now.
+/// The next possible stall, given the current state of the upload.
 fn next_stall(
     clock: &Clock,
     connection: &TrackedConnection,
@@ -131,15 +131,15 @@
     );
     connection.set_backend_blocked(client_deadline.is_none());
     match client_deadline {
-        Some(at) => Stall {
-            at,
-            body: StalledBody::AtClient,
+        Some(deadline) => Stall {
+            deadline,
+            side: StalledSide::Client,
         },
         None => {
             let since = upload.waiting_for_backend_since().unwrap_or(clock.now());
             Stall {
-                at: since.saturating_add(budget),
-                body: StalledBody::AtBackend,
+                deadline: since.saturating_add(budget),
+                side: StalledSide::Backend,
             }
         }
     }
--- a/adapters/http/src/request_queue/tests.rs
+++ b/adapters/http/src/request_queue/tests.rs
@@ -2,7 +2,7 @@
 
 const HEAD: FramingEvent = FramingEvent::HeadComplete(Ok(()));
 
-/// A queue that has recorded these events, each at the time beside it.
+/// A queue that has recorded these events at the given times.
 fn recorded(events: &[(FramingEvent, Nanos)]) -> RequestQueue {
     let mut queue = RequestQueue::default();
     for (event, now) in events {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_request_whose_body_is_on_its_way_is_complete_later() {
+fn a_request_is_complete_only_after_the_last_byte_of_its_body() {
     let mut queue = recorded(&[(FramingEvent::Started, 1), (HEAD, 2)]);
     assert_eq!(queue.advance(), Ok(()));
     assert_eq!(queue.completed_at(), None);
@@ -37,11 +37,15 @@
     queue.record(FramingEvent::Started, 11);
     queue.record(HEAD, 12);
     assert_eq!(queue.advance(), Ok(()));
-    assert_eq!(queue.completed_at(), None, "that was the one before");
+    assert_eq!(
+        queue.completed_at(),
+        None,
+        "only the previous request is complete"
+    );
 }
 
 #[test]
-fn only_a_request_that_nothing_waits_before_is_incomplete() {
+fn incomplete_since_is_set_only_while_the_next_request_is_incomplete() {
     let mut queue = recorded(&[(FramingEvent::Started, 1), (HEAD, 1)]);
     assert_eq!(queue.incomplete_since(), Some(1));
     assert_eq!(queue.advance(), Ok(()));
@@ -51,18 +55,25 @@
     assert_eq!(queue.incomplete_since(), Some(3));
     queue.record(HEAD, 4);
     queue.record(FramingEvent::MessageComplete, 4);
-    assert_eq!(queue.incomplete_since(), None, "it is complete");
+    assert_eq!(queue.incomplete_since(), None, "the request is complete");
     queue.record(FramingEvent::Started, 5);
-    assert_eq!(queue.incomplete_since(), None, "one waits before it");
+    assert_eq!(
+        queue.incomplete_since(),
+        None,
+        "another request is ahead of the incomplete one"
+    );
 }
 
 #[test]
-fn more_requests_than_are_remembered_leave_a_bounded_queue() {
+fn the_queue_stays_bounded_with_more_requests_than_are_tracked() {
     let mut queue = RequestQueue::default();
-    for _ in 0..5 * MAX_PIPELINED {
+    for _ in 0..5 * MAX_PIPELINED_REQUESTS {
         queue.record(FramingEvent::Started, 1);
         queue.record(HEAD, 1);
         queue.record(FramingEvent::MessageComplete, 1);
     }
-    assert!(queue.head_results.len() <= MAX_PIPELINED && queue.completed_at.len() <= MAX_PIPELINED);
+    assert!(
+        queue.head_results.len() <= MAX_PIPELINED_REQUESTS
+            && queue.completed_at.len() <= MAX_PIPELINED_REQUESTS
+    );
 }
--- a/adapters/http/src/routes.rs
+++ b/adapters/http/src/routes.rs
@@ -1,4 +1,4 @@
-//! The route table of the client side, and whether a connection is kept alive after a response.
+//! The routes of the HTTP server, and whether a connection is kept alive after a response.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -20,16 +20,16 @@
 }
 
 impl RoutedResponse {
-    /// A response to a request that has been read.
-    fn to_valid(status: StatusCode, text: &str) -> Self {
+    /// A response to a request that has been read completely.
+    fn for_valid_request(status: StatusCode, text: &str) -> Self {
         Self {
             response: client_response::plain_text(status, text),
             close_mode: CloseMode::Graceful,
         }
     }
 
-    /// A response to a request that is invalid: its client may still be sending it.
-    fn to_invalid(status: StatusCode, text: &str) -> Self {
+    /// A response to an invalid request, which the client may still be sending.
+    fn for_invalid_request(status: StatusCode, text: &str) -> Self {
         Self {
             response: client_response::plain_text(status, text),
             close_mode: CloseMode::Lingering,
@@ -39,7 +39,7 @@
 
 impl From<BadRequest> for RoutedResponse {
     fn from(error: BadRequest) -> Self {
-        Self::to_invalid(error.status(), &error.to_string())
+        Self::for_invalid_request(error.status(), &error.to_string())
     }
 }
 
@@ -54,7 +54,7 @@
         close_mode,
     } = match connection.head_parsed() {
         Ok(()) => route(context, connection, request).await,
-        // Read in another way, the request could hide a second one: nothing of it is forwarded.
+        // Another HTTP parser could find a second request in this one (request smuggling): nothing is forwarded.
         Err(error) => BadRequest::from(error).into(),
     };
     if !keeps_alive(context, connection, close_mode) {
@@ -85,14 +85,15 @@
             Err(error) => error.into(),
         },
         "/health/ready" => readiness(context, request.method()),
-        _ => RoutedResponse::to_invalid(StatusCode::NOT_FOUND, "no such path"),
+        _ => RoutedResponse::for_invalid_request(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
-/// Whether the node takes new requests.
+/// The response to a readiness check: 200 if new requests should be routed to this node, else 503; 405 for methods
+/// other than GET.
 fn readiness(context: &ServerContext, method: &Method) -> RoutedResponse {
     if method != Method::GET {
-        return RoutedResponse::to_invalid(StatusCode::METHOD_NOT_ALLOWED, "GET only");
+        return RoutedResponse::for_invalid_request(StatusCode::METHOD_NOT_ALLOWED, "GET only");
     }
     let (status, text) = if !context.is_in_service() {
         (StatusCode::SERVICE_UNAVAILABLE, "stopping or standing by")
@@ -101,7 +102,7 @@
     } else {
         (StatusCode::SERVICE_UNAVAILABLE, "no server known yet")
     };
-    RoutedResponse::to_valid(status, text)
+    RoutedResponse::for_valid_request(status, text)
 }
 
 /// Whether the connection is kept alive after the response to the current request.
@@ -110,13 +111,15 @@
     connection: &TrackedConnection,
     close_mode: CloseMode,
 ) -> bool {
-    // It can't be told where a request begins that follows an incomplete one, or one whose framing is ambiguous.
+    // After a request that is incomplete or whose framing is ambiguous, the start of the next request is unknown.
     if !connection.is_request_complete() {
         return false;
     }
-    // Requests that have been read behind a complete one are owed their responses.
+    // Pipelined requests that have already been read still get their responses.
     if connection.has_pipelined_request() {
         return true;
     }
-    close_mode == CloseMode::Graceful && context.is_in_service() && !connection.is_surplus()
+    close_mode == CloseMode::Graceful
+        && context.is_in_service()
+        && !connection.should_close_after_response()
 }
--- a/adapters/http/src/server.rs
+++ b/adapters/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections until the node closes.
+//! The accept loop for client connections.
 
 use std::rc::Rc;
 
@@ -10,14 +10,14 @@
 use crate::client_connection::serve_connection;
 use crate::connection_limiter::ConnectionLimiter;
 use crate::server_context::ServerContext;
-pub use crate::server_context::{ServerHandle, ServerLimits};
+pub use crate::server_context::{ServerLifecycle, ServerLimits};
 
 /// Serves clients until the stage is [`Stage::Closed`] and all connections have ended.
 pub async fn run(
     listener: TcpListener,
     engine: HttpEngine,
     limits: ServerLimits,
-    handle: ServerHandle,
+    lifecycle: ServerLifecycle,
 ) {
     let limiter = ConnectionLimiter::new(
         limits.max_connections,
@@ -25,14 +25,14 @@
         engine.metrics(),
     );
     let timeouts = spawn(limiter.clone().run_timeouts());
-    let mut stage = handle.stage.clone();
+    let mut stage = lifecycle.stage.clone();
     let closed = stage.wait_for(|stage| *stage == Stage::Closed);
     let context = Rc::new(ServerContext {
         engine,
         memory_budget: limits.memory_budget,
-        handle,
+        lifecycle,
     });
-    // Accepting is polled first: connections in the backlog are accepted before the listener is closed.
+    // The accept branch is polled first, so that connections in the backlog are accepted before the listener is closed.
     tokio::select! {
         biased;
         () = accept_connections(&listener, &limiter, &context) => {}
@@ -43,17 +43,17 @@
     timeouts.abort();
 }
 
-/// Accepts connections and starts to serve them; never ends.
+/// Accepts connections and serves each in its own task. Never returns.
 async fn accept_connections(
     listener: &TcpListener,
     limiter: &Rc<ConnectionLimiter>,
     context: &Rc<ServerContext>,
 ) {
-    let mut accepts = context.handle.accepts.clone();
+    let mut accepts = context.lifecycle.accepts.clone();
     let mut log = LogLimiter::new(context.clock().clone());
     let mut backoff = AcceptBackoff::default();
     loop {
-        // A node that shuts down leaves new connections to its successor on the same socket, if it has one.
+        // During a shutdown, new connections are left to the successor process on the same socket, if there is one.
         if accepts.wait_for(|accepts| *accepts).await.is_err() {
             return std::future::pending().await;
         }
