--- a/core/postgres-session/src/lib.rs
+++ b/core/postgres-session/src/lib.rs
@@ -1,14 +1,14 @@
 //! PostgreSQL sessions through a pooling proxy, as state machines without I/O.
 //!
 //! - [`frame`], [`message_tags`]: messages of the wire protocol
-//! - [`startup`], [`scram`]: a client's first packets and its authentication
-//! - [`session`]: which messages go where, what may be retried, what the client gets after a loss
-//! - [`extended_query`], [`prepared_statements`], [`settings`]: state that follows a client from server to server
-//! - [`sql_analysis`], [`sticky`]: what a statement does to its transaction and its session
-//! - [`server_messages`]: responses that the proxy writes itself
+//! - [`startup`], [`scram`]: a client's first packets and authentication
+//! - [`session`]: message forwarding, retries, and errors after a lost server connection
+//! - [`extended_query`], [`prepared_statements`], [`settings`]: client state that is restored on each server connection
+//! - [`sql_analysis`], [`sticky`]: effects of a statement on its transaction and session
+//! - [`server_messages`]: server messages that the proxy reads, changes or creates
 //!
-//! Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol", versions 3.0 and 3.2. Lengths are in bytes and
-//! include themselves, as on the wire. Nothing here does I/O, asks for the time or for random numbers.
+//! Reference: PostgreSQL documentation, chapter "Frontend/Backend Protocol", versions 3.0 and 3.2. Lengths on the wire
+//! are in bytes and include the length field. The crate does no I/O and uses neither clocks nor random numbers.
 
 pub mod extended_query;
 pub mod frame;
--- a/core/postgres-session/src/session.rs
+++ b/core/postgres-session/src/session.rs
@@ -1,8 +1,8 @@
-//! One client's session: the messages that it has sent and that are not answered, the server connection that it has at
-//! the moment, and what happens when that is lost.
+//! One client's session: the client's unanswered messages, the server connection that the session currently uses, and
+//! the handling of a lost server connection.
 //!
-//! Batches of messages (up to a `Sync`, `Query` or `FunctionCall`) go to a server one after the other, so that it is
-//! always known which of them may have run. The session's need for a server goes through these states:
+//! A batch is all messages up to a `Sync`, `Query` or `FunctionCall`. Batches are sent to a server one at a time, so
+//! that the session can always tell which of them may have run. `ServerLink` goes through these states:
 //!
 //! ```text
 //!            a batch is ready               Attached
@@ -11,7 +11,7 @@
 //!     |   Rejected, RequestFailed |    |   ServerLost   |    |
 //!     +---------------------------+    +----------------+    |
 //!     +------------------------------------------------------+
-//!            the transaction is over, the session not sticky
+//!            the transaction has ended and the session is not sticky
 //! ```
 //!
 //! Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol", "Message Flow".
@@ -42,73 +42,74 @@
 use crate::sql_analysis::{AccessMode, StatementEffects, TransactionStep};
 use crate::sticky::StickyReason;
 
-/// With this many bytes buffered for a client no more are read from it. One message more than that may come.
+/// Buffered bytes of client messages at which [`Session::accepts_client_messages`] returns false. The buffer can exceed
+/// the limit by one message.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// With this many batches of a client waiting no more are read from it.
+/// Unanswered batches at which [`Session::accepts_client_messages`] returns false.
 pub const MAX_PENDING_BATCHES: usize = 64;
-/// Most messages of a batch; more are a protocol violation, as none of them would be answered before its end.
+/// Maximum number of messages in a batch; a longer batch is rejected as a protocol violation.
 const MAX_BATCH_MESSAGES: usize = 4096;
 
-/// What a session has buffered for its client.
+/// Client messages that a session has buffered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backlog {
     /// Size of the messages on the wire, in bytes.
     pub bytes: usize,
-    /// Batches that are not answered.
+    /// Number of unanswered batches.
     pub batches: usize,
 }
 
-/// A BEGIN that was answered locally and is sent to the server together with the statement behind it.
+/// A BEGIN that was answered locally and is sent to the server together with the next statement.
 #[derive(Clone, Debug)]
 struct DeferredBegin {
     sql: Bytes,
     access_mode: AccessMode,
 }
 
-/// One client's session, from its first `ReadyForQuery` on.
+/// One client's session, starting with the first `ReadyForQuery`.
 #[derive(Debug, Default)]
 pub struct Session {
-    /// Status of the transaction, as the client knows it.
+    /// Transaction status that the client was last told.
     status: TransactionStatus,
-    /// Batches that are not answered, the one under way first.
+    /// Unanswered batches, oldest first; only the first one is sent to a server.
     batches: VecDeque<MessageBatch>,
-    /// Size of the batches' messages on the wire.
+    /// Wire size of all messages in `batches`, in bytes.
     buffered_bytes: usize,
     server_link: ServerLink,
     settings: ClientSettings,
     named_statements: ClientStatements,
     unnamed_statement: Option<StatementText>,
-    /// Changes of the client's statements by messages of the batch under way that are not answered; `None` for a
-    /// statement that is closed.
+    /// Changes to the client's statements by unanswered messages of the current batch, by statement name; `None` for a
+    /// closed statement.
     pending_names: BTreeMap<Bytes, Option<StatementText>>,
     sticky_reason: Option<StickyReason>,
-    /// A part of the transaction's response has gone to the client.
+    /// Part of the transaction's response has been sent to the client.
     response_started: bool,
-    /// A COMMIT has been sent that is not answered.
+    /// A COMMIT has been sent and not answered.
     commit_in_flight: bool,
-    /// The last `CommandComplete` of a batch outside a transaction block, held back until the batch's `Sync` has
-    /// committed it: drivers take it for the commit.
+    /// The last `CommandComplete` of a batch outside a transaction block, delayed until the batch's `Sync` has
+    /// committed the batch, because drivers treat `CommandComplete` as the commit.
     delayed_completion: Option<Bytes>,
-    /// A part of a row has gone to the client, and the rest has not.
+    /// Only part of a `DataRow` has been sent to the client.
     is_row_incomplete: bool,
-    /// The server was lost in a copy behind a `Sync` that it had ignored: the client sends another one.
+    /// The server was lost during a copy, after ignoring a `Sync`; the client sends a second `Sync` after the data.
     expects_second_sync: bool,
-    /// The batch under way has had an error.
+    /// The current batch received an `ErrorResponse`.
     batch_failed: bool,
-    /// Name of the client's statement that the DEALLOCATE of the batch under way removes.
+    /// Name of the client's statement that a DEALLOCATE in the current batch removes.
     deallocated_name: Option<Bytes>,
     deferred_begin: Option<DeferredBegin>,
     /// The server of the open transaction is lost; only the end of the transaction is accepted.
     transaction_lost: bool,
-    /// Why the transaction is lost, until the client has got an error about it.
+    /// Why the transaction was lost; `None` once the client has received that error.
     unreported_loss: Option<ErrorReason>,
-    /// Why the last request for a server came to nothing, also after the client knows.
+    /// Why the last failed request for a server failed; kept after the client has received the error.
     loss_reason: Option<ErrorReason>,
     ended: bool,
 }
 
 impl Session {
-    /// A session whose client wants these settings.
+    /// Creates an idle session without a server connection.
     #[must_use]
     pub fn new(settings: ClientSettings) -> Self {
         Self {
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Whether more should be read from the client.
+    /// Whether the caller should read more from the client: the session has not ended and is below
+    /// [`MAX_BUFFERED_BYTES`] and [`MAX_PENDING_BATCHES`].
     #[must_use]
     pub fn accepts_client_messages(&self) -> bool {
         !self.ended
@@ -125,7 +127,7 @@
             && self.batches.len() < MAX_PENDING_BATCHES
     }
 
-    /// What is buffered for the client.
+    /// Size of the client's unanswered messages.
     #[must_use]
     pub fn backlog(&self) -> Backlog {
         Backlog {
@@ -134,37 +136,36 @@
         }
     }
 
-    /// Status of the transaction, as the client knows it.
+    /// Transaction status that the client was last told.
     #[must_use]
     pub fn status(&self) -> TransactionStatus {
         self.status
     }
 
-    /// Why the session keeps its server connection between transactions, if it does.
+    /// Why the session keeps its server connection between transactions; `None` if it releases the connection.
     #[must_use]
     pub fn sticky_reason(&self) -> Option<StickyReason> {
         self.sticky_reason
     }
 
-    /// Makes the session keep the server connection that it has until it ends.
+    /// Makes the session keep its server connection until the session ends.
     pub fn keep_server(&mut self) {
         self.sticky_reason.get_or_insert(StickyReason::Pooling);
     }
 
-    /// Whether no transaction is open and no message is unanswered.
+    /// Whether no transaction is open and every message is answered.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.status == TransactionStatus::Idle && self.batches.is_empty()
     }
 
-    /// The client's settings.
+    /// The settings that server connections get for this client.
     #[must_use]
     pub fn settings(&self) -> &ClientSettings {
         &self.settings
     }
 
-    /// Whether the server has a message of the client's that is not answered, so that a cancel request may be meant
-    /// for it.
+    /// Whether a client message is unanswered at the server, so that a cancel request can apply to it.
     #[must_use]
     pub fn is_running(&self) -> bool {
         matches!(&self.server_link, ServerLink::Attached(_))
@@ -174,10 +175,10 @@
                 .is_some_and(|batch| batch.sent_count > 0)
     }
 
-    /// Handles an event and adds the actions that follow from it.
+    /// Handles an event and appends the resulting actions, in the order in which the caller must perform them.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         if self.ended {
-            // A server connection that comes too late is free at once: nothing was sent to it.
+            // A server connection attached after the end is released unused.
             if let Event::Attached(state) = event {
                 actions.push(Action::Release(state));
             }
@@ -195,11 +196,11 @@
         self.advance(actions);
     }
 
-    /// Goes on with the first batch, and with those behind it where it can be answered locally.
+    /// Forwards or answers the first batch, and the following ones as long as batches are answered locally.
     fn advance(&mut self, actions: &mut Vec<Action>) {
         while !self.ended && self.drop_ignored_messages() && self.first_batch_is_ready() {
             if self.transaction_lost {
-                // The batch is at no server. All of it has to be known, so its end is awaited.
+                // The answer depends on all statements of the batch, so wait until the batch is complete.
                 if !self.batches.front().is_some_and(|batch| batch.is_complete) {
                     return;
                 }
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Whether there is something of the first batch that may be sent.
+    /// Whether the first batch has messages that may be sent.
     fn first_batch_is_ready(&self) -> bool {
         self.batches
             .front()
@@ -248,7 +249,7 @@
         });
     }
 
-    /// What the statements of the first batch do, as far as their texts are known.
+    /// Effects of the first batch's statements whose texts are known.
     fn first_batch_effects(&mut self) -> Rc<StatementEffects> {
         let Some(batch) = self.batches.front_mut() else {
             return Rc::default();
@@ -263,27 +264,28 @@
         effects
     }
 
-    /// Removes the first batch; its messages are not buffered any more.
+    /// Removes the first batch and subtracts its size from `buffered_bytes`.
     fn remove_first_batch(&mut self) -> Option<MessageBatch> {
         let batch = self.batches.pop_front()?;
         self.buffered_bytes = self.buffered_bytes.saturating_sub(batch.wire_len());
         Some(batch)
     }
 
-    /// Changes the client's statements once the message that does so is answered.
+    /// Applies a change to the client's statements after its message has been answered.
     fn apply_name_change(&mut self, change: NameChange) {
         match change {
             NameChange::Set { name, text } if name.is_empty() => {
                 self.unnamed_statement = Some(text);
             }
             NameChange::Remove(name) if name.is_empty() => self.unnamed_statement = None,
-            // The limit was checked when the message was sent.
+            // The limit was checked before the `Parse` was sent.
             NameChange::Set { name, text } => drop(self.named_statements.insert(name, text)),
             NameChange::Remove(name) => self.named_statements.remove(&name),
         }
     }
 
-    /// Ends the session. A server connection with anything left on it is dropped, and with it what was not committed.
+    /// Ends the session. A server connection with an open transaction, unanswered messages or session state is
+    /// discarded instead of released, which rolls back uncommitted changes.
     fn end(&mut self, actions: &mut Vec<Action>) {
         self.ended = true;
         if let ServerLink::Attached(server) = std::mem::take(&mut self.server_link) {
@@ -303,7 +305,7 @@
     }
 }
 
-/// The bytes of a message on the wire.
+/// Encodes a message for the wire.
 fn encode(frame: &Frame) -> Bytes {
     let mut buffer = BytesMut::new();
     frame.write(&mut buffer);
--- a/core/postgres-session/src/session/client_messages.rs
+++ b/core/postgres-session/src/session/client_messages.rs
@@ -1,4 +1,4 @@
-//! Messages from the client, which are collected into batches.
+//! Collects messages from the client into batches.
 
 use bytes::Bytes;
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Adds a message to the last batch, or begins the next one with it.
+    /// Adds a message to the last batch, or starts a new batch if the last one is complete.
     fn add_message(&mut self, frame: Frame, actions: &mut Vec<Action>) {
         if frame.tag == frontend::SYNC
             && (self.forward_sync_behind_copy(&frame, actions) || self.drop_second_sync())
@@ -45,7 +45,7 @@
         }
         if self.batches.back().is_none_or(|batch| batch.is_complete) {
             if frame.tag == frontend::FLUSH {
-                // All batches before it are sent when they are complete; there is nothing to send sooner.
+                // All earlier batches are complete and sent without a `Flush`.
                 return;
             }
             self.batches.push_back(MessageBatch::default());
@@ -60,7 +60,7 @@
             return;
         }
         self.buffered_bytes += frame.wire_len();
-        // A Query ends a batch that has had no Sync, as at a server.
+        // As in a server, a `Query` ends a batch that has no `Sync`.
         batch.is_complete = matches!(
             frame.tag,
             frontend::SYNC | frontend::QUERY | frontend::FUNCTION_CALL
@@ -71,12 +71,15 @@
             batch.flushed_count = batch.frames.len();
         }
         if batch.frames.len() > MAX_BATCH_MESSAGES {
-            self.reject_violation(Some("too many messages before a Sync"), actions);
+            self.reject_violation(
+                Some("too many messages in a batch before its Sync"),
+                actions,
+            );
         }
     }
 
-    /// Sends the `Sync` behind copied data to the server that ignored the one before the data. Returns whether this
-    /// `Sync` was that.
+    /// Forwards the `Sync` that follows copy data if the server ignored the `Sync` before the data. Returns whether
+    /// the `Sync` was forwarded.
     fn forward_sync_behind_copy(&mut self, sync: &Frame, actions: &mut Vec<Action>) -> bool {
         let ServerLink::Attached(server) = &mut self.server_link else {
             return false;
@@ -94,8 +97,8 @@
         true
     }
 
-    /// Drops the `Sync` behind the data of a copy whose server is lost: the error that is still to come ends both
-    /// parts of the batch. Returns whether this `Sync` was that.
+    /// Drops the `Sync` that follows copy data if the server of the copy is lost: the pending error answers the `Sync`
+    /// messages before and after the data. Returns whether the `Sync` was dropped.
     fn drop_second_sync(&mut self) -> bool {
         let replaces_server = matches!(
             self.server_link,
@@ -106,24 +109,24 @@
         replaces_server && self.batches.len() == 1 && std::mem::take(&mut self.expects_second_sync)
     }
 
-    /// Sends copied data as it comes; where none is wanted, a server ignores it.
+    /// Forwards copy data without buffering. Copy data outside a copy is ignored, as by a server.
     fn forward_copy_data(&mut self, bytes: Bytes, actions: &mut Vec<Action>) {
         match &self.server_link {
             ServerLink::Attached(server) if !server.expected.is_empty() => {
                 actions.push(Action::ToServer(bytes));
             }
-            // Sent before a server has asked for it, to one that is not there yet: it must not get lost.
+            // No server is attached yet, and copy data is neither buffered nor silently dropped.
             ServerLink::Requested {
                 is_replacement: false,
             } => self.reject_violation(
-                Some("copied data before the server has asked for it"),
+                Some("copy data before the server's CopyInResponse"),
                 actions,
             ),
             _ => {}
         }
     }
 
-    /// Ends the session of a client that does not follow the protocol.
+    /// Ends the session with a protocol violation error.
     pub(super) fn reject_violation(&mut self, detail: Option<&str>, actions: &mut Vec<Action>) {
         send_to_client(
             &server_messages::error_response(ErrorReason::ProtocolViolation, detail),
--- a/core/postgres-session/src/session/event.rs
+++ b/core/postgres-session/src/session/event.rs
@@ -1,4 +1,4 @@
-//! Events that a session handles and actions that it asks for.
+//! Events that a session handles and actions that it requests.
 
 use bytes::Bytes;
 
@@ -6,60 +6,60 @@
 use crate::prepared_statements::ServerStatements;
 use crate::settings::ServerSettings;
 
-/// What is known of a server connection, whichever session uses it.
+/// State of a server connection that is kept when the connection moves to another session.
 #[derive(Debug, Default)]
 pub struct ServerState {
-    /// The statements that are prepared on it.
+    /// Statements prepared on the connection.
     pub prepared: ServerStatements,
-    /// The values of its settings.
+    /// Known values of the connection's settings.
     pub settings: ServerSettings,
 }
 
-/// What happens to a session.
+/// Input of [`Session::handle`](super::Session::handle).
 #[derive(Debug)]
 pub enum Event {
-    /// The client sent a message or a part of one.
+    /// The client sent a message or a chunk of one.
     Client(DecodeResult),
-    /// The session gets a server connection, which is in this state.
+    /// The requested server connection is available and has this state.
     Attached(ServerState),
-    /// The server sent a message or a part of one.
+    /// The server sent a message or a chunk of one.
     Server(DecodeResult),
-    /// The server connection is lost, or its attempt was cancelled or has timed out.
+    /// The server connection is lost, or the attempt that uses it was cancelled or timed out.
     ServerLost,
-    /// The request for a server is rejected for lack of capacity.
+    /// The request for a server was rejected for lack of capacity.
     Rejected {
-        /// How long the client should wait before it retries, in milliseconds.
+        /// How long the client should wait before it retries, in milliseconds; 0 if it can retry at once.
         retry_after_ms: u64,
     },
-    /// The request for a server has failed.
+    /// The request for a server failed.
     RequestFailed,
-    /// The client has disconnected.
+    /// The client disconnected.
     ClientDisconnected,
 }
 
-/// What a session asks its owner to do.
+/// Output of [`Session::handle`](super::Session::handle), to be performed by the caller.
 #[derive(Debug)]
 pub enum Action {
-    /// Get a server connection for a transaction.
+    /// Request a server connection for a transaction.
     RequestServer {
-        /// The transaction is one statement outside any transaction block, or this is the first statement of a
-        /// read-only one: it may be sent again after a loss where its request class allows.
+        /// The request is one statement outside a transaction block, or the first statement of a read-only transaction.
+        /// The statement may be sent again after a lost connection if the request class allows retries.
         single_statement: bool,
     },
     /// Send these bytes to the server.
     ToServer(Bytes),
     /// Send these bytes to the client.
     ToClient(Bytes),
-    /// A part of the response goes to the client now: the transaction can't be retried any more.
+    /// The first part of the response is about to be sent to the client; the transaction can no longer be retried.
     ResponseStarted,
-    /// The transaction is over and its response complete.
+    /// The transaction has ended and its response is complete.
     TransactionDone,
-    /// What the server connection was requested for can't be retried.
+    /// The attached replacement connection is not used, because the transaction cannot be retried.
     NotRetryable,
-    /// The server connection is free for other sessions, in this state.
+    /// Return the server connection, which has this state, to the pool.
     Release(ServerState),
-    /// The server connection must be closed.
+    /// Close the server connection.
     DiscardServer,
-    /// The session has ended; close the client's connection once all is written.
+    /// The session has ended: close the client's connection after all pending bytes are written.
     End,
 }
--- a/core/postgres-session/src/session/forwarding.rs
+++ b/core/postgres-session/src/session/forwarding.rs
@@ -1,4 +1,4 @@
-//! From a session to its server connection: the client's settings and its batches.
+//! Sends the client's settings and batches to the server connection.
 
 use bytes::BytesMut;
 
@@ -12,10 +12,10 @@
 use crate::sql_analysis::{StatementEffects, TransactionStep};
 
 impl Session {
-    /// A server connection has come: the client's settings are sent to it first.
+    /// Handles an attached server connection: applies the client's settings before any batch is sent.
     pub(super) fn on_attached(&mut self, state: ServerState, actions: &mut Vec<Action>) {
         let ServerLink::Requested { is_replacement } = self.server_link else {
-            // It was not requested, or is not needed any more.
+            // The connection was not requested or is no longer needed.
             actions.push(Action::Release(state));
             return;
         };
@@ -37,15 +37,15 @@
         }
     }
 
-    /// Whether the batch under way may be sent to a second server: the client has got nothing of the response, the
-    /// first server had no transaction open and may not have committed one.
+    /// Whether the current batch may be sent to a second server: the client has received no part of the response, the
+    /// first server had no open transaction, and no COMMIT is unanswered.
     fn may_retry(&self) -> bool {
         let is_open_at_server =
             self.status != TransactionStatus::Idle && self.deferred_begin.is_none();
         !self.response_started && !is_open_at_server && !self.commit_in_flight
     }
 
-    /// Sends what is ready of the first batch and has not been sent.
+    /// Sends the messages of the first batch that are ready and unsent.
     pub(super) fn forward(&mut self, actions: &mut Vec<Action>) {
         let Some(frames) = self.unsent_frames() else {
             return;
@@ -70,7 +70,8 @@
         self.send_local_responses(actions);
     }
 
-    /// The messages of the first batch that are to be sent now, if there are any and the server is ready for them.
+    /// Returns the messages of the first batch to send now; `None` if there are none or the server is still checking
+    /// the client's settings.
     fn unsent_frames(&mut self) -> Option<Vec<Frame>> {
         let ServerLink::Attached(server) = &self.server_link else {
             return None;
@@ -89,7 +90,7 @@
         Some(frames)
     }
 
-    /// Notes what is true of the session and the server connection once statements with these effects are sent.
+    /// Updates the session and the server connection for statements that are about to be sent.
     fn record_sent_effects(&mut self, effects: &StatementEffects) {
         self.commit_in_flight |= effects.steps.contains(&TransactionStep::Commit);
         self.sticky_reason = self.sticky_reason.or(effects.sticky_reason);
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Writes the BEGIN that was answered locally, once for each server connection.
+    /// Writes the deferred BEGIN, once per server connection.
     fn write_deferred_begin(&mut self, buffer: &mut BytesMut) {
         let ServerLink::Attached(server) = &mut self.server_link else {
             return;
@@ -143,8 +144,8 @@
         writer.write(frame, is_alone)
     }
 
-    /// Drops what the server ignores after an error: all up to a `Sync`, which is not dropped. Returns false if that
-    /// has not come from the client yet.
+    /// After an error, drops the messages that the server ignores, up to but excluding the next `Sync`. Returns false
+    /// if that `Sync` has not been received yet.
     pub(super) fn drop_ignored_messages(&mut self) -> bool {
         let is_skipping = matches!(
             &self.server_link,
@@ -165,13 +166,14 @@
                 self.keep_only_sync();
                 return true;
             }
-            // A Query that the server ignores gets no response.
+            // An ignored `Query` gets no response.
             self.batches.pop_front();
         }
         false
     }
 
-    /// Reduces the first batch, whose messages do not count as buffered, to its `Sync`, with which the server goes on.
+    /// Reduces the first batch to its `Sync`, after which the server handles messages again. The batch's size must
+    /// already be subtracted from `buffered_bytes`.
     fn keep_only_sync(&mut self) {
         let Some(batch) = self.batches.front_mut() else {
             return;
--- a/core/postgres-session/src/session/local_responses.rs
+++ b/core/postgres-session/src/session/local_responses.rs
@@ -1,5 +1,5 @@
-//! What is answered without a server: a BEGIN, which is sent with the statement behind it, and the end of a transaction
-//! that no server knows of, or whose server is lost.
+//! Responses without a server: to a BEGIN, which is deferred and sent with the next statement, and to the end of a
+//! transaction that was never sent to a server or whose server is lost.
 
 use bytes::Bytes;
 
@@ -15,7 +15,7 @@
 /// Body of a `ParameterDescription` of a statement without parameters.
 const NO_PARAMETERS: &[u8] = &[0, 0];
 
-/// Messages of the batch that runs one statement, in the only order that a server answers without an error.
+/// Messages of a batch that runs one statement, in the order in which a server accepts them.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum BatchStep {
     Parse,
@@ -25,7 +25,7 @@
 }
 
 impl Session {
-    /// Answers the first batch without a server where possible. Returns whether it did.
+    /// Answers the first batch without a server if possible. Returns whether the batch was answered.
     pub(super) fn respond_locally(&mut self, actions: &mut Vec<Action>) -> bool {
         let is_candidate = self
             .batches
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Answers a batch that begins a transaction and does nothing else. Returns whether it did.
+    /// Answers a batch that only begins a transaction. Returns whether the batch was answered.
     fn defer_begin(&mut self, actions: &mut Vec<Action>) -> bool {
         let Some(access_mode) = self.first_batch_effects().transaction_begin() else {
             return false;
@@ -58,7 +58,7 @@
         true
     }
 
-    /// Answers a batch that ends a transaction of which no server knows, and does nothing else. Returns whether it did.
+    /// Answers a batch that only ends a transaction whose BEGIN was never sent. Returns whether the batch was answered.
     fn end_deferred_transaction(&mut self, actions: &mut Vec<Action>) -> bool {
         let Some(end) = self.first_batch_effects().transaction_end() else {
             return false;
@@ -76,7 +76,7 @@
         true
     }
 
-    /// The SQL of the one statement of the first batch.
+    /// Returns the SQL of the first batch's only statement.
     fn only_statement_sql(&self) -> Option<Bytes> {
         let batch = self.batches.front()?;
         if let Some(query) = batch.first(frontend::QUERY) {
@@ -92,8 +92,8 @@
         Some(Bytes::copy_from_slice(text.sql()))
     }
 
-    /// Whether a server would answer all messages of the first batch without an error: one statement, prepared at most
-    /// once and under a free name, bound, described and executed once, in this order.
+    /// Whether a server would answer the first batch without an error: the batch has one statement, which is parsed at
+    /// most once under an unused name, then bound, described and executed, in this order.
     fn would_succeed(&self) -> bool {
         let Some(batch) = self.batches.front() else {
             return false;
@@ -108,7 +108,7 @@
         for frame in &batch.frames {
             let step = match frame.tag {
                 frontend::FLUSH => continue,
-                // Whether another portal or statement can be described only a server knows.
+                // Only a server can tell whether another portal or statement exists.
                 frontend::DESCRIBE if last_step.is_some() && describes_bound(batch, frame) => {
                     continue;
                 }
@@ -127,7 +127,7 @@
         is_executed
     }
 
-    /// Whether a `Parse` is of the unnamed statement, or of a name that is free.
+    /// Whether a `Parse` uses the unnamed statement or an unused name within the client's limit.
     fn can_prepare(&self, frame: &Frame) -> bool {
         let Ok(parse) = ParseMessage::read(frame) else {
             return false;
@@ -137,8 +137,8 @@
                 && self.named_statements.has_capacity(&parse.name))
     }
 
-    /// Answers the first batch as a server would for a statement with this command tag that returns no rows, and
-    /// removes it.
+    /// Answers and removes the first batch as a server would for a statement that returns no rows and has this command
+    /// tag.
     pub(super) fn respond_to_first_batch(&mut self, command_tag: &str, actions: &mut Vec<Action>) {
         let Some(batch) = self.batches.front() else {
             return;
@@ -161,7 +161,7 @@
                 frontend::BIND => send_empty(backend::BIND_COMPLETE, actions),
                 frontend::CLOSE => {
                     self.close_locally(frame);
-                    // The client may have got the first of them from the server that is lost.
+                    // The lost server may already have sent the first `CloseComplete` messages.
                     if close_completes_sent > 0 {
                         close_completes_sent -= 1;
                     } else {
@@ -178,7 +178,7 @@
         self.finish_first_batch(actions);
     }
 
-    /// Adds the statement of a `Parse` to the client's. Returns false if the client has too many.
+    /// Adds the statement of a `Parse` to the client's statements. Returns false if the client has too many statements.
     fn prepare_locally(&mut self, frame: &Frame) -> bool {
         if let Ok(ParseMessage { name, text }) = ParseMessage::read(frame) {
             if !self.named_statements.has_capacity(&name) {
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Removes the first batch and sends its `ReadyForQuery`.
+    /// Removes the first batch and sends `ReadyForQuery` with the current status.
     pub(super) fn finish_first_batch(&mut self, actions: &mut Vec<Action>) {
         self.remove_first_batch();
         send_to_client(&self.status.ready_for_query(), actions);
@@ -220,7 +220,7 @@
     })
 }
 
-/// Whether a `Describe` is of the portal or the statement of the batch's first `Bind`.
+/// Whether a `Describe` targets the portal or the statement of the batch's first `Bind`.
 fn describes_bound(batch: &MessageBatch, describe: &Frame) -> bool {
     let Ok(target) = Target::read(describe) else {
         return false;
--- a/core/postgres-session/src/session/message_batch.rs
+++ b/core/postgres-session/src/session/message_batch.rs
@@ -1,4 +1,4 @@
-//! A batch: the messages of a client that are answered by one `ReadyForQuery`.
+//! Batches of client messages and their effects on the transaction and the session.
 
 use std::rc::Rc;
 
@@ -13,24 +13,24 @@
 /// Messages up to a `Sync`, `Query` or `FunctionCall`, which are answered by one `ReadyForQuery`.
 #[derive(Debug, Default)]
 pub(super) struct MessageBatch {
-    /// All messages so far. They are kept until the response is complete, as another server may have to get them.
+    /// Messages received so far, kept until the response is complete so that they can be sent to another server.
     pub(super) frames: Vec<Frame>,
-    /// The last message has come.
+    /// The `Sync`, `Query` or `FunctionCall` that ends the batch was received.
     pub(super) is_complete: bool,
-    /// How many messages are followed by a `Flush`, and so must be sent before the batch is complete.
+    /// Number of messages up to the last `Flush`, which are sent before the batch is complete.
     pub(super) flushed_count: usize,
-    /// How many messages have been sent to the server.
+    /// Number of messages sent to the server.
     pub(super) sent_count: usize,
-    /// The batch has failed before its `Sync` came: all up to that is dropped.
+    /// The batch failed before its `Sync` was received; all messages up to the `Sync` are dropped.
     pub(super) is_skipped: bool,
-    /// How many `CloseComplete`s of the batch the client has got.
+    /// Number of `CloseComplete` messages of the batch that were sent to the client.
     pub(super) close_completes_sent: usize,
-    /// What its statements do, as far as it had come when that was first determined.
+    /// Cached effects of the statements; `None` until the effects of the complete batch are determined.
     pub(super) effects: Option<Rc<StatementEffects>>,
 }
 
 impl MessageBatch {
-    /// A batch of which all up to its `Sync` is dropped.
+    /// Creates a batch whose messages up to its `Sync` are dropped.
     pub(super) fn skipped() -> Self {
         Self {
             is_skipped: true,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether it closes statements and portals and does nothing else.
+    /// Whether the batch only closes statements and portals.
     pub(super) fn only_closes(&self) -> bool {
         self.frames.iter().all(|frame| {
             matches!(
@@ -48,7 +48,7 @@
         })
     }
 
-    /// How many messages may be sent to a server by now.
+    /// Number of messages that may be sent to a server.
     pub(super) fn ready_count(&self) -> usize {
         if self.is_complete {
             self.frames.len()
@@ -62,17 +62,17 @@
         self.frames.iter().map(Frame::wire_len).sum()
     }
 
-    /// Whether the last message so far has this tag.
+    /// Whether the last received message has this tag.
     pub(super) fn ends_with(&self, tag: u8) -> bool {
         self.frames.last().is_some_and(|last| last.tag == tag)
     }
 
-    /// The first message with this tag.
+    /// Returns the first message with this tag.
     pub(super) fn first(&self, tag: u8) -> Option<&Frame> {
         self.frames.iter().find(|frame| frame.tag == tag)
     }
 
-    /// The text that the batch prepares under this name.
+    /// Returns the text of the batch's first `Parse` for this statement name.
     pub(super) fn parsed_text(&self, name: &Bytes) -> Option<StatementText> {
         self.frames
             .iter()
@@ -82,7 +82,7 @@
             .map(|parse| parse.text)
     }
 
-    /// What the statements of the batch do, as far as it has come and their texts are known.
+    /// Determines the combined effects of the received messages. Statements whose text is unknown have no effects.
     pub(super) fn analyze(
         &self,
         statements: &mut ClientStatements,
@@ -91,13 +91,13 @@
         let mut effects = self.statement_effects(statements, unnamed_statement);
         let executes_all = self.executes_all_bound();
         if executes_all && effects.len() == 1 {
-            // The usual batch uses one statement, which has been analyzed before.
+            // Share the cached effects of a single statement.
             return effects.pop().unwrap_or_default();
         }
         Rc::new(merge_effects(&effects, executes_all))
     }
 
-    /// The effects of each statement that the batch runs or binds, in order.
+    /// Returns the effects of each statement that the batch runs or binds, in order.
     fn statement_effects(
         &self,
         statements: &mut ClientStatements,
@@ -111,7 +111,7 @@
                     let sql = frame.first_string().unwrap_or_default();
                     effects.push(Rc::new(sql_analysis::analyze_bytes(sql)));
                 }
-                // The message names the function by its number, which does not tell what it does.
+                // The message identifies the function by object ID, so its effects are unknown.
                 frontend::FUNCTION_CALL => effects.push(Rc::new(StatementEffects::unknown())),
                 frontend::PARSE => {
                     if let Ok(parse) = ParseMessage::read(frame)
@@ -134,14 +134,14 @@
         effects
     }
 
-    /// The effects of the statement that a `Bind` names, if its text is known.
+    /// Returns the effects of the statement named by a `Bind`; `None` if its text is unknown.
     fn bound_effects(
         &self,
         name: &Bytes,
         unnamed_statement: Option<&StatementText>,
         statements: &mut ClientStatements,
     ) -> Option<Rc<StatementEffects>> {
-        // A statement that this batch prepares is not among the client's statements yet.
+        // A statement prepared by this batch is not in `statements` yet.
         let text = if name.is_empty() {
             unnamed_statement.cloned()
         } else {
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Whether all that is bound is executed, so that its resets of settings can be relied on: there are as many
-    /// `Execute`s as `Bind`s and no `Query` among them.
+    /// Whether every bound statement is executed, so that its resets of settings take effect: the batch has as many
+    /// `Execute` as `Bind` messages and no `Query`.
     fn executes_all_bound(&self) -> bool {
         let binds = self.count(frontend::BIND);
         binds == 0 || (binds == self.count(frontend::EXECUTE) && self.count(frontend::QUERY) == 0)
@@ -165,8 +165,8 @@
     }
 }
 
-/// The effects of several statements that run one after the other. Resets of settings count only if it is known that
-/// the statements are executed.
+/// Combines the effects of statements that run one after another. Resets of settings are included only if
+/// `executes_all` is set.
 fn merge_effects(effects: &[Rc<StatementEffects>], executes_all: bool) -> StatementEffects {
     let mut merged = StatementEffects::default();
     for one in effects {
--- a/core/postgres-session/src/session/message_writer.rs
+++ b/core/postgres-session/src/session/message_writer.rs
@@ -1,5 +1,5 @@
-//! Writes a client's messages as its server connection is to get them: with the connection's names for prepared
-//! statements, and with a `Parse` before the first use of a statement there.
+//! Rewrites a client's messages for a server connection: replaces the names of prepared statements and adds a `Parse`
+//! before the first use of a statement on the connection.
 
 use std::collections::BTreeMap;
 
@@ -18,13 +18,13 @@
 use crate::server_messages::TransactionStatus;
 use crate::sql_analysis;
 
-/// The client's prepared statements as they will be once all messages that were sent are answered.
+/// The client's prepared statements after all messages sent so far, including unanswered ones.
 pub(super) struct StatementNames<'a> {
-    /// The named statements as of the messages that are answered.
+    /// Named statements after the last answered message.
     pub(super) named: &'a ClientStatements,
-    /// The unnamed statement as of the messages that are answered.
+    /// The unnamed statement after the last answered message.
     pub(super) unnamed: Option<&'a StatementText>,
-    /// Changes by messages that are not answered; `None` for a statement that is closed.
+    /// Changes by unanswered messages; `None` for a closed statement.
     pub(super) pending: &'a mut BTreeMap<Bytes, Option<StatementText>>,
 }
 
@@ -46,22 +46,21 @@
     }
 }
 
-/// The form in which messages of one session go to one server connection.
+/// Writes one session's messages to one server connection.
 pub(super) struct MessageWriter<'a> {
-    /// The server connection.
     pub(super) server: &'a mut ServerConnection,
     /// The client's prepared statements.
     pub(super) names: StatementNames<'a>,
-    /// Status of the transaction as of the last batch.
+    /// Transaction status after the last batch.
     pub(super) status: TransactionStatus,
-    /// Name of the client's statement that the batch's DEALLOCATE removes.
+    /// Set to the name of the client's statement that a DEALLOCATE removes.
     pub(super) deallocated_name: &'a mut Option<Bytes>,
-    /// The bytes for the server.
+    /// Receives the bytes to send to the server.
     pub(super) buffer: &'a mut BytesMut,
 }
 
 impl MessageWriter<'_> {
-    /// Writes one message and notes what will answer it. `is_alone`: it is the only one of its batch.
+    /// Writes one message and records the expected response. `is_alone`: the message is the only one in its batch.
     pub(super) fn write(&mut self, frame: &Frame, is_alone: bool) -> Result<(), MalformedMessage> {
         match frame.tag {
             frontend::QUERY => self.query(frame, is_alone)?,
@@ -85,7 +84,7 @@
     fn query(&mut self, frame: &Frame, is_alone: bool) -> Result<(), MalformedMessage> {
         let sql = frame.first_string().ok_or(MalformedMessage)?;
         let deallocation = self.query_deallocation(sql, is_alone);
-        // A Query ends the unnamed statement at the server.
+        // A `Query` destroys the server's unnamed statement.
         self.server.has_unnamed_statement = false;
         self.names.remove(Bytes::new());
         self.send(
@@ -95,8 +94,8 @@
         Ok(())
     }
 
-    /// The `Query` to send instead of one that deallocates a statement of the client's, by the name that it has on the
-    /// server connection. The statement is prepared first if necessary.
+    /// Returns the `Query` to send instead of a DEALLOCATE of one of the client's statements, with the statement's name
+    /// on the server connection. The statement is prepared first if necessary.
     fn query_deallocation(&mut self, sql: &[u8], is_alone: bool) -> Option<Frame> {
         let name = sql_analysis::deallocated_name(sql)?;
         let text = self.names.get(&name)?;
@@ -106,7 +105,7 @@
         let server_name = if is_alone {
             self.prepare_separately(&text)
         } else {
-            // Behind messages of a batch a Sync would end what the client is to end.
+            // An additional `Sync` would end the client's batch too early.
             self.ensure_prepared(&text)
         };
         *self.deallocated_name = Some(name);
@@ -142,8 +141,8 @@
         Ok(())
     }
 
-    /// A `Parse` of a DEALLOCATE. The client's statement is prepared first, so that there is one to deallocate; the
-    /// DEALLOCATE is sent with the name on the server connection, and kept as the client wrote it.
+    /// Writes a `Parse` of a DEALLOCATE. The statement to deallocate is prepared first if necessary. The text that is
+    /// sent contains the name on the server connection; the client's text is stored unchanged.
     fn parse_deallocation(
         &mut self,
         parse: ParseMessage,
@@ -166,7 +165,7 @@
         self.prepare(&server_text, Origin::Client, Some(name_change));
     }
 
-    /// A `Parse` of the unnamed statement: `text` as the client knows it, `server_text` as it is sent.
+    /// Writes a `Parse` of the unnamed statement. `text` is the client's text, `server_text` the text to send.
     fn parse_unnamed(&mut self, text: StatementText, server_text: &StatementText) {
         self.names.set(Bytes::new(), text.clone());
         self.server.has_unnamed_statement = true;
@@ -183,8 +182,8 @@
         );
     }
 
-    /// A `Parse` under a name that the client has in use: the server itself says what is wrong with the text or,
-    /// where nothing is, that the name is taken.
+    /// Writes a `Parse` for a name that the client already uses. The server name is already in use too, so the server
+    /// reports either an error in the text or the duplicate name.
     fn parse_duplicate_name(&mut self, parse: ParseMessage) {
         let server_name = self.ensure_prepared(&parse.text);
         let frame = extended_query::parse(&server_name, &parse.text);
@@ -198,12 +197,12 @@
         self.send(&frame, ExpectedResponse::Parse(response));
     }
 
-    /// A `Parse` under a new name of a text that is prepared on the server connection: it is answered locally.
+    /// Answers a `Parse` of a text that is already prepared on the server connection locally.
     fn parse_prepared(&mut self, parse: ParseMessage) {
         let is_rejected_by_server = self.status == TransactionStatus::Failed
             && parse.text.analyze().transaction_end().is_none();
         if is_rejected_by_server {
-            // A failed transaction accepts no statement but its end, and the server's error says so.
+            // In a failed transaction the server answers with the error that only the transaction's end is accepted.
             let server_name = self.server.state.prepared.use_statement(&parse.text).name;
             self.send(
                 &extended_query::parse(&server_name, &parse.text),
@@ -223,7 +222,7 @@
             }));
     }
 
-    /// A `Parse` under a new name of a text that is not prepared on the server connection.
+    /// Writes a `Parse` of a text that is not prepared on the server connection.
     fn parse_new(&mut self, parse: ParseMessage) {
         self.names.set(parse.name.clone(), parse.text.clone());
         let text = parse.text.clone();
@@ -283,7 +282,8 @@
         );
     }
 
-    /// The statement stays prepared on the server connection, for all clients that use the same text.
+    /// Answers a `Close` locally: the statement stays prepared on the server connection for other clients with the same
+    /// text.
     fn close_named(&mut self, name: Bytes) {
         self.names.remove(name.clone());
         self.server
@@ -295,12 +295,12 @@
     }
 
     fn sync(&mut self, frame: &Frame) {
-        // During a copy the server ignores it.
+        // The server ignores a `Sync` during a copy.
         self.server.has_ignored_sync |= self.server.is_copying_in;
         self.send(frame, ExpectedResponse::Sync);
     }
 
-    /// Prepares a text on the server connection unless it is prepared there.
+    /// Prepares a text on the server connection unless the text is already prepared.
     fn prepare(&mut self, text: &StatementText, origin: Origin, name_change: Option<NameChange>) {
         let statement = self.server.state.prepared.use_statement(text);
         let Some((parse, evictions)) = statement.preparation.split_last() else {
@@ -321,7 +321,7 @@
         self.send(parse, ExpectedResponse::Parse(response));
     }
 
-    /// The name of a text on the server connection, where it is prepared first unless it is already.
+    /// Returns the name of a text on the server connection. Prepares the text first if necessary.
     fn ensure_prepared(&mut self, text: &StatementText) -> Bytes {
         if !self.server.state.prepared.contains(text) {
             self.prepare(text, Origin::Proxy, None);
@@ -329,8 +329,8 @@
         self.server.state.prepared.use_statement(text).name
     }
 
-    /// As [`Self::ensure_prepared`], in a batch of its own before a `Query`: an error in it must not make the server
-    /// ignore the `Query`.
+    /// Like [`Self::ensure_prepared`], but in a separate batch, so that an error does not make the server ignore the
+    /// following `Query`.
     fn prepare_separately(&mut self, text: &StatementText) -> Bytes {
         let statement = self.server.state.prepared.use_statement(text);
         if !statement.preparation.is_empty() {
@@ -343,7 +343,8 @@
         statement.name
     }
 
-    /// The name on the server connection of a statement of the client's, which is prepared there first if necessary.
+    /// Returns the name on the server connection of one of the client's statements. Prepares the statement first if
+    /// necessary.
     fn resolve(&mut self, name: &Bytes) -> Bytes {
         let text = self.names.get(name);
         if name.is_empty() {
@@ -352,8 +353,8 @@
         }
         match text {
             Some(text) => self.ensure_prepared(&text),
-            // Under a name like this process's own there may be another client's statement. With the added word there
-            // is none, and the server's error says which name is missing.
+            // A name in the proxy's own format could refer to another client's statement. The prefix ensures that the
+            // name does not exist, while the server's error still contains the client's name.
             None if prepared_statements::is_server_name(name) => {
                 Bytes::from([b"undefined ", &name[..]].concat())
             }
@@ -361,7 +362,7 @@
         }
     }
 
-    /// Makes the unnamed statement of the server connection the client's.
+    /// Sets the server connection's unnamed statement to the client's, or closes it if the client has none.
     fn resolve_unnamed(&mut self, text: Option<&StatementText>) {
         let was_set = self.server.has_unnamed_statement;
         self.server.has_unnamed_statement = text.is_some();
@@ -373,7 +374,7 @@
                 &extended_query::parse(b"", text),
                 ExpectedResponse::Parse(ExpectedParse::new(Origin::Proxy)),
             ),
-            // The unnamed statement there is another client's.
+            // The server's unnamed statement may belong to another client.
             None => self.send(
                 &extended_query::close_statement(b""),
                 ExpectedResponse::Close {
@@ -385,7 +386,7 @@
     }
 }
 
-/// A `Query` of this SQL.
+/// Creates a `Query` with this SQL.
 pub(super) fn query_frame(sql: &[u8]) -> Frame {
     Frame::new(frontend::QUERY, [sql, b"\0"].concat())
 }
--- a/core/postgres-session/src/session/server_link.rs
+++ b/core/postgres-session/src/session/server_link.rs
@@ -1,4 +1,4 @@
-//! The server connection that a session has at the moment, and the responses that are expected from it.
+//! A session's server connection and the responses expected from it.
 
 use std::collections::VecDeque;
 
@@ -8,46 +8,46 @@
 use crate::extended_query::StatementText;
 use crate::frame::Frame;
 
-/// Whether a session has a server connection.
+/// State of a session's server connection.
 #[derive(Debug, Default)]
 pub(super) enum ServerLink {
-    /// None is needed.
+    /// No connection is attached or requested.
     #[default]
     None,
-    /// One is requested.
+    /// A connection is requested.
     Requested {
-        /// The session had one for the same transaction, which was lost.
+        /// The request replaces a lost connection of the same transaction.
         is_replacement: bool,
     },
-    /// The session has this one.
+    /// The session uses this connection.
     Attached(Box<ServerConnection>),
 }
 
-/// A server connection while a session has it.
+/// A server connection attached to a session.
 #[derive(Debug)]
 pub(super) struct ServerConnection {
-    /// What outlives the session's use of it.
+    /// State that is kept when the connection is released.
     pub(super) state: ServerState,
-    /// Responses to all messages that were sent and are not answered, in order.
+    /// Expected responses to all unanswered messages, in order.
     pub(super) expected: VecDeque<ExpectedResponse>,
-    /// The client's unnamed statement is the unnamed statement here.
+    /// The connection's unnamed statement is the client's unnamed statement.
     pub(super) has_unnamed_statement: bool,
-    /// The client is to send data to be copied, and has not ended it.
+    /// A copy from the client is in progress.
     pub(super) is_copying_in: bool,
-    /// A `Sync` was sent before the copied data. The server ignores it; the one behind the data takes its place.
+    /// A `Sync` was sent before the copy data. The server ignores it and answers the `Sync` after the data instead.
     pub(super) has_ignored_sync: bool,
-    /// The client's settings are tried here for the first time; nothing else is sent until they are accepted.
+    /// No server has accepted the client's settings yet; only the settings are sent until this server accepts them.
     pub(super) is_checking_settings: bool,
-    /// The error that answered a message of this process's own.
+    /// The server's error in response to a setup message of the proxy.
     pub(super) setup_error: Option<Frame>,
-    /// The server ignores all up to a `Sync` that has not come from the client yet.
+    /// The server ignores all messages up to a `Sync` that the client has not sent yet.
     pub(super) skips_to_sync: bool,
-    /// The BEGIN that this process had answered by itself has been sent.
+    /// The deferred BEGIN has been sent on this connection.
     pub(super) begin_sent: bool,
 }
 
 impl ServerConnection {
-    /// A connection to which nothing has been sent for the session.
+    /// Creates the link state of a connection on which the session has sent nothing.
     pub(super) fn new(state: ServerState) -> Self {
         Self {
             state,
@@ -62,8 +62,8 @@
         }
     }
 
-    /// An error came: the server ignores the rest of a batch up to its `Sync`. Returns whether the error was in a
-    /// batch, and not in a `Query`.
+    /// After an error in the extended query protocol, drops the expected responses up to the batch's `Sync`, because
+    /// the server ignores those messages. Returns false if the error answers a `Query` or no message.
     pub(super) fn skip_failed_batch(&mut self) -> bool {
         if matches!(self.expected.front(), None | Some(ExpectedResponse::Query)) {
             return false;
@@ -87,53 +87,51 @@
     }
 }
 
-/// How a message changes the client's prepared statements once it is answered; the empty name is the unnamed one.
+/// Change to the client's prepared statements when a message is answered. The empty name is the unnamed statement.
 #[derive(Clone, Debug)]
 pub(super) enum NameChange {
     /// The statement is prepared.
     Set {
-        /// Its name.
+        /// The client's name for the statement.
         name: Bytes,
-        /// Its text.
+        /// The statement's SQL and parameter types.
         text: StatementText,
     },
     /// The statement of this name is closed.
     Remove(Bytes),
 }
 
-/// Who a message to the server comes from, and so who gets the response.
+/// Sender of a message to the server; only responses to the client's messages are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// The client.
+    /// The client; the response is forwarded.
     Client,
-    /// This process; the client must not see the response.
+    /// The proxy; the response is not forwarded.
     Proxy,
 }
 
-/// Names of one statement, of which the client must only see its own.
+/// The server's and the client's name of one statement. Messages to the client contain only the client's name.
 #[derive(Clone, Debug)]
 pub(super) struct StatementAlias {
-    /// The name on the server connection.
     pub(super) server_name: Bytes,
-    /// The client's name.
     pub(super) client_name: Bytes,
 }
 
-/// What is expected in answer to a `Parse`.
+/// Expected response to a `Parse`.
 #[derive(Debug)]
 pub(super) struct ExpectedParse {
-    /// Who sent the `Parse`.
+    /// Sender of the `Parse`.
     pub(super) origin: Origin,
-    /// The text that counts as prepared on the server connection, and does not if the `Parse` fails.
+    /// Text that is removed from the connection's prepared statements if the `Parse` fails.
     pub(super) prepared_text: Option<StatementText>,
-    /// The change of the client's statements once it has succeeded.
+    /// Change to the client's statements if the `Parse` succeeds.
     pub(super) name_change: Option<NameChange>,
-    /// The name in the server's error, and the one that replaces it for the client.
+    /// Names to replace in the server's error before the client receives it.
     pub(super) alias: Option<StatementAlias>,
 }
 
 impl ExpectedParse {
-    /// The response to a `Parse` that changes nothing but the server connection.
+    /// Creates the response to a `Parse` that changes neither the client's nor the connection's named statements.
     pub(super) fn new(origin: Origin) -> Self {
         Self {
             origin,
@@ -144,7 +142,7 @@
     }
 }
 
-/// The response that is expected to a message that was sent to the server.
+/// Expected response to one message, or to one setup sequence, of a session.
 #[derive(Debug)]
 pub(super) enum ExpectedResponse {
     /// `ParseComplete`.
@@ -153,30 +151,30 @@
     Bind,
     /// `CloseComplete`.
     Close {
-        /// Who sent the `Close`.
+        /// Sender of the `Close`.
         origin: Origin,
-        /// The change of the client's statements once it has succeeded.
+        /// Change to the client's statements if the `Close` succeeds.
         name_change: Option<NameChange>,
     },
     /// `RowDescription` or `NoData`.
     Describe,
     /// `CommandComplete`, `EmptyQueryResponse` or `PortalSuspended`.
     Execute,
-    /// `ReadyForQuery` behind a `Query` or `FunctionCall`.
+    /// `ReadyForQuery` after a `Query` or `FunctionCall`.
     Query,
-    /// `ReadyForQuery` behind a `Sync`.
+    /// `ReadyForQuery` after a `Sync`.
     Sync,
-    /// All up to a `ReadyForQuery` answers messages of this process's own: settings, or a deferred BEGIN.
+    /// All messages up to a `ReadyForQuery` answer messages of the proxy: settings, a deferred BEGIN, or a statement
+    /// prepared for a DEALLOCATE.
     Setup,
-    /// Nothing from the server: this process answers the client's message once all before it are answered.
+    /// No server message: the proxy answers the client's message after all earlier messages are answered.
     Local(LocalResponse),
 }
 
-/// A response of this process's own to a message of the client's that no server gets.
+/// The proxy's response to a client message that is not sent to a server.
 #[derive(Debug)]
 pub(super) struct LocalResponse {
-    /// The message.
     pub(super) frame: Frame,
-    /// The change of the client's statements.
+    /// Change to the client's statements when the response is sent.
     pub(super) name_change: NameChange,
 }
--- a/core/postgres-session/src/session/server_loss.rs
+++ b/core/postgres-session/src/session/server_loss.rs
@@ -1,4 +1,4 @@
-//! What a client gets when its server is lost, or when none can be had.
+//! Error responses to the client after a lost server connection or a failed request for a server.
 
 use super::message_batch::MessageBatch;
 use super::server_link::ServerLink;
@@ -9,7 +9,7 @@
 use crate::sql_analysis::TransactionStep;
 
 impl Session {
-    /// The server connection is lost or can't be used: another one is awaited, or the session ends.
+    /// Handles a lost or unusable server connection: waits for a replacement or ends the session.
     pub(super) fn on_server_lost(&mut self, actions: &mut Vec<Action>) {
         let ServerLink::Attached(server) = &mut self.server_link else {
             return;
@@ -24,10 +24,10 @@
             is_replacement: true,
         };
         if self.is_row_incomplete {
-            // The client could not read anything behind a part of a row.
+            // After a partial row, no further message would be readable for the client.
             self.end_without_server(actions);
         } else if let Some(error) = settings_error {
-            // No server would accept its settings: the client gets the server's own error.
+            // The server rejected the client's settings: forward the server's error.
             send_to_client(&server_messages::with_fatal_severity(&error), actions);
             self.end_without_server(actions);
         } else if self.sticky_reason.is_some() {
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Ends a session whose state on its server is lost, of which the client would not know.
+    /// Ends a sticky session, because its state on the lost server cannot be restored on another one.
     fn end_sticky_session(&mut self, actions: &mut Vec<Action>) {
         let reason = if self.commit_in_flight {
             ErrorReason::CommitUnknown
         } else {
             ErrorReason::MayHaveRun
         };
-        let detail = "the session was pinned to that server and ends";
+        let detail = "the session was bound to the lost server connection and ends";
         send_to_client(
             &server_messages::error_response(reason, Some(detail)),
             actions,
@@ -55,9 +55,9 @@
         self.end(actions);
     }
 
-    /// The request for a server is rejected.
+    /// Handles the rejection of a request for a server.
     pub(super) fn on_rejected(&mut self, retry_after_ms: u64, actions: &mut Vec<Action>) {
-        // After a loss the first server may have run the transaction, and it would be wrong to say that it never ran.
+        // A lost server may already have run the transaction, so the error must not claim that nothing ran.
         let may_have_run = matches!(
             self.server_link,
             ServerLink::Requested {
@@ -72,7 +72,7 @@
         self.fail_request(reason, actions);
     }
 
-    /// The request for a server has failed.
+    /// Handles the failure of a request for a server.
     pub(super) fn on_request_failed(&mut self, actions: &mut Vec<Action>) {
         let reason = match (self.commit_in_flight, self.status) {
             (true, _) => ErrorReason::CommitUnknown,
@@ -82,7 +82,7 @@
         self.fail_request(reason, actions);
     }
 
-    /// Answers what a server was requested for with an error.
+    /// Answers the batches that a server was requested for with an error.
     fn fail_request(&mut self, reason: ErrorReason, actions: &mut Vec<Action>) {
         if !matches!(self.server_link, ServerLink::Requested { .. }) {
             return;
@@ -90,7 +90,7 @@
         self.server_link = ServerLink::None;
         self.deferred_begin = None;
         self.loss_reason = Some(reason);
-        // The client has to learn that a transaction has ended that it has neither committed nor rolled back.
+        // The client must end the lost transaction with COMMIT or ROLLBACK, as after a failed statement.
         self.transaction_lost =
             self.status != TransactionStatus::Idle && reason != ErrorReason::CommitUnknown;
         self.status = if self.transaction_lost {
@@ -99,7 +99,7 @@
             TransactionStatus::Idle
         };
         if self.is_between_statements() {
-            // The next statement gets the error, unless it ends the transaction.
+            // Report the error to the next statement, unless that statement rolls back.
             self.unreported_loss = self.transaction_lost.then_some(reason);
             return;
         }
@@ -113,16 +113,17 @@
         }
     }
 
-    /// Whether the server was lost between two statements: no batch is under way, or in a lost transaction one that
-    /// only closes statements, as drivers do in passing and without a look at the response.
+    /// Whether the server was lost between two statements: no batch is pending, or the transaction is lost and the
+    /// first batch has not been sent or only closes statements. Drivers ignore errors in batches that only close
+    /// statements.
     fn is_between_statements(&self) -> bool {
         self.batches.front().is_none_or(|batch| {
             self.transaction_lost && (batch.sent_count == 0 || batch.only_closes())
         })
     }
 
-    /// How many batches the loss of a server fails. What was sent behind the BEGIN of a transaction belongs to it and
-    /// must not run outside of it.
+    /// Returns the number of batches to answer with the error. If the first batch begins a transaction, the batches
+    /// after it belong to that transaction and must not run outside it.
     fn count_batches_to_fail(&mut self) -> usize {
         let effects = self.first_batch_effects();
         let begins_transaction = effects
@@ -136,8 +137,8 @@
         complete.count().max(1)
     }
 
-    /// Answers the first batch with an error. Returns whether its end has come; otherwise its `Sync` is answered when
-    /// it comes.
+    /// Answers the first batch with an error. Returns whether the batch has ended; otherwise its remaining messages are
+    /// skipped, and its last `Sync` is answered when that arrives.
     fn fail_batch(
         &mut self,
         reason: ErrorReason,
@@ -157,7 +158,7 @@
         false
     }
 
-    /// Answers the first batch, of which all has come, with an error.
+    /// Answers the first batch, which must be complete, with an error.
     fn reject_first_batch(&mut self, reason: ErrorReason, actions: &mut Vec<Action>) {
         send_to_client(&server_messages::error_response(reason, None), actions);
         if !self.skip_unfinished_batch() {
@@ -165,8 +166,8 @@
         }
     }
 
-    /// Drops a batch that ends in a `Query` behind other messages, with all up to a `Sync`, as a server ignores these
-    /// after an error. Returns whether the first batch is such a one and its `Sync` has not come.
+    /// If the first batch has several messages and no `Sync`, drops all messages up to the next `Sync`, as a server
+    /// does after an error. Returns whether that `Sync` has not been received yet.
     fn skip_unfinished_batch(&mut self) -> bool {
         let is_unfinished = self
             .batches
@@ -191,8 +192,8 @@
         true
     }
 
-    /// Answers the first batch in a transaction whose server is lost, as in a failed transaction: its end is accepted,
-    /// all else is an error.
+    /// Answers the first batch in a transaction whose server is lost. As in a failed transaction, only the end of the
+    /// transaction is accepted; other statements get an error.
     pub(super) fn respond_in_lost_transaction(&mut self, actions: &mut Vec<Action>) {
         let effects = self.first_batch_effects();
         let Some(batch) = self.batches.front() else {
@@ -214,8 +215,8 @@
             self.unreported_loss = None;
         }
         if effects.steps.contains(&TransactionStep::Commit) {
-            // A client must not take the end of a lost transaction for its commit: drivers look for an error, not
-            // for the command tag ROLLBACK, and may have ignored an earlier error.
+            // Answer COMMIT with an error: drivers do not check for the command tag ROLLBACK and may have ignored an
+            // earlier error, so any success would look like a commit.
             let reason = self.loss_reason.unwrap_or(ErrorReason::TransactionLost);
             self.reject_first_batch(reason, actions);
             return;
@@ -224,12 +225,12 @@
     }
 }
 
-/// Whether these statements end a transaction and do nothing else.
+/// Whether the steps are not empty and all of them end a transaction.
 fn only_ends_transaction(steps: &[TransactionStep]) -> bool {
     !steps.is_empty() && steps.iter().all(|step| step.is_end())
 }
 
-/// What the statements that a batch prepares do to their transaction, whether it executes them or not.
+/// Returns the transaction steps of all statements that the batch prepares, executed or not.
 fn parsed_steps(batch: &MessageBatch) -> Vec<TransactionStep> {
     batch
         .frames
--- a/core/postgres-session/src/session/server_responses.rs
+++ b/core/postgres-session/src/session/server_responses.rs
@@ -1,4 +1,4 @@
-//! From the server connection to the client: responses, and what they change in the session.
+//! Handles messages from the server: forwards responses to the client and updates the session's state.
 
 use bytes::{Bytes, BytesMut};
 
@@ -30,21 +30,21 @@
         match frame.tag {
             backend::PARAMETER_STATUS => self.on_parameter_status(&frame, actions),
             backend::READY_FOR_QUERY => self.on_ready_for_query(&frame, actions),
-            // The server closes the connection; the session may go on with another one.
+            // A fatal error closes the server connection; the session can continue on another one.
             backend::ERROR_RESPONSE
                 if server_messages::is_fatal(&frame) && !server.is_checking_settings =>
             {
                 self.on_server_lost(actions);
             }
             backend::ERROR_RESPONSE if is_setup => server.setup_error = Some(frame),
-            // A notification may come at any time.
+            // Notifications are asynchronous and can arrive during setup.
             backend::NOTIFICATION_RESPONSE => self.on_response(frame, actions),
             _ if is_setup => {}
             _ => self.on_response(frame, actions),
         }
     }
 
-    /// A message of the response to the client's messages.
+    /// Handles a message in the response to the client's messages.
     fn on_response(&mut self, frame: Frame, actions: &mut Vec<Action>) {
         let client_frame = match frame.tag {
             backend::PARSE_COMPLETE
@@ -73,14 +73,15 @@
         self.send_local_responses(actions);
     }
 
-    /// A message that may answer the first unanswered one. Returns it if the client is to get it.
+    /// Handles a message that may complete the first expected response. Returns the message if the client must receive
+    /// it.
     fn on_completion(&mut self, frame: Frame) -> Option<Frame> {
         let ServerLink::Attached(server) = &mut self.server_link else {
             return Some(frame);
         };
         let first = server.expected.front();
         if !first.is_some_and(|expected| completes(frame.tag, expected)) {
-            // It belongs to the response to a Query.
+            // The message is part of the response to a `Query`.
             return Some(frame);
         }
         let (origin, name_change) = match server.expected.pop_front() {
@@ -101,8 +102,8 @@
         (origin == Origin::Client).then_some(frame)
     }
 
-    /// The server wants data to copy. In the extended query protocol it ignores a `Sync` that has been sent already,
-    /// until the copy is over.
+    /// Handles `CopyInResponse`. In the extended query protocol the server ignores a `Sync` that arrives before the end
+    /// of the copy.
     fn on_copy_in(&mut self) {
         let ServerLink::Attached(server) = &mut self.server_link else {
             return;
@@ -116,7 +117,7 @@
                 .any(|expected| matches!(expected, ExpectedResponse::Sync));
     }
 
-    /// An error in the response. Returns it as the client is to get it.
+    /// Handles `ErrorResponse`. Returns the error in the form in which the client must receive it.
     fn on_error(&mut self, frame: Frame) -> Frame {
         self.batch_failed = true;
         self.delayed_completion = None;
@@ -133,22 +134,22 @@
                     &alias.client_name,
                 );
             } else if sets_unnamed_statement(parse) {
-                // A Parse of the unnamed statement ends the one before it also when it fails.
+                // A failed `Parse` of the unnamed statement still destroys the previous unnamed statement.
                 self.unnamed_statement = None;
             }
         }
         if server.skip_failed_batch() {
             self.pending_names.clear();
         }
-        // A Query that the server ignores with the batch before it will not be answered.
+        // A `Query` that ends the failed batch is ignored by the server and gets no response.
         if server.skips_to_sync && self.batches.front().is_some_and(|batch| batch.is_complete) {
             self.remove_first_batch();
         }
         client_frame
     }
 
-    /// Whether a statement that has just completed is committed by a `Sync` that was sent: the response to that is
-    /// expected next.
+    /// Whether the statement that has just completed is committed by a `Sync` that was already sent, so that the next
+    /// expected response is the one to that `Sync`.
     fn commits_at_sync(&self) -> bool {
         let ServerLink::Attached(server) = &self.server_link else {
             return false;
@@ -157,7 +158,7 @@
         self.status == TransactionStatus::Idle && next_is_sync && !server.has_ignored_sync
     }
 
-    /// Notes a setting for the connection and the client, and passes it on if it is new to the client.
+    /// Records a `ParameterStatus` for the connection and the client, and forwards it if the client's value changes.
     fn on_parameter_status(&mut self, frame: &Frame, actions: &mut Vec<Action>) {
         let ServerLink::Attached(server) = &mut self.server_link else {
             return;
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Sends a part of the transaction's response to the client.
+    /// Sends part of the transaction's response to the client.
     fn send_response(&mut self, bytes: Bytes, actions: &mut Vec<Action>) {
         if bytes.first() == Some(&backend::CLOSE_COMPLETE)
             && let Some(batch) = self.batches.front_mut()
@@ -185,7 +186,7 @@
         actions.push(Action::ToClient(bytes));
     }
 
-    /// Sends the local responses that are next in order.
+    /// Sends the local responses at the front of the expected responses.
     pub(super) fn send_local_responses(&mut self, actions: &mut Vec<Action>) {
         while let Some(LocalResponse { frame, name_change }) = self.next_local_response() {
             self.apply_name_change(name_change);
@@ -206,7 +207,7 @@
         }
     }
 
-    /// `ReadyForQuery`: a part of this process's own is over, or the first batch is answered.
+    /// Handles `ReadyForQuery`, which ends either a setup by the proxy or the first batch.
     fn on_ready_for_query(&mut self, frame: &Frame, actions: &mut Vec<Action>) {
         let status = frame
             .body
@@ -226,7 +227,7 @@
         let answers_sync = matches!(expected, Some(ExpectedResponse::Sync));
         let is_expected = (answers_query || answers_sync) && !server.skips_to_sync;
         let (true, Some(status)) = (is_expected, status) else {
-            // A server that rejects what it accepted before, or responds without a request, can't be used.
+            // The setup failed, or the server sent an unexpected `ReadyForQuery`: the connection is unusable.
             return self.on_server_lost(actions);
         };
         let Some(batch) = self.remove_first_batch() else {
@@ -242,7 +243,7 @@
         }
     }
 
-    /// The server has accepted the client's settings, or a deferred BEGIN.
+    /// Handles the server's acceptance of the client's settings or of a deferred BEGIN.
     fn finish_setup(&mut self, actions: &mut Vec<Action>) {
         if let ServerLink::Attached(server) = &mut self.server_link
             && std::mem::take(&mut server.is_checking_settings)
@@ -252,7 +253,7 @@
         self.send_local_responses(actions);
     }
 
-    /// The server has answered a batch and reports this status.
+    /// Updates the session after the server has answered a batch with this transaction status.
     fn finish_batch(&mut self, batch: &MessageBatch, status: TransactionStatus) {
         self.pending_names.clear();
         self.status = status;
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Sends the `ReadyForQuery` of a batch, with the `CommandComplete` that was delayed for it.
+    /// Sends the `ReadyForQuery` of a batch, preceded by the delayed `CommandComplete`, if any.
     fn send_batch_end(&mut self, ready: &Frame, actions: &mut Vec<Action>) {
         let mut buffer = BytesMut::new();
         if let Some(completion) = self.delayed_completion.take() {
@@ -286,7 +287,7 @@
         }
     }
 
-    /// Changes the session's statements, settings and stickiness as a batch without an error has done.
+    /// Updates the session's statements, settings and stickiness after a batch that completed without an error.
     fn apply_effects(&mut self, effects: &StatementEffects) {
         if effects.discards_all && self.sticky_reason != Some(StickyReason::Pooling) {
             self.sticky_reason = None;
@@ -297,13 +298,13 @@
         if let Some(name) = self.deallocated_name.take() {
             self.named_statements.remove(&name);
         }
-        // What is set in the same text as a RESET ALL is set after it.
+        // A setting that is set in the same text as a RESET ALL keeps its new value.
         let resets_all = effects.resets_all_settings && effects.set_settings.is_empty();
         self.settings.reset(&effects.reset_settings, resets_all);
     }
 }
 
-/// Whether a message with this tag is the end of this response.
+/// Whether a message with this tag is the last message of the expected response.
 fn completes(tag: u8, expected: &ExpectedResponse) -> bool {
     match expected {
         ExpectedResponse::Parse(_) => tag == backend::PARSE_COMPLETE,
@@ -321,7 +322,7 @@
     }
 }
 
-/// Whether a `Parse` prepares the client's unnamed statement.
+/// Whether the `Parse` replaces the client's unnamed statement.
 fn sets_unnamed_statement(parse: &ExpectedParse) -> bool {
     matches!(&parse.name_change, Some(NameChange::Set { name, .. }) if name.is_empty())
 }
