--- a/core/postgres-session/src/extended_query.rs
+++ b/core/postgres-session/src/extended_query.rs
@@ -1,4 +1,4 @@
-//! Bodies of the messages of the extended query protocol: `Parse`, `Bind`, `Describe` and `Close`, read and written.
+//! Reads and writes message bodies of the extended query protocol: `Parse`, `Bind`, `Describe` and `Close`.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
@@ -6,33 +6,33 @@
 use crate::message_tags::frontend;
 use crate::sql_analysis::{self, StatementEffects};
 
-/// Bytes behind the SQL in a statement's text: its terminating zero and the number of parameter types.
+/// Minimum number of bytes after the SQL in a `Parse`: the terminating zero and the number of parameter types.
 const SQL_TRAILER_LENGTH: usize = 3;
 
-/// A message whose body does not follow the protocol.
+/// A message body that violates the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a malformed message")]
+#[error("malformed Parse, Bind, Describe or Close message")]
 pub struct MalformedMessage;
 
-/// SQL and parameter types of a statement, as `Parse` carries them behind the name. Equal texts are the same
-/// statement, whichever client prepares it.
+/// SQL and parameter types of a statement, in the encoding of `Parse` after the name. Statements of different clients
+/// with equal texts share one prepared statement per server connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StatementText(Bytes);
 
 impl StatementText {
-    /// The statement's SQL.
+    /// The SQL, without the terminating zero.
     #[must_use]
     pub fn sql(&self) -> &[u8] {
         self.0.split(|byte| *byte == 0).next().unwrap_or_default()
     }
 
-    /// What the statement's SQL does.
+    /// Determines the effects of the SQL.
     #[must_use]
     pub fn analyze(&self) -> StatementEffects {
         sql_analysis::analyze_bytes(self.sql())
     }
 
-    /// The same parameter types with other SQL.
+    /// Replaces the SQL and keeps the parameter types.
     #[must_use]
     pub fn with_sql(&self, sql: &[u8]) -> Self {
         let trailer = &self.0[self.sql().len()..];
@@ -43,9 +43,9 @@
 /// A `Parse` message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseMessage {
-    /// Name of the statement that is to be prepared; empty for the unnamed one.
+    /// Name of the prepared statement; empty for the unnamed statement.
     pub name: Bytes,
-    /// Its SQL and parameter types.
+    /// SQL and parameter types.
     pub text: StatementText,
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// A `Parse` of this text under this name.
+/// Creates a `Parse`.
 #[must_use]
 pub fn parse(name: &[u8], text: &StatementText) -> Frame {
     let mut body = BytesMut::with_capacity(name.len() + 1 + text.0.len());
@@ -81,13 +81,13 @@
     Frame::new(frontend::PARSE, body.freeze())
 }
 
-/// Length of the portal's name in a `Bind`, with its terminating zero.
+/// Length of the portal's name in a `Bind`, including the terminating zero.
 fn portal_length(bind: &Frame) -> Result<usize, MalformedMessage> {
     let portal = bind.first_string().ok_or(MalformedMessage)?;
     Ok(portal.len() + 1)
 }
 
-/// The name of the statement that a `Bind` is for.
+/// Returns the statement name in a `Bind`; empty for the unnamed statement.
 ///
 /// # Errors
 /// [`MalformedMessage`] if one of the two names is not terminated.
@@ -100,7 +100,7 @@
     Ok(rest.slice(..length))
 }
 
-/// The same `Bind` for a statement of another name.
+/// Replaces the statement name in a `Bind`.
 ///
 /// # Errors
 /// [`MalformedMessage`] as for [`bind_statement`].
@@ -114,7 +114,7 @@
     Ok(Frame::new(frontend::BIND, body.freeze()))
 }
 
-/// What kind of object a `Describe` or `Close` names.
+/// Kind of object that a `Describe` or `Close` refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetKind {
     /// A prepared statement.
@@ -126,12 +126,12 @@
 const STATEMENT_TARGET: u8 = b'S';
 const PORTAL_TARGET: u8 = b'P';
 
-/// The object that a `Describe` or `Close` is about.
+/// The object that a `Describe` or `Close` refers to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Whether a statement or a portal.
+    /// Kind of the object.
     pub kind: TargetKind,
-    /// Its name; empty for the unnamed one.
+    /// Name of the object; empty for the unnamed statement or portal.
     pub name: Bytes,
 }
 
@@ -158,18 +158,18 @@
     }
 }
 
-/// Whether the body of a `Describe` or `Close` begins as one for a statement; the rest is not looked at.
+/// Whether a `Describe` or `Close` targets a statement; only the first byte of the body is checked.
 pub(crate) fn targets_statement(frame: &Frame) -> bool {
     frame.body.first() == Some(&STATEMENT_TARGET)
 }
 
-/// `Close` of a statement of this name.
+/// Creates a `Close` of a statement.
 #[must_use]
 pub fn close_statement(name: &[u8]) -> Frame {
     statement_target(frontend::CLOSE, name)
 }
 
-/// `Describe` of a statement of this name.
+/// Creates a `Describe` of a statement.
 #[must_use]
 pub fn describe_statement(name: &[u8]) -> Frame {
     statement_target(frontend::DESCRIBE, name)
--- a/core/postgres-session/src/frame.rs
+++ b/core/postgres-session/src/frame.rs
@@ -1,30 +1,30 @@
-//! Messages on the wire: a type byte, a length of four bytes that includes itself, and a body ("Message Formats"). Data
-//! rows and copied data are streamed in chunks as they come, so that no row has to fit into memory.
+//! Message framing: a type byte, a four-byte length that includes the length field, and a body ("Message Formats").
+//! `DataRow` and `CopyData` messages are streamed in chunks, so that a row does not have to fit into memory.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 use crate::message_tags::{backend, frontend};
 
-/// Most bytes of a message that is not streamed, without its type byte; the text of a statement has to fit.
+/// Maximum length in bytes of a message that is not streamed, without the type byte. Limits the text of a statement.
 pub const MAX_FRAME_LENGTH: usize = 1024 * 1024;
-/// Most bytes of a chunk of a streamed message.
+/// Maximum length of a chunk of a streamed message, in bytes.
 pub const MAX_CHUNK_LENGTH: usize = 16 * 1024;
-/// Bytes of the type and the length.
+/// Bytes of the type and the length field.
 const HEADER_LENGTH: usize = 5;
-/// Bytes of the length, which it includes.
+/// Bytes of the length field. The length on the wire includes the field.
 const LENGTH_FIELD_LENGTH: usize = 4;
 
 /// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// Its type; see [`crate::message_tags`].
+    /// Message type byte; see [`crate::message_tags`].
     pub tag: u8,
-    /// Its body.
+    /// Message body, without type and length.
     pub body: Bytes,
 }
 
 impl Frame {
-    /// A message of this type with this body.
+    /// Creates a message from its type byte and body.
     pub fn new(tag: u8, body: impl Into<Bytes>) -> Self {
         Self {
             tag,
@@ -32,23 +32,23 @@
         }
     }
 
-    /// Bytes on the wire, with the header.
+    /// Length on the wire in bytes, including type and length field.
     #[must_use]
     pub fn wire_len(&self) -> usize {
         HEADER_LENGTH + self.body.len()
     }
 
-    /// Appends the message to a buffer.
+    /// Appends the encoded message to a buffer.
     pub fn write(&self, out: &mut BytesMut) {
         out.reserve(self.wire_len());
         out.put_u8(self.tag);
-        // A body is no longer than MAX_FRAME_LENGTH, or written by this process, so the length always fits.
+        // The length always fits: decoded bodies are limited to MAX_FRAME_LENGTH, and the proxy's own bodies are short.
         let length = self.body.len() + LENGTH_FIELD_LENGTH;
         out.put_u32(u32::try_from(length).unwrap_or(u32::MAX));
         out.put_slice(&self.body);
     }
 
-    /// The zero-terminated string that the body begins with, without the zero; `None` if there is no zero.
+    /// Returns the zero-terminated string at the start of the body, without the zero; `None` if there is no zero.
     #[must_use]
     pub fn first_string(&self) -> Option<&[u8]> {
         let end = self.body.iter().position(|byte| *byte == 0)?;
@@ -56,53 +56,53 @@
     }
 }
 
-/// What a decoder has found.
+/// A decoded message, or a chunk of a streamed message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecodeResult {
     /// A complete message.
     Frame(Frame),
-    /// A part of a streamed message: its bytes on the wire, from the type on.
+    /// A chunk of a streamed message.
     Chunk {
-        /// The message's type.
+        /// Message type byte.
         tag: u8,
-        /// The bytes.
+        /// Encoded bytes; the first chunk starts with the type byte and the length.
         bytes: Bytes,
-        /// Whether the message ends with them.
+        /// Whether this is the last chunk of the message.
         last: bool,
     },
 }
 
-/// Why bytes are no messages.
+/// Invalid length of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The length does not even include itself.
-    #[error("message {:?} has length {length}", char::from(*tag))]
+    /// The length is shorter than the length field.
+    #[error("message {:?} has length {length}; the minimum is {LENGTH_FIELD_LENGTH}", char::from(*tag))]
     Short {
-        /// The message's type.
+        /// Message type byte.
         tag: u8,
-        /// The length that it claims.
+        /// Length on the wire, in bytes.
         length: u32,
     },
     /// The message is longer than [`MAX_FRAME_LENGTH`].
-    #[error("message {:?} has {length} bytes; {MAX_FRAME_LENGTH} are the most", char::from(*tag))]
+    #[error("message {:?} has {length} bytes; the limit is {MAX_FRAME_LENGTH}", char::from(*tag))]
     Long {
-        /// The message's type.
+        /// Message type byte.
         tag: u8,
-        /// The length that it claims.
+        /// Length on the wire, in bytes.
         length: u32,
     },
 }
 
-/// A streamed message of which the end has not come.
+/// A streamed message that is not completely decoded.
 #[derive(Clone, Copy, Debug)]
 struct PartialMessage {
     tag: u8,
-    /// Bytes that are still to come.
+    /// Bytes of the message that are not decoded yet.
     remaining: usize,
 }
 
-/// Splits a connection's bytes into messages. Buffers at most one message of [`MAX_FRAME_LENGTH`], and what was read
-/// together with it.
+/// Splits the bytes of one direction of a connection into messages. Needs to buffer at most one message of
+/// [`MAX_FRAME_LENGTH`], plus the bytes received together with that message.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: BytesMut,
@@ -110,7 +110,7 @@
 }
 
 impl FrameDecoder {
-    /// Adds bytes that were read.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
@@ -122,24 +122,24 @@
         }
     }
 
-    /// Bytes in the buffer.
+    /// Number of received bytes that are not decoded yet.
     #[must_use]
     pub fn buffered_len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next message or chunk from a server; `None` until more is read.
+    /// Decodes the next message or chunk from a server; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// [`FrameError`] if the length is impossible; the connection can't be read any further.
+    /// [`FrameError`] if the length is invalid; no further message of the connection can be decoded.
     pub fn next_from_server(&mut self) -> Result<Option<DecodeResult>, FrameError> {
         self.decode(|tag| matches!(tag, backend::DATA_ROW | backend::COPY_DATA))
     }
 
-    /// The next message or chunk from a client; `None` until more is read.
+    /// Decodes the next message or chunk from a client; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// [`FrameError`] if the length is impossible; the connection can't be read any further.
+    /// [`FrameError`] if the length is invalid; no further message of the connection can be decoded.
     pub fn next_from_client(&mut self) -> Result<Option<DecodeResult>, FrameError> {
         self.decode(|tag| tag == frontend::COPY_DATA)
     }
@@ -183,7 +183,7 @@
         Ok(Some(DecodeResult::Frame(Frame { tag, body })))
     }
 
-    /// What has come of a streamed message, at most [`MAX_CHUNK_LENGTH`] bytes.
+    /// Takes the buffered part of a streamed message, at most [`MAX_CHUNK_LENGTH`] bytes.
     fn next_chunk(&mut self, message: PartialMessage) -> Option<DecodeResult> {
         let PartialMessage { tag, remaining } = message;
         let length = remaining.min(self.buffer.len()).min(MAX_CHUNK_LENGTH);
--- a/core/postgres-session/src/message_tags.rs
+++ b/core/postgres-session/src/message_tags.rs
@@ -1,6 +1,7 @@
-//! Message type bytes of the protocol ("Message Formats"). A byte means different messages in the two directions.
+//! Message type bytes of the protocol ("Message Formats"). The same byte can denote different messages in the two
+//! directions.
 
-/// Messages that a client sends.
+/// Messages sent by a client.
 pub mod frontend {
     /// `Bind`.
     pub const BIND: u8 = b'B';
@@ -32,9 +33,9 @@
     pub const TERMINATE: u8 = b'X';
 }
 
-/// Messages that a server sends.
+/// Messages sent by a server.
 pub mod backend {
-    /// `AuthenticationOk` and all requests for authentication; see [`super::authentication`].
+    /// `AuthenticationOk` and all authentication requests; see [`super::authentication`].
     pub const AUTHENTICATION: u8 = b'R';
     /// `BackendKeyData`.
     pub const BACKEND_KEY_DATA: u8 = b'K';
@@ -76,7 +77,7 @@
     pub const ROW_DESCRIPTION: u8 = b'T';
 }
 
-/// Codes that the body of an authentication message begins with.
+/// Codes at the start of the body of an authentication message.
 pub mod authentication {
     /// `AuthenticationOk`.
     pub const OK: u32 = 0;
--- a/core/postgres-session/src/prepared_statements.rs
+++ b/core/postgres-session/src/prepared_statements.rs
@@ -1,6 +1,5 @@
-//! Prepared statements that follow a client from one server connection to another. A client's names are its own; on a
-//! server connection a statement has a name that this process gives it by its text, and is prepared there when it is
-//! first needed.
+//! Prepared statements of clients and of server connections. Each client has its own statement names. On a server
+//! connection, the proxy assigns one name to each statement text and prepares the statement at the first use.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -11,32 +10,33 @@
 use crate::frame::Frame;
 use crate::sql_analysis::StatementEffects;
 
-/// Most named statements of one client; one more is an error of the client's.
+/// Maximum number of named statements of one client.
 pub const MAX_NAMED_STATEMENTS: usize = 256;
-/// Most statements that stay prepared on one server connection; the least recently used one is closed for a new one.
+/// Maximum number of statements prepared on one server connection; at the limit, the least recently used statement is
+/// closed before a new one is prepared.
 pub const MAX_SERVER_STATEMENTS: usize = 256;
 
-/// What names of this process's own statements begin with; a number follows.
+/// Prefix of statement names on server connections; a number follows.
 const SERVER_NAME_PREFIX: &str = "bp";
 
 /// The named statements of one client.
 #[derive(Debug, Default)]
 pub struct ClientStatements {
     texts: BTreeMap<Bytes, StatementText>,
-    /// Effects of the texts, so that each is analyzed once.
+    /// Cached effects of the texts, by statement name.
     effects: BTreeMap<Bytes, Rc<StatementEffects>>,
 }
 
-/// A client has more named statements than [`MAX_NAMED_STATEMENTS`].
+/// A client exceeds [`MAX_NAMED_STATEMENTS`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("more than {MAX_NAMED_STATEMENTS} prepared statements")]
 pub struct TooManyStatements;
 
 impl ClientStatements {
-    /// Adds or replaces the statement of this name.
+    /// Adds or replaces a statement.
     ///
     /// # Errors
-    /// [`TooManyStatements`] if the name is new and there are too many already.
+    /// [`TooManyStatements`] if the name is new and the client already has [`MAX_NAMED_STATEMENTS`] statements.
     pub fn insert(&mut self, name: Bytes, text: StatementText) -> Result<(), TooManyStatements> {
         if !self.has_capacity(&name) {
             return Err(TooManyStatements);
@@ -46,7 +46,7 @@
         Ok(())
     }
 
-    /// What the SQL of a named statement does.
+    /// Returns the effects of a statement's SQL; `None` if the client has no statement with this name.
     pub fn effects(&mut self, name: &Bytes) -> Option<Rc<StatementEffects>> {
         let text = self.texts.get(name)?;
         let effects = self
@@ -56,19 +56,19 @@
         Some(effects.clone())
     }
 
-    /// Whether a statement of this name can be inserted.
+    /// Whether [`Self::insert`] accepts this name: the name exists or the limit is not reached.
     #[must_use]
     pub fn has_capacity(&self, name: &[u8]) -> bool {
         self.texts.len() < MAX_NAMED_STATEMENTS || self.texts.contains_key(name)
     }
 
-    /// The text of a named statement.
+    /// Returns a statement's text; `None` if the client has no statement with this name.
     #[must_use]
     pub fn get(&self, name: &[u8]) -> Option<&StatementText> {
         self.texts.get(name)
     }
 
-    /// Removes the statement of this name.
+    /// Removes a statement, if it exists.
     pub fn remove(&mut self, name: &[u8]) {
         self.texts.remove(name);
         self.effects.remove(name);
@@ -81,31 +81,31 @@
     }
 }
 
-/// A statement that is prepared on a server connection.
+/// A statement prepared on a server connection.
 #[derive(Debug)]
 struct ServerStatement {
-    /// The number in its name.
+    /// Number in the statement's name on the server connection.
     number: u64,
-    /// The value of [`ServerStatements::uses`] when it was used last.
+    /// Value of [`ServerStatements::uses`] at the last use.
     last_use: u64,
 }
 
-/// The statements that are prepared on one server connection.
+/// The statements prepared on one server connection.
 #[derive(Debug, Default)]
 pub struct ServerStatements {
     statements: HashMap<StatementText, ServerStatement>,
     next_number: u64,
-    /// Uses of any statement so far.
+    /// Number of uses of all statements so far.
     uses: u64,
 }
 
-/// How a statement can be used on a server connection.
+/// Name of a statement on a server connection and the messages that prepare the statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatementUse {
-    /// The statement's name there.
+    /// The statement's name on the server connection.
     pub name: Bytes,
-    /// What must be sent first: nothing, or a `Close` of an evicted statement, if any, and the `Parse`. The client
-    /// must not get the responses.
+    /// Messages to send before the statement is used: empty if the statement is prepared, otherwise a `Parse`, preceded
+    /// by a `Close` if a statement was evicted. The responses must not be forwarded to the client.
     pub preparation: Vec<Frame>,
 }
 
@@ -114,7 +114,7 @@
 }
 
 impl ServerStatements {
-    /// Uses a statement, which counts as prepared from here on.
+    /// Records a use of a statement and marks the statement as prepared.
     pub fn use_statement(&mut self, text: &StatementText) -> StatementUse {
         self.uses += 1;
         if let Some(statement) = self.statements.get_mut(text) {
@@ -135,7 +135,7 @@
         StatementUse { name, preparation }
     }
 
-    /// Evictions are rare beside uses, so a search through all statements is cheap enough.
+    /// Searches all statements, because evictions are rare compared with uses.
     fn evict_least_recently_used(&mut self) -> Option<ServerStatement> {
         let (oldest, _) = self
             .statements
@@ -145,7 +145,7 @@
         self.statements.remove(&oldest)
     }
 
-    /// Adds a statement under the next name, which is returned.
+    /// Adds a statement under the next unused name. Returns the name.
     fn add(&mut self, text: &StatementText) -> Bytes {
         let statement = ServerStatement {
             number: self.next_number,
@@ -157,24 +157,24 @@
         name
     }
 
-    /// Whether a statement is prepared here.
+    /// Whether a statement is prepared on the connection.
     #[must_use]
     pub fn contains(&self, text: &StatementText) -> bool {
         self.statements.contains_key(text)
     }
 
-    /// A statement could not be prepared here, or is deallocated.
+    /// Removes a statement that could not be prepared or was deallocated.
     pub fn remove(&mut self, text: &StatementText) {
         self.statements.remove(text);
     }
 
-    /// All statements are deallocated.
+    /// Removes all statements after they were deallocated.
     pub fn clear(&mut self) {
         self.statements.clear();
     }
 }
 
-/// Whether a name has the form of the names that this process gives to statements on server connections.
+/// Whether a name has the format of the proxy's statement names on server connections.
 #[must_use]
 pub fn is_server_name(name: &[u8]) -> bool {
     name.strip_prefix(SERVER_NAME_PREFIX.as_bytes())
--- a/core/postgres-session/src/scram.rs
+++ b/core/postgres-session/src/scram.rs
@@ -1,5 +1,5 @@
-//! The server's side of SCRAM-SHA-256 (RFC 5802, RFC 7677), as PostgreSQL uses it ("SASL Authentication"). Only verifiers
-//! are stored, from which passwords can't be recovered.
+//! Server side of SCRAM-SHA-256 (RFC 5802, RFC 7677) as used by PostgreSQL ("SASL Authentication"). Only verifiers are
+//! stored, not passwords.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -7,27 +7,27 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Name of the mechanism without channel binding.
+/// Name of the SASL mechanism without channel binding.
 pub const MECHANISM: &str = "SCRAM-SHA-256";
-/// Name of the mechanism with channel binding.
+/// Name of the SASL mechanism with channel binding.
 pub const MECHANISM_WITH_BINDING: &str = "SCRAM-SHA-256-PLUS";
-/// Iterations of a verifier that is made from a password; the default of PostgreSQL itself.
+/// Iteration count of a verifier that is created from a password, as in PostgreSQL.
 const DEFAULT_ITERATIONS: u32 = 4096;
-/// Most iterations of a verifier that is read.
+/// Maximum iteration count of a parsed verifier.
 const MAX_ITERATIONS: u32 = 1_000_000;
-/// Most bytes of the salt of a verifier that is read.
+/// Maximum length of a parsed verifier's salt, in bytes.
 const MAX_SALT_LENGTH: usize = 256;
-/// Bytes of the salt that an unknown user is shown.
+/// Length of the salt for an unknown user, in bytes.
 const UNKNOWN_USER_SALT_LENGTH: usize = 16;
-/// Most bytes of a client's message in an exchange.
+/// Maximum length of a client's message in an exchange, in bytes.
 const MAX_MESSAGE_LENGTH: usize = 2048;
 
-/// Bytes of a SHA-256 hash.
+/// Length of a SHA-256 hash, in bytes.
 const KEY_LENGTH: usize = 32;
 
 type Key = [u8; KEY_LENGTH];
 
-/// What a password is checked against: keys that are derived from it.
+/// Salt, iteration count and derived keys that a password is verified with.
 #[derive(Clone)]
 pub struct Verifier {
     iterations: u32,
@@ -36,7 +36,7 @@
     server_key: Key,
 }
 
-/// A text that is no verifier. The error does not contain the text, as that may be a secret.
+/// A text that is not a verifier. The error omits the text, which may be a secret.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a verifier of the form SCRAM-SHA-256$<iterations>:<salt>$<stored key>:<server key>")]
 pub struct VerifierError;
@@ -50,10 +50,10 @@
 }
 
 impl Verifier {
-    /// Reads a verifier in the form in which PostgreSQL keeps them in `pg_authid`.
+    /// Parses a verifier in the format of PostgreSQL's `pg_authid`.
     ///
     /// # Errors
-    /// [`VerifierError`] if the text does not have this form.
+    /// [`VerifierError`] if the text does not have this format.
     pub fn parse(text: &str) -> Result<Self, VerifierError> {
         Self::read_fields(text).ok_or(VerifierError)
     }
@@ -79,8 +79,8 @@
         })
     }
 
-    /// The verifier of a password with this salt. The password is used as it is: SASLprep changes nothing of one in
-    /// ASCII.
+    /// Creates the verifier of a password. The password is not normalized with SASLprep, which does not change ASCII
+    /// passwords.
     #[must_use]
     pub fn from_password(password: &str, salt: &[u8]) -> Self {
         let mut salted_password = [0; KEY_LENGTH];
@@ -99,8 +99,8 @@
         }
     }
 
-    /// A verifier that no password fits, for an unknown user: the exchange then does not show which users exist.
-    /// `secret` must be the same for all exchanges, so that a user's salt does not change.
+    /// Creates a verifier that rejects every password, for an unknown user, so that the exchange does not reveal which
+    /// users exist. `secret` must be the same for all exchanges, so that the salt of a user name stays the same.
     #[must_use]
     pub fn unknown(secret: &[u8], user: &str) -> Self {
         Self {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The form that [`Verifier::parse`] reads.
+    /// Formats the verifier for [`Verifier::parse`].
     #[must_use]
     pub fn to_text(&self) -> String {
         let salt = BASE64.encode(&self.salt);
@@ -128,44 +128,44 @@
     BASE64.decode(base64).ok()?.try_into().ok()
 }
 
-/// Why an exchange has failed. The client only learns that it has.
+/// Why an exchange failed. The reason is not reported to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ScramError {
     /// The client chose a mechanism that was not offered.
-    #[error("a mechanism that was not offered")]
+    #[error("SASL mechanism was not offered")]
     Mechanism,
-    /// A message does not follow the RFC.
-    #[error("a malformed message")]
+    /// A message violates the RFC.
+    #[error("malformed SCRAM message")]
     Malformed,
-    /// The client sees another channel than this process: there may be a man in the middle.
-    #[error("the channel binding does not fit")]
+    /// The client's channel binding differs from the server's, possibly because of a man-in-the-middle attack.
+    #[error("SCRAM channel binding does not match")]
     Binding,
-    /// The proof does not fit the verifier.
-    #[error("the proof does not fit")]
+    /// The client's proof does not match the verifier, usually because of a wrong password.
+    #[error("SCRAM proof does not match")]
     Proof,
 }
 
 /// An exchange that waits for the client's final message.
 pub struct ScramExchange {
     verifier: Verifier,
-    /// What the client's final message must contain as channel binding.
+    /// Channel binding required in the client's final message.
     channel_binding: Vec<u8>,
-    /// The client's nonce and the server's.
+    /// The client's nonce followed by the server's nonce.
     nonce: String,
-    /// The client's first message without its header, and the server's, separated by a comma.
+    /// The client's first message without its header and the server's first message, separated by a comma.
     first_messages: String,
 }
 
-/// An exchange that has begun.
+/// Result of [`start_exchange`].
 pub struct StartedExchange {
-    /// What checks the client's final message.
+    /// Verifies the client's final message.
     pub exchange: ScramExchange,
-    /// The server's first message, which is to be sent to the client.
+    /// The server's first message, to be sent to the client.
     pub server_first: String,
 }
 
-/// Begins an exchange with the client's choice of mechanism and its first message. `channel_binding` is the data of
-/// `tls-server-end-point` where TLS is on; `server_nonce` must be random, printable and without commas.
+/// Starts an exchange with the client's mechanism and first message. `channel_binding` is the `tls-server-end-point`
+/// data, or `None` without TLS; `server_nonce` must be random, printable and without commas.
 ///
 /// # Errors
 /// [`ScramError`] if the mechanism was not offered, or the message is malformed or does not fit the channel.
@@ -185,7 +185,8 @@
     let mut expected_binding = format!("{},,", client_first.binding_flag).into_bytes();
     match (client_first.binding_flag, binding_in_use) {
         ("n", None) => {}
-        // The client could bind and believes that the server can't. Where it can, somebody has changed the offer.
+        // "y": the client supports channel binding but was not offered it. If the server did offer channel binding, the
+        // offer was tampered with.
         ("y", None) if channel_binding.is_none() => {}
         ("p=tls-server-end-point", Some(binding)) => expected_binding.extend_from_slice(binding),
         _ => return Err(ScramError::Binding),
@@ -216,14 +217,14 @@
 
 /// The client's first message: `<binding flag>,[<authorization identity>],n=<user>,r=<nonce>`.
 struct ClientFirst<'a> {
-    /// Whether and how the client binds the channel.
+    /// `n`, `y` or `p=<channel binding type>`.
     binding_flag: &'a str,
-    /// What follows the header.
+    /// The message without its header.
     bare: &'a str,
 }
 
 impl<'a> ClientFirst<'a> {
-    /// Splits the message. An identity to act for is not allowed.
+    /// Splits the message. An authorization identity is not allowed.
     fn read(text: &'a str) -> Result<Self, ScramError> {
         let (binding_flag, rest) = text.split_once(',').ok_or(ScramError::Malformed)?;
         let (authorization_identity, bare) = rest.split_once(',').ok_or(ScramError::Malformed)?;
@@ -233,8 +234,8 @@
         Ok(Self { binding_flag, bare })
     }
 
-    /// The client's nonce, which must follow the user's name. The name is ignored, as in PostgreSQL: it is known from
-    /// the start-up message.
+    /// Returns the client's nonce, which must follow the user name. The user name is ignored, as in PostgreSQL, because
+    /// the start-up message contains the user name.
     fn nonce(&self) -> Result<&'a str, ScramError> {
         let mut attributes = self.bare.split(',');
         attributes
@@ -254,7 +255,7 @@
     channel_binding: &'a str,
     nonce: &'a str,
     proof: &'a str,
-    /// All before the proof.
+    /// The message up to the proof.
     without_proof: &'a str,
 }
 
@@ -278,10 +279,10 @@
 }
 
 impl ScramExchange {
-    /// Checks the client's final message. Returns the server's, which proves that this process knows the verifier.
+    /// Verifies the client's final message. Returns the server's final message, which contains the server signature.
     ///
     /// # Errors
-    /// [`ScramError`] if the message is malformed, or the channel binding or the proof does not fit.
+    /// [`ScramError`] if the message is malformed, or the channel binding or the proof does not match.
     pub fn finish(self, client_final: &[u8]) -> Result<String, ScramError> {
         let client_final = ClientFinal::read(message_text(client_final)?)?;
         let channel_binding = BASE64.decode(client_final.channel_binding).ok();
@@ -293,15 +294,15 @@
         }
         let proof = read_key(client_final.proof).ok_or(ScramError::Malformed)?;
         let auth_message = format!("{},{}", self.first_messages, client_final.without_proof);
-        if !self.proof_fits(&proof, auth_message.as_bytes()) {
+        if !self.is_valid_proof(&proof, auth_message.as_bytes()) {
             return Err(ScramError::Proof);
         }
         let server_signature = hmac(&self.verifier.server_key, auth_message.as_bytes());
         Ok(format!("v={}", BASE64.encode(server_signature)))
     }
 
-    /// Whether the client knows the key whose hash the verifier holds; compared in constant time.
-    fn proof_fits(&self, proof: &Key, auth_message: &[u8]) -> bool {
+    /// Whether the proof contains the client key whose hash is the stored key. Compares in constant time.
+    fn is_valid_proof(&self, proof: &Key, auth_message: &[u8]) -> bool {
         let client_signature = hmac(&self.verifier.stored_key, auth_message);
         let mut client_key = *proof;
         for (byte, signature_byte) in client_key.iter_mut().zip(client_signature) {
--- a/core/postgres-session/src/server_messages.rs
+++ b/core/postgres-session/src/server_messages.rs
@@ -1,7 +1,7 @@
-//! Messages of a server that this process writes itself, reads or changes: `ErrorResponse` ("Error and Notice Message
-//! Fields"), `ReadyForQuery`, `CommandComplete` and `ParameterStatus`.
+//! Server messages that the proxy creates, reads or changes: `ErrorResponse` ("Error and Notice Message Fields"),
+//! `ReadyForQuery`, `CommandComplete`, `ParameterStatus`, authentication messages and `BackendKeyData`.
 //!
-//! Source of the codes: PostgreSQL documentation, appendix "PostgreSQL Error Codes".
+//! Reference for the codes: PostgreSQL documentation, appendix "PostgreSQL Error Codes".
 
 use std::borrow::Cow;
 
@@ -10,27 +10,27 @@
 use crate::frame::Frame;
 use crate::message_tags::{authentication, backend};
 
-/// Why a client gets an error of this process's own instead of a server's response.
+/// Why the proxy sends an error to the client instead of a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorReason {
-    /// No server has capacity: the transaction never ran, and a retry is safe.
+    /// No server has capacity: the transaction was not run, and a retry is safe.
     Rejected {
-        /// How long the client should wait before it retries, in milliseconds.
+        /// How long the client should wait before it retries, in milliseconds; 0 if it can retry at once.
         retry_after_ms: u64,
     },
-    /// The server was lost, or too slow; the statement may have run.
+    /// The server was lost or did not respond in time; the statement may have run.
     MayHaveRun,
-    /// The server was lost in a transaction that had not been committed: it is rolled back.
+    /// The server was lost during an uncommitted transaction, which is rolled back.
     TransactionLost,
-    /// The server was lost before it answered COMMIT: whether the transaction is committed is unknown.
+    /// The server was lost before it answered COMMIT; the transaction may or may not be committed.
     CommitUnknown,
-    /// The transaction has failed; only its end is accepted.
+    /// The transaction has failed; only the end of the transaction is accepted.
     InFailedTransaction,
-    /// This process is shutting down; the session ends.
+    /// The node is shutting down; the session ends.
     ShuttingDown,
-    /// The session has been idle for too long, and ends.
+    /// The session exceeded its idle timeout and ends.
     IdleTimeout,
-    /// The client does not follow the protocol; the session ends.
+    /// The client violated the protocol; the session ends.
     ProtocolViolation,
     /// Authentication failed; the session ends.
     AuthenticationFailed,
@@ -38,14 +38,14 @@
     NotAuthorized,
     /// The limit of client connections is reached; the session ends.
     TooManyClients,
-    /// No server can be reached; the session ends.
+    /// No server is reachable; the session ends.
     NoServer,
-    /// The client asks for something that is not supported.
+    /// The client requested an unsupported feature.
     Unsupported,
 }
 
 impl ErrorReason {
-    /// Its SQLSTATE.
+    /// The SQLSTATE of the error.
     #[must_use]
     pub fn sqlstate(self) -> &'static str {
         match self {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether the session ends with it.
+    /// Whether the error ends the session.
     #[must_use]
     pub fn is_fatal(self) -> bool {
         matches!(
@@ -92,23 +92,25 @@
 
     fn message(self) -> &'static str {
         match self {
-            Self::Rejected { .. } => "no server has room for this transaction; it has not run",
-            Self::MayHaveRun => "the server was lost; the statement may have run",
-            Self::TransactionLost => "the server was lost; the transaction is rolled back",
+            Self::Rejected { .. } => "no server has capacity for the transaction; it was not run",
+            Self::MayHaveRun => {
+                "server connection lost or timed out; the statement may have been executed"
+            }
+            Self::TransactionLost => "server connection lost; the transaction is rolled back",
             Self::CommitUnknown => {
-                "the server was lost before it answered COMMIT; the transaction may be committed"
+                "server connection lost before COMMIT was answered; the transaction may be committed"
             }
             Self::InFailedTransaction => {
                 "current transaction is aborted, commands ignored until end of transaction block"
             }
-            Self::ShuttingDown => "terminating connection: the node stops",
+            Self::ShuttingDown => "terminating connection because the node is shutting down",
             Self::IdleTimeout => "terminating connection due to idle-session timeout",
-            Self::ProtocolViolation => "the message does not belong here",
+            Self::ProtocolViolation => "message violates the PostgreSQL protocol",
             Self::AuthenticationFailed => "authentication failed",
-            Self::NotAuthorized => "this client may not come here",
+            Self::NotAuthorized => "client is not authorized to connect",
             Self::TooManyClients => "sorry, too many clients already",
-            Self::NoServer => "the database system is not reachable now",
-            Self::Unsupported => "this is not supported by the node",
+            Self::NoServer => "no database server is reachable",
+            Self::Unsupported => "feature is not supported by the node",
         }
     }
 
@@ -121,16 +123,18 @@
             Self::TooManyClients | Self::NoServer => {
                 Some("Trying again is harmless, after 1000 ms.".to_owned())
             }
-            Self::CommitUnknown => Some("Look whether it is, before you do it again.".to_owned()),
+            Self::CommitUnknown => {
+                Some("Check whether the transaction is committed before you repeat it.".to_owned())
+            }
             _ => None,
         }
     }
 }
 
-/// Codes of the fields of an `ErrorResponse`.
+/// Field codes of an `ErrorResponse`.
 mod error_field {
     pub(super) const SEVERITY: u8 = b'S';
-    /// As [`SEVERITY`], but never translated.
+    /// Like [`SEVERITY`], but never translated.
     pub(super) const SEVERITY_NONLOCALIZED: u8 = b'V';
     pub(super) const CODE: u8 = b'C';
     pub(super) const MESSAGE: u8 = b'M';
@@ -138,7 +142,7 @@
     pub(super) const HINT: u8 = b'H';
 }
 
-/// An `ErrorResponse` for this reason. Zero bytes in `detail` are dropped.
+/// Creates an `ErrorResponse`. Zero bytes in `detail` are removed.
 #[must_use]
 pub fn error_response(reason: ErrorReason, detail: Option<&str>) -> Frame {
     let severity = if reason.is_fatal() { "FATAL" } else { "ERROR" };
@@ -154,7 +158,7 @@
     let mut body = BytesMut::new();
     for (code, text) in fields {
         if let Some(text) = text {
-            // A zero would end the field early.
+            // A zero byte would terminate the field early.
             write_field(&mut body, code, &text.replace('\0', ""));
         }
     }
@@ -162,17 +166,17 @@
     Frame::new(backend::ERROR_RESPONSE, body.freeze())
 }
 
-/// A server's `ErrorResponse`, as far as this process reads it. Bytes that are no UTF-8 are replaced.
+/// SQLSTATE and message of a server's `ErrorResponse`. Invalid UTF-8 is replaced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerError {
-    /// Its SQLSTATE; empty if there is none.
+    /// SQLSTATE; empty if the field is absent.
     pub code: String,
-    /// Its message; empty if there is none.
+    /// Primary message; empty if the field is absent.
     pub message: String,
 }
 
 impl ServerError {
-    /// Reads an `ErrorResponse`.
+    /// Reads the body of an `ErrorResponse`.
     #[must_use]
     pub fn read(error: &Frame) -> Self {
         let field = |wanted: u8| {
@@ -187,7 +191,7 @@
     }
 }
 
-/// A server's `ErrorResponse` with the severity of one that ends the session.
+/// Changes the severity of a server's `ErrorResponse` to `FATAL`.
 #[must_use]
 pub fn with_fatal_severity(error: &Frame) -> Frame {
     map_fields(error, |code, text| match code {
@@ -196,14 +200,14 @@
     })
 }
 
-/// Whether an `ErrorResponse` ends its connection.
+/// Whether an `ErrorResponse` has severity `FATAL` or `PANIC` and so ends its connection.
 #[must_use]
 pub fn is_fatal(error: &Frame) -> bool {
     let mut fields = error.body.split(|byte| *byte == 0);
     fields.any(|field| matches!(field, b"VFATAL" | b"VPANIC"))
 }
 
-/// A server's `ErrorResponse` whose message names a statement as the client does and not as the server connection does.
+/// Replaces the quoted server name of a statement in the message of an `ErrorResponse` with the client's name.
 #[must_use]
 pub fn with_statement_name(error: &Frame, server_name: &[u8], client_name: &[u8]) -> Frame {
     let quoted = |name: &[u8]| format!("\"{}\"", String::from_utf8_lossy(name));
@@ -213,7 +217,7 @@
     })
 }
 
-/// An `ErrorResponse` with the text of each field replaced by what `change` makes of its code and text.
+/// Replaces the text of each field of an `ErrorResponse` with the result of `change` for the field's code and text.
 fn map_fields(error: &Frame, change: impl Fn(u8, &str) -> String) -> Frame {
     let mut body = BytesMut::new();
     for field in error.body.split(|byte| *byte == 0) {
@@ -235,7 +239,7 @@
     body.put_u8(0);
 }
 
-/// The state of a session's transaction, as `ReadyForQuery` reports it.
+/// Transaction status reported by `ReadyForQuery`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TransactionStatus {
     /// Not in a transaction block.
@@ -243,12 +247,12 @@
     Idle,
     /// In a transaction block.
     InBlock,
-    /// In a failed transaction block: all is rejected until its end.
+    /// In a failed transaction block; statements are rejected until the block ends.
     Failed,
 }
 
 impl TransactionStatus {
-    /// Reads the status byte of a `ReadyForQuery`; `None` if there is no such status.
+    /// Reads the status byte of a `ReadyForQuery`; `None` if the byte is invalid.
     #[must_use]
     pub fn read(byte: u8) -> Option<Self> {
         match byte {
@@ -259,7 +263,7 @@
         }
     }
 
-    /// The `ReadyForQuery` that reports this status.
+    /// Creates a `ReadyForQuery` that reports this status.
     #[must_use]
     pub fn ready_for_query(self) -> Frame {
         let byte = match self {
@@ -271,13 +275,13 @@
     }
 }
 
-/// `AuthenticationOk`.
+/// Creates an `AuthenticationOk`.
 #[must_use]
 pub fn authentication_ok() -> Frame {
     authentication_request(authentication::OK, &[])
 }
 
-/// An authentication message with this code; see [`authentication`].
+/// Creates an authentication message with this code; see [`authentication`].
 #[must_use]
 pub fn authentication_request(code: u32, data: &[u8]) -> Frame {
     Frame::new(
@@ -286,7 +290,7 @@
     )
 }
 
-/// `BackendKeyData` with the key by which a client cancels what runs in its session.
+/// Creates a `BackendKeyData` with the process ID and secret key that the client uses in cancel requests.
 #[must_use]
 pub fn backend_key_data(process_id: u32, secret_key: [u8; 4]) -> Frame {
     Frame::new(
@@ -295,25 +299,24 @@
     )
 }
 
-/// `CommandComplete` with this command tag.
+/// Creates a `CommandComplete` with this command tag.
 #[must_use]
 pub fn command_complete(command_tag: &str) -> Frame {
     let body = format!("{command_tag}\0").into_bytes();
     Frame::new(backend::COMMAND_COMPLETE, body)
 }
 
-/// A `ParameterStatus`: a server reports the value of a setting.
+/// A `ParameterStatus`, which reports the value of a setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParameterStatus<'a> {
-    /// The setting's name, as the server writes it.
+    /// The setting's name in the server's spelling.
     pub name: Cow<'a, str>,
-    /// Its value.
+    /// The setting's current value.
     pub value: Cow<'a, str>,
 }
 
 impl<'a> ParameterStatus<'a> {
-    /// Reads the body of a `ParameterStatus`; `None` if it does not hold two strings. Bytes that are no UTF-8 are
-    /// replaced.
+    /// Reads the body of a `ParameterStatus`; `None` if the body does not hold two strings. Invalid UTF-8 is replaced.
     #[must_use]
     pub fn read(frame: &'a Frame) -> Option<Self> {
         let mut strings = frame
@@ -326,7 +329,7 @@
         })
     }
 
-    /// The message that reports this value.
+    /// Encodes the message.
     #[must_use]
     pub fn to_frame(&self) -> Frame {
         let body = format!("{}\0{}\0", self.name, self.value).into_bytes();
--- a/core/postgres-session/src/settings.rs
+++ b/core/postgres-session/src/settings.rs
@@ -1,14 +1,15 @@
-//! Settings that follow a client from one server connection to another: those of its start-up message, and those that its
-//! statements set later, as far as servers report them (`ParameterStatus`).
+//! Settings that follow a client from one server connection to another: the settings of the client's start-up message,
+//! and settings that later statements change and servers report with `ParameterStatus`.
 //!
-//! Source: PostgreSQL documentation, "Asynchronous Operations" (which settings are reported), "Start-up" and the
+//! Reference: PostgreSQL documentation, "Asynchronous Operations" (which settings are reported), "Start-up" and the
 //! `options` parameter of `libpq` (a server's command-line arguments).
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Settings that servers report, by name in small letters. A SET of one is known whatever becomes of its transaction.
-/// `search_path` is reported from version 18 on only, so that a SET of it makes the session sticky.
+/// Lower-case names of settings that servers report. The reports also cover changes that a rollback reverts.
+/// `search_path` is only reported since version 18 and therefore not listed: a SET of `search_path` makes the session
+/// sticky.
 const REPORTED_SETTINGS: [&str; 7] = [
     "application_name",
     "client_encoding",
@@ -18,42 +19,42 @@
     "standard_conforming_strings",
     "timezone",
 ];
-/// Most settings of one client; they are kept for as long as it is connected.
+/// Maximum number of settings of one client.
 const MAX_SETTINGS: usize = 64;
-/// Most bytes of a setting's value.
+/// Maximum length of a setting's value, in bytes.
 const MAX_VALUE_LENGTH: usize = 1024;
-/// Parameters of a start-up message that are no settings.
+/// Parameters of a start-up message that are not settings.
 const STARTUP_ONLY_PARAMETERS: [&str; 4] = ["user", "database", "options", "replication"];
 
-/// Whether a SET of this setting (in small letters) is known from reports, so that the setting can follow its client.
+/// Whether servers report changes of the setting with this lower-case name, so that the setting can follow its client.
 #[must_use]
 pub fn is_followed(name: &str) -> bool {
     REPORTED_SETTINGS.contains(&name)
 }
 
-/// Why the settings of a start-up message can't be had.
+/// Why the settings of a start-up message are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// An argument in `options` is no setting.
-    #[error("options: {0:?} is not understood; only -c name=value and --name=value are")]
+    /// An argument in `options` does not set a setting.
+    #[error("options: unsupported argument {0:?}; supported are -c name=value and --name=value")]
     Option(String),
-    /// A name is impossible for a setting.
-    #[error("{0:?} is no name of a setting")]
+    /// The name contains characters that are not allowed in a setting's name.
+    #[error("invalid setting name {0:?}")]
     Name(String),
     /// There are too many settings, or a value is too long.
-    #[error("more than {MAX_SETTINGS} settings, or one of more than {MAX_VALUE_LENGTH} bytes")]
+    #[error("more than {MAX_SETTINGS} settings, or a value of more than {MAX_VALUE_LENGTH} bytes")]
     TooMany,
 }
 
-/// The value of a setting.
+/// Name and value of a setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Setting {
-    /// The name as the client writes it.
+    /// The name in the client's spelling.
     name: String,
     value: String,
 }
 
-/// Splits `options` at white space; a backslash takes the character behind it as it is.
+/// Splits `options` at whitespace; a backslash escapes the next character.
 fn split_options(options: &str) -> Vec<String> {
     let mut arguments = Vec::new();
     let mut argument = None::<String>;
@@ -94,7 +95,7 @@
     Ok(settings)
 }
 
-/// The settings of a start-up message: first those in `options`, then its other parameters.
+/// Returns the settings of a start-up message: first the settings in `options`, then the other parameters.
 fn startup_settings(parameters: &BTreeMap<String, String>) -> Result<Vec<Setting>, SettingsError> {
     let mut settings = match parameters.get("options") {
         Some(options) => read_options(options)?,
@@ -116,23 +117,23 @@
     !name.is_empty() && name.bytes().all(is_allowed)
 }
 
-/// The values that a client wants its settings to have.
+/// The settings that server connections must have for a client.
 #[derive(Clone, Debug, Default)]
 pub struct ClientSettings {
-    /// By name in small letters.
-    wanted: BTreeMap<String, String>,
-    /// The values at the start of the session, to which RESET returns.
+    /// Current values, by lower-case name.
+    values: BTreeMap<String, String>,
+    /// Values at the start of the session, which RESET restores.
     initial: BTreeMap<String, String>,
-    /// A server has accepted them all.
+    /// A server has accepted all values.
     accepted_by_server: bool,
 }
 
 impl ClientSettings {
-    /// Settings of a client with these start-up parameters, which gets `greeting` as the values of the settings that
-    /// it has not set.
+    /// Creates the settings of a client from its start-up parameters. `greeting` holds the values that are reported to
+    /// the client at the start of the session; they apply to settings that the client has not set.
     ///
     /// # Errors
-    /// [`SettingsError`] if a setting can't be read or there are too many.
+    /// [`SettingsError`] if a setting is malformed or there are too many settings.
     pub fn new(
         parameters: &BTreeMap<String, String>,
         greeting: &BTreeMap<String, String>,
@@ -144,17 +145,17 @@
         for (name, value) in greeting {
             let name = name.to_ascii_lowercase();
             if is_followed(&name) && name != "application_name" {
-                settings.wanted.insert(name, value.clone());
+                settings.values.insert(name, value.clone());
             }
         }
         for setting in startup_settings(parameters)? {
             settings.add_startup_setting(&setting)?;
         }
         settings
-            .wanted
+            .values
             .entry("application_name".to_owned())
             .or_default();
-        settings.initial = settings.wanted.clone();
+        settings.initial = settings.values.clone();
         Ok(settings)
     }
 
@@ -164,38 +165,38 @@
             return Err(SettingsError::Name(name));
         }
         let value = canonical_value(&name, &setting.value);
-        if value.len() > MAX_VALUE_LENGTH || self.wanted.len() >= MAX_SETTINGS {
+        if value.len() > MAX_VALUE_LENGTH || self.values.len() >= MAX_SETTINGS {
             return Err(SettingsError::TooMany);
         }
         self.accepted_by_server &=
-            name == "application_name" || self.wanted.get(&name) == Some(&value);
-        self.wanted.insert(name, value);
+            name == "application_name" || self.values.get(&name) == Some(&value);
+        self.values.insert(name, value);
         Ok(())
     }
 
-    /// Whether a server has accepted them all: until then nothing is sent together with them.
+    /// Whether a server has accepted all settings. Until then, no other message is sent together with the settings.
     #[must_use]
     pub fn is_accepted_by_server(&self) -> bool {
         self.accepted_by_server
     }
 
-    /// A server has accepted them all.
+    /// Records that a server has accepted all settings.
     pub fn set_accepted_by_server(&mut self) {
         self.accepted_by_server = true;
     }
 
-    /// Names in small letters and values.
+    /// Iterates over lower-case names and current values.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
-        self.wanted
+        self.values
             .iter()
             .map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
-    /// Notes the value that a server reports while this client uses it. Returns whether the client has to learn of it:
-    /// the value has changed, or the setting is not followed.
+    /// Records a value reported by the client's current server. Returns whether the report must be forwarded to the
+    /// client, because the value has changed or the setting is not one of the client's settings.
     pub fn record_report(&mut self, name: &str, value: &str) -> bool {
         let name = name.to_ascii_lowercase();
-        match self.wanted.get_mut(&name) {
+        match self.values.get_mut(&name) {
             Some(known) if known == value => false,
             Some(known) => {
                 value.clone_into(known);
@@ -205,44 +206,45 @@
         }
     }
 
-    /// The client's statements have reset these settings, or all: they have their initial values again.
+    /// Restores the initial values of the named settings, or of all settings, after the client's statements reset them.
     pub fn reset(&mut self, names: &[String], all: bool) {
         for (name, value) in &self.initial {
             if all || names.contains(name) {
-                self.wanted.insert(name.clone(), value.clone());
+                self.values.insert(name.clone(), value.clone());
             }
         }
     }
 }
 
-/// The values of the settings on one server connection.
+/// Known values of the settings on one server connection.
 #[derive(Clone, Debug, Default)]
 pub struct ServerSettings {
-    /// As the server reports them, by name in small letters.
+    /// Values reported by the server, by lower-case name.
     reported: BTreeMap<String, String>,
-    /// Set by this process and not reported by the server; `None` if the value may have been reset since.
+    /// Values set by the proxy and not reported by the server, by lower-case name; `None` if the value may have been
+    /// reset since.
     applied: BTreeMap<String, Option<String>>,
 }
 
 impl ServerSettings {
-    /// Notes the value that the server reports.
+    /// Records a value reported by the server.
     pub fn record_report(&mut self, name: &str, value: &str) {
         self.reported
             .insert(name.to_ascii_lowercase(), value.to_owned());
     }
 
-    /// RESET ALL or DISCARD ALL has run, or may have: the values that are not reported are unknown.
+    /// Marks unreported values as unknown, because RESET ALL or DISCARD ALL may have run.
     pub fn forget_unreported(&mut self) {
         for value in self.applied.values_mut() {
             *value = None;
         }
     }
 
-    /// The statements, as one text, that give this connection's settings the client's values; `None` if they have
-    /// them. The statements count as run: if they fail, the connection must be dropped.
+    /// Returns the SQL that gives this connection's settings the client's values; `None` if nothing has to change. The
+    /// SQL counts as executed: if it fails, the connection must be closed.
     pub fn sql_to_apply(&mut self, client: &ClientSettings) -> Option<String> {
         let mut sql = String::new();
-        for (name, value) in &client.wanted {
+        for (name, value) in &client.values {
             if self.current(name) != Some(value) {
                 push_set(&mut sql, name, value);
                 if !self.is_reported(name) {
@@ -251,21 +253,21 @@
             }
         }
         self.applied.retain(|name, _| {
-            let is_wanted = client.wanted.contains_key(name);
-            if !is_wanted {
+            let is_used = client.values.contains_key(name);
+            if !is_used {
                 push_reset(&mut sql, name);
             }
-            is_wanted
+            is_used
         });
         (!sql.is_empty()).then_some(sql)
     }
 
-    /// Whether the server's reports tell the value of a setting at any time.
+    /// Whether the server keeps the value of a setting in `reported` up to date.
     fn is_reported(&self, name: &str) -> bool {
         is_followed(name) && self.reported.contains_key(name)
     }
 
-    /// The value of a setting, if it is known.
+    /// The current value of a setting; `None` if unknown.
     fn current(&self, name: &str) -> Option<&String> {
         if self.is_reported(name) {
             self.reported.get(name)
@@ -275,7 +277,7 @@
     }
 }
 
-/// A value in the form in which servers report it, for settings of which drivers write it in other forms.
+/// Converts a value to the form in which servers report it, for settings that drivers write in other forms.
 fn canonical_value(name: &str, value: &str) -> String {
     let unquoted = value.trim_matches('\'').to_ascii_lowercase();
     match (name, unquoted.as_str()) {
@@ -286,8 +288,8 @@
     }
 }
 
-/// Appends a statement that sets a setting. `set_config` reads a list like `search_path` from one string, where SET would
-/// take it for one name.
+/// Appends a statement that sets a setting. `set_config` accepts a list, as for `search_path`, in one string; SET would
+/// treat the string as one element.
 fn push_set(sql: &mut String, name: &str, value: &str) {
     let escape = if value.contains('\\') { "E" } else { "" };
     let value = value.replace('\'', "''").replace('\\', "\\\\");
@@ -303,7 +305,7 @@
     let _ = write!(sql, "RESET {};", quoted(name));
 }
 
-/// A setting's name as SQL. It holds letters, digits, underscores and points only; each part is quoted by itself.
+/// Quotes each dot-separated part of a setting's name. The name contains only letters, digits, underscores and dots.
 fn quoted(name: &str) -> String {
     name.split('.')
         .map(|part| format!("\"{part}\""))
--- a/core/postgres-session/src/sql_analysis.rs
+++ b/core/postgres-session/src/sql_analysis.rs
@@ -1,4 +1,4 @@
-//! What the SQL of a client's message does to its transaction and to the state of its session.
+//! Determines the effects of a client's SQL on the transaction and on the session's state.
 
 use bytes::Bytes;
 use sqlparser::dialect::PostgreSqlDialect;
@@ -8,16 +8,16 @@
 use crate::sql_statement::{SettingTarget, SqlStatement};
 use crate::sticky::StickyReason;
 
-/// Whether a transaction may change anything.
+/// Access mode of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccessMode {
     /// `READ ONLY`.
     ReadOnly,
-    /// Anything else.
+    /// Any transaction that is not explicitly `READ ONLY`.
     ReadWrite,
 }
 
-/// How a transaction block is ended.
+/// How a transaction block ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransactionEnd {
     /// COMMIT or END.
@@ -26,21 +26,21 @@
     Rollback,
 }
 
-/// What one statement does to its transaction.
+/// Effect of one statement on its transaction block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransactionStep {
     /// Begins a transaction block.
     Begin(AccessMode),
-    /// Commits it, also as the first phase of two (`PREPARE TRANSACTION`).
+    /// Commits the transaction block, or prepares it for two-phase commit (`PREPARE TRANSACTION`).
     Commit,
-    /// Rolls it back.
+    /// Rolls the transaction block back.
     Rollback,
-    /// None of these.
+    /// Neither begins nor ends a transaction block.
     Other,
 }
 
 impl TransactionStep {
-    /// Whether the transaction block ends here.
+    /// Whether the statement ends the transaction block.
     #[must_use]
     pub fn is_end(self) -> bool {
         matches!(self, Self::Commit | Self::Rollback)
@@ -65,31 +65,32 @@
     }
 }
 
-/// Effects of a text of one or more statements.
+/// Effects of an SQL text with any number of statements.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StatementEffects {
-    /// What each statement does to its transaction, in order.
+    /// Effect of each statement on the transaction block, in order.
     pub steps: Vec<TransactionStep>,
-    /// Why the text makes its session sticky; the first reason of several.
+    /// The first reason why the text makes its session sticky; `None` if the session does not become sticky.
     pub sticky_reason: Option<StickyReason>,
-    /// The last statement is DISCARD ALL: no state of the session is left on the server.
+    /// The last statement is DISCARD ALL, which removes the session's state from the server.
     pub discards_all: bool,
     /// All statements prepared on the server connection are deallocated.
     pub deallocates_all: bool,
-    /// The text is DEALLOCATE of this name and nothing else, as some drivers release what they have prepared.
+    /// Name in a text that consists of a single DEALLOCATE, which some drivers use to close prepared statements; `None`
+    /// for any other text.
     pub deallocated_name: Option<String>,
-    /// Followed settings that are reset, by name in small letters.
+    /// Lower-case names of followed settings that are reset.
     pub reset_settings: Vec<String>,
-    /// Followed settings that are set, by name in small letters.
+    /// Lower-case names of followed settings that are set.
     pub set_settings: Vec<String>,
-    /// RESET ALL or DISCARD ALL: all settings go back to their first values.
+    /// RESET ALL or DISCARD ALL resets all settings to their initial values.
     pub resets_all_settings: bool,
-    /// The text is BEGIN alone, or the end of a transaction alone, in a form that a server is known to accept.
+    /// The text only begins or only ends a transaction, in a form that a server is known to accept.
     pub is_standalone: bool,
 }
 
 impl StatementEffects {
-    /// Effects of a text that is no SQL or can't be read: it may do anything.
+    /// Effects of a statement that cannot be analyzed.
     #[must_use]
     pub fn unknown() -> Self {
         Self {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// The access mode of the transaction that begins here, if nothing else is done.
+    /// Access mode of the transaction if the text only begins a transaction; `None` otherwise.
     #[must_use]
     pub fn transaction_begin(&self) -> Option<AccessMode> {
         match self.steps[..] {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// How a transaction ends here, if nothing else is done.
+    /// How the transaction ends if the text only ends a transaction; `None` otherwise.
     #[must_use]
     pub fn transaction_end(&self) -> Option<TransactionEnd> {
         match self.steps[..] {
@@ -154,7 +155,7 @@
     }
 }
 
-/// Analyzes a text of statements that are separated by semicolons.
+/// Determines the effects of an SQL text whose statements are separated by semicolons.
 #[must_use]
 pub fn analyze(sql: &str) -> StatementEffects {
     let Ok(tokens) = Tokenizer::new(&PostgreSqlDialect {}, sql).tokenize() else {
@@ -177,12 +178,12 @@
     effects
 }
 
-/// Analyzes a text as it came on the wire.
+/// Like [`analyze`], for the bytes of a message; invalid UTF-8 is replaced.
 pub(crate) fn analyze_bytes(sql: &[u8]) -> StatementEffects {
     analyze(&String::from_utf8_lossy(sql))
 }
 
-/// Whether a text only begins or only ends a transaction, in a form that a server is known to accept.
+/// Computes [`StatementEffects::is_standalone`].
 fn is_standalone(sql: &str, significant: &[&Token], steps: &[TransactionStep]) -> bool {
     let [step] = steps else {
         return false;
@@ -197,7 +198,7 @@
         .first()
         .map(|token| token.to_string().to_ascii_uppercase());
     match first.as_deref() {
-        // PREPARE TRANSACTION and COMMIT PREPARED are no plain ends, nor is COMMIT AND CHAIN.
+        // PREPARE TRANSACTION, COMMIT PREPARED and COMMIT AND CHAIN do not count as plain ends.
         Some("COMMIT" | "END" | "ROLLBACK" | "ABORT") => step.is_end() && is_one_token,
         Some("BEGIN") if is_begin && is_one_token => true,
         _ => is_begin && is_one_valid_statement(sql),
@@ -208,9 +209,9 @@
     Parser::parse_sql(&PostgreSqlDialect {}, sql).is_ok_and(|statements| statements.len() == 1)
 }
 
-/// The name that a text deallocates, if it is DEALLOCATE of one name and nothing else.
+/// Returns the name in a text that consists of a single DEALLOCATE; `None` for any other text.
 ///
-/// The first word of most texts shows that they are not, so that they need no analysis.
+/// Texts that do not start with DEALLOCATE are not analyzed.
 pub(crate) fn deallocated_name(sql: &[u8]) -> Option<Bytes> {
     const KEYWORD: &[u8] = b"DEALLOCATE";
     let first_word = sql.trim_ascii_start().get(..KEYWORD.len())?;
--- a/core/postgres-session/src/sql_statement.rs
+++ b/core/postgres-session/src/sql_statement.rs
@@ -1,13 +1,14 @@
-//! One SQL statement as its tokens and keywords, without a full parse.
+//! Tokens and keywords of one SQL statement, without a full parse.
 
 use sqlparser::tokenizer::Token;
 
 use crate::settings::is_followed;
 
-/// A word of a statement, unquoted and in capitals.
+/// A word of a statement.
 struct Word {
+    /// The word in upper case, without quotes.
     text: String,
-    /// An opening parenthesis follows: it is the name of a function that is called.
+    /// An opening parenthesis follows, so the word is the name of a called function.
     is_called: bool,
 }
 
@@ -18,7 +19,7 @@
 }
 
 impl<'a> SqlStatement<'a> {
-    /// The statement that these tokens make up.
+    /// Creates a statement from its tokens, without whitespace, comments and semicolons.
     pub(crate) fn new(tokens: &'a [&'a Token]) -> Self {
         let words = tokens
             .iter()
@@ -34,19 +35,19 @@
         Self { tokens, words }
     }
 
-    /// All words in capitals, keywords and names alike.
+    /// All words in upper case, including identifiers.
     pub(crate) fn keywords(&self) -> Vec<&str> {
         self.words.iter().map(|word| word.text.as_str()).collect()
     }
 
-    /// Whether it calls a function of this name, given in capitals.
+    /// Whether the statement calls a function with this upper-case name.
     pub(crate) fn calls(&self, function: &str) -> bool {
         self.words
             .iter()
             .any(|word| word.is_called && word.text == function)
     }
 
-    /// The name that the statement ends with, in small letters unless it is quoted.
+    /// The identifier at the end of the statement, in lower case unless quoted.
     pub(crate) fn last_identifier(&self) -> Option<String> {
         match self.tokens.last() {
             Some(Token::Word(word)) if word.quote_style.is_none() => {
@@ -58,16 +59,16 @@
     }
 }
 
-/// The setting that a SET or RESET is about.
+/// The setting that a SET or RESET changes.
 pub(crate) enum SettingTarget {
-    /// One that follows the client from server to server; its name in small letters.
+    /// A setting that follows the client from server to server; the name is in lower case.
     Followed(String),
-    /// Any other.
+    /// Any other setting.
     Other,
 }
 
 impl SettingTarget {
-    /// Reads it from a statement's keywords; `None` if the statement is neither SET nor RESET.
+    /// Reads the target from a statement's keywords; `None` if the statement is neither SET nor RESET.
     pub(crate) fn read(keywords: &[&str]) -> Option<Self> {
         let (["SET", "SESSION", target @ ..] | ["SET", target @ ..] | ["RESET", target @ ..]) =
             keywords
@@ -77,7 +78,7 @@
         let name = match target {
             ["TIME", "ZONE", ..] => "timezone".to_owned(),
             ["NAMES", ..] => "client_encoding".to_owned(),
-            // SET SESSION AUTHORIZATION and SET SESSION CHARACTERISTICS change settings of other names.
+            // SET SESSION AUTHORIZATION, SET SESSION CHARACTERISTICS and SET ROLE change settings with other names.
             ["AUTHORIZATION" | "CHARACTERISTICS" | "ROLE", ..] | [] => return Some(Self::Other),
             [name, ..] => name.to_ascii_lowercase(),
         };
--- a/core/postgres-session/src/startup.rs
+++ b/core/postgres-session/src/startup.rs
@@ -1,68 +1,68 @@
-//! A client's first packets ("Start-up", "SSL Session Encryption", "Canceling Requests in Progress"). They have no type
-//! byte, and other protocols that connect by mistake are recognized here.
+//! A client's start-up packets, which have no type byte ("Start-up", "SSL Session Encryption", "Canceling Requests in
+//! Progress"). HTTP requests are recognized and rejected.
 
 use std::collections::BTreeMap;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// Most bytes of a first packet, as in the server itself (`MAX_STARTUP_PACKET_LENGTH`).
+/// Maximum length of a start-up packet in bytes, as in PostgreSQL (`MAX_STARTUP_PACKET_LENGTH`).
 const MAX_PACKET_LENGTH: usize = 10_000;
-/// Bytes of the length and the request code, which every first packet has.
+/// Bytes of the length field and the request code.
 const MIN_PACKET_LENGTH: usize = 8;
-/// Bytes of the length, which it includes.
+/// Bytes of the length field. The length on the wire includes the field.
 const LENGTH_FIELD_LENGTH: usize = 4;
 const SSL_REQUEST_CODE: u32 = 80_877_103;
 const GSS_ENCRYPTION_REQUEST_CODE: u32 = 80_877_104;
 const CANCEL_REQUEST_CODE: u32 = 80_877_102;
 const MAJOR_VERSION: u32 = 3;
-/// The newest minor version that is supported; 3.1 was never used.
+/// The newest supported minor version. Protocol 3.1 does not exist.
 const NEWEST_MINOR_VERSION: u32 = 2;
-/// Bytes of the process number in a cancel request.
-const PROCESS_LENGTH: usize = 4;
-/// Most bytes of a cancel key (protocol 3.2).
+/// Bytes of the process ID in a cancel request.
+const PROCESS_ID_LENGTH: usize = 4;
+/// Maximum length of a cancel key in bytes (protocol 3.2).
 const MAX_CANCEL_KEY_LENGTH: usize = 256;
-/// Fewest bytes of a cancel key.
+/// Minimum length of a cancel key in bytes.
 const MIN_CANCEL_KEY_LENGTH: usize = 4;
-/// Protocol options, which a server may not know, have names with this prefix.
+/// Name prefix of protocol options. A server may reject any protocol option.
 const PROTOCOL_OPTION_PREFIX: &str = "_pq_.";
-/// The first four bytes of requests in HTTP/1 and HTTP/2.
+/// First four bytes of HTTP/1 and HTTP/2 requests.
 const HTTP_PREFIXES: [&[u8; 4]; 6] = [b"GET ", b"POST", b"HEAD", b"PUT ", b"OPTI", b"PRI "];
 
-/// What a first packet asks for.
+/// A client's start-up packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartupPacket {
-    /// TLS; one byte answers: `S` for yes, `N` for no.
+    /// Request for TLS, answered with one byte: `S` to accept or `N` to reject.
     SslRequest,
-    /// Encryption by GSSAPI; `N` answers.
+    /// Request for GSSAPI encryption, answered with `N`.
     GssEncryptionRequest,
-    /// To cancel a statement of another connection; there is no answer.
+    /// Request to cancel the running statement of another session; there is no response.
     CancelRequest {
-        /// Process number of the session whose statement is to be canceled.
+        /// Process ID from that session's `BackendKeyData`.
         process: u32,
-        /// The session's cancel key.
+        /// Secret key from that session's `BackendKeyData`.
         key: Bytes,
     },
-    /// A session.
+    /// Request for a session.
     StartupMessage(StartupMessage),
 }
 
-/// A client's `StartupMessage`: the session that it asks for.
+/// A client's `StartupMessage`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartupMessage {
-    /// The minor protocol version to use: the one asked for, or the newest supported.
+    /// Minor protocol version of the session: 0 or the newest supported version.
     pub minor: u32,
-    /// Body of the `NegotiateProtocolVersion` to answer with, if the client asked for more than is supported.
+    /// Body of the `NegotiateProtocolVersion` response; `None` if the requested version and options are supported.
     pub negotiate: Option<Bytes>,
-    /// The user's name.
+    /// User name; never empty.
     pub user: String,
-    /// The database; the user's name if the client gives none.
+    /// Database name; defaults to the user name.
     pub database: String,
-    /// All parameters.
+    /// All parameters except protocol options, including user and database.
     pub parameters: BTreeMap<String, String>,
 }
 
 impl StartupMessage {
-    /// The client's `application_name`; empty if it gives none.
+    /// Returns the `application_name` parameter; empty if absent.
     #[must_use]
     pub fn application(&self) -> &str {
         self.parameters
@@ -70,7 +70,7 @@
             .map_or("", String::as_str)
     }
 
-    /// Reads the body behind a version code with this minor version.
+    /// Reads the body that follows the protocol version.
     fn read(requested_minor: u32, body: &[u8]) -> Result<Self, StartupError> {
         let StartupParameters { known, unsupported } = StartupParameters::read(body)?;
         if known.get("replication").is_some_and(|value| !is_off(value)) {
@@ -82,7 +82,7 @@
             .cloned()
             .ok_or(StartupError::NoUser)?;
         let database = known.get("database").unwrap_or(&user).clone();
-        // Minor version 1 was never used; who asks for it gets 0.
+        // Protocol 3.1 does not exist; a request for 3.1 is served as 3.0.
         let minor = if requested_minor >= NEWEST_MINOR_VERSION {
             NEWEST_MINOR_VERSION
         } else {
@@ -103,7 +103,7 @@
     matches!(value, "false" | "off" | "no" | "0")
 }
 
-/// Body of a `NegotiateProtocolVersion`.
+/// Creates the body of a `NegotiateProtocolVersion`.
 fn negotiate_protocol_version(minor: u32, unsupported_options: &[String]) -> Bytes {
     let mut body = BytesMut::new();
     body.put_u32(MAJOR_VERSION << 16 | minor);
@@ -117,14 +117,14 @@
 
 /// Parameters of a `StartupMessage`.
 struct StartupParameters {
-    /// All but the protocol options.
+    /// All parameters except protocol options.
     known: BTreeMap<String, String>,
-    /// Names of the protocol options, of which none is supported.
+    /// Names of the requested protocol options. No protocol option is supported.
     unsupported: Vec<String>,
 }
 
 impl StartupParameters {
-    /// Reads names and values, each ended by a zero, with one zero more at the end.
+    /// Reads zero-terminated names and values, followed by a terminating zero.
     fn read(body: &[u8]) -> Result<Self, StartupError> {
         let strings = body.strip_suffix(b"\0").ok_or(StartupError::Parameters)?;
         let mut strings = strings.split(|byte| *byte == 0).map(read_text);
@@ -135,7 +135,7 @@
         loop {
             let name = strings.next().ok_or(StartupError::Parameters)??;
             if name.is_empty() {
-                // This is the end, so nothing may follow.
+                // An empty name is the terminator, so nothing may follow.
                 return match strings.next() {
                     Some(_) => Err(StartupError::Parameters),
                     None => Ok(parameters),
@@ -157,33 +157,33 @@
         .map_err(|_| StartupError::Parameters)
 }
 
-/// Why a first packet begins no session.
+/// Why a start-up packet is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StartupError {
-    /// It is an HTTP request, of a web browser or a health check.
-    #[error("this is HTTP; the port speaks the PostgreSQL protocol")]
+    /// The client sent an HTTP request.
+    #[error("this is HTTP; the port expects the PostgreSQL protocol")]
     Http,
-    /// No first packet has this length.
-    #[error("a first packet of {0} bytes")]
+    /// The packet length, in bytes, is not valid for a start-up packet or cancel request.
+    #[error("invalid length of start-up packet: {0} bytes")]
     Length(u32),
-    /// The major and minor version are not supported.
-    #[error("protocol version {0}.{1} is not spoken here")]
+    /// The protocol version, given as major and minor version, is not supported.
+    #[error("unsupported protocol version {0}.{1}")]
     Version(u32, u32),
     /// The same encryption was requested twice.
-    #[error("encryption was asked for again")]
+    #[error("repeated request for the same encryption")]
     RepeatedEncryptionRequest,
-    /// The parameters can't be read.
-    #[error("the start-up parameters can't be read")]
+    /// The parameters are malformed.
+    #[error("malformed start-up parameters")]
     Parameters,
-    /// There is no user name.
+    /// The user name is missing or empty.
     #[error("no user name in the start-up packet")]
     NoUser,
-    /// A replication connection, which has no transactions that could be routed.
-    #[error("replication connections are not passed on")]
+    /// A replication connection was requested.
+    #[error("replication connections are not supported")]
     Replication,
 }
 
-/// Reads first packets until a session or a cancel is asked for.
+/// Decodes start-up packets up to a `StartupMessage` or `CancelRequest`.
 #[derive(Debug, Default)]
 pub struct StartupReader {
     buffer: BytesMut,
@@ -192,21 +192,22 @@
 }
 
 impl StartupReader {
-    /// Adds bytes that were read.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the bytes behind the last packet. Before TLS begins there must be none: bytes sent ahead unencrypted
-    /// would pass for the client's own (CVE-2021-23214).
+    /// Takes the bytes received after the last packet. The caller must reject a client that sends bytes between an
+    /// `SSLRequest` and the TLS handshake, because these unencrypted bytes would be treated as encrypted
+    /// (CVE-2021-23214).
     pub fn take_remaining(&mut self) -> Bytes {
         self.buffer.split().freeze()
     }
 
-    /// The next packet; `None` until more is read.
+    /// Decodes the next packet; `None` if more bytes are needed.
     ///
     /// # Errors
-    /// [`StartupError`] if the client can't get a session.
+    /// [`StartupError`] if the packet must be rejected.
     pub fn next_packet(&mut self) -> Result<Option<StartupPacket>, StartupError> {
         let Some(prefix) = self.buffer.first_chunk::<LENGTH_FIELD_LENGTH>() else {
             return Ok(None);
@@ -228,7 +229,7 @@
         self.read_packet(code, length, packet).map(Some)
     }
 
-    /// Reads a packet with this request or version code; `body` is what follows the code.
+    /// Reads a packet with this request code or protocol version; `body` is the rest of the packet.
     fn read_packet(
         &mut self,
         code: u32,
@@ -257,7 +258,7 @@
     }
 }
 
-/// Notes a request for encryption, which a client may make only once.
+/// Records a request for encryption; a second request is an error.
 fn accept_encryption_request(requested: &mut bool) -> Result<(), StartupError> {
     if *requested {
         return Err(StartupError::RepeatedEncryptionRequest);
@@ -266,9 +267,9 @@
     Ok(())
 }
 
-/// Reads the body of a cancel request; `None` if the key has an impossible length.
+/// Reads the body of a cancel request; `None` if the key length is out of range.
 fn read_cancel(mut body: Bytes) -> Option<StartupPacket> {
-    let key_length = body.len().checked_sub(PROCESS_LENGTH)?;
+    let key_length = body.len().checked_sub(PROCESS_ID_LENGTH)?;
     if !(MIN_CANCEL_KEY_LENGTH..=MAX_CANCEL_KEY_LENGTH).contains(&key_length) {
         return None;
     }
--- a/core/postgres-session/src/sticky.rs
+++ b/core/postgres-session/src/sticky.rs
@@ -1,43 +1,43 @@
-//! Why a session is sticky: bound to one server connection because a statement left state on it that outlives the
-//! transaction.
+//! Sticky sessions. A session is sticky, that is, bound to one server connection, if a statement left state on the
+//! connection that outlives the transaction.
 
 use std::fmt;
 
 use crate::sql_statement::{SettingTarget, SqlStatement};
 
-/// Functions that take an advisory lock for the session, in capitals.
+/// Upper-case names of functions that acquire session-level advisory locks.
 const SESSION_LOCK_FUNCTIONS: [&str; 4] = [
     "PG_ADVISORY_LOCK",
     "PG_ADVISORY_LOCK_SHARED",
     "PG_TRY_ADVISORY_LOCK",
     "PG_TRY_ADVISORY_LOCK_SHARED",
 ];
-/// TEMPORARY, if any, is among this many words behind CREATE (`CREATE OR REPLACE TEMPORARY VIEW`).
+/// Number of words after CREATE that are searched for TEMPORARY (`CREATE OR REPLACE TEMPORARY VIEW`).
 const MAX_CREATE_MODIFIERS: usize = 4;
 
 /// Why a session is sticky.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StickyReason {
-    /// A setting of the session was changed that does not follow the client.
+    /// A statement changed a setting that does not follow the client to other servers.
     Setting,
-    /// LISTEN.
+    /// LISTEN was executed.
     Listen,
-    /// A temporary table, view or sequence.
+    /// A temporary table, view or sequence was created.
     Temporary,
-    /// An advisory lock held by the session.
+    /// A session-level advisory lock was acquired.
     AdvisoryLock,
-    /// A cursor WITH HOLD.
+    /// A cursor WITH HOLD was declared.
     HoldCursor,
-    /// PREPARE in SQL.
+    /// A statement was prepared with the SQL command PREPARE.
     SqlPrepare,
-    /// A statement whose effects are not known, or a text that can't be read.
+    /// A statement has unknown effects or cannot be analyzed.
     Unknown,
-    /// Connections are leased to sessions and not to transactions, by configuration.
+    /// Connections are leased to sessions instead of transactions by configuration.
     Pooling,
 }
 
 impl StickyReason {
-    /// The name that the console shows.
+    /// The name shown by the console.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Why this statement makes its session sticky, if it does.
+    /// Returns why a statement makes its session sticky; `None` if the session does not become sticky.
     pub(crate) fn of_statement(statement: &SqlStatement<'_>) -> Option<Self> {
         let keywords = statement.keywords();
         match &keywords[..] {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The reason in a function that a statement calls, or in `SELECT INTO TEMPORARY`.
+    /// Returns the reason due to a called function or `SELECT INTO TEMPORARY`.
     fn of_expression(statement: &SqlStatement<'_>, keywords: &[&str]) -> Option<Self> {
         if SESSION_LOCK_FUNCTIONS
             .iter()
