--- a/core/postgres-session/fuzz/fuzz_targets/session.rs
+++ b/core/postgres-session/fuzz/fuzz_targets/session.rs
@@ -1,5 +1,5 @@
 #![no_main]
-//! `cargo +nightly fuzz run session` in `core/postgres-session`.
+//! Fuzz target of the session. Run `cargo +nightly fuzz run session` in `core/postgres-session`.
 
 #[path = "../harness.rs"]
 mod harness;
--- a/core/postgres-session/fuzz/harness.rs
+++ b/core/postgres-session/fuzz/harness.rs
@@ -1,5 +1,5 @@
-//! Any bytes as a client's start-up, as its messages and as a server's, split anywhere, with losses between them. Shared
-//! by the fuzz target and the test that runs its corpus.
+//! Feeds arbitrary bytes to a session as start-up packets, client messages and server messages, split anywhere, with
+//! lost servers in between. Shared by the fuzz target and the test that runs the corpus.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,11 @@
 use badgerpost_postgres_session::settings::ClientSettings;
 use badgerpost_postgres_session::startup::{StartupPacket, StartupReader};
 
-/// Runs an input. Its bytes are commands: who sends, how many bytes, and these; or what else happens.
+/// Runs an input, which is a sequence of commands. A command is one byte, followed by a length and data if the command
+/// sends bytes.
 ///
 /// # Panics
-/// If the session breaks its contract, or panics itself.
+/// If the session panics or violates an invariant.
 pub fn run(input: &[u8]) {
     read_startup(input);
     let mut harness = Harness::default();
@@ -33,12 +34,12 @@
     let mut startup = StartupReader::default();
     startup.push(input);
     if let Ok(Some(StartupPacket::StartupMessage(message))) = startup.next_packet() {
-        // Whether the settings can be read does not matter here.
+        // Invalid settings are allowed; only panics matter.
         let _ = ClientSettings::new(&message.parameters, &BTreeMap::new());
     }
 }
 
-/// A session and what its owner knows of it.
+/// A session and the state that its caller tracks.
 #[derive(Default)]
 struct Harness {
     session: Session,
@@ -50,7 +51,7 @@
 }
 
 impl Harness {
-    /// The events of a command, which takes its bytes from `rest`.
+    /// Returns the events of a command. Takes the data of the command from `rest`.
     fn events(&mut self, command: u8, rest: &mut &[u8]) -> Vec<Event> {
         match command % 8 {
             0..=2 => {
@@ -89,18 +90,24 @@
         }
         assert!(
             self.session.accepts_client_messages() || self.ended || self.session_is_full(),
-            "it wants nothing any more"
+            "the session accepts no client messages, although it has not ended and is not full"
         );
     }
 
     fn act(&mut self, action: &Action) {
         match action {
             Action::RequestServer { .. } => {
-                assert!(!self.attached, "requests a second server");
+                assert!(
+                    !self.attached,
+                    "the session requests a server while one is attached"
+                );
                 self.requested = true;
             }
             Action::ToServer(_) => {
-                assert!(self.attached, "sends to a server that is not there");
+                assert!(
+                    self.attached,
+                    "the session sends to a server while none is attached"
+                );
             }
             Action::Release(_) | Action::DiscardServer => self.attached = false,
             Action::End => self.ended = true,
@@ -111,14 +118,14 @@
         }
     }
 
-    /// Whether there is a reason not to read from the client: too many bytes are buffered, or too many batches wait.
+    /// Whether the session has reached its limit of buffered bytes or pending batches.
     fn session_is_full(&self) -> bool {
         let backlog = self.session.backlog();
         backlog.bytes >= MAX_BUFFERED_BYTES || backlog.batches >= MAX_PENDING_BATCHES
     }
 }
 
-/// Takes as many bytes as the first one says, or as there are.
+/// Takes a length byte and that many bytes, or all remaining bytes if there are fewer.
 fn take_bytes<'a>(rest: &mut &'a [u8]) -> &'a [u8] {
     let length = usize::from(*rest.first().unwrap_or(&0)).min(rest.len().saturating_sub(1));
     let bytes = rest.get(1..=length).unwrap_or_default();
--- a/core/postgres-session/src/extended_query/tests.rs
+++ b/core/postgres-session/src/extended_query/tests.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-/// A frame as the drivers' own crate writes it.
+/// Returns the frame written by a function of the `postgres_protocol` crate.
 fn written(write: impl Fn(&mut BytesMut)) -> Frame {
     let mut wire = BytesMut::new();
     write(&mut wire);
     Frame::new(wire[0], Bytes::copy_from_slice(&wire[5..]))
 }
 
-/// A `Bind` of portal `p` to a statement, with one text parameter.
+/// Creates a `Bind` of portal `p` to a statement, with one text parameter.
 fn bind(statement: &str) -> Frame {
     written(|out| {
         let write_value = |value: &str, buffer: &mut BytesMut| {
--- a/core/postgres-session/src/frame/tests.rs
+++ b/core/postgres-session/src/frame/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn all(decoder: &mut FrameDecoder) -> Vec<DecodeResult> {
+fn decode_all(decoder: &mut FrameDecoder) -> Vec<DecodeResult> {
     std::iter::from_fn(|| decoder.next_from_server().expect("good frames")).collect()
 }
 
@@ -20,7 +20,7 @@
         let mut got = Vec::new();
         for part in [&wire[..split], &wire[split..]] {
             decoder.push(part);
-            got.extend(all(&mut decoder));
+            got.extend(decode_all(&mut decoder));
         }
         assert_eq!(got, frames.clone().map(DecodeResult::Frame), "{split}");
         assert_eq!(decoder.buffered_len(), 0);
@@ -37,7 +37,7 @@
     let mut most_buffered = 0;
     for part in wire.chunks(5000) {
         decoder.push(part);
-        for message in all(&mut decoder) {
+        for message in decode_all(&mut decoder) {
             match message {
                 DecodeResult::Chunk { tag, bytes, last } => {
                     streamed.extend_from_slice(&bytes);
@@ -52,7 +52,7 @@
     assert!(most_buffered < 16, "{most_buffered}");
 }
 
-/// From a server the same type is a data row.
+/// The type byte of `Describe` is also that of a server's `DataRow`, which is streamed.
 #[test]
 fn a_clients_describe_is_not_streamed() {
     let mut decoder = FrameDecoder::default();
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn impossible_lengths_are_errors_before_the_body_comes() {
+fn invalid_lengths_are_errors_before_the_body_arrives() {
     let decode = |bytes: &[u8]| {
         let mut decoder = FrameDecoder::default();
         decoder.push(bytes);
--- a/core/postgres-session/src/prepared_statements/tests.rs
+++ b/core/postgres-session/src/prepared_statements/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::extended_query::ParseMessage;
 
-/// A statement as the drivers' own crate writes it.
+/// Returns a statement text encoded by the `postgres_protocol` crate.
 fn text(sql: &str) -> StatementText {
     let mut wire = bytes::BytesMut::new();
     frontend::parse("", sql, [23], &mut wire).unwrap();
@@ -23,7 +23,7 @@
             .is_empty()
     );
     for n in 0..MAX_SERVER_STATEMENTS {
-        // The first stays in use, so it is never the oldest.
+        // The first statement is used again, so it is never the least recently used one.
         assert!(
             prepared
                 .use_statement(&text("select 1"))
--- a/core/postgres-session/src/scram/tests.rs
+++ b/core/postgres-session/src/scram/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// An exchange with the client's side of the drivers' own crate.
+/// Runs an exchange with the client of the `postgres_protocol` crate.
 fn exchange(
     verifier: &Verifier,
     password: &str,
@@ -81,14 +81,14 @@
         exchange(&verifier, "secret", end(b"one"), "MD5", Some(b"one")),
         Err(ScramError::Mechanism)
     );
-    // A client that believes the server can't bind, while it can, got a changed offer.
-    let believes = ChannelBinding::unrequested;
+    // A client that supports channel binding but was not offered it must be rejected if the server offered it.
+    let not_offered = ChannelBinding::unrequested;
     assert_eq!(
-        exchange(&verifier, "secret", believes(), MECHANISM, Some(b"one")),
+        exchange(&verifier, "secret", not_offered(), MECHANISM, Some(b"one")),
         Err(ScramError::Binding)
     );
     assert_eq!(
-        exchange(&verifier, "secret", believes(), MECHANISM, None),
+        exchange(&verifier, "secret", not_offered(), MECHANISM, None),
         Ok(())
     );
 }
--- a/core/postgres-session/src/server_messages/tests.rs
+++ b/core/postgres-session/src/server_messages/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Fields of an `ErrorResponse` as an independent parser reads them.
+/// Reads the fields of an `ErrorResponse` with the `postgres_protocol` crate.
 fn fields(frame: &Frame) -> Vec<(u8, String)> {
     use postgres_protocol::message::backend::ErrorFields;
     let mut wire = BytesMut::new();
@@ -12,13 +12,13 @@
     };
     let mut fields: ErrorFields<'_> = body.fields();
     let mut read = Vec::new();
-    while let Ok(Some(field)) = postgres_protocol_next(&mut fields) {
+    while let Ok(Some(field)) = next_field(&mut fields) {
         read.push(field);
     }
     read
 }
 
-fn postgres_protocol_next(
+fn next_field(
     fields: &mut postgres_protocol::message::backend::ErrorFields<'_>,
 ) -> std::io::Result<Option<(u8, String)>> {
     use fallible_iterator::FallibleIterator;
--- a/core/postgres-session/src/session.rs
+++ b/core/postgres-session/src/session.rs
@@ -69,7 +69,7 @@
 /// One client's session, starting with the first `ReadyForQuery`.
 #[derive(Debug, Default)]
 pub struct Session {
-    /// Transaction status that the client was last told.
+    /// Transaction status from the client's point of view.
     status: TransactionStatus,
     /// Unanswered batches, oldest first; only the first one is sent to a server.
     batches: VecDeque<MessageBatch>,
@@ -101,9 +101,9 @@
     deferred_begin: Option<DeferredBegin>,
     /// The server of the open transaction is lost; only the end of the transaction is accepted.
     transaction_lost: bool,
-    /// Why the transaction was lost; `None` once the client has received that error.
+    /// Why the open transaction was lost; set until the client has received that error.
     unreported_loss: Option<ErrorReason>,
-    /// Why the last failed request for a server failed; kept after the client has received the error.
+    /// Reason of the last failed request for a server; kept after the client has received the error.
     loss_reason: Option<ErrorReason>,
     ended: bool,
 }
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Transaction status that the client was last told.
+    /// Transaction status from the client's point of view.
     #[must_use]
     pub fn status(&self) -> TransactionStatus {
         self.status
--- a/core/postgres-session/src/session/tests.rs
+++ b/core/postgres-session/src/session/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a session between a client and fake servers: what is sent, answered, retried and rejected.
+//! Tests of a session between a client and fake servers.
 
 mod copy;
 mod properties;
--- a/core/postgres-session/src/session/tests/copy.rs
+++ b/core/postgres-session/src/session/tests/copy.rs
@@ -1,4 +1,4 @@
-//! COPY with data from the client.
+//! Tests of COPY FROM STDIN.
 
 use bytes::Bytes;
 
@@ -7,7 +7,7 @@
 use crate::session::{Action, Event};
 
 #[test]
-fn copied_data_is_forwarded_as_it_comes() {
+fn copy_data_is_forwarded_only_during_a_copy() {
     let mut fixture = SessionFixture::new();
     fixture.server_answers = false;
     let mut actions = Vec::new();
@@ -18,7 +18,7 @@
             last: true,
         })
     };
-    // Data that no server has asked for is ignored.
+    // Copy data without a server connection is ignored.
     fixture.session.handle(row(), &mut actions);
     assert!(actions.is_empty());
     fixture.client(&[query("copy t from stdin")]);
@@ -31,7 +31,7 @@
     assert_eq!(fixture.responses(), "G 08006 ZI");
 }
 
-/// A session whose server waits for the data of a copy.
+/// Creates a session whose server has sent `CopyInResponse`.
 fn fixture_in_copy() -> SessionFixture {
     let mut fixture = SessionFixture::new();
     fixture.server_answers = false;
@@ -43,10 +43,10 @@
     fixture
 }
 
-/// Drivers send a Sync before the data and one behind it; the server ignores the first. After a loss in between, the
-/// client gets the error at once, and its second Sync is answered, as by a server whose copy has failed.
+/// Drivers send a `Sync` before and after the copy data, and the server ignores the first one. If the server is lost in
+/// between, the client receives the error at once and `ReadyForQuery` after the second `Sync`, as from a failed copy.
 #[test]
-fn a_copy_whose_server_is_lost_ends_with_the_sync_behind_its_data() {
+fn a_copy_whose_server_is_lost_ends_with_the_sync_after_its_data() {
     let mut fixture = fixture_in_copy();
     fixture.lose_server();
     fixture.handle(Event::RequestFailed);
@@ -55,9 +55,9 @@
     assert_eq!((fixture.responses().as_str(), fixture.requested), ("ZI", 1));
 }
 
-/// As above, with the end of the data and its Sync on their way before it is known what comes of the loss.
+/// The end of the copy data and the second `Sync` arrive between the loss and the failure of the replacement request.
 #[test]
-fn a_sync_behind_copied_data_is_answered_with_the_error_that_comes_later() {
+fn a_sync_after_copy_data_is_answered_once_the_replacement_request_fails() {
     let mut fixture = fixture_in_copy();
     fixture.lose_server();
     fixture.client(&[vec![empty(b'c')], sync()]);
--- a/core/postgres-session/src/session/tests/properties.rs
+++ b/core/postgres-session/src/session/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold for any order of events.
+//! Property tests with random orders of events.
 
 use proptest::prelude::*;
 
@@ -14,7 +14,7 @@
     Lose,
     Fail,
     Reject,
-    /// Whether the next server answers nothing.
+    /// Sets whether the next server sends no responses.
     Silence(bool),
 }
 
@@ -31,12 +31,11 @@
 }
 
 proptest! {
-    /// For any events in any order, each batch of the client gets one ReadyForQuery, in order; nothing is sent without a
-    /// server, and no server is released in a transaction.
+    /// The fixture also asserts that nothing is sent without a server and that no server is released in a transaction.
     #[test]
-    fn each_batch_gets_one_ready_for_query_whatever_happens(steps in steps()) {
+    fn each_batch_gets_one_ready_for_query_in_any_order_of_events(steps in steps()) {
         let mut fixture = SessionFixture::new();
-        let mut owed = 0;
+        let mut batches_sent = 0;
         for step in steps {
             match step {
                 Step::Send(number) => {
@@ -51,10 +50,10 @@
                         7 => [parse("", "commit"), bind_execute(""), sync()].concat(),
                         _ => sync(),
                     };
-                    owed += 1;
+                    batches_sent += 1;
                     fixture.client(&[messages]);
                 }
-                Step::Attach if fixture.wants_server() => fixture.attach(),
+                Step::Attach if fixture.has_requested_server() => fixture.attach(),
                 Step::Lose if fixture.server.is_some() => fixture.lose_server(),
                 Step::Fail => fixture.handle(Event::RequestFailed),
                 Step::Reject => fixture.handle(Event::Rejected { retry_after_ms: 1 }),
@@ -62,7 +61,7 @@
                 _ => {}
             }
         }
-        // Until nothing is pending: each batch is answered, or its server lost and the request failed.
+        // Answer or fail all pending batches.
         for _ in 0..200 {
             if fixture.session.batches.is_empty() {
                 break;
@@ -79,14 +78,14 @@
         }
         let responses = fixture.responses();
         let ends = responses.split(' ').filter(|tag| tag.starts_with('Z')).count();
-        prop_assert_eq!(ends, owed, "{}", responses);
+        prop_assert_eq!(ends, batches_sent, "{}", responses);
         prop_assert!(!fixture.ended);
         prop_assert_eq!(fixture.session.buffered_bytes, 0);
     }
 
-    /// No bytes of a client's make a session panic or buffer more than they are.
+    /// A session must not panic on malformed messages or count more buffered bytes than it received.
     #[test]
-    fn any_client_bytes_are_handled_and_no_more_is_buffered(
+    fn arbitrary_client_bytes_do_not_panic_and_buffer_at_most_their_length(
         bytes in proptest::collection::vec(any::<u8>(), 0..400)
     ) {
         let mut fixture = SessionFixture::new();
--- a/core/postgres-session/src/session/tests/server_loss.rs
+++ b/core/postgres-session/src/session/tests/server_loss.rs
@@ -1,4 +1,4 @@
-//! Rejections, lost servers and retries.
+//! Tests of rejections, lost servers and retries.
 
 use bytes::Bytes;
 
@@ -6,7 +6,6 @@
 use crate::frame::{DecodeResult, Frame};
 use crate::session::Event;
 
-/// A read-only transaction is retried as a single statement would be, before it is answered.
 #[test]
 fn the_first_statement_of_a_read_only_transaction_is_retried_after_a_loss() {
     let mut fixture = SessionFixture::new();
@@ -20,7 +19,7 @@
         (fixture.responses().as_str(), fixture.not_retryable),
         ("C ZT C ZT", 0)
     );
-    // Once a statement has been answered, the next one is not retried.
+    // After a statement has been answered, the next one is not retried.
     fixture.server_answers = false;
     fixture.client(&[query("select 2")]);
     fixture.lose_server();
@@ -31,14 +30,14 @@
     assert_eq!(fixture.responses(), "08006 ZE C ZI");
 }
 
-/// The error's code says that nothing ran, and what follows a rejected BEGIN does not run outside of its transaction.
+/// SQLSTATE 53300 promises that nothing ran, so the statements after a rejected BEGIN must not run either.
 #[test]
-fn a_rejected_transaction_never_runs_in_part() {
+fn no_statement_of_a_rejected_transaction_runs() {
     let mut fixture = SessionFixture::new();
     fixture.client(&[query("insert")]);
     fixture.handle(Event::Rejected { retry_after_ms: 5 });
     assert_eq!(fixture.responses(), "53300 ZI");
-    // The first statement gets the reason, the others the error of a failed transaction, and COMMIT an error too.
+    // The first statement gets the rejection, later ones the error of a failed transaction, and COMMIT the rejection.
     fixture.client(&[query("begin"), query("insert")]);
     fixture.handle(Event::Rejected { retry_after_ms: 0 });
     fixture.client(&[query("insert"), query("rollback")]);
@@ -49,21 +48,20 @@
     fixture.client(&[query("begin"), query("insert"), query("commit")]);
     fixture.handle(Event::Rejected { retry_after_ms: 0 });
     assert_eq!(fixture.responses(), "C ZT 53300 ZE 53300 ZI");
-    // All batches of a transaction that begins together with another statement are rejected.
+    // If BEGIN shares a batch with another statement, all pipelined batches of the transaction are rejected.
     fixture.client(&[query("begin; insert"), query("insert"), query("commit")]);
     fixture.handle(Event::Rejected { retry_after_ms: 0 });
     assert_eq!(fixture.responses(), "53300 ZI 53300 ZI 53300 ZI");
     assert!(fixture.executed.is_empty());
 }
 
-/// Each place where a server can be lost, and the error for the client.
 #[test]
-fn the_error_after_a_loss_depends_on_where_the_server_was_lost() {
-    let in_flight = |before: &[&str], last: &str| {
+fn the_error_after_a_loss_depends_on_the_state_of_the_transaction() {
+    let lose_server_during = |before: &[&str], last: &str| {
         let mut fixture = SessionFixture::new();
         for sql in before {
             fixture.client(&[query(sql)]);
-            if fixture.wants_server() {
+            if fixture.has_requested_server() {
                 fixture.attach();
             }
         }
@@ -78,27 +76,33 @@
         fixture.server_answers = true;
         fixture
     };
-    let mut alone = in_flight(&[], "insert");
+    let mut outside_transaction = lose_server_during(&[], "insert");
     assert_eq!(
-        (alone.responses().as_str(), alone.discarded),
+        (
+            outside_transaction.responses().as_str(),
+            outside_transaction.discarded
+        ),
         ("08006 ZI", 1)
     );
-    let mut inside = in_flight(&["begin", "insert"], "insert");
-    assert_eq!(inside.responses(), "08006 ZE");
-    inside.client(&[query("select 1"), query("rollback")]);
+    let mut in_transaction = lose_server_during(&["begin", "insert"], "insert");
+    assert_eq!(in_transaction.responses(), "08006 ZE");
+    in_transaction.client(&[query("select 1"), query("rollback")]);
     assert_eq!(
-        (inside.responses().as_str(), inside.requested),
+        (
+            in_transaction.responses().as_str(),
+            in_transaction.requested
+        ),
         ("25P02 ZE C ZI", 1)
     );
-    let mut commit = in_flight(&["begin", "insert"], "commit");
-    assert_eq!(commit.responses(), "08007 ZI");
-    let mut all = in_flight(&[], "begin; insert; commit");
-    assert_eq!(all.responses(), "08007 ZI");
+    let mut at_commit = lose_server_during(&["begin", "insert"], "commit");
+    assert_eq!(at_commit.responses(), "08007 ZI");
+    let mut in_one_query = lose_server_during(&[], "begin; insert; commit");
+    assert_eq!(in_one_query.responses(), "08007 ZI");
 }
 
 #[test]
 fn a_server_lost_between_statements_fails_the_transaction() {
-    let between = |next: &[Vec<Frame>]| {
+    let responses_after_loss = |next: &[Vec<Frame>]| {
         let mut fixture = SessionFixture::new();
         fixture.client(&[query("begin"), query("insert")]);
         fixture.attach();
@@ -110,20 +114,23 @@
         fixture.responses()
     };
     assert_eq!(
-        between(&[query("insert"), query("insert"), query("rollback")]),
+        responses_after_loss(&[query("insert"), query("insert"), query("rollback")]),
         "08006 ZE 25P02 ZE C ZI"
     );
-    assert_eq!(between(&[query("rollback")]), "C ZI");
-    // A commit must not look successful, whether its client has got an error before or not.
-    assert_eq!(between(&[query("commit"), query("select 1")]), "08006 ZI");
+    assert_eq!(responses_after_loss(&[query("rollback")]), "C ZI");
+    // COMMIT must fail, whether or not the client has received an earlier error.
     assert_eq!(
-        between(&[query("insert"), query("commit")]),
+        responses_after_loss(&[query("commit"), query("select 1")]),
+        "08006 ZI"
+    );
+    assert_eq!(
+        responses_after_loss(&[query("insert"), query("commit")]),
         "08006 ZE 08006 ZI"
     );
-    // Drivers close statements in passing and ignore errors there.
+    // Drivers ignore errors in batches that only close statements.
     let closes = [close("s"), sync()].concat();
     assert_eq!(
-        between(&[closes.clone(), query("insert"), query("rollback")]),
+        responses_after_loss(&[closes.clone(), query("insert"), query("rollback")]),
         "3 ZE 08006 ZE C ZI"
     );
     let mut fixture = SessionFixture::new();
@@ -135,13 +142,13 @@
     fixture.handle(Event::RequestFailed);
     fixture.client(&[query("commit")]);
     assert!(fixture.responses().ends_with("3 ZE 08006 ZI"));
-    // A ROLLBACK that a driver prepares before it executes it.
+    // A driver can prepare and execute ROLLBACK in separate batches.
     let prepare = [parse("r", "rollback"), describe("r"), sync()];
     let steps = [prepare.concat(), bind_execute("r"), sync()];
-    assert_eq!(between(&steps), "1 t n ZE 2 C ZI");
+    assert_eq!(responses_after_loss(&steps), "1 t n ZE 2 C ZI");
 }
 
-/// The ReadyForQuery answers the Sync of the batch, also if that comes later.
+/// `ReadyForQuery` is sent for the batch's `Sync`, which can arrive after the error.
 #[test]
 fn a_batch_whose_server_is_lost_gets_one_error_and_one_ready_for_query() {
     let mut fixture = SessionFixture::new();
@@ -165,7 +172,6 @@
     assert_eq!((fixture.responses().as_str(), fixture.requested), ("ZI", 2));
 }
 
-/// A batch is retried only if the client has got nothing of its response and no transaction was open.
 #[test]
 fn an_unanswered_batch_is_retried_on_a_second_server() {
     let mut fixture = SessionFixture::new();
@@ -179,7 +185,7 @@
         (fixture.responses().as_str(), fixture.transactions_done),
         ("1 2 C ZI", 1)
     );
-    // After a first message of the response it is not.
+    // After the first message of the response, the batch is not retried.
     fixture.server_answers = false;
     fixture.client(&[query("select 1")]);
     fixture.attach();
@@ -191,7 +197,7 @@
     assert_eq!(fixture.responses(), "T 08006 ZI");
 }
 
-/// A FATAL error would end the client's session, which goes on with another server.
+/// A forwarded FATAL error would end the client's session, which can continue on another server.
 #[test]
 fn a_fatal_server_error_is_a_lost_server_and_not_forwarded() {
     let mut fixture = SessionFixture::new();
@@ -209,9 +215,9 @@
     );
 }
 
-/// The client could read neither the rest of the row nor what came behind it.
+/// The client cannot read any message after an incomplete row.
 #[test]
-fn a_row_that_is_cut_off_ends_the_session() {
+fn a_server_lost_within_a_row_ends_the_session() {
     let mut fixture = SessionFixture::new();
     fixture.server_answers = false;
     fixture.client(&[query("select 1")]);
--- a/core/postgres-session/src/session/tests/support.rs
+++ b/core/postgres-session/src/session/tests/support.rs
@@ -1,4 +1,4 @@
-//! A fake server, a session with its owner's bookkeeping, and messages as a driver's crate writes them.
+//! A fake server, a session fixture, and client messages encoded by the `postgres_protocol` crate.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,7 +13,7 @@
 use crate::session::{Action, Event, ServerState, Session};
 use crate::sql_analysis::{self, TransactionStep};
 
-/// What a driver's crate writes, as frames.
+/// Decodes the frames written by a function of the `postgres_protocol` crate.
 fn frames(write: impl Fn(&mut BytesMut)) -> Vec<Frame> {
     let mut wire = BytesMut::new();
     write(&mut wire);
@@ -59,14 +59,14 @@
     frames(frontend::flush)
 }
 
-/// A server with as much of the protocol as sessions depend on.
+/// A fake server with the parts of the protocol that sessions depend on.
 #[derive(Default)]
 pub(super) struct FakeServer {
     pub(super) status: TransactionStatus,
     statements: BTreeMap<Bytes, StatementText>,
-    /// The statement of the last `Bind`.
+    /// Statement of the last `Bind`.
     bound: Option<StatementText>,
-    /// The SQL of what was executed, in order.
+    /// SQL of the executed statements, in order.
     executed: Vec<String>,
     skips_to_sync: bool,
 }
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The server's answers to these bytes.
+    /// Returns the server's responses to these bytes.
     fn answer(&mut self, bytes: &[u8]) -> Vec<Frame> {
         let mut decoder = FrameDecoder::default();
         decoder.push(bytes);
@@ -174,17 +174,17 @@
     }
 }
 
-/// A message without a body.
+/// Creates a message without a body.
 pub(super) fn empty(tag: u8) -> Frame {
     Frame::new(tag, Bytes::new())
 }
 
-/// A session, the server that it has, and counts of the actions that it asked for.
+/// A session, its attached server, and counts of the session's actions.
 #[derive(Default)]
 pub(super) struct SessionFixture {
     pub(super) session: Session,
     pub(super) server: Option<FakeServer>,
-    /// All bytes for the client that [`Self::responses`] has not returned.
+    /// Bytes sent to the client since the last call of [`Self::responses`].
     pub(super) client_bytes: Vec<u8>,
     pub(super) requested: usize,
     pub(super) transactions_done: usize,
@@ -193,9 +193,9 @@
     pub(super) discarded: usize,
     pub(super) not_retryable: usize,
     pub(super) ended: bool,
-    /// The SQL of what was executed on servers that the session has no more.
+    /// SQL executed on servers that are no longer attached, in order.
     pub(super) executed: Vec<String>,
-    /// Whether the server's answers reach the session.
+    /// Whether the server's responses reach the session.
     pub(super) server_answers: bool,
 }
 
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Handles an event, and then the server's answers to what follows from it.
+    /// Handles an event and the resulting responses of the server.
     pub(super) fn handle(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(next) = events.pop_front() {
@@ -226,7 +226,7 @@
                 let server = self
                     .server
                     .as_mut()
-                    .expect("nothing goes to a server that is not there");
+                    .expect("bytes are only sent to an attached server");
                 let answers = server.answer(&bytes);
                 if self.server_answers {
                     let answers = answers.into_iter().map(DecodeResult::Frame);
@@ -243,7 +243,7 @@
                     assert_eq!(
                         server.status,
                         TransactionStatus::Idle,
-                        "a server goes back in a transaction"
+                        "a server is released in a transaction"
                     );
                     self.executed.extend(server.executed);
                 }
@@ -258,14 +258,14 @@
         }
     }
 
-    /// The client sends these messages.
+    /// Sends messages from the client.
     pub(super) fn client(&mut self, messages: &[Vec<Frame>]) {
         for frame in messages.iter().flatten() {
             self.handle(Event::Client(DecodeResult::Frame(frame.clone())));
         }
     }
 
-    /// A server sends this message, whatever was sent to it.
+    /// Sends a message from the server, independent of the fake server's state.
     pub(super) fn server_sends(&mut self, frame: Frame) {
         self.handle(Event::Server(DecodeResult::Frame(frame)));
     }
@@ -279,12 +279,12 @@
         self.handle(Event::ServerLost);
     }
 
-    pub(super) fn wants_server(&self) -> bool {
+    pub(super) fn has_requested_server(&self) -> bool {
         matches!(self.session.server_link, ServerLink::Requested { .. })
     }
 
-    /// The tags of all messages that the client has got since the last call; errors as their code, `ReadyForQuery` as
-    /// `Z` with the status.
+    /// Returns the tags of all messages sent to the client since the last call. Errors are shown as SQLSTATE,
+    /// `ReadyForQuery` as `Z` followed by the status byte.
     pub(super) fn responses(&mut self) -> String {
         let mut decoder = FrameDecoder::default();
         decoder.push(&std::mem::take(&mut self.client_bytes));
--- a/core/postgres-session/src/session/tests/transactions.rs
+++ b/core/postgres-session/src/session/tests/transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions and prepared statements while no server is lost.
+//! Tests of transactions and prepared statements without lost servers.
 
 use super::support::{SessionFixture, bind_execute, close, empty, flush, parse, query, sync};
 use crate::frame::Frame;
@@ -27,7 +27,7 @@
 #[test]
 fn a_transaction_keeps_its_server_until_it_ends() {
     let mut fixture = SessionFixture::new();
-    // A BEGIN is answered locally and sent with the statement behind it.
+    // A BEGIN is answered locally and sent with the next statement.
     fixture.client(&[query("begin")]);
     assert_eq!(
         (fixture.responses().as_str(), fixture.requested),
@@ -51,7 +51,7 @@
         ("C ZI", 1, 1, 1)
     );
     assert_eq!(fixture.executed, ["begin", "insert", "rollback"]);
-    // A transaction without a statement needs no server.
+    // A transaction without statements needs no server.
     for (end, tag) in [("commit", "COMMIT"), ("rollback", "ROLLBACK")] {
         fixture.client(&[query("begin isolation level serializable"), query(end)]);
         assert!(String::from_utf8_lossy(&fixture.client_bytes).contains(tag));
@@ -62,7 +62,7 @@
     }
 }
 
-/// Drivers prepare a statement once and use its name in later transactions, which run on other servers.
+/// Drivers prepare a statement once and use its name in later transactions, which can run on other servers.
 #[test]
 fn prepared_statements_follow_their_client_to_other_servers() {
     let mut fixture = SessionFixture::new();
@@ -74,18 +74,18 @@
         fixture.attach();
         assert_eq!(fixture.responses(), "2 C ZI");
     }
-    // The unnamed statement too, prepared in one batch and used in the next.
+    // The unnamed statement is prepared in one batch and used in the next.
     fixture.client(&[parse("", "select 2"), sync()]);
     fixture.attach();
     fixture.client(&[bind_execute(""), sync()]);
     fixture.attach();
     assert_eq!(fixture.responses(), "1 ZI 2 C ZI");
     assert_eq!(fixture.executed, ["select 1", "select 1", "select 2"]);
-    // A name that the proxy uses on servers is not a statement of this client's.
+    // A statement name of the proxy is not visible to the client.
     fixture.client(&[bind_execute("bp0"), sync()]);
     fixture.attach();
     assert_eq!(fixture.responses(), "08006 ZI");
-    // A text that is prepared on the server is not prepared again; the client gets the same responses.
+    // A text that is already prepared on the server is not prepared again; the client receives the same responses.
     fixture.client(&[
         query("begin"),
         parse("a", "select 3"),
@@ -121,7 +121,7 @@
         (fixture.released, fixture.session.sticky_reason()),
         (1, None)
     );
-    // A sticky session whose server is lost ends: its client would not know what state is gone.
+    // A sticky session ends when its server is lost, because its state cannot be restored.
     fixture.client(&[query("listen x")]);
     fixture.attach();
     fixture.responses();
@@ -148,15 +148,15 @@
             (released, 1 - released, true),
             "{sql}"
         );
-        // A server that comes too late is released at once.
+        // A server attached after the end is released at once.
         fixture.attach();
         assert_eq!(fixture.released, released + 1);
     }
 }
 
-/// A batch is committed by its Sync; drivers take its CommandComplete for the commit.
+/// A batch is committed by its `Sync`, but drivers treat `CommandComplete` as the commit.
 #[test]
-fn command_complete_is_held_back_until_the_sync_has_committed() {
+fn command_complete_is_delayed_until_the_sync_has_committed() {
     let mut fixture = SessionFixture::new();
     fixture.server_answers = false;
     fixture.client(&[parse("", "insert"), bind_execute(""), sync()]);
@@ -169,7 +169,7 @@
     fixture.lose_server();
     fixture.handle(Event::RequestFailed);
     assert_eq!(fixture.responses(), "08006 ZI");
-    // Before a Sync is sent nothing is held back: the client may wait for the message.
+    // Without a `Sync` nothing is delayed, because the client may wait for the message.
     fixture.client(&[bind_execute(""), flush()]);
     fixture.attach();
     fixture.server_sends(empty(b'1'));
@@ -190,7 +190,7 @@
     }
 }
 
-/// The malformed body is found when the message is to be sent; nothing of it was, so the server is clean.
+/// The malformed body is detected before any of the message is sent, so the server can be reused.
 #[test]
 fn a_malformed_message_ends_the_session_and_releases_the_server() {
     let mut fixture = SessionFixture::new();
--- a/core/postgres-session/src/settings/tests.rs
+++ b/core/postgres-session/src/settings/tests.rs
@@ -7,7 +7,7 @@
         .collect()
 }
 
-/// The settings in `options` as names and values, or the error's text.
+/// Reads `options` as names and values, or as the error's text.
 fn read(options: &str) -> Result<Vec<(String, String)>, String> {
     let settings = read_options(options).map_err(|error| error.to_string())?;
     let pairs = settings
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_server_connection_adopts_the_settings_of_one_client_after_the_other() {
+fn a_server_connection_gets_the_settings_of_each_client_in_turn() {
     let greeting = map(&[
         ("TimeZone", "UTC"),
         ("DateStyle", "ISO, MDY"),
@@ -73,7 +73,7 @@
         to_own.contains("set_config('timezone','Europe/Budapest',false)"),
         "{to_own}"
     );
-    // The server reports the change.
+    // The server reports the change, so no further change is needed.
     server.record_report("TimeZone", "Europe/Budapest");
     assert!(
         !own.record_report("TimeZone", "Europe/Budapest") && server.sql_to_apply(&own).is_none()
--- a/core/postgres-session/src/sql_analysis/tests.rs
+++ b/core/postgres-session/src/sql_analysis/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Statements, and why they make their session sticky.
+/// SQL texts and the reason why they make their session sticky.
 const STICKY_REASONS: &[(&str, Option<StickyReason>)] = &[
     ("select 1", None),
     ("SET search_path = x", Some(StickyReason::Setting)),
@@ -10,7 +10,7 @@
         "/* a comment */ SET SESSION work_mem TO '1MB'",
         Some(StickyReason::Setting),
     ),
-    // Reported by servers, and so followed.
+    // Servers report these settings, so the settings follow the client.
     ("/* a comment */ SET SESSION TimeZone TO 'UTC'", None),
     ("SET TIME ZONE 'UTC'", None),
     ("SET NAMES 'utf8'", None),
@@ -62,8 +62,8 @@
 
 #[test]
 fn statements_whose_effects_outlive_a_transaction_make_the_session_sticky() {
-    for (sql, wanted) in STICKY_REASONS {
-        assert_eq!(analyze(sql).sticky_reason, *wanted, "{sql}");
+    for (sql, expected) in STICKY_REASONS {
+        assert_eq!(analyze(sql).sticky_reason, *expected, "{sql}");
     }
     assert!(analyze("DISCARD ALL").discards_all && !analyze("DISCARD ALL; SET a = 1").discards_all);
 }
--- a/core/postgres-session/src/startup/tests.rs
+++ b/core/postgres-session/src/startup/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn packet(code: u32, rest: &[u8]) -> Vec<u8> {
+fn encode_packet(code: u32, rest: &[u8]) -> Vec<u8> {
     let mut bytes = u32::try_from(rest.len() + 8)
         .unwrap()
         .to_be_bytes()
@@ -16,8 +16,8 @@
     startup.next_packet()
 }
 
-fn session(code: u32, rest: &[u8]) -> StartupMessage {
-    match read(&packet(code, rest)) {
+fn read_startup_message(code: u32, rest: &[u8]) -> StartupMessage {
+    match read(&encode_packet(code, rest)) {
         Ok(Some(StartupPacket::StartupMessage(message))) => message,
         other => panic!("{other:?}"),
     }
@@ -26,7 +26,7 @@
 #[test]
 fn a_startup_message_names_user_database_and_application() {
     let bytes = b"user\0ann\0application_name\0seat\0\0";
-    let message = session(3 << 16, bytes);
+    let message = read_startup_message(3 << 16, bytes);
     assert_eq!(
         (
             message.user.as_str(),
@@ -37,16 +37,16 @@
     );
     assert_eq!((message.minor, message.negotiate), (0, None));
     assert_eq!(
-        session(3 << 16, b"user\0ann\0database\0ratings\0\0").database,
+        read_startup_message(3 << 16, b"user\0ann\0database\0ratings\0\0").database,
         "ratings"
     );
 }
 
-/// The client sends its message byte by byte, and more behind it.
+/// The client sends a message byte by byte, followed by other bytes.
 #[test]
 fn a_startup_message_is_read_once_it_is_complete() {
     let bytes = b"user\0ann\0application_name\0seat\0\0";
-    let packet_bytes = packet(3 << 16, bytes);
+    let packet_bytes = encode_packet(3 << 16, bytes);
     let mut startup = StartupReader::default();
     for byte in &packet_bytes[..packet_bytes.len() - 1] {
         startup.push(&[*byte]);
@@ -65,24 +65,24 @@
     let user = b"user\0ann\0\0";
     assert_eq!(
         (
-            session(3 << 16 | 2, user).minor,
-            session(3 << 16 | 2, user).negotiate
+            read_startup_message(3 << 16 | 2, user).minor,
+            read_startup_message(3 << 16 | 2, user).negotiate
         ),
         (2, None)
     );
-    assert_eq!(session(3 << 16 | 1, user).minor, 0);
-    let newer = session(3 << 16 | 9, b"user\0ann\0_pq_.colour\0red\0\0");
+    assert_eq!(read_startup_message(3 << 16 | 1, user).minor, 0);
+    let newer = read_startup_message(3 << 16 | 9, b"user\0ann\0_pq_.colour\0red\0\0");
     assert_eq!(newer.minor, 2);
     assert_eq!(
         newer.negotiate.as_deref(),
         Some(&b"\0\x03\0\x02\0\0\0\x01_pq_.colour\0"[..])
     );
     assert_eq!(
-        read(&packet(2 << 16, user)),
+        read(&encode_packet(2 << 16, user)),
         Err(StartupError::Version(2, 0))
     );
     assert_eq!(
-        read(&packet(4 << 16, user)),
+        read(&encode_packet(4 << 16, user)),
         Err(StartupError::Version(4, 0))
     );
 }
@@ -92,9 +92,9 @@
     let mut startup = StartupReader::default();
     startup.push(
         &[
-            packet(GSS_ENCRYPTION_REQUEST_CODE, b""),
-            packet(SSL_REQUEST_CODE, b""),
-            packet(SSL_REQUEST_CODE, b""),
+            encode_packet(GSS_ENCRYPTION_REQUEST_CODE, b""),
+            encode_packet(SSL_REQUEST_CODE, b""),
+            encode_packet(SSL_REQUEST_CODE, b""),
         ]
         .concat(),
     );
@@ -109,11 +109,11 @@
     );
     let key = Bytes::from_static(b"abcd");
     assert_eq!(
-        read(&packet(CANCEL_REQUEST_CODE, b"\0\0\0\x07abcd")),
+        read(&encode_packet(CANCEL_REQUEST_CODE, b"\0\0\0\x07abcd")),
         Ok(Some(StartupPacket::CancelRequest { process: 7, key }))
     );
-    assert!(read(&packet(CANCEL_REQUEST_CODE, b"\0\0\0\x07abc")).is_err());
-    assert!(read(&packet(CANCEL_REQUEST_CODE, &[0; 300])).is_err());
+    assert!(read(&encode_packet(CANCEL_REQUEST_CODE, b"\0\0\0\x07abc")).is_err());
+    assert!(read(&encode_packet(CANCEL_REQUEST_CODE, &[0; 300])).is_err());
 }
 
 #[test]
@@ -135,6 +135,6 @@
             StartupError::Replication,
         ),
     ] {
-        assert_eq!(read(&packet(3 << 16, rest)), Err(error), "{rest:?}");
+        assert_eq!(read(&encode_packet(3 << 16, rest)), Err(error), "{rest:?}");
     }
 }
--- a/core/postgres-session/src/sticky/tests.rs
+++ b/core/postgres-session/src/sticky/tests.rs
@@ -1,8 +1,7 @@
 use super::*;
 
-/// The console's column shows these; they were the names of the variants.
 #[test]
-fn console_texts_are_the_names_of_the_variants() {
+fn console_and_debug_texts_are_the_names_of_the_variants() {
     for (reason, text) in [
         (StickyReason::Setting, "Setting"),
         (StickyReason::Listen, "Listen"),
--- a/core/postgres-session/tests/corpus.rs
+++ b/core/postgres-session/tests/corpus.rs
@@ -1,4 +1,4 @@
-//! The fuzz target's harness on its stored corpus and on a bounded number of random inputs, the same each time.
+//! Runs the fuzz harness on the stored corpus and on a fixed number of deterministic random inputs.
 
 #![allow(
     clippy::unwrap_used,
@@ -12,9 +12,9 @@
 
 use badgerpost_fakes::random::Random;
 
-/// Message types of both directions.
+/// Message type bytes of both directions.
 const TAGS: &[u8] = b"PBDECSHQFXdcfpRSKZTDCE123nstGHWIAN";
-/// Bodies that are well-formed for some message.
+/// Bodies that are well-formed for at least one message type.
 const BODIES: [&[u8]; 6] = [
     b"BEGIN\0",
     b"COMMIT\0",
@@ -40,16 +40,16 @@
 fn random_messages_are_handled() {
     for seed in 0..20_000 {
         let input = random_input(&mut Random::new(seed, "fuzz"));
-        let played = std::panic::catch_unwind(|| harness::run(&input));
-        assert!(played.is_ok(), "seed {seed}: {input:?}");
+        let result = std::panic::catch_unwind(|| harness::run(&input));
+        assert!(result.is_ok(), "seed {seed}: {input:?}");
     }
 }
 
-/// Commands with messages, of which more are well-formed than chance would have it.
+/// Creates commands with messages, many of which are well-formed.
 fn random_input(random: &mut Random) -> Vec<u8> {
     let mut input = Vec::new();
     for _ in 0..random.between(1, 30) {
-        input.push(small(random, 15));
+        input.push(random_byte(random, 15));
         let message = random_message(random);
         input.push(u8::try_from(message.len()).expect("a short message"));
         input.extend_from_slice(&message);
@@ -58,11 +58,11 @@
 }
 
 fn random_message(random: &mut Random) -> Vec<u8> {
-    let body_length = small(random, 12);
+    let body_length = random_byte(random, 12);
     let tag = *pick(random, TAGS);
-    // Now and then the length is wrong.
+    // Some lengths are wrong.
     let length = if random.chance(0.05) {
-        small(random, 40)
+        random_byte(random, 40)
     } else {
         body_length + 4
     };
@@ -71,7 +71,7 @@
     }
     let mut message = vec![tag];
     message.extend_from_slice(&u32::from(length).to_be_bytes());
-    message.extend((0..body_length).map(|_| small(random, 255)));
+    message.extend((0..body_length).map(|_| random_byte(random, 255)));
     message
 }
 
@@ -80,9 +80,9 @@
     [&[tag], &length.to_be_bytes()[..], body].concat()
 }
 
-/// A number from 0 to `most`.
-fn small(random: &mut Random, most: u8) -> u8 {
-    u8::try_from(random.between(0, u64::from(most))).expect("at most 255")
+/// Returns a random number from 0 to `max`.
+fn random_byte(random: &mut Random, max: u8) -> u8 {
+    u8::try_from(random.between(0, u64::from(max))).expect("at most 255")
 }
 
 fn pick<'a, T>(random: &mut Random, choices: &'a [T]) -> &'a T {
--- a/core/postgres-session/tests/reference.rs
+++ b/core/postgres-session/tests/reference.rs
@@ -1,9 +1,9 @@
-//! The session against a reference: any legal sequence of messages gets the same responses through a session, whose
-//! server may be another one in each transaction, as from one server directly, and changes the tables in the same way.
-//! The reference is the protocol side of the fake database, written from "Message Flow" and not from the session.
+//! Compares a session with a direct server connection: any legal sequence of messages must get the same responses and
+//! leave the same tables. The session may use a different server connection for each transaction. The reference is the
+//! fake database's protocol implementation, which is independent of the session.
 //!
-//! `PROPTEST_CASES=100000 cargo test --release -p badgerpost-postgres-session --test reference` runs that many sequences,
-//! the same each time.
+//! `PROPTEST_CASES=100000 cargo test --release -p badgerpost-postgres-session --test reference` runs 100000 sequences.
+//! The sequences are deterministic.
 
 #![allow(
     clippy::unwrap_used,
@@ -23,7 +23,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Statements: some fail, some begin or end transactions, some change the state of the session.
+/// SQL texts. Some fail, some begin or end transactions, some change the session's state.
 const TEXTS: [&str; 26] = [
     "SELECT 1",
     "SELECT count(*) FROM t",
@@ -52,6 +52,7 @@
     "RESET ALL",
     "SELECT id FROM t FOR UPDATE",
 ];
+/// Index of the DEALLOCATE in [`TEXTS`].
 const DEALLOCATE: usize = 21;
 const NAMES: [&str; 3] = ["", "a", "b"];
 const PORTALS: [&str; 2] = ["", "p"];
@@ -68,11 +69,11 @@
     ClosePortal(usize),
     Flush,
     Sync,
-    /// A batch: Parse, Bind, Describe, Execute and Sync.
+    /// `Parse`, `Bind`, `Describe`, `Execute` and `Sync`.
     Batch(usize, usize),
-    /// COPY by a Query, with this many rows, which succeeds or not.
+    /// COPY by a `Query`, with this many rows, ended by `CopyDone` (true) or `CopyFail` (false).
     Copy(u8, bool),
-    /// COPY in a batch with this many rows, as libpq does it: with a Sync before the data and one behind it.
+    /// COPY in a batch with this many rows and, as in libpq, a `Sync` before and after the data.
     CopyBatch(u8),
 }
 
@@ -102,7 +103,7 @@
 impl Step {
     fn frames(&self) -> Vec<Frame> {
         match *self {
-            // Drivers prepare and run a DEALLOCATE in one go, and under no name.
+            // Drivers prepare and run a DEALLOCATE in one batch, as the unnamed statement.
             Self::Parse(_, DEALLOCATE) | Self::Batch(1.., DEALLOCATE) => {
                 Self::Batch(0, DEALLOCATE).frames()
             }
@@ -152,7 +153,7 @@
     frame(b'E', &[portal.as_bytes(), ZERO, &max_rows.to_be_bytes()])
 }
 
-/// A Describe or Close.
+/// Creates a `Describe` or `Close`.
 fn target(tag: u8, kind: &[u8], name: &str) -> Frame {
     frame(tag, &[kind, name.as_bytes(), ZERO])
 }
@@ -184,8 +185,8 @@
     frames
 }
 
-/// A connection to the database behind the session, and what is known of it.
-struct Link {
+/// A connection to the database and its state while no session uses the connection.
+struct Connection {
     backend: Backend,
     state: ServerState,
 }
@@ -193,11 +194,11 @@
 /// A session with a pool of server connections.
 struct Pooled {
     session: Session,
-    idle_links: VecDeque<Link>,
-    attached_link: Option<Link>,
+    idle: VecDeque<Connection>,
+    attached: Option<Connection>,
     client_bytes: Vec<u8>,
     ended: bool,
-    /// Requests for a server so far, which decide which idle connection is next.
+    /// Number of requests for a server so far; selects the next idle connection.
     requests: usize,
 }
 
@@ -219,7 +220,7 @@
     std::iter::from_fn(|| decoder.next_from_client().expect("good frames")).collect()
 }
 
-/// A message, of which a chunk must hold all.
+/// Converts a decoded message to a frame. A chunk must contain the whole message.
 fn complete_frame(message: DecodeResult) -> Frame {
     match message {
         DecodeResult::Frame(frame) => frame,
@@ -245,8 +246,11 @@
             Action::ToServer(bytes) => self.send_to_server(&bytes, events),
             Action::ToClient(bytes) => self.client_bytes.extend_from_slice(&bytes),
             Action::Release(state) => {
-                let link = self.attached_link.take().expect("an attached connection");
-                self.idle_links.push_back(Link { state, ..link });
+                let connection = self.attached.take().expect("an attached connection");
+                self.idle.push_back(Connection {
+                    state,
+                    ..connection
+                });
             }
             Action::DiscardServer | Action::NotRetryable => {
                 panic!("no server was lost: {:?}", self.session)
@@ -257,21 +261,21 @@
     }
 
     fn attach_next(&mut self) -> Event {
-        let next = self.requests % self.idle_links.len();
+        let next = self.requests % self.idle.len();
         self.requests += 1;
-        let mut link = self.idle_links.remove(next).expect("an idle connection");
-        let state = std::mem::take(&mut link.state);
-        self.attached_link = Some(link);
+        let mut connection = self.idle.remove(next).expect("an idle connection");
+        let state = std::mem::take(&mut connection.state);
+        self.attached = Some(connection);
         Event::Attached(state)
     }
 
     fn send_to_server(&mut self, bytes: &[u8], events: &mut VecDeque<Event>) {
-        let link = self
-            .attached_link
+        let connection = self
+            .attached
             .as_mut()
-            .expect("nothing goes to a server that is not there");
+            .expect("bytes are only sent to an attached server");
         for message in decode_from_client(bytes) {
-            let responses = send(&mut link.backend, &complete_frame(message));
+            let responses = send(&mut connection.backend, &complete_frame(message));
             events.extend(
                 decode_from_server(&responses)
                     .into_iter()
@@ -281,8 +285,8 @@
     }
 }
 
-/// The responses as a client sees them: type and body. Reports of settings are left out, as they may come at other
-/// times.
+/// Formats the responses as type and body. `ParameterStatus` messages are omitted, because the session may send them at
+/// other times than the server.
 fn responses(bytes: &[u8]) -> Vec<String> {
     decode_from_server(bytes)
         .into_iter()
@@ -295,7 +299,7 @@
         .collect()
 }
 
-/// Adds the settings that are reported to a client to those that it knows.
+/// Adds the settings reported to a client to the client's known settings.
 fn add_reports(bytes: &[u8], known: &mut BTreeMap<String, String>) {
     for message in decode_from_server(bytes) {
         if let DecodeResult::Frame(Frame { tag: b'S', body }) = message {
@@ -309,7 +313,7 @@
     }
 }
 
-fn create(offline: &Offline) -> Backend {
+fn create_backend(offline: &Offline) -> Backend {
     let mut backend = Database::backend(offline);
     for sql in [
         "CREATE TABLE t (id int, v text)",
@@ -320,7 +324,7 @@
     backend
 }
 
-/// The settings that each client knows at first.
+/// Returns the settings reported to each client at the start of its session.
 fn greeting() -> BTreeMap<String, String> {
     BTreeMap::from([
         ("TimeZone".to_owned(), "UTC".to_owned()),
@@ -329,32 +333,32 @@
     ])
 }
 
-/// A session in front of three connections to this database.
+/// Creates a session with a pool of three connections to this database.
 fn create_pooled(database: &Offline) -> Pooled {
     let greeting = greeting();
     let settings = ClientSettings::new(&BTreeMap::new(), &greeting).expect("good settings");
-    let links = (0..3).map(|_| {
+    let connections = (0..3).map(|_| {
         let mut state = ServerState::default();
         for (name, value) in &greeting {
             state.settings.record_report(name, value);
         }
         state.settings.record_report("application_name", "");
-        Link {
+        Connection {
             backend: Database::backend(database),
             state,
         }
     });
     Pooled {
         session: Session::new(settings),
-        idle_links: links.collect(),
-        attached_link: None,
+        idle: connections.collect(),
+        attached: None,
         client_bytes: Vec::new(),
         ended: false,
         requests: 0,
     }
 }
 
-/// A client's message as the decoder yields it.
+/// Creates the event for a client's message, as the decoder would return it.
 fn client_event(message: Frame) -> Event {
     if message.tag != b'd' {
         return Event::Client(DecodeResult::Frame(message));
@@ -368,7 +372,8 @@
     })
 }
 
-/// What ends a COPY that a Bind of an earlier statement began: with anything else behind it no server would go on.
+/// Returns the messages that end a COPY started by an `Execute` without copy data; during a copy, a server accepts no
+/// other messages.
 fn copy_end(direct: &Backend) -> Vec<Frame> {
     if direct.is_copying() {
         vec![frame(b'S', &[]), frame(b'f', &[b"no\0"]), frame(b'S', &[])]
@@ -377,13 +382,13 @@
     }
 }
 
-/// Sends the steps to one server directly and through a session, and returns what the direct client got.
+/// Sends the steps to one server directly and through a session. Returns the bytes sent to the direct client.
 fn send_to_both(steps: &[Step], direct: &mut Backend, pooled: &mut Pooled) -> Vec<u8> {
     let mut direct_bytes = Vec::new();
     let end = [Step::Sync];
     for step in steps.iter().chain(&end) {
-        // The one known difference: in a failed transaction a server describes a statement that returns no rows; the
-        // session can't, where it was prepared on another connection, and answers 25P02 as for all others.
+        // Skip the only known difference: in a failed transaction a server describes a statement that returns no rows,
+        // but a session answers 25P02 if the statement was prepared on another connection.
         if direct.status() == b'E' && matches!(step, Step::DescribeStatement(_)) {
             continue;
         }
@@ -398,19 +403,19 @@
 fn run(steps: &[Step]) -> Result<(), TestCaseError> {
     let direct_database = Offline::default();
     let pooled_database = Offline::default();
-    let mut direct = create(&direct_database);
-    create(&pooled_database);
+    let mut direct = create_backend(&direct_database);
+    create_backend(&pooled_database);
     let mut pooled = create_pooled(&pooled_database);
     let direct_bytes = send_to_both(steps, &mut direct, &mut pooled);
     prop_assert!(!pooled.ended, "the session has ended");
     prop_assert_eq!(responses(&pooled.client_bytes), responses(&direct_bytes));
-    // Both clients know the same settings.
+    // The same settings must be reported to both clients.
     let mut direct_known = greeting();
     let mut pooled_known = greeting();
     add_reports(&direct_bytes, &mut direct_known);
     add_reports(&pooled.client_bytes, &mut pooled_known);
     prop_assert_eq!(direct_known.get("TimeZone"), pooled_known.get("TimeZone"));
-    // What is still open is rolled back on both sides; the tables are the same then.
+    // After a rollback of open transactions the tables must be equal.
     if pooled.session.status() != TransactionStatus::Idle {
         let rollback = frame(b'Q', &[b"ROLLBACK\0"]);
         send(&mut direct, &rollback);
@@ -442,8 +447,8 @@
         .unwrap_or_else(|error| panic!("{error}"));
 }
 
-/// One sequence as of a driver that rejects an argument after it has described the statement, and one as of a driver in
-/// pipeline mode; both once ended the session.
+/// The first sequence is that of a driver that rejects an argument after describing the statement, the second that of a
+/// driver in pipeline mode.
 #[test]
 fn describe_without_sync_and_pipelined_batches_do_not_end_the_session() {
     let describe_then_rollback = vec![
