--- a/core/postgres-session/src/scram.rs
+++ b/core/postgres-session/src/scram.rs
@@ -168,7 +168,7 @@
 /// data, or `None` without TLS; `server_nonce` must be random, printable and without commas.
 ///
 /// # Errors
-/// [`ScramError`] if the mechanism was not offered, or the message is malformed or does not fit the channel.
+/// [`ScramError`] if the mechanism was not offered, or the message is malformed or its channel binding does not match.
 pub fn start_exchange(
     verifier: Verifier,
     mechanism: &str,
--- a/core/postgres-session/src/server_messages.rs
+++ b/core/postgres-session/src/server_messages.rs
@@ -92,7 +92,7 @@
 
     fn message(self) -> &'static str {
         match self {
-            Self::Rejected { .. } => "no server has capacity for the transaction; it was not run",
+            Self::Rejected { .. } => "no server has capacity; the transaction was not run",
             Self::MayHaveRun => {
                 "server connection lost or timed out; the statement may have been executed"
             }
--- a/core/postgres-session/src/session.rs
+++ b/core/postgres-session/src/session.rs
@@ -90,7 +90,7 @@
     /// The last `CommandComplete` of a batch outside a transaction block, delayed until the batch's `Sync` has
     /// committed the batch, because drivers treat `CommandComplete` as the commit.
     delayed_completion: Option<Bytes>,
-    /// Only part of a `DataRow` has been sent to the client.
+    /// Only part of a streamed message (`DataRow` or `CopyData`) has been sent to the client.
     is_row_incomplete: bool,
     /// The server was lost during a copy, after ignoring a `Sync`; the client sends a second `Sync` after the data.
     expects_second_sync: bool,
@@ -109,7 +109,7 @@
 }
 
 impl Session {
-    /// Creates an idle session without a server connection.
+    /// Creates an idle session without a server connection. `settings` come from the client's start-up message.
     #[must_use]
     pub fn new(settings: ClientSettings) -> Self {
         Self {
--- a/core/postgres-session/src/session/client_messages.rs
+++ b/core/postgres-session/src/session/client_messages.rs
@@ -115,7 +115,7 @@
             ServerLink::Attached(server) if !server.expected.is_empty() => {
                 actions.push(Action::ToServer(bytes));
             }
-            // No server is attached yet, and copy data is neither buffered nor silently dropped.
+            // Copy data is not buffered, so data that arrives before a server is attached must be rejected.
             ServerLink::Requested {
                 is_replacement: false,
             } => self.reject_violation(
--- a/core/postgres-session/src/session/message_writer.rs
+++ b/core/postgres-session/src/session/message_writer.rs
@@ -197,7 +197,8 @@
         self.send(&frame, ExpectedResponse::Parse(response));
     }
 
-    /// Answers a `Parse` of a text that is already prepared on the server connection locally.
+    /// Handles a `Parse` of a text that is already prepared on the server connection. The `Parse` is answered locally
+    /// unless the transaction has failed.
     fn parse_prepared(&mut self, parse: ParseMessage) {
         let is_rejected_by_server = self.status == TransactionStatus::Failed
             && parse.text.analyze().transaction_end().is_none();
--- a/core/postgres-session/src/session/server_loss.rs
+++ b/core/postgres-session/src/session/server_loss.rs
@@ -24,7 +24,7 @@
             is_replacement: true,
         };
         if self.is_row_incomplete {
-            // After a partial row, no further message would be readable for the client.
+            // The client cannot read any message after a partial one.
             self.end_without_server(actions);
         } else if let Some(error) = settings_error {
             // The server rejected the client's settings: forward the server's error.
--- a/core/postgres-session/src/settings.rs
+++ b/core/postgres-session/src/settings.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Lower-case names of settings that servers report. The reports also cover changes that a rollback reverts.
+/// Lower-case names of settings that servers report, including changes that are reverted by a rollback.
 /// `search_path` is only reported since version 18 and therefore not listed: a SET of `search_path` makes the session
 /// sticky.
 const REPORTED_SETTINGS: [&str; 7] = [
--- a/core/postgres-session/src/sql_analysis.rs
+++ b/core/postgres-session/src/sql_analysis.rs
@@ -90,7 +90,7 @@
 }
 
 impl StatementEffects {
-    /// Effects of a statement that cannot be analyzed.
+    /// Effects of a statement that cannot be analyzed; the session becomes sticky.
     #[must_use]
     pub fn unknown() -> Self {
         Self {
--- a/core/postgres-session/src/startup.rs
+++ b/core/postgres-session/src/startup.rs
@@ -51,13 +51,13 @@
 pub struct StartupMessage {
     /// Minor protocol version of the session: 0 or the newest supported version.
     pub minor: u32,
-    /// Body of the `NegotiateProtocolVersion` response; `None` if the requested version and options are supported.
+    /// Body of the `NegotiateProtocolVersion` response; `None` if no newer version and no option was requested.
     pub negotiate: Option<Bytes>,
     /// User name; never empty.
     pub user: String,
     /// Database name; defaults to the user name.
     pub database: String,
-    /// All parameters except protocol options, including user and database.
+    /// All parameters sent by the client, except protocol options.
     pub parameters: BTreeMap<String, String>,
 }
 
