--- a/adapters/postgres/tests/admission.rs
+++ b/adapters/postgres/tests/admission.rs
@@ -274,10 +274,10 @@
         let database = database();
         let node = Node::start(&[&database], |config| config.max_clients = 3).await;
         let http = response_to(&node, b"GET / HTTP/1.1\r\n\r\n").await;
-        assert!(http.contains("this is HTTP"));
+        assert!(http.contains("this is HTTP; the port expects the PostgreSQL protocol"));
         let ssl_request_twice = [0, 0, 0, 8, 4, 210, 22, 47, 0, 0, 0, 8, 4, 210, 22, 47];
         let repeated = response_to(&node, &ssl_request_twice).await;
-        assert!(repeated.contains("asked for again"));
+        assert!(repeated.contains("repeated request for the same encryption"));
         let too_long = response_to(&node, &[0xff, 0xff, 0xff, 0xff]).await;
         assert!(too_long.contains("08P01"));
         let clients = [
