--- a/adapters/postgres/src/authentication.rs
+++ b/adapters/postgres/src/authentication.rs
@@ -1,5 +1,4 @@
-//! Authentication of clients: SCRAM-SHA-256 (RFC 5802, RFC 7677) against stored verifiers, from which no password can
-//! be recovered.
+//! Authentication of clients by SCRAM-SHA-256 (RFC 5802, RFC 7677) against stored verifiers.
 
 use std::collections::BTreeMap;
 
@@ -12,25 +11,25 @@
 
 use crate::client::{Client, ClientError, random_bytes};
 
-/// Bytes of the secret from which the salts of unknown users come.
+/// Length of the secret from which the salts of unknown users are derived, in bytes.
 const SECRET_LENGTH: usize = 32;
-/// Characters of the server's part of the nonce.
+/// Length of the node's part of the nonce, in characters.
 const NONCE_LENGTH: usize = 18;
-/// Bytes of the length that precedes the message itself in a `SASLInitialResponse`.
+/// Size of the length field before the SASL data in a `SASLInitialResponse`, in bytes.
 const LENGTH_FIELD_LENGTH: usize = 4;
 
-/// All users and their verifiers.
+/// The client users and their SCRAM verifiers.
 pub struct Users {
     verifiers: BTreeMap<String, Verifier>,
-    /// For exchanges with unknown users, which look like any other.
+    /// Derives stable salts for unknown users, so that clients cannot probe which users exist.
     secret: [u8; SECRET_LENGTH],
 }
 
 impl Users {
-    /// These users, by name.
+    /// Creates the set of users from verifiers by user name.
     ///
     /// # Errors
-    /// [`ClientError::Random`] if the system gives no random numbers.
+    /// [`ClientError::Random`] if the operating system returns no random bytes.
     pub fn new(verifiers: BTreeMap<String, Verifier>) -> Result<Self, ClientError> {
         Ok(Self {
             verifiers,
@@ -38,11 +37,11 @@
         })
     }
 
-    /// Checks that a client knows the password of its user. With TLS, `channel_binding` lets the proof be bound to the
-    /// connection.
+    /// Runs a SCRAM exchange that proves that the client knows the password of `user`. `channel_binding` is the
+    /// `tls-server-end-point` data of a TLS connection, `None` without TLS.
     ///
     /// # Errors
-    /// [`ClientError`] if it does not, or if the connection has ended.
+    /// [`ClientError`] if the proof is invalid or the connection ends.
     pub async fn authenticate(
         &self,
         client: &mut Client,
@@ -78,7 +77,7 @@
     }
 }
 
-/// The mechanisms' names, each ended by a zero, with one zero more at the end.
+/// The list of mechanisms in `AuthenticationSASL`: names terminated by a zero byte, and a final zero byte.
 fn offered_mechanisms(has_channel_binding: bool) -> String {
     if has_channel_binding {
         format!("{MECHANISM_WITH_BINDING}\0{MECHANISM}\0\0")
@@ -87,7 +86,7 @@
     }
 }
 
-/// A client's `SASLInitialResponse`.
+/// The contents of a client's `SASLInitialResponse`.
 struct InitialResponse<'a> {
     mechanism: String,
     client_first: &'a [u8],
@@ -104,7 +103,7 @@
     }
 }
 
-/// The server's part of the nonce, in letters.
+/// The node's part of the nonce, in lowercase letters.
 fn random_nonce() -> Result<String, ClientError> {
     let bytes: [u8; NONCE_LENGTH] = random_bytes()?;
     Ok(bytes
--- a/adapters/postgres/src/cancellation.rs
+++ b/adapters/postgres/src/cancellation.rs
@@ -1,7 +1,7 @@
-//! Cancel requests of clients. Each session gets a key of the node's own, and a cancel request reaches only the
-//! statement that runs in that session; the key that the server gave to the node is shown to no client.
+//! Cancel requests of clients. Each session has a secret key issued by the node, and a cancel request affects only the
+//! statement that runs in that session. The keys issued by servers are not disclosed to clients.
 //!
-//! Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol", "Canceling Requests in Progress".
+//! Reference: PostgreSQL documentation, chapter "Frontend/Backend Protocol", "Canceling Requests in Progress".
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,22 +19,22 @@
 use crate::login::BackendKey;
 use crate::stream::Stream;
 
-/// Timeout of a cancel request to a server.
+/// Time limit for a cancel request to a server.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes of a session's secret key.
+/// A session's secret key, as in `BackendKeyData`.
 pub type SecretKey = [u8; 4];
 
-/// The server connection on which a statement runs.
+/// The server connection on which a session's statement runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelTarget {
     /// The server's address.
     pub endpoint: SocketAddr,
-    /// The server's key to the connection.
+    /// The process ID and secret key that the server issued for the connection.
     pub key: BackendKey,
 }
 
-/// What can be cancelled in one session. Clones share it.
+/// Handle for cancelling the running statement of a session. Clones share the state.
 #[derive(Clone, Default)]
 pub struct CancelHandle(Rc<CancelState>);
 
@@ -45,18 +45,18 @@
 }
 
 impl CancelHandle {
-    /// Sets the connection on which a statement runs now; `None` if none runs.
+    /// Sets the connection on which a statement runs; `None` if no statement is running.
     pub fn set_target(&self, target: Option<CancelTarget>) {
         self.0.target.set(target);
     }
 
-    /// Whether a cancel request is in flight to the server. Until the server has taken it, it might hit the next
-    /// session on the connection.
+    /// Whether a cancel request to the server is in flight. Until the server has received the request, the request
+    /// could cancel a statement of the next session on the connection.
     pub fn is_in_flight(&self) -> bool {
         self.0.requests_in_flight.get() > 0
     }
 
-    /// Cancels the statement that runs, if one does.
+    /// Cancels the running statement; does nothing if no statement is running.
     async fn cancel(&self, clock: &Clock) {
         let Some(target) = self.0.target.get() else {
             return;
@@ -66,8 +66,8 @@
     }
 }
 
-/// A cancel request to a server, in flight until this is dropped: also one that is given up counts no longer, or the
-/// session's connections would never be pooled again.
+/// Counts a cancel request as in flight until dropped. Dropping also covers abandoned requests; otherwise the session's
+/// connections would never return to the pool.
 struct InFlightRequest(Rc<CancelState>);
 
 impl InFlightRequest {
@@ -85,8 +85,8 @@
     }
 }
 
-/// Has a server cancel the statement on a connection. Returns once the server has closed the request's own connection:
-/// it has taken the request by then.
+/// Sends a cancel request to a server on a separate connection. Returns when the server has closed that connection,
+/// which shows that it has processed the request.
 async fn send_cancel_request(clock: &Clock, target: CancelTarget) {
     let request = async {
         let mut stream = Stream::plain(TcpStream::connect(target.endpoint).await?);
@@ -99,7 +99,7 @@
         stream.write_all(&out).await?;
         stream.read(&mut [0; 1]).await
     };
-    // The protocol knows no answer, so a failure is not reported either.
+    // The protocol has no response to a cancel request, so failures are ignored.
     let _ = clock.timeout(CANCEL_TIMEOUT, request).await;
 }
 
@@ -108,17 +108,17 @@
     session: CancelHandle,
 }
 
-/// The keys of all sessions, bounded by the limit of client connections.
+/// The secret keys of all sessions. Their number is bounded by the limit on client connections.
 #[derive(Default)]
 pub struct CancelKeys {
     sessions: RefCell<BTreeMap<u32, CancelEntry>>,
 }
 
 impl CancelKeys {
-    /// Makes the secret key of a new session, which its client gets with the session's number in `BackendKeyData`.
+    /// Issues the secret key of a new session, to be sent to the client in `BackendKeyData`.
     ///
     /// # Errors
-    /// [`ClientError::Random`] if the system gives no random numbers.
+    /// [`ClientError::Random`] if the operating system returns no random bytes.
     pub fn issue(&self, number: u32, session: CancelHandle) -> Result<SecretKey, ClientError> {
         let key = random_bytes()?;
         self.sessions
@@ -127,12 +127,12 @@
         Ok(key)
     }
 
-    /// Forgets the key of a session that has ended.
+    /// Removes the key of a session that has ended.
     pub fn revoke(&self, number: u32) {
         self.sessions.borrow_mut().remove(&number);
     }
 
-    /// Handles a cancel request. With another key, or if no statement runs, nothing happens.
+    /// Handles a cancel request. Does nothing if the key is wrong or no statement is running.
     pub async fn cancel(&self, number: u32, key: &[u8], clock: &Clock) {
         if let Some(session) = self.session(number, key) {
             session.cancel(clock).await;
--- a/adapters/postgres/src/client.rs
+++ b/adapters/postgres/src/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection before it has a session: messages are written and read one at a time.
+//! A client's connection before its session starts. Reads and writes one message at a time.
 
 use std::io;
 
@@ -13,63 +13,63 @@
 
 use crate::stream::Stream;
 
-/// Most bytes of a message of the authentication.
+/// Maximum length of the body of a `PasswordMessage` or SASL response, in bytes.
 const MAX_PASSWORD_MESSAGE_LENGTH: usize = 4096;
-/// Most bytes that are read at once.
+/// Maximum number of bytes per read.
 const READ_BUFFER_SIZE: usize = 4096;
 
-/// Why a client gets no session.
+/// Why a client's connection was closed before or instead of a session.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// The connection broke.
+    /// The connection failed.
     #[error("{0}")]
     Socket(#[from] io::Error),
-    /// Its first packet is not of the protocol, or asks for something that is not supported.
+    /// A start-up packet is malformed or requests an unsupported feature.
     #[error("{0}")]
     Startup(#[from] StartupError),
-    /// What it sent is no message.
+    /// The received bytes are not a valid message.
     #[error("{0}")]
     Frame(#[from] FrameError),
-    /// A parameter of its start-up message is not supported.
+    /// A parameter of the `StartupMessage` is not supported.
     #[error("{0}")]
     Settings(#[from] SettingsError),
-    /// It is authenticated, but not authorized, or there is no capacity for it.
+    /// The client is not authorized, exceeded a time limit, or found no capacity. Contains the reason.
     #[error("{0}")]
     NotAllowed(&'static str),
-    /// Its authentication failed.
+    /// The SCRAM authentication failed.
     #[error("{0}")]
     Authentication(#[from] ScramError),
-    /// It has closed the connection.
-    #[error("it closed the connection")]
+    /// The client closed the connection during the authentication.
+    #[error("the client closed the connection during the authentication")]
     Closed,
-    /// The system gives no random numbers.
-    #[error("the system has no random numbers")]
+    /// The operating system returned no random bytes.
+    #[error("the operating system returned no random bytes")]
     Random,
 }
 
-/// A client that has no session yet.
+/// The connection of a client that has no session yet.
 pub struct Client {
-    /// The bytes in both directions.
+    /// The connection's byte stream, unencrypted or TLS.
     pub stream: Stream,
-    /// Bytes that were received and not handled yet.
+    /// Buffers received bytes and decodes them into messages.
     pub decoder: FrameDecoder,
 }
 
 impl Client {
-    /// Writes bytes as they are.
+    /// Writes bytes without message framing, and flushes.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await?;
         self.stream.flush().await
     }
 
-    /// Writes messages.
+    /// Writes messages and flushes.
     pub async fn send(&mut self, frames: &[Frame]) -> io::Result<()> {
         let mut out = BytesMut::new();
         frames.iter().for_each(|frame| frame.write(&mut out));
         self.write(&out).await
     }
 
-    /// Sends the client the reason why it gets no session. Returns the cause, or the socket's error if sending fails.
+    /// Sends the client an `ErrorResponse`. Returns `cause`, or the socket error if sending fails.
     pub async fn reject(
         &mut self,
         reason: ErrorReason,
@@ -82,10 +82,10 @@
         }
     }
 
-    /// The next message, which has to be one of the authentication.
+    /// Reads the next message, which has to be a `PasswordMessage` or SASL response.
     ///
     /// # Errors
-    /// [`ClientError`] if it is another one or too long, or if the connection has ended.
+    /// [`ClientError`] if the message is of another type or too long, or the connection ends.
     pub async fn read_password_message(&mut self) -> Result<Frame, ClientError> {
         loop {
             match self.decoder.next_from_client()? {
@@ -108,10 +108,10 @@
     }
 }
 
-/// Random bytes from the operating system.
+/// Returns random bytes from the operating system.
 ///
 /// # Errors
-/// [`ClientError::Random`] if it gives none.
+/// [`ClientError::Random`] if the operating system returns none.
 pub fn random_bytes<const N: usize>() -> Result<[u8; N], ClientError> {
     let mut bytes = [0; N];
     getrandom::fill(&mut bytes).map_err(|_| ClientError::Random)?;
--- a/adapters/postgres/src/client_registry.rs
+++ b/adapters/postgres/src/client_registry.rs
@@ -1,4 +1,5 @@
-//! All clients that have a session, by number: cancel requests and operators name them by it.
+//! Registry of the clients that have a session, by session number. Cancel requests and console commands identify
+//! sessions by this number.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,30 +13,30 @@
 
 use crate::cancellation::CancelHandle;
 
-/// Who a client is.
+/// The identity of a client, from its `StartupMessage` and its connection.
 pub struct ClientIdentity {
-    /// Its user.
+    /// User name that the client authenticated with.
     pub user: String,
-    /// Its database.
+    /// Database that the client requested.
     pub database: String,
-    /// Its `application_name`.
+    /// The client's `application_name`; empty if not set.
     pub application: String,
-    /// Its address.
+    /// The client's IP address and port.
     pub address: SocketAddr,
-    /// Whether its connection is in TLS.
+    /// Whether the client's connection uses TLS.
     pub is_tls: bool,
 }
 
-/// What a session is doing. Displayed, it is the state that the console shows.
+/// The activity of a session. The `Display` form is the state shown by `SHOW CLIENTS`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionActivity {
-    /// The state of its transaction.
+    /// The transaction status, as in `ReadyForQuery`.
     pub transaction: TransactionStatus,
-    /// Why it keeps its server connection between transactions, if it does.
+    /// Why the session keeps its server connection between transactions; `None` if it does not.
     pub sticky_reason: Option<StickyReason>,
-    /// The server to which it has a connection.
+    /// Address of the server whose connection is leased to the session.
     pub server: Option<SocketAddr>,
-    /// Whether it waits for a server connection.
+    /// Whether a transaction was submitted to the engine and has no outcome yet.
     pub is_waiting: bool,
 }
 
@@ -52,11 +53,11 @@
     }
 }
 
-/// One client, as operators see it.
+/// One client's entry in the registry.
 pub struct ClientEntry {
-    /// Its number.
+    /// The session number, sent to the client as the process ID in `BackendKeyData`.
     pub number: u32,
-    /// Who it is.
+    /// The client's identity.
     pub identity: ClientIdentity,
     transactions: Cell<u64>,
     activity: Cell<SessionActivity>,
@@ -65,28 +66,28 @@
 }
 
 impl ClientEntry {
-    /// Transactions that were served to it so far.
+    /// Number of transactions completed in the session.
     pub fn transactions(&self) -> u64 {
         self.transactions.get()
     }
 
-    /// What its session is doing.
+    /// The session's current activity.
     pub fn activity(&self) -> SessionActivity {
         self.activity.get()
     }
 }
 
-/// The clients that have a session, bounded by the limit of client connections.
+/// The clients that have a session. Their number is bounded by the limit on client connections.
 #[derive(Default)]
 pub struct ClientRegistry {
     entries: RefCell<BTreeMap<u32, Rc<ClientEntry>>>,
     last_number: Cell<u32>,
-    /// Transactions that were served to clients that have disconnected.
+    /// Transactions completed by clients that have disconnected.
     past_transactions: Cell<u64>,
 }
 
 impl ClientRegistry {
-    /// Adds a client, until what is returned and all its clones are dropped.
+    /// Adds a client. The entry is removed when the returned handle and all its clones are dropped.
     pub fn register(self: &Rc<Self>, identity: ClientIdentity) -> RegisteredClient {
         let mut entries = self.entries.borrow_mut();
         let mut number = next_number(self.last_number.get());
@@ -109,19 +110,20 @@
         }))
     }
 
-    /// All clients, by number.
+    /// All clients, in the order of their numbers.
     pub fn clients(&self) -> Vec<Rc<ClientEntry>> {
         self.entries.borrow().values().cloned().collect()
     }
 
-    /// Transactions that were served to all clients so far.
+    /// Number of transactions completed by all clients since the node started.
     pub fn transactions(&self) -> u64 {
         let entries = self.entries.borrow();
         let present: u64 = entries.values().map(|entry| entry.transactions()).sum();
         self.past_transactions.get() + present
     }
 
-    /// Ends a client's session at the end of its transaction. Returns whether there is such a client.
+    /// Requests the end of a client's session after its current transaction. Returns false if no client has this
+    /// number.
     pub fn disconnect(&self, number: u32) -> bool {
         let entries = self.entries.borrow();
         let Some(entry) = entries.get(&number) else {
@@ -132,12 +134,12 @@
     }
 }
 
-/// The number after this one; 0 is never used.
+/// The next session number, wrapping around; 0 is never used.
 fn next_number(number: u32) -> u32 {
     number.wrapping_add(1).max(1)
 }
 
-/// Removes its client from the registry when it is dropped.
+/// Removes the client from the registry when dropped.
 struct Registration {
     registry: Rc<ClientRegistry>,
     entry: Rc<ClientEntry>,
@@ -152,7 +154,7 @@
     }
 }
 
-/// A client's entry in the registry, for its session. Clones share it.
+/// A session's handle to its entry in the registry. Clones share the entry.
 #[derive(Clone)]
 pub struct RegisteredClient(Rc<Registration>);
 
@@ -161,34 +163,34 @@
         &self.0.entry
     }
 
-    /// The client's number.
+    /// The session number.
     pub fn number(&self) -> u32 {
         self.entry().number
     }
 
-    /// The client's user.
+    /// User name that the client authenticated with.
     pub fn user(&self) -> &str {
         &self.entry().identity.user
     }
 
-    /// What can be cancelled in the session.
+    /// The handle through which cancel requests reach the session.
     pub fn cancel_handle(&self) -> &CancelHandle {
         &self.entry().cancel_handle
     }
 
-    /// Counts a transaction that was served.
+    /// Counts a completed transaction.
     pub fn count_transaction(&self) {
         let transactions = &self.entry().transactions;
         transactions.set(transactions.get() + 1);
     }
 
-    /// Sets what the session is doing now.
+    /// Updates the session's activity.
     pub fn set_activity(&self, activity: SessionActivity) {
         self.entry().activity.set(activity);
     }
 
-    /// Resolves once an operator has requested the end of the session.
-    pub async fn disconnected(&self) {
+    /// Resolves when an operator requests the end of the session.
+    pub async fn disconnect_requested(&self) {
         self.entry().disconnect.notified().await;
     }
 }
--- a/adapters/postgres/src/console/tables.rs
+++ b/adapters/postgres/src/console/tables.rs
@@ -20,7 +20,7 @@
     ];
     let pool_row = |server: ServerStats| {
         row([
-            &context.fleet.endpoint_name(server.address.backend),
+            &context.engine.endpoint_name(server.address.backend),
             &server.address.endpoint,
             &server.open.saturating_sub(server.idle),
             &server.idle,
@@ -76,7 +76,7 @@
 /// SHOW SERVERS: the servers that there are connections to, and whether they are still in service.
 pub(super) fn servers(context: &ServerContext) -> Table {
     let in_service: Vec<ServerAddress> = context
-        .fleet
+        .engine
         .endpoints_in_service()
         .into_iter()
         .map(ServerAddress::from)
@@ -88,7 +88,7 @@
             "leaving"
         };
         row([
-            &context.fleet.endpoint_name(server.address.backend),
+            &context.engine.endpoint_name(server.address.backend),
             &server.address.endpoint,
             &state,
             &server.open,
--- a/adapters/postgres/src/context.rs
+++ b/adapters/postgres/src/context.rs
@@ -1,4 +1,4 @@
-//! What all sessions, the listener and the console of one node share.
+//! State shared by the listener, the sessions and the console of one node.
 
 use std::rc::Rc;
 
@@ -11,29 +11,29 @@
 use crate::pool::Pool;
 use crate::unauthenticated_clients::UnauthenticatedClients;
 
-/// What all sessions, the listener and the console share.
+/// State shared by the listener, the sessions and the console.
 pub struct ServerContext {
-    /// The operators' settings.
+    /// The section `[postgres]` of the configuration file.
     pub config: Config,
     /// The engine that chooses a server for each transaction.
-    pub fleet: PostgresEngine,
-    /// Connections to servers.
+    pub engine: PostgresEngine,
+    /// The pool of server connections.
     pub pool: Rc<Pool>,
-    /// Clients that have a session.
+    /// The clients that have a session.
     pub clients: Rc<ClientRegistry>,
-    /// Clients that are not authenticated yet.
+    /// The clients that are not authenticated yet.
     pub unauthenticated: Rc<UnauthenticatedClients>,
-    /// Counts sessions, from the admission of their client on.
+    /// Counts sessions, including those whose first connection to a server is still being opened.
     pub sessions: ConnectionCounter,
     /// Counts open consoles.
     pub consoles: ConnectionCounter,
-    /// Keys by which clients cancel statements.
+    /// The secret keys with which clients cancel statements.
     pub cancel_keys: CancelKeys,
 }
 
 impl ServerContext {
     /// The node's clock.
     pub fn clock(&self) -> &Clock {
-        self.fleet.clock()
+        self.engine.clock()
     }
 }
--- a/adapters/postgres/src/lease.rs
+++ b/adapters/postgres/src/lease.rs
@@ -1,5 +1,5 @@
-//! Leases of server connections: what a session asks for, what it gets, and the slot in which the engine's transport
-//! leaves it.
+//! Leases of server connections: a session's request, the lease, and the slot through which the engine's transport
+//! delivers the lease to the session.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,56 +13,56 @@
 
 /// A transaction's request for the lease of a server connection.
 pub struct LeaseRequest {
-    /// The database, and the login at the server.
+    /// The database and the login at the server.
     pub target: ConnectionTarget,
-    /// Where connections are scarce, requests of lower rank go first.
+    /// Requests with a lower rank are served first when all connections are in use.
     pub rank: u64,
-    /// The transaction's number in its session, from 1.
+    /// The transaction's sequence number in the session, from 1.
     pub transaction: u64,
-    /// Where the lease is delivered.
+    /// The slot into which the lease is delivered.
     pub slot: Rc<LeaseSlot>,
 }
 
-/// A server connection leased to a transaction, until the attempt ends.
+/// A server connection that is leased to a transaction until the attempt ends.
 pub struct ServerLease {
-    /// The attempt.
+    /// The engine's attempt that acquired the connection; its end has to be reported to the engine.
     pub attempt: AttemptId,
-    /// The server.
+    /// The server and its address.
     pub address: ServerAddress,
-    /// The connection.
+    /// The leased connection.
     pub connection: ServerConnection,
-    /// When the attempt times out.
+    /// Time at which the attempt times out, on the node's clock.
     pub deadline: Nanos,
-    /// Resolves once the engine has cancelled the attempt.
+    /// Resolves when the engine cancels the attempt.
     pub cancelled: oneshot::Receiver<()>,
 }
 
-/// A transaction that waits for no lease.
+/// Value of [`LeaseSlot::expected`] while no transaction waits for a lease.
 const NO_TRANSACTION: u64 = 0;
 
-/// Where the leases for one session arrive.
+/// Receives the leases of one session.
 #[derive(Default)]
 pub struct LeaseSlot {
-    /// The transaction that waits for a lease, or [`NO_TRANSACTION`].
+    /// Number of the transaction that waits for a lease, or [`NO_TRANSACTION`].
     expected: Cell<u64>,
-    /// The lease that has arrived and was not taken yet.
+    /// A delivered lease that the session has not taken yet.
     delivered: RefCell<Option<Box<ServerLease>>>,
     waker: RefCell<Option<Waker>>,
 }
 
 impl LeaseSlot {
-    /// From now on only a lease for this transaction is accepted.
+    /// Accepts a lease for this transaction only, until the next call or [`Self::close`].
     pub fn expect(&self, transaction: u64) {
         self.expected.set(transaction);
     }
 
-    /// Accepts no lease any more. Returns the one that has arrived and was not taken.
+    /// Stops accepting leases. Returns a delivered lease that was not taken.
     pub fn close(&self) -> Option<Box<ServerLease>> {
         self.expected.set(NO_TRANSACTION);
         self.delivered.borrow_mut().take()
     }
 
-    /// Delivers a lease for a transaction. It is given back if the transaction does not wait for one any more.
+    /// Delivers a lease for a transaction. Returns the lease if the transaction is no longer waiting.
     pub fn deliver(&self, transaction: u64, lease: ServerLease) -> Option<ServerLease> {
         if self.delivered.borrow().is_some() || self.expected.get() != transaction {
             return Some(lease);
@@ -72,7 +72,7 @@
         None
     }
 
-    /// The lease, once it has arrived; the task is woken when it does.
+    /// Takes the delivered lease. While there is none, registers the task to be woken on delivery.
     pub fn poll_lease(&self, cx: &Context<'_>) -> Poll<Box<ServerLease>> {
         if let Some(lease) = self.delivered.borrow_mut().take() {
             return Poll::Ready(lease);
--- a/adapters/postgres/src/lib.rs
+++ b/adapters/postgres/src/lib.rs
@@ -1,6 +1,8 @@
-//! The PostgreSQL adapter: clients ([`server`]) and servers ([`upstream`]) on sockets. The unit that the balancer sees
-//! is one transaction, or one statement outside any. `badgerpost-postgres-session` decides what a session sends and
-//! receives, the engine and its balancer which server a transaction goes to; nothing is decided here.
+//! The PostgreSQL adapter: a connection pooler that accepts clients ([`server`]) and connects to servers
+//! ([`upstream`]). The unit of load balancing is a transaction, or a single statement outside a transaction block.
+//!
+//! The crate `badgerpost-postgres-session` implements the protocol state machine of a session. The engine and its
+//! balancer choose the server of each transaction. This crate does the input and output.
 
 pub mod access;
 mod authentication;
@@ -27,7 +29,7 @@
 pub use client::ClientError;
 pub use login::{BackendKey, ConnectError};
 
-/// The adapter's types of request and response.
+/// The adapter's types of request and response for the engine.
 pub struct Postgres;
 
 impl Protocol for Postgres {
@@ -35,5 +37,5 @@
     type Response = ();
 }
 
-/// The engine of a PostgreSQL fleet.
+/// The engine that balances transactions over PostgreSQL servers.
 pub type PostgresEngine = Engine<Postgres>;
--- a/adapters/postgres/src/login.rs
+++ b/adapters/postgres/src/login.rs
@@ -1,7 +1,7 @@
-//! Connects to a server and logs the node in: TLS, `StartupMessage`, authentication, and what the server reports until
-//! it is ready for a query.
+//! Connects to a server and logs in: TLS, `StartupMessage`, authentication, and the server's messages up to the first
+//! `ReadyForQuery`.
 //!
-//! Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol", "Start-up" and "SSL Session Encryption".
+//! Reference: PostgreSQL documentation, chapter "Frontend/Backend Protocol", "Start-up" and "SSL Session Encryption".
 
 mod authentication;
 mod error;
@@ -26,45 +26,45 @@
 
 pub use self::error::{ConnectError, ProtocolViolation};
 
-/// Most bytes that are read at once.
+/// Maximum number of bytes per read.
 const READ_BUFFER_SIZE: usize = 8 * 1024;
-/// Bytes of the process number and the secret key of a `BackendKeyData`.
+/// Length of the process ID and the secret key in `BackendKeyData`, in bytes.
 const BACKEND_KEY_LENGTH: usize = 8;
-/// The answer of a server that accepts an `SSLRequest`.
+/// The response of a server that accepts an `SSLRequest`.
 const TLS_ACCEPTED: &[u8; 1] = b"S";
-/// The node's `application_name` at servers.
+/// The `application_name` of the node's connections to servers.
 const APPLICATION_NAME: &str = "badgerpost";
 
-/// SQLSTATE codes of a server that accepts no connection now.
+/// SQLSTATE codes with which a server rejects a connection temporarily.
 mod sqlstate {
     pub(super) const TOO_MANY_CONNECTIONS: &str = "53300";
     /// The server is starting or shutting down.
     pub(super) const CANNOT_CONNECT_NOW: &str = "57P03";
 }
 
-/// A server's own key to a connection, from `BackendKeyData`: a cancel request needs it.
+/// The process ID and secret key from a server's `BackendKeyData`, used for cancel requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendKey {
-    /// The number of the server's process.
+    /// ID of the server process that serves the connection.
     pub process_id: i32,
-    /// The secret.
+    /// Secret key that authorizes a cancel request.
     pub secret_key: i32,
 }
 
-/// What a server reports of itself (`ParameterStatus`): values by the name of their parameter.
+/// The parameters that a server reports in `ParameterStatus` messages: values by parameter name.
 pub type Parameters = BTreeMap<String, String>;
 
-/// A connection that is logged in.
+/// A new connection to a server, authenticated and ready for queries.
 pub struct NewConnection {
-    /// The bytes in both directions.
+    /// The connection's byte stream, unencrypted or TLS.
     pub stream: Stream,
-    /// Bytes that were received and not handled yet.
+    /// Buffers received bytes and decodes them into messages.
     pub decoder: FrameDecoder,
-    /// Prepared statements and settings of the connection.
+    /// Prepared statements and settings that exist on the connection.
     pub state: ServerState,
-    /// The key that a cancel request for this connection needs.
+    /// The process ID and secret key for cancel requests.
     pub cancel_key: BackendKey,
-    /// The parameters that the server reported, by the names that it gives them.
+    /// The parameters that the server reported during login, by the server's spelling of their names.
     pub parameters: Parameters,
 }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Handles messages until the server is ready for a query.
+    /// Handles messages until the server sends `ReadyForQuery`.
     async fn complete_login(
         mut self,
         mut authentication: Authentication<'_>,
@@ -147,7 +147,7 @@
 /// Connects to a server and logs in.
 ///
 /// # Errors
-/// [`ConnectError`] if the server can't be reached, rejects the login, or does not follow the protocol.
+/// [`ConnectError`] if the server cannot be reached, rejects the login, or violates the protocol.
 pub async fn log_in(
     endpoint: SocketAddr,
     tls: Option<&Connector>,
@@ -177,13 +177,14 @@
     connection.complete_login(authentication).await
 }
 
-/// A connection in TLS.
+/// A TLS connection to a server.
 struct EncryptedStream {
     stream: Stream,
-    /// `tls-server-end-point` of the server's certificate.
+    /// Channel binding data `tls-server-end-point` of the server's certificate; `None` if it sent no certificate.
     channel_binding: Option<Vec<u8>>,
 }
 
+/// Sends an `SSLRequest` and performs the TLS handshake.
 async fn encrypt(
     mut socket: CountedStream,
     tls: &Connector,
@@ -210,7 +211,7 @@
     })
 }
 
-/// What an `ErrorResponse` during a login means.
+/// Converts an `ErrorResponse` received during login to an error.
 fn rejection(response: &Frame) -> ConnectError {
     let ServerError { code, message } = ServerError::read(response);
     match code.as_str() {
--- a/adapters/postgres/src/login/authentication.rs
+++ b/adapters/postgres/src/login/authentication.rs
@@ -1,4 +1,4 @@
-//! Authentication of the node at a server: SCRAM-SHA-256, with channel binding where TLS gives one (RFC 5802, RFC
+//! Authentication of the node at a server by SCRAM-SHA-256, with channel binding on TLS connections (RFC 5802, RFC
 //! 7677).
 
 use badgerpost_postgres_session::frame::Frame;
@@ -11,15 +11,15 @@
 use super::{ConnectError, NewConnection, ProtocolViolation};
 use crate::logins::Credentials;
 
-/// Bytes of the code that an authentication request begins with.
+/// Length of the code at the start of an authentication request, in bytes.
 const REQUEST_CODE_LENGTH: usize = 4;
 
-/// The authentication of one login.
+/// The state of the authentication of one login.
 pub(super) struct Authentication<'a> {
     credentials: &'a Credentials,
-    /// `tls-server-end-point` of the connection, if it has TLS.
+    /// Channel binding data `tls-server-end-point`; `None` without TLS.
     channel_binding: Option<Vec<u8>>,
-    /// The SCRAM exchange, from its start until the server's signature is verified.
+    /// The SCRAM exchange in progress; `None` before it starts and after the server's signature is verified.
     exchange: Option<ScramSha256>,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Answers an authentication request.
+    /// Handles an authentication request of the server.
     pub(super) async fn handle(
         &mut self,
         connection: &mut NewConnection,
@@ -45,26 +45,28 @@
         let unsupported = ConnectError::UnsupportedAuthentication;
         match body.get_u32() {
             authentication::OK => self.check_complete(),
-            authentication::CLEARTEXT_PASSWORD => Err(unsupported("a password in clear text")),
-            authentication::MD5_PASSWORD => Err(unsupported("an md5 password")),
+            authentication::CLEARTEXT_PASSWORD => Err(unsupported("a cleartext password")),
+            authentication::MD5_PASSWORD => Err(unsupported("an MD5 password")),
             authentication::SASL => self.start_exchange(connection, &body).await,
             authentication::SASL_CONTINUE if self.exchange.is_some() => {
                 self.continue_exchange(connection, &body).await
             }
             authentication::SASL_FINAL if self.exchange.is_some() => self.finish_exchange(&body),
-            _ => Err(unsupported("an authentication that is not spoken here")),
+            _ => Err(unsupported(
+                "an unsupported or unexpected authentication method",
+            )),
         }
     }
 
     fn check_complete(&self) -> Result<(), ConnectError> {
-        // Without its signature a server has not proven that it knows the password: it may be an impostor.
+        // An exchange still in progress means that the server has not proven that it knows the password.
         match self.exchange {
             Some(_) => Err(ProtocolViolation::NoServerSignature.into()),
             None => Ok(()),
         }
     }
 
-    /// Chooses a mechanism among those that the server offers, and sends the first message.
+    /// Chooses one of the SASL mechanisms that the server offers and sends `SASLInitialResponse`.
     async fn start_exchange(
         &mut self,
         connection: &mut NewConnection,
@@ -84,7 +86,7 @@
             None if is_offered(MECHANISM) => (MECHANISM, ChannelBinding::unsupported()),
             _ => {
                 return Err(ConnectError::UnsupportedAuthentication(
-                    "an unknown SASL mechanism",
+                    "an unsupported SASL mechanism",
                 ));
             }
         };
@@ -115,7 +117,7 @@
             .await
     }
 
-    /// Verifies the server's signature.
+    /// Verifies the server's signature in the final message of the exchange.
     fn finish_exchange(&mut self, server_final: &[u8]) -> Result<(), ConnectError> {
         if let Some(mut exchange) = self.exchange.take() {
             exchange.finish(server_final)?;
--- a/adapters/postgres/src/login/error.rs
+++ b/adapters/postgres/src/login/error.rs
@@ -1,54 +1,58 @@
-//! Why there is no connection to a server.
+//! Errors of connecting and logging in to a server.
 
 use std::io;
 
 use badgerpost_postgres_session::frame::FrameError;
 
-/// Why there is no connection to a server.
+/// Why no connection to a server could be acquired.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The socket failed.
+    /// The operating system or the TLS library returned an error.
     #[error("{0}")]
     Socket(#[from] io::Error),
-    /// The server did not complete the login in time.
-    #[error("no answer in time")]
+    /// The server did not complete the login within the connect timeout.
+    #[error("the server did not complete the login in time")]
     TimedOut,
-    /// No connection of the pool will come free in time.
-    #[error("no capacity: all of the node's connections to it are in use")]
+    /// No connection is expected to be released before the deadline, or the queue is full.
+    #[error(
+        "no capacity: all of the node's connections to the server are in use, and the queue is too long"
+    )]
     PoolExhausted,
-    /// No connection of the pool has come free in time.
-    #[error("no capacity: none of its connections came free in time")]
+    /// No connection was released before the deadline.
+    #[error(
+        "no capacity: none of the node's connections to the server was released before the deadline"
+    )]
     WaitTimedOut,
-    /// The server accepts no connections now; its own message.
-    #[error("no capacity: {0}")]
+    /// The server accepts no connections now. Contains the message of the server's `ErrorResponse`.
+    #[error("no capacity: the server accepts no connections now: {0}")]
     ServerFull(String),
     /// The server rejected the login.
-    #[error("login rejected: {code} {message}")]
+    #[error("the server rejected the login: {code} {message}")]
     Rejected {
-        /// SQLSTATE of the error.
+        /// SQLSTATE of the server's `ErrorResponse`.
         code: String,
-        /// Its message.
+        /// Message of the server's `ErrorResponse`.
         message: String,
     },
-    /// The address is not of this machine, and the clock is under a test's control.
-    #[error("a rehearsal reaches loopback addresses only")]
+    /// The address is not a loopback address, and the node runs on a virtual clock.
+    #[error("not connecting to the server: a rehearsal connects to loopback addresses only")]
     NotLoopback,
-    /// TLS is required, and the server does not offer it.
-    #[error("server_tls is set, and it does not speak TLS")]
+    /// `server_tls` is configured, and the server refused the `SSLRequest`.
+    #[error("the server does not support TLS, which server_tls requires")]
     NoTls,
     /// The server asks for an authentication method that is not supported.
-    #[error("it wants {0}; only SCRAM-SHA-256 is spoken")]
+    #[error("the server requested {0}; only SCRAM-SHA-256 is supported")]
     UnsupportedAuthentication(&'static str),
-    /// The server asks for a password, and there is none.
-    #[error("it wants a password, and the login has no password_file")]
+    /// The server requests a password, and none is configured for the login.
+    #[error("the server requested a password, but the configured login has no password_file")]
     NoPassword,
-    /// The server does not follow the protocol.
-    #[error("not the PostgreSQL protocol: {0}")]
+    /// The server violated the protocol.
+    #[error("the server violated the PostgreSQL protocol: {0}")]
     Protocol(#[from] ProtocolViolation),
 }
 
 impl ConnectError {
-    /// Whether the cause is a lack of capacity: there or in the pool, a connection may be had later.
+    /// Whether the cause is a temporary lack of capacity, at the server or in the pool.
     pub fn is_capacity(&self) -> bool {
         matches!(
             self,
@@ -57,25 +61,25 @@
     }
 }
 
-/// What a server did against the protocol during a login.
+/// A server's violation of the protocol during login.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolViolation {
-    /// Bytes that are no messages.
+    /// The received bytes are not a valid message.
     #[error("{0}")]
     Frame(#[from] FrameError),
-    /// Rows before the login is complete.
-    #[error("a row before it is ready")]
+    /// The server sent a chunked message, such as a row, before `ReadyForQuery`.
+    #[error("data row before ReadyForQuery")]
     UnexpectedRow,
-    /// Another message that has no place in a login.
-    #[error("message {0:?} before it is ready")]
+    /// The server sent a message of a type that is not allowed during login. Contains the type byte.
+    #[error("message of type {0:?} before ReadyForQuery")]
     UnexpectedMessage(char),
-    /// The connection ended during the login.
-    #[error("it closed the connection")]
+    /// The server closed the connection during login.
+    #[error("connection closed during login")]
     Closed,
-    /// An authentication request without its code.
-    #[error("a short authentication request")]
+    /// The authentication request is shorter than its code.
+    #[error("authentication request shorter than 4 bytes")]
     ShortAuthenticationRequest,
-    /// The login succeeded in the middle of a SCRAM exchange: the server has not shown that it knows the password.
-    #[error("logged in without the server's own proof")]
+    /// The server completed the login in the middle of a SCRAM exchange, without proving that it knows the password.
+    #[error("AuthenticationOk before the server's SCRAM signature")]
     NoServerSignature,
 }
--- a/adapters/postgres/src/pool.rs
+++ b/adapters/postgres/src/pool.rs
@@ -1,10 +1,10 @@
-//! The pool of connections to servers, by server, database and login. A connection returns to the pool only outside a
-//! transaction; any other is closed, and its uncommitted work with it.
+//! The pool of server connections, keyed by server, database and login. A connection returns to the pool only when it
+//! is outside a transaction. A connection that is still in a transaction is closed, and the server rolls back.
 //!
-//! - `connection`: a pooled connection and its key
-//! - `server_slots`: limits of one server, and who waits for a connection to it
-//! - `server_parameters`: what servers report of themselves, for clients
-//! - `maintenance`: closing old connections, opening new ones ahead of need
+//! - `connection`: a pooled connection and its pool key
+//! - `server_slots`: the connection limits of one server, and the queue of transactions that wait for a connection
+//! - `server_parameters`: the `ParameterStatus` values of the servers, combined for clients
+//! - `maintenance`: closes expired connections and opens connections up to `min_idle`
 
 mod connection;
 mod maintenance;
@@ -31,40 +31,40 @@
 
 pub use self::connection::{ConnectionTarget, PoolKey, ServerAddress, ServerConnection};
 
-/// Timeout of connecting and logging in to a server.
+/// Time limit for connecting and logging in to a server.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Servers with figures before those that have left and have no connections are forgotten.
+/// Number of servers with statistics above which servers without connections are removed from the statistics.
 const SERVERS_BEFORE_CLEANUP: usize = 256;
 /// Shortest lifetime of a connection, in percent of the configured one.
 const MIN_LIFETIME_PERCENT: u64 = 75;
-/// Number of different lifetimes, one percent apart: from 75% to 125% of the configured one.
+/// Number of distinct lifetimes, one percent apart: from 75% to 125% of the configured lifetime.
 const LIFETIME_STEPS: u64 = 51;
 
-/// What one server's connections are doing, for operators.
+/// Connection statistics of one server, shown on the console.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerStats {
-    /// The server.
+    /// The server, and the address at which the connections were opened.
     pub address: ServerAddress,
-    /// Open connections.
+    /// Open connections, idle or leased, including those whose login is in progress.
     pub open: usize,
-    /// Those that are idle.
+    /// Open connections that are idle in the pool.
     pub idle: usize,
     /// Logins in progress.
     pub logging_in: usize,
     /// Transactions that wait for a connection.
     pub waiting: usize,
-    /// Transactions that had a connection so far.
+    /// Transactions that have released a connection since the node started.
     pub transactions: u64,
-    /// Smoothed time for which a transaction has a connection, in microseconds.
+    /// Moving average of the time for which a transaction holds a connection, in microseconds.
     pub mean_lease_us: u64,
 }
 
-/// Whether transactions may start.
+/// Whether new transactions may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolState {
-    /// Transactions start.
+    /// New transactions may start.
     Active,
-    /// New transactions wait, those that have a connection go on.
+    /// New transactions wait; transactions that already have a connection continue.
     Paused,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// Connections to all servers.
+/// The pool of connections to all servers.
 pub struct Pool {
     clock: Clock,
     logins: Logins,
@@ -87,7 +87,7 @@
     servers: RefCell<BTreeMap<ServerAddress, Rc<ServerSlots>>>,
     parameters: ServerParameters,
     recent_targets: RecentTargets,
-    /// Connections of an earlier generation are not used again.
+    /// Incremented by [`Pool::reconnect`]. Connections of an earlier generation are closed instead of reused.
     generation: Cell<u64>,
     connections_opened: Cell<u64>,
     arrivals: Cell<u64>,
@@ -96,7 +96,7 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool. With `tls`, every connection to a server is encrypted.
     pub fn new(
         clock: Clock,
         logins: Logins,
@@ -120,17 +120,18 @@
         })
     }
 
-    /// The login that a client's transactions use at the servers.
+    /// The login with which transactions of the client user `user` run on the servers. `None` if no login is configured
+    /// for the user.
     pub fn login_for(&self, user: &str) -> Option<LoginId> {
         self.logins.for_client(user)
     }
 
-    /// A connection for a transaction: an idle one, a new one, or the first that comes free before `deadline`. Where
-    /// several wait, those of lower `rank` go first.
+    /// Acquires a connection for a transaction: an idle connection, a new connection, or the first connection that is
+    /// released before `deadline`. Waiting transactions with a lower `rank` are served first.
     ///
     /// # Errors
-    /// [`ConnectError`] if the login fails, or if no connection will come free in time; that is known at once where the
-    /// queue is too long.
+    /// [`ConnectError`] if the login fails or no connection is released before `deadline`. Returned without waiting if
+    /// the queue is full or the expected wait exceeds the deadline.
     pub async fn acquire(
         &self,
         key: &PoolKey,
@@ -140,7 +141,7 @@
         let slots = self.server_slots(key.address);
         let position = QueuePosition {
             rank,
-            arrival: count_up(&self.arrivals),
+            arrival: fetch_increment(&self.arrivals),
         };
         self.recent_targets.record(&key.target, self.clock.now());
         let mut turn: Option<Turn> = None;
@@ -151,7 +152,7 @@
                     return Ok(connection);
                 }
                 if slots.can_log_in(&self.limits) {
-                    // Others need not wait for this login.
+                    // Ends the turn before the login, so that the next waiter is not delayed by the login.
                     drop(turn.take());
                     return self.log_in(key, &slots).await;
                 }
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Waits until something may have come free for this position.
+    /// Waits for this position's turn to look for a connection.
     async fn wait_for_turn(
         &self,
         slots: &ServerSlots,
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Takes an idle connection; those that may not be used any more are closed.
+    /// Takes an idle connection that can be reused. Closes expired or outdated connections that it comes across.
     fn take_idle(&self, key: &PoolKey, now: Nanos) -> Option<ServerConnection> {
         while let Some(taken) = self.idle.take(key, now, 0) {
             let mut connection = taken.connection;
@@ -197,8 +198,8 @@
         None
     }
 
-    /// Closes an idle connection of another database or login, so that a new one can be opened. Returns whether there
-    /// was one.
+    /// Closes the oldest idle connection to the server, whatever its database and login, to free a slot for a new
+    /// connection. Returns false if the server has no idle connection.
     fn close_idle_for_other_target(&self, address: ServerAddress) -> bool {
         self.idle.drop_oldest(|other| other.address == address)
     }
@@ -233,7 +234,7 @@
         let now = self.clock.now();
         let lifetime = spread_lifetime(
             nanos(self.limits.max_lifetime),
-            count_up(&self.connections_opened),
+            fetch_increment(&self.connections_opened),
         );
         Ok(ServerConnection {
             stream: new.stream,
@@ -248,61 +249,62 @@
         })
     }
 
-    /// Returns a connection that is in no transaction. It is closed if it may not be used any more.
-    pub fn release<P: Protocol>(&self, fleet: &Engine<P>, mut connection: ServerConnection) {
+    /// Returns a connection that is outside a transaction to the pool. The connection is closed if it has expired, the
+    /// server is no longer in service, or unread bytes have arrived.
+    pub fn release<P: Protocol>(&self, engine: &Engine<P>, mut connection: ServerConnection) {
         let now = self.clock.now();
         let slots = connection.slot.server_slots().clone();
         slots.record_lease(now.saturating_sub(connection.leased_at));
         let ServerAddress { backend, endpoint } = connection.key.address;
         let is_current = connection.is_current(self.generation.get(), now);
-        if is_current && fleet.is_in_service_at(backend, endpoint) && connection.is_idle() {
+        if is_current && engine.is_in_service_at(backend, endpoint) && connection.is_idle() {
             self.idle.put(connection.key.clone(), connection, now);
             slots.wake_next();
         }
     }
 
-    /// Closes the idle connections to a server that has left, moved or restarted.
+    /// Closes the idle connections to a server that was removed, changed its address or restarted.
     pub fn close_idle_connections(&self, backend: BackendId) {
         self.idle
             .retain(self.clock.now(), |key, _, _| key.address.backend != backend);
-        self.parameters.forget(backend);
+        self.parameters.remove(backend);
     }
 
-    /// Holds new transactions back.
+    /// Holds new transactions back until [`Self::resume`].
     pub fn pause(&self) {
         self.state.set(PoolState::Paused);
     }
 
-    /// Lets new transactions start again.
+    /// Ends a pause and wakes the transactions that wait for it.
     pub fn resume(&self) {
         self.state.set(PoolState::Active);
         self.resumed.notify_waiters();
     }
 
-    /// Whether new transactions may start.
+    /// Whether the pool is active or paused.
     pub fn state(&self) -> PoolState {
         self.state.get()
     }
 
-    /// Whether new transactions are held back.
+    /// Whether new transactions are held back by [`Self::pause`].
     pub fn is_paused(&self) -> bool {
         self.state.get() == PoolState::Paused
     }
 
-    /// Waits until new transactions may start.
+    /// Waits until the pool is no longer paused; returns at once if it is active.
     pub async fn resumed(&self) {
         while self.is_paused() {
             self.resumed.notified().await;
         }
     }
 
-    /// Closes each connection once it is idle; new ones are opened when they are needed.
+    /// Closes idle connections now and leased connections when they are released. New connections are opened on demand.
     pub fn reconnect(&self) {
-        count_up(&self.generation);
+        fetch_increment(&self.generation);
         self.idle.retain(self.clock.now(), |_, _, _| false);
     }
 
-    /// What the connections to each server are doing.
+    /// Connection statistics of each server to which the pool has opened or requested a connection.
     pub fn stats(&self) -> Vec<ServerStats> {
         let servers = self.servers.borrow();
         let stats = servers.iter().map(|(address, slots)| ServerStats {
@@ -326,17 +328,17 @@
     }
 }
 
-/// The value before it is increased by one.
-fn count_up(counter: &Cell<u64>) -> u64 {
+/// Increments the counter and returns the previous value.
+fn fetch_increment(counter: &Cell<u64>) -> u64 {
     let before = counter.get();
     counter.set(before + 1);
     before
 }
 
-/// The lifetime of the n-th connection: the configured one, up to a quarter shorter or longer. Connections that were
-/// opened together are so not closed together.
+/// The lifetime of the connection that was opened after `opened_before` others: the configured lifetime, varied by up
+/// to 25% so that connections opened together do not expire together.
 fn spread_lifetime(lifetime: Nanos, opened_before: u64) -> Nanos {
-    /// 2^64 divided by the golden ratio: multiples of it are spread evenly (Fibonacci hashing).
+    /// 2^64 divided by the golden ratio; the products are evenly distributed (Fibonacci hashing).
     const FIBONACCI_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
     let hash = opened_before.wrapping_mul(FIBONACCI_MULTIPLIER) >> 33;
     lifetime / 100 * (MIN_LIFETIME_PERCENT + hash % LIFETIME_STEPS)
--- a/adapters/postgres/src/pool/connection.rs
+++ b/adapters/postgres/src/pool/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a server while it belongs to the pool, and the key under which it is pooled.
+//! A pooled server connection and its pool key.
 
 use std::net::SocketAddr;
 
@@ -12,12 +12,12 @@
 use crate::logins::LoginId;
 use crate::stream::Stream;
 
-/// A server, and where it listens.
+/// A server and the address at which it listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerAddress {
-    /// The server.
+    /// The server's identity on the endpoint list; it survives a change of address.
     pub backend: BackendId,
-    /// Its address.
+    /// The server's IP address and port.
     pub endpoint: SocketAddr,
 }
 
@@ -30,44 +30,44 @@
     }
 }
 
-/// What a connection is logged in to at its server.
+/// The database and the login of a server connection.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionTarget {
-    /// The database.
+    /// The database, as the client named it in its startup message.
     pub database: String,
-    /// The login.
+    /// The login with which the node authenticates at the server.
     pub login: LoginId,
 }
 
-/// What makes connections interchangeable: the server, the database and the login.
+/// The key of pooled connections. Connections with the same key are interchangeable.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PoolKey {
-    /// The server.
+    /// The server and its address.
     pub address: ServerAddress,
-    /// The database and the login.
+    /// The database and the login at the server.
     pub target: ConnectionTarget,
 }
 
-/// A connection to a server, logged in and in no transaction.
+/// An authenticated connection to a server.
 pub struct ServerConnection {
-    /// The bytes in both directions.
+    /// The connection's byte stream, unencrypted or TLS.
     pub stream: Stream,
-    /// Bytes that were received and not handled yet.
+    /// Buffers received bytes and decodes them into messages.
     pub decoder: FrameDecoder,
-    /// Prepared statements and settings of the connection.
+    /// Prepared statements and settings that exist on the connection.
     pub state: ServerState,
-    /// The key that a cancel request for this connection needs.
+    /// The process ID and secret key from `BackendKeyData`, used for cancel requests.
     pub cancel_key: BackendKey,
     pub(super) key: PoolKey,
     pub(super) expires_at: Nanos,
-    /// The pool's generation in which it was opened; see [`super::Pool::reconnect`].
+    /// The pool's generation at the time the connection was opened; see [`super::Pool::reconnect`].
     pub(super) generation: u64,
     pub(super) leased_at: Nanos,
     pub(super) slot: ConnectionSlot,
 }
 
 impl ServerConnection {
-    /// Whether it is of the pool's current generation and has not reached the end of its lifetime.
+    /// Whether the connection belongs to the pool's current generation and has not expired.
     pub(super) fn is_current(&self, generation: u64, now: Nanos) -> bool {
         self.generation == generation && now < self.expires_at
     }
@@ -75,7 +75,7 @@
 
 impl IdleCheck for ServerConnection {
     fn is_idle(&mut self) -> bool {
-        // A connection that was closed meanwhile, or on which something unasked has come, can't be used.
-        self.decoder.buffered_len() == 0 && self.stream.is_open_and_silent()
+        // A connection that the server has closed, or on which it has sent unsolicited data, must not be reused.
+        self.decoder.buffered_len() == 0 && self.stream.is_open_without_pending_input()
     }
 }
--- a/adapters/postgres/src/pool/maintenance.rs
+++ b/adapters/postgres/src/pool/maintenance.rs
@@ -1,5 +1,5 @@
-//! The pool's background work: idle connections are closed when they have been idle or open for too long, and
-//! connections are opened ahead of need (`min_idle`).
+//! Background maintenance of the pool: closes idle connections that have reached the idle timeout or their maximum
+//! lifetime, and opens connections up to `min_idle`.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,17 +11,18 @@
 
 use super::{ConnectionTarget, Pool, PoolKey, ServerAddress};
 
-/// How often idle connections are looked through.
+/// Interval between two maintenance passes.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
-/// Most targets for which connections are opened ahead of need.
+/// Maximum number of targets for which idle connections are kept open.
 const MAX_RECENT_TARGETS: usize = 64;
 
-/// The targets used last, and when. The least recently used one is replaced by a new one.
+/// The most recently used targets, with the time of the last use. When full, a new target replaces the least recently
+/// used one.
 #[derive(Default)]
 pub(super) struct RecentTargets(RefCell<BTreeMap<ConnectionTarget, Nanos>>);
 
 impl RecentTargets {
-    /// Notes that a target is used now.
+    /// Records that `target` is used at the time `now`.
     pub(super) fn record(&self, target: &ConnectionTarget, now: Nanos) {
         let mut targets = self.0.borrow_mut();
         if targets.len() >= MAX_RECENT_TARGETS && !targets.contains_key(target) {
@@ -36,7 +37,7 @@
         targets.insert(target.clone(), now);
     }
 
-    /// The targets used within a time; the others are forgotten.
+    /// The targets used within the last `duration`. Removes all other targets.
     fn used_within(&self, duration: Nanos, now: Nanos) -> Vec<ConnectionTarget> {
         let mut targets = self.0.borrow_mut();
         targets.retain(|_, last_used| now.saturating_sub(*last_used) < duration);
@@ -45,19 +46,20 @@
 }
 
 impl Pool {
-    /// Maintains the pool; never returns.
-    pub async fn maintain<P: Protocol>(self: Rc<Self>, fleet: Engine<P>) {
+    /// Runs a maintenance pass every second; never returns.
+    pub async fn maintain<P: Protocol>(self: Rc<Self>, engine: Engine<P>) {
         loop {
             self.clock.sleep(MAINTENANCE_INTERVAL).await;
             let now = self.clock.now();
             self.close_expired(now);
             if self.limits.min_idle > 0 && !self.is_paused() {
-                self.open_ahead(&fleet, now).await;
+                self.open_min_idle(&engine, now).await;
             }
         }
     }
 
-    /// Closes idle connections that were idle for too long, are too old, or can't be used any more.
+    /// Closes idle connections that have reached the idle timeout or their lifetime, belong to an earlier generation,
+    /// or were closed by the server.
     fn close_expired(&self, now: Nanos) {
         let idle_timeout = nanos(self.limits.idle_timeout);
         let generation = self.generation.get();
@@ -68,24 +70,24 @@
         });
     }
 
-    /// Opens connections to each server for the targets in use, up to `min_idle` for each.
-    async fn open_ahead<P: Protocol>(&self, fleet: &Engine<P>, now: Nanos) {
+    /// Opens one connection to each server for each recently used target with fewer than `min_idle` idle connections.
+    async fn open_min_idle<P: Protocol>(&self, engine: &Engine<P>, now: Nanos) {
         let targets = self
             .recent_targets
             .used_within(nanos(self.limits.idle_timeout), now);
-        for server in fleet.endpoints_in_service() {
+        for server in engine.endpoints_in_service() {
             let address = ServerAddress::from(server);
             for target in &targets {
                 let key = PoolKey {
                     address,
                     target: target.clone(),
                 };
-                self.open_one_ahead(key).await;
+                self.open_one_idle(key).await;
             }
         }
     }
 
-    async fn open_one_ahead(&self, key: PoolKey) {
+    async fn open_one_idle(&self, key: PoolKey) {
         let slots = self.server_slots(key.address);
         if slots.can_log_in(&self.limits)
             && self.idle.count(|other| *other == key) < self.limits.min_idle
--- a/adapters/postgres/src/pool/server_parameters.rs
+++ b/adapters/postgres/src/pool/server_parameters.rs
@@ -1,5 +1,5 @@
-//! What servers report of themselves as a connection is opened (`ParameterStatus`), combined for clients: a client
-//! learns the lowest value of each parameter, as its transactions may go to any server.
+//! The parameters that servers report during login (`ParameterStatus`), combined for clients. A client receives the
+//! lowest value of each parameter, because the client's transactions may run on any server.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,21 +11,22 @@
 use super::{CONNECT_TIMEOUT, ConnectionTarget, Pool, PoolKey, ServerAddress};
 use crate::login::Parameters;
 
-/// Wait before the next attempt to connect, while no server has reported its parameters yet.
+/// Delay between attempts to connect while no server has reported its parameters.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Rank of a connection that is opened for the parameters' sake: before all transactions.
-const HIGHEST_RANK: u64 = 0;
+/// Queue rank of a connection that is opened to learn parameters: ahead of all transactions.
+const FIRST_RANK: u64 = 0;
 
-/// The parameters of all servers.
+/// The reported parameters of all servers, and the lowest value of each.
 #[derive(Default)]
 pub(super) struct ServerParameters {
     by_server: RefCell<BTreeMap<ServerAddress, Parameters>>,
-    /// Outlasts the servers that it came from, so that a client can start while none is reachable.
+    /// The lowest value of each parameter. Kept when servers are removed, so that clients can connect while no server
+    /// is reachable.
     lowest: RefCell<Parameters>,
 }
 
 impl ServerParameters {
-    /// Takes in what a server has reported.
+    /// Stores the parameters that a server has reported, and updates the lowest values.
     pub(super) fn record(&self, address: ServerAddress, reported: Parameters) {
         let mut by_server = self.by_server.borrow_mut();
         if by_server.get(&address) == Some(&reported) {
@@ -35,8 +36,8 @@
         *self.lowest.borrow_mut() = lowest_values(by_server.values());
     }
 
-    /// Forgets a server, from the next report on.
-    pub(super) fn forget(&self, backend: BackendId) {
+    /// Removes a server's parameters. The lowest values are recomputed at the next [`Self::record`] of a change.
+    pub(super) fn remove(&self, backend: BackendId) {
         self.by_server
             .borrow_mut()
             .retain(|address, _| address.backend != backend);
@@ -53,43 +54,43 @@
 }
 
 impl Pool {
-    /// The lowest values of the parameters that servers have reported. If none has yet, a connection is opened for this
-    /// target; `None` if no server can be reached.
+    /// The lowest value of each parameter that servers have reported. If no server has reported any, connects to a
+    /// server with `target` first; `None` if no login succeeds within the connect timeout.
     pub async fn server_parameters<P: Protocol>(
         &self,
-        fleet: &Engine<P>,
+        engine: &Engine<P>,
         target: &ConnectionTarget,
     ) -> Option<Parameters> {
         let deadline = self.clock.now().saturating_add(nanos(CONNECT_TIMEOUT));
         while !self.parameters.is_known() && self.clock.now() < deadline {
-            self.connect_to_any_server(fleet, target, deadline).await;
+            self.connect_to_any_server(engine, target, deadline).await;
             if !self.parameters.is_known() {
-                // The list of servers may not be here yet.
+                // The endpoint list may not have been received yet.
                 self.clock.sleep(RETRY_INTERVAL).await;
             }
         }
         self.parameters.lowest()
     }
 
-    /// Opens a connection to the first server that can be reached, and pools it.
+    /// Connects to the first reachable server and puts the connection into the pool.
     async fn connect_to_any_server<P: Protocol>(
         &self,
-        fleet: &Engine<P>,
+        engine: &Engine<P>,
         target: &ConnectionTarget,
         deadline: Nanos,
     ) {
-        for server in fleet.endpoints_in_service() {
+        for server in engine.endpoints_in_service() {
             let key = PoolKey {
                 address: server.into(),
                 target: target.clone(),
             };
-            match self.acquire(&key, HIGHEST_RANK, deadline).await {
-                Ok(connection) => return self.release(fleet, connection),
+            match self.acquire(&key, FIRST_RANK, deadline).await {
+                Ok(connection) => return self.release(engine, connection),
                 Err(error) => {
                     tracing::warn!(
                         endpoint = %key.address.endpoint,
                         %error,
-                        "no first connection to a PostgreSQL server"
+                        "could not read the parameters of a PostgreSQL server; trying the next server"
                     );
                 }
             }
@@ -97,7 +98,7 @@
     }
 }
 
-/// The lowest value of each parameter; versions are compared by their numbers.
+/// The lowest value of each parameter. Values are compared by the numbers in them first, then as text.
 fn lowest_values<'a>(servers: impl Iterator<Item = &'a Parameters>) -> Parameters {
     let mut lowest = Parameters::new();
     for (name, value) in servers.flatten() {
@@ -111,7 +112,7 @@
     lowest
 }
 
-/// The decimal numbers in a text, in their order.
+/// The decimal numbers in a text, in order of occurrence.
 fn numbers_in(text: &str) -> Vec<u64> {
     text.split(|character: char| !character.is_ascii_digit())
         .filter_map(|digits| digits.parse().ok())
--- a/adapters/postgres/src/pool/server_slots.rs
+++ b/adapters/postgres/src/pool/server_slots.rs
@@ -1,8 +1,9 @@
-//! The connection slots of one server: connections open, logins in progress, and the transactions that wait for one of
-//! them to come free.
+//! The connection slots of one server: open connections, logins in progress, and the queue of transactions that wait
+//! for a connection.
 //!
-//! Whatever frees a slot or a connection wakes the first waiter. Until that one has looked, newcomers stay behind it;
-//! otherwise whoever arrives as a connection is released would take it, and the waiters would starve.
+//! Releasing a slot or a connection wakes the first waiter. Until that waiter has looked for a connection, newly
+//! arrived transactions queue behind it. Otherwise new arrivals would take every released connection and starve the
+//! waiters.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,29 +15,29 @@
 use crate::config::PoolLimits;
 use crate::login::ConnectError;
 
-/// Most transactions that wait for each connection of a server: with more, the wait would outlast any deadline.
+/// Maximum queue length of a server, per allowed connection.
 const MAX_WAITERS_PER_CONNECTION: usize = 64;
-/// Weight of one transaction in the smoothed time for which a transaction has a connection.
-const LEASE_TIME_SMOOTHING: f64 = 0.05;
+/// Weight of the latest transaction in the moving average of lease times.
+const LEASE_TIME_WEIGHT: f64 = 0.05;
 
-/// A transaction's position among those that wait; the lowest is first.
+/// A transaction's position in a server's queue; the lowest position is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuePosition {
-    /// From the priority of its class.
+    /// Derived from the priority weight of the transaction's class; lower for a higher weight.
     pub(super) rank: u64,
-    /// The order of arrival at the pool.
+    /// Sequence number of the transaction's arrival at the pool.
     pub(super) arrival: u64,
 }
 
-/// Connection slots of one server.
+/// Connection slots and waiting queue of one server.
 #[derive(Default)]
 pub(super) struct ServerSlots {
     open: Cell<usize>,
     logging_in: Cell<usize>,
     waiters: RefCell<BTreeMap<QueuePosition, oneshot::Sender<Turn>>>,
-    /// Waiters that were woken and have not looked yet: what is free is theirs first.
+    /// Woken waiters that have not yet looked for a connection. They take precedence over new arrivals.
     pending_turns: Cell<usize>,
-    /// Smoothed time for which a transaction has a connection, in nanoseconds; 0 before the first.
+    /// Moving average of lease times, in nanoseconds; 0 before the first lease ends.
     mean_lease_time: Cell<f64>,
     transactions: Cell<u64>,
 }
@@ -54,39 +55,39 @@
         self.waiters.borrow().len()
     }
 
-    /// Transactions that have released their connection so far.
+    /// Transactions that have released their connection since these slots were created.
     pub(super) fn transactions(&self) -> u64 {
         self.transactions.get()
     }
 
-    /// Smoothed time for which a transaction has a connection, in nanoseconds.
+    /// Moving average of the time for which a transaction holds a connection, in nanoseconds.
     pub(super) fn mean_lease_time(&self) -> f64 {
         self.mean_lease_time.get()
     }
 
-    /// Counts a transaction that had a connection for this time.
+    /// Counts a transaction that held a connection for `lease_time`.
     pub(super) fn record_lease(&self, lease_time: Nanos) {
         let lease_time = lease_time as f64;
         let mean = self.mean_lease_time.get();
         self.mean_lease_time.set(if mean == 0.0 {
             lease_time
         } else {
-            mean + (lease_time - mean) * LEASE_TIME_SMOOTHING
+            mean + (lease_time - mean) * LEASE_TIME_WEIGHT
         });
         self.transactions.set(self.transactions.get() + 1);
     }
 
-    /// Whether all connections that the limits allow are open.
+    /// Whether the connection limit is reached.
     pub(super) fn is_full(&self, limits: &PoolLimits) -> bool {
         self.open.get() >= limits.max_connections_per_server
     }
 
-    /// Whether the limits allow one more connection now.
+    /// Whether the limits on connections and on concurrent logins allow one more login now.
     pub(super) fn can_log_in(&self, limits: &PoolLimits) -> bool {
         !self.is_full(limits) && self.logging_in.get() < limits.max_concurrent_logins
     }
 
-    /// Takes a slot for a connection that is about to be opened.
+    /// Reserves a slot for a connection that is about to be opened.
     pub(super) fn open_connection(self: &Rc<Self>) -> ConnectionSlot {
         self.open.set(self.open.get() + 1);
         ConnectionSlot(self.clone())
@@ -98,12 +99,12 @@
         LoginGuard(self.clone())
     }
 
-    /// Whether others come before a transaction that has not waited yet.
+    /// Whether a transaction that has not queued yet has to queue behind a waiter.
     pub(super) fn has_earlier_waiter(&self, position: QueuePosition) -> bool {
         self.pending_turns.get() > 0 || self.waiters.borrow().range(..position).next().is_some()
     }
 
-    /// Checks that a transaction at this position may expect a connection before its deadline.
+    /// Returns [`ConnectError::PoolExhausted`] if the queue is full or the expected wait exceeds the deadline.
     pub(super) fn check_expected_wait(
         &self,
         position: QueuePosition,
@@ -123,19 +124,19 @@
         Ok(())
     }
 
-    /// Adds a waiter; what is returned resolves when its turn has come.
+    /// Adds a waiter. The returned receiver resolves when the waiter's turn has come.
     pub(super) fn enqueue(&self, position: QueuePosition) -> oneshot::Receiver<Turn> {
         let (turn, woken) = oneshot::channel();
         self.waiters.borrow_mut().insert(position, turn);
         woken
     }
 
-    /// Removes a waiter.
+    /// Removes a waiter that has timed out.
     pub(super) fn dequeue(&self, position: QueuePosition) {
         self.waiters.borrow_mut().remove(&position);
     }
 
-    /// Gives the first waiter a turn, as something may have come free.
+    /// Gives the first waiter a turn to look for a connection. Called when a slot or a connection was released.
     pub(super) fn wake_next(self: &Rc<Self>) {
         loop {
             let first = self.waiters.borrow_mut().pop_first();
@@ -143,14 +144,15 @@
             self.pending_turns.set(self.pending_turns.get() + 1);
             match waiter.send(Turn(Some(self.clone()))) {
                 Ok(()) => return,
-                // It has given up meanwhile, so the turn is the next one's.
+                // The waiter was cancelled, so the next waiter gets the turn.
                 Err(turn) => turn.end_unused(),
             }
         }
     }
 }
 
-/// A woken waiter's turn to look for a connection. When it is dropped, used or not, the next waiter is woken.
+/// A woken waiter's turn to look for a connection. Dropping a turn wakes the next waiter, except after
+/// [`Turn::end_unused`].
 pub(super) struct Turn(Option<Rc<ServerSlots>>);
 
 impl Turn {
@@ -161,7 +163,7 @@
         Some(slots)
     }
 
-    /// Ends the turn without waking the next waiter: there is nothing to be had.
+    /// Ends the turn without waking the next waiter, because no connection was available.
     pub(super) fn end_unused(mut self) {
         self.end();
     }
@@ -175,11 +177,11 @@
     }
 }
 
-/// An open connection's slot at its server, free again once this is dropped.
+/// The slot of an open connection. Dropping it releases the slot and wakes the first waiter.
 pub(super) struct ConnectionSlot(Rc<ServerSlots>);
 
 impl ConnectionSlot {
-    /// All slots of its server.
+    /// All slots of the connection's server.
     pub(super) fn server_slots(&self) -> &Rc<ServerSlots> {
         &self.0
     }
@@ -192,7 +194,7 @@
     }
 }
 
-/// A login in progress.
+/// Counts a login as in progress until dropped.
 pub(super) struct LoginGuard(Rc<ServerSlots>);
 
 impl Drop for LoginGuard {
--- a/adapters/postgres/src/pool/server_slots/tests.rs
+++ b/adapters/postgres/src/pool/server_slots/tests.rs
@@ -28,29 +28,35 @@
     let mut second = slots.enqueue(position(2, 0));
     let mut first = slots.enqueue(position(1, 1));
     drop(connection);
-    let turn = first.try_recv().expect("its turn");
+    let turn = first.try_recv().expect("the first waiter is woken");
     assert!(is_waiting(&mut second));
     assert!(
         slots.has_earlier_waiter(position(0, 2)),
-        "until the woken one has looked, even a lower rank stays behind"
+        "a new arrival of a lower rank queues behind a woken waiter"
     );
     drop(turn);
-    assert!(second.try_recv().is_ok(), "the next one is woken then");
+    assert!(
+        second.try_recv().is_ok(),
+        "the next waiter is woken when the turn ends"
+    );
 }
 
 #[test]
-fn a_turn_that_ends_unused_wakes_nobody() {
+fn a_turn_that_ends_unused_wakes_no_other_waiter() {
     let slots = Rc::new(ServerSlots::default());
     let mut first = slots.enqueue(position(1, 0));
     let mut second = slots.enqueue(position(1, 1));
     slots.wake_next();
-    first.try_recv().expect("its turn").end_unused();
+    first
+        .try_recv()
+        .expect("the first waiter is woken")
+        .end_unused();
     assert!(is_waiting(&mut second));
     assert!(!slots.has_earlier_waiter(position(0, 2)));
 }
 
 #[test]
-fn a_waiter_that_has_given_up_passes_its_turn_on() {
+fn a_cancelled_waiter_is_skipped_for_the_next_one() {
     let slots = Rc::new(ServerSlots::default());
     drop(slots.enqueue(position(1, 0)));
     let mut second = slots.enqueue(position(1, 1));
@@ -63,7 +69,10 @@
     let slots = Rc::new(ServerSlots::default());
     let login = slots.start_login();
     let first = slots.open_connection();
-    assert!(!slots.can_log_in(&LIMITS), "one login at a time");
+    assert!(
+        !slots.can_log_in(&LIMITS),
+        "the limit is one concurrent login"
+    );
     drop(login);
     assert!(slots.can_log_in(&LIMITS));
     let _second = slots.open_connection();
@@ -82,7 +91,7 @@
             .check_expected_wait(position(rank, 1), &LIMITS, 0, deadline)
             .is_ok()
     };
-    // Each of the two connections comes free every 1000 ns, so one waiter takes 500 ns.
+    // Two connections, each released after 1000 ns, serve one waiter every 500 ns.
     assert!(check(0, 501) && !check(0, 500));
     assert!(check(2, 1001) && !check(2, 1000));
 }
--- a/adapters/postgres/src/relay.rs
+++ b/adapters/postgres/src/relay.rs
@@ -1,9 +1,9 @@
-//! One session between its sockets and the engine: moves bytes between the client and the server connection that the
-//! session has at the moment, and carries out what the session core decides. No more is read from one side than the
-//! other takes.
+//! Relays one client's session: forwards messages between the client and the server connection that is leased to the
+//! session, and executes the actions of the session state machine. Reading from one side stops while too many bytes
+//! are unsent to the other side.
 //!
-//! - `streams`: reading and writing the sockets
-//! - `transactions`: server connections from the engine, and the ends of attempts
+//! - `streams`: reads and writes the sockets
+//! - `transactions`: requests server connections from the engine and reports the ends of attempts
 
 mod streams;
 mod transactions;
@@ -38,11 +38,11 @@
 /// The class of a session's transactions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SessionClass {
-    /// Its name.
+    /// Name of the class in the configuration.
     pub name: String,
-    /// Whether a single statement may run twice.
+    /// Whether a statement outside a transaction block may run twice, so that it may be retried.
     pub has_idempotent_statements: bool,
-    /// Where connections are scarce, transactions of a higher weight go first.
+    /// Transactions of a higher weight are served first when all connections are in use.
     pub priority_weight: f64,
 }
 
@@ -56,29 +56,29 @@
     }
 }
 
-/// What a session works with.
+/// The engine, the pool and the configured properties of one session.
 pub struct SessionContext {
     /// The engine that chooses a server for each transaction.
-    pub fleet: PostgresEngine,
-    /// Connections to the servers.
+    pub engine: PostgresEngine,
+    /// The pool of server connections.
     pub pool: Rc<Pool>,
-    /// The class of its transactions.
+    /// The class of the session's transactions.
     pub class: SessionClass,
-    /// Its database, and its login at the servers.
+    /// The session's database, and the login for it at the servers.
     pub target: ConnectionTarget,
-    /// Whether it keeps its server connection from its first transaction to its end.
+    /// Whether the session keeps a server connection from the first transaction to the end of the session.
     pub has_session_pooling: bool,
 }
 
-/// The server connection that a session has.
+/// The server connection that is leased to a session.
 struct LeasedConnection {
     connection: ServerConnection,
     address: ServerAddress,
-    /// The attempt that it was leased for, until that has ended.
+    /// The attempt for which the connection was leased; `None` after the attempt has ended.
     attempt: Option<AttemptId>,
     deadline: Nanos,
     cancelled: oneshot::Receiver<()>,
-    /// Started when the attempt is first waited for.
+    /// Resolves at `deadline`; created when the attempt is first polled.
     timeout: Option<Notification>,
 }
 
@@ -89,7 +89,7 @@
     timeout: Notification,
 }
 
-/// Whether a step could do anything.
+/// Whether a step of the session made progress.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Stalled,
@@ -104,18 +104,18 @@
     }
 }
 
-/// One client's session on its sockets.
+/// One client's session and its sockets.
 pub struct Relay {
     context: SessionContext,
     session: Session,
     client: Stream,
     client_decoder: FrameDecoder,
     registered: RegisteredClient,
-    /// Transactions requested from the engine so far.
+    /// Transactions submitted to the engine since the session started.
     transactions: u64,
     lease_slot: Rc<LeaseSlot>,
     server: Option<Box<LeasedConnection>>,
-    /// The outcome of the transaction that was requested from the engine, while it is awaited.
+    /// Resolves to the outcome of the transaction that was submitted to the engine; `None` if there is none.
     pending_outcome: Option<OutcomeFuture>,
     paused_transaction: Option<Box<PausedTransaction>>,
     to_client: BytesMut,
@@ -125,7 +125,7 @@
 }
 
 impl Relay {
-    /// The session of an authenticated client, which is sent `greeting` first.
+    /// Creates the session of an authenticated client. The client is first sent `greeting`.
     pub fn new(
         context: SessionContext,
         session: Session,
@@ -151,15 +151,16 @@
         }
     }
 
-    /// Runs the session until either side ends it. Once `stopping` is true, it ends between two transactions.
+    /// Runs the session until the client or the node ends it. When `stopping` becomes true, or an operator disconnects
+    /// the client, the session ends between two transactions.
     pub async fn run(mut self, mut stopping: watch::Receiver<bool>) {
         let registered = self.registered.clone();
-        // Boxed, so that what waits for it is small in each idle session.
+        // Boxed to keep the task of an idle session small.
         let mut stop_requested: Notification = Box::pin(async move {
             tokio::select! {
                 biased;
                 _ = stopping.wait_for(|stopping| *stopping) => {}
-                () = registered.disconnected() => {}
+                () = registered.disconnect_requested() => {}
             }
         });
         let mut is_stopping = false;
@@ -173,7 +174,7 @@
         self.close_client().await;
     }
 
-    /// Does all that can be done now; ready once the session has ended.
+    /// Makes as much progress as possible without blocking; ready when the session has ended.
     fn poll(&mut self, cx: &mut Context<'_>, is_stopping: bool) -> Poll<()> {
         loop {
             let mut progress = self.process_buffered();
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Handles all messages that were received completely, until too much is unsent to the other side.
+    /// Handles all complete messages in the read buffers, until too many bytes are unsent to the other side.
     fn process_buffered(&mut self) -> Progress {
         let mut progress = Progress::Stalled;
         while !self.ended
@@ -231,8 +232,13 @@
             Ok(None) => return Progress::Stalled,
             Err(error) => {
                 let ServerAddress { backend, endpoint } = server.address;
-                let name = self.context.fleet.endpoint_name(backend);
-                tracing::warn!(server = name, %endpoint, %error, "server does not speak PostgreSQL");
+                let name = self.context.engine.endpoint_name(backend);
+                tracing::warn!(
+                    server = name,
+                    %endpoint,
+                    %error,
+                    "server violated the PostgreSQL protocol; closing the connection"
+                );
                 self.lose_server(Outcome::InvalidResponse);
             }
         }
@@ -256,13 +262,13 @@
         Progress::Advanced
     }
 
-    /// Ends the session with an error.
+    /// Ends the session with an `ErrorResponse` to the client.
     fn end_session(&mut self, reason: ErrorReason, detail: Option<&str>) {
         error_response(reason, detail).write(&mut self.to_client);
         self.handle(Event::ClientDisconnected);
     }
 
-    /// Lets the session handle an event, and carries out what it decides.
+    /// Passes an event to the session state machine and executes the resulting actions.
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.session.handle(event, &mut actions);
@@ -272,7 +278,7 @@
         self.update_registry();
     }
 
-    /// Shows operators and cancel requests what the session is doing now.
+    /// Publishes the session's current activity for the console and the target of cancel requests.
     fn update_registry(&self) {
         let server = self.server.as_ref();
         let running = server.filter(|_| self.session.is_running());
@@ -297,7 +303,7 @@
             Action::ToClient(bytes) => self.to_client.extend_from_slice(&bytes),
             Action::ResponseStarted => {
                 if let Some(attempt) = self.server.as_ref().and_then(|server| server.attempt) {
-                    self.context.fleet.response_started(attempt);
+                    self.context.engine.response_started(attempt);
                 }
             }
             Action::TransactionDone => self.complete_transaction(),
@@ -309,8 +315,8 @@
             Action::End => {
                 self.ended = true;
                 self.paused_transaction = None;
-                // Dropped before its outcome, the request tells the engine that the client has disconnected.
-                self.forget_request();
+                // Dropping the request before its outcome notifies the engine that the client has disconnected.
+                self.abandon_request();
             }
         }
     }
@@ -321,10 +327,11 @@
             response: Some(()),
             ..AttemptEnd::without_response(Outcome::Success)
         });
-        self.forget_request();
+        self.abandon_request();
     }
 
-    /// Returns the server connection to the pool, if nothing can reach the next session on it.
+    /// Returns the server connection to the pool. The connection is closed instead if a cancel request for it is in
+    /// flight or bytes to the server are unsent.
     fn release_server(&mut self, state: ServerState) {
         let Some(server) = self.server.take() else {
             return;
@@ -335,15 +342,15 @@
             ..
         } = *server;
         connection.state = state;
-        // A cancel request in flight might hit the next session; so might bytes that were not sent.
+        // A cancel request in flight could cancel a statement of the next session on this connection.
         if !self.registered.cancel_handle().is_in_flight() && self.to_server.is_empty() {
-            self.context.pool.release(&self.context.fleet, connection);
+            self.context.pool.release(&self.context.engine, connection);
         }
         self.to_server.clear();
         self.report_attempt_end(attempt, AttemptEnd::without_response(Outcome::NotSent));
     }
 
-    /// Closes the server connection.
+    /// Closes the server connection and reports the attempt as cancelled.
     fn discard_server(&mut self) {
         self.to_server.clear();
         let attempt = self.server.take().and_then(|server| server.attempt);
@@ -353,6 +360,6 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.forget_request();
+        self.abandon_request();
     }
 }
--- a/adapters/postgres/src/relay/streams.rs
+++ b/adapters/postgres/src/relay/streams.rs
@@ -1,4 +1,4 @@
-//! The sockets of a session: what is read goes into the decoders, what is to be sent comes from two bounded buffers.
+//! Reads the sockets of a session into the message decoders and writes to them from two bounded buffers.
 
 use std::cell::RefCell;
 use std::pin::Pin;
@@ -14,29 +14,30 @@
 use super::{Progress, Relay};
 use crate::stream::Stream;
 
-/// With this many bytes to be sent to one side, no more are read from the other. One read may exceed it.
+/// Reading from one side stops while at least this many bytes are unsent to the other side. A single read may exceed
+/// the limit.
 pub(super) const MAX_UNSENT_BYTES: usize = 64 * 1024;
-/// Most bytes that are read at once.
+/// Maximum number of bytes per read.
 const READ_BUFFER_SIZE: usize = 16 * 1024;
-/// An empty buffer of a larger capacity is freed: most sessions are idle most of the time.
+/// Empty buffers of a larger capacity are freed when a session becomes idle.
 const MAX_IDLE_CAPACITY: usize = 4 * 1024;
-/// Timeout of sending the last bytes of a session and closing the client's connection.
+/// Time limit for sending the last bytes of a session and closing the client's connection.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 thread_local! {
-    /// What is read from any socket of this thread. It is copied into a decoder before anything else is read.
+    /// Read buffer shared by all sessions of the thread. Its contents are copied into a decoder after each read.
     static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BUFFER_SIZE]);
 }
 
-/// What a read has found.
+/// Result of a read.
 enum ReadResult {
-    /// Bytes, which are in the decoder now.
+    /// Bytes were received and pushed into the decoder.
     Received,
-    /// The end of the connection.
+    /// The connection was closed or failed.
     Closed,
 }
 
-/// Reads once.
+/// Reads once from `stream` into `decoder`.
 fn poll_read(
     stream: &mut Stream,
     decoder: &mut FrameDecoder,
@@ -94,7 +95,7 @@
             match Pin::new(&mut *stream).poll_write(cx, &self.to_server) {
                 Poll::Ready(Ok(count)) if count > 0 => {
                     self.to_server.advance(count);
-                    // A failure shows in the next write or read.
+                    // A flush error is also returned by the next write or read.
                     let _ = Pin::new(stream).poll_flush(cx);
                     progress = Progress::Advanced;
                 }
@@ -131,11 +132,11 @@
         progress
     }
 
-    /// Sends what is left to a client that still reads, and closes its connection.
+    /// Sends the remaining bytes to the client and closes the connection.
     pub(super) async fn close_client(&mut self) {
-        let clock = self.context.fleet.clock().clone();
+        let clock = self.context.engine.clock().clone();
         let closed = std::future::poll_fn(|cx| self.poll_close_client(cx));
-        // A client that does not read its last bytes in time loses them.
+        // Bytes that the client does not read within the time limit are dropped.
         let _ = clock.timeout(CLOSE_TIMEOUT, closed).await;
     }
 
@@ -150,7 +151,7 @@
         Pin::new(&mut self.client).poll_shutdown(cx).map(drop)
     }
 
-    /// Frees empty buffers: the session may be idle for an hour now.
+    /// Frees empty buffers to reduce the memory use of idle sessions.
     pub(super) fn release_buffers(&mut self) {
         for buffer in [&mut self.to_client, &mut self.to_server] {
             if buffer.is_empty() && buffer.capacity() > MAX_IDLE_CAPACITY {
--- a/adapters/postgres/src/relay/transactions.rs
+++ b/adapters/postgres/src/relay/transactions.rs
@@ -1,4 +1,5 @@
-//! A session's transactions towards the engine: requesting server connections, taking them, ending attempts.
+//! The transactions of a session and the engine: requests server connections, attaches leases, reports the ends of
+//! attempts.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -15,13 +16,13 @@
 use crate::config::idempotent_class_name;
 use crate::lease::{LeaseRequest, ServerLease};
 
-/// Retry-after of a transaction that has waited for a paused pool in vain, in milliseconds.
+/// Retry delay given to a client whose transaction was rejected because the pool stayed paused.
 const PAUSED_RETRY_AFTER_MS: u64 = 1000;
-/// Steps of rank for each unit of a class's priority weight.
+/// Difference in queue rank per unit of priority weight.
 const RANKS_PER_WEIGHT: f64 = 1e6;
 
 impl Relay {
-    /// Asks for a server connection for a transaction. While the pool is paused, the transaction waits first.
+    /// Requests a server connection for a transaction. While the pool is paused, the transaction is held back.
     pub(super) fn request_server(&mut self, is_single_statement: bool) {
         if self.context.pool.is_paused() {
             self.wait_for_resume(is_single_statement);
@@ -31,12 +32,12 @@
     }
 
     fn wait_for_resume(&mut self, is_single_statement: bool) {
-        let fleet = &self.context.fleet;
-        let clock = fleet.clock();
-        let deadline = fleet
+        let engine = &self.context.engine;
+        let clock = engine.clock();
+        let deadline = engine
             .class(&self.context.class.name)
             .map_or(0, |class| class.deadline);
-        // It is rejected early enough for the client to do something else before its deadline.
+        // Rejecting at half the deadline leaves the client time for an alternative.
         let timeout = deadline_notification(clock, clock.now().saturating_add(deadline / 2));
         let pool = self.context.pool.clone();
         let resumed: Notification = Box::pin(async move { pool.resumed().await });
@@ -54,8 +55,8 @@
         } else {
             session_class.name.clone()
         };
-        let Some(class) = self.context.fleet.class(&class_name) else {
-            // The engine's classes come from the same configuration, so this does not happen.
+        let Some(class) = self.context.engine.class(&class_name) else {
+            // Unreachable: the engine's classes come from the same configuration.
             return self.handle(Event::RequestFailed);
         };
         self.transactions += 1;
@@ -76,13 +77,13 @@
             budget: class.deadline,
             payload: request,
         };
-        match self.context.fleet.submit(request) {
+        match self.context.engine.submit(request) {
             Some(pending) => self.pending_outcome = Some(Box::pin(pending.into_outcome())),
             None => self.handle(Event::RequestFailed),
         }
     }
 
-    /// Handles what the engine brings: a lease, or the outcome of the transaction.
+    /// Handles a lease that the engine has delivered, or the outcome of the transaction.
     pub(super) fn poll_engine(&mut self, cx: &mut Context<'_>) -> Progress {
         if self.poll_paused_transaction(cx) == Progress::Advanced {
             return Progress::Advanced;
@@ -100,9 +101,9 @@
         let Poll::Ready(outcome) = pending.as_mut().poll(cx) else {
             return Progress::Stalled;
         };
-        self.forget_request();
+        self.abandon_request();
         match outcome {
-            // The session has seen the response itself.
+            // The session has already handled the response.
             RequestOutcome::Served(()) => {}
             RequestOutcome::Rejected(retry_after) => self.handle(Event::Rejected {
                 retry_after_ms: milliseconds_rounded_up(retry_after),
@@ -114,7 +115,7 @@
         Progress::Advanced
     }
 
-    /// Submits the transaction that is held back once the pool is resumed, or rejects it when it has waited too long.
+    /// Submits the transaction that is held back when the pool is resumed, or rejects it when it has waited too long.
     fn poll_paused_transaction(&mut self, cx: &mut Context<'_>) -> Progress {
         let Some(paused) = &mut self.paused_transaction else {
             return Progress::Stalled;
@@ -135,7 +136,7 @@
         Progress::Stalled
     }
 
-    /// Gives the session the server connection of a lease.
+    /// Attaches the server connection of a lease to the session.
     fn attach(&mut self, lease: ServerLease) {
         let ServerLease {
             attempt,
@@ -159,9 +160,9 @@
         }
     }
 
-    /// Gives the server connection up if the attempt that it was leased for is cancelled or late.
+    /// Closes the server connection if its attempt was cancelled or has timed out.
     pub(super) fn poll_attempt(&mut self, cx: &mut Context<'_>) -> Progress {
-        // A sticky session between two transactions has no attempt: it waits for its client alone.
+        // A sticky session has no attempt between two transactions.
         let Some(server) = self
             .server
             .as_mut()
@@ -173,7 +174,7 @@
             self.lose_server(Outcome::Cancelled);
             return Progress::Advanced;
         }
-        let (clock, deadline) = (self.context.fleet.clock(), server.deadline);
+        let (clock, deadline) = (self.context.engine.clock(), server.deadline);
         let timeout = server
             .timeout
             .get_or_insert_with(|| deadline_notification(clock, deadline));
@@ -184,22 +185,22 @@
         Progress::Stalled
     }
 
-    /// Ends a sticky session whose server is draining: it can't go to another one, and its next transaction may not
-    /// start there.
+    /// Ends a sticky session between transactions if its server is draining. The session cannot move to another server,
+    /// and a draining server accepts no new transactions.
     pub(super) fn end_if_sticky_server_drains(&mut self) {
         let Some(server) = &self.server else { return };
         let address = server.address;
         let is_between_transactions =
             server.attempt.is_none() && self.session.status() == TransactionStatus::Idle;
-        let fleet = &self.context.fleet;
-        if is_between_transactions && !fleet.is_in_service_at(address.backend, address.endpoint) {
-            let detail = "the session is pinned to a server that leaves";
+        let engine = &self.context.engine;
+        if is_between_transactions && !engine.is_in_service_at(address.backend, address.endpoint) {
+            let detail = "the session is pinned to a server that is being removed from service";
             self.end_session(ErrorReason::ShuttingDown, Some(detail));
         }
     }
 
-    /// Closes the server connection, which can't be used any more. The session learns of it before the engine, so that
-    /// it waits for what the engine decides then.
+    /// Closes a server connection that failed or timed out. The session is notified before the engine, so that the
+    /// session is ready for the engine's decision to retry or to fail the transaction.
     pub(super) fn lose_server(&mut self, outcome: Outcome) {
         let attempt = self
             .server
@@ -209,12 +210,12 @@
         self.server = None;
         self.report_attempt_end(attempt, AttemptEnd::without_response(outcome));
         if attempt.is_none() && !self.ended {
-            // Between two transactions the engine has no part in it.
+            // Between two transactions no request is pending, so the engine reports no outcome.
             self.handle(Event::RequestFailed);
         }
     }
 
-    /// Ends the attempt that the server connection was leased for.
+    /// Ends the attempt for which the server connection was leased.
     pub(super) fn end_attempt(&mut self, end: AttemptEnd<()>) {
         let attempt = self
             .server
@@ -223,15 +224,15 @@
         self.report_attempt_end(attempt, end);
     }
 
-    /// Reports an attempt's end to the engine, if there is an attempt.
+    /// Reports the end of an attempt to the engine; does nothing for `None`.
     pub(super) fn report_attempt_end(&self, attempt: Option<AttemptId>, end: AttemptEnd<()>) {
         if let Some(attempt) = attempt {
-            self.context.fleet.attempt_ended(attempt, end);
+            self.context.engine.attempt_ended(attempt, end);
         }
     }
 
-    /// Waits for the engine no more. A lease that has arrived for the transaction in this moment is given back unused.
-    pub(super) fn forget_request(&mut self) {
+    /// Drops the pending request. A lease that was delivered but not attached is released unused.
+    pub(super) fn abandon_request(&mut self) {
         self.pending_outcome = None;
         if let Some(lease) = self.lease_slot.close() {
             let ServerLease {
@@ -239,21 +240,21 @@
                 connection,
                 ..
             } = *lease;
-            let fleet = &self.context.fleet;
-            self.context.pool.release(fleet, connection);
-            fleet.attempt_ended(attempt, AttemptEnd::without_response(Outcome::NotSent));
+            let engine = &self.context.engine;
+            self.context.pool.release(engine, connection);
+            engine.attempt_ended(attempt, AttemptEnd::without_response(Outcome::NotSent));
         }
     }
 }
 
-/// Resolves at this time, once what had arrived by then was read: a response that lies in the socket of a node that has
-/// stood still has come in time.
+/// Resolves at the time `at`, after input that had arrived by then was read. If the node was suspended past the
+/// deadline, a response that is already in the socket buffer still counts as in time.
 fn deadline_notification(clock: &Clock, at: Nanos) -> Notification {
     let clock = clock.clone();
     Box::pin(async move { clock.wait_for_deadline(at).await })
 }
 
-/// The rank of a class's transactions among those that wait for a connection; the lowest is first.
+/// The queue rank of a class's transactions, lower for a higher weight. The lowest rank is served first.
 fn rank(priority_weight: f64) -> u64 {
     u64::MAX - (priority_weight.max(0.0) * RANKS_PER_WEIGHT) as u64
 }
--- a/adapters/postgres/src/server.rs
+++ b/adapters/postgres/src/server.rs
@@ -1,16 +1,15 @@
-//! The clients' side: accepts connections, admits clients within a time limit, and runs a session for each admitted
-//! one.
+//! The listener for clients: accepts connections, authenticates and admits clients, and runs their sessions.
 //!
-//! A connection passes through phases, each with a time limit and a count of its own:
+//! A connection passes through phases, each with its own time limit and its own limit on the number of clients:
 //!
 //! ```text
-//! not authenticated --> first login at a server --> session
-//!                  \--> console
+//! unauthenticated --> first login at a server --> session
+//!                \--> console
 //! ```
 //!
-//! - `startup`: a client's first packets, TLS among them
+//! - `startup`: a client's first packets, including the TLS handshake
 //! - `admission`: authentication, access rules, limits
-//! - `greeting`: the first messages to an admitted client
+//! - `greeting`: the messages from `AuthenticationOk` to the first `ReadyForQuery`
 
 mod admission;
 mod greeting;
@@ -43,12 +42,12 @@
 use crate::tls::{Acceptor, ClientTls};
 use crate::unauthenticated_clients::{PendingClient, UnauthenticatedClients};
 
-/// Longest time from a client's connect until it is authenticated.
+/// Time limit for a client's authentication, from the accepted connection on.
 const AUTHENTICATION_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often a node that shuts down looks whether all sessions have ended.
+/// Interval at which a node that is shutting down checks whether all sessions have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Serves PostgreSQL clients.
+/// Accepts and serves PostgreSQL clients.
 pub struct PostgresServer {
     context: ServerContext,
     users: Users,
@@ -56,14 +55,14 @@
 }
 
 impl PostgresServer {
-    /// A server for the clients of this fleet.
+    /// Creates a server whose transactions run on `engine` and `pool`. `users` holds the SCRAM verifiers by user name.
     ///
     /// # Errors
-    /// [`ConfigError`] if the certificate can't be read, or the system gives no random numbers.
+    /// [`ConfigError`] if the certificate or key cannot be used, or the operating system returns no random bytes.
     pub fn new(
         config: Config,
         users: BTreeMap<String, Verifier>,
-        fleet: PostgresEngine,
+        engine: PostgresEngine,
         pool: Rc<Pool>,
     ) -> Result<Rc<Self>, ConfigError> {
         let tls = config.tls.as_ref().map(ClientTls::acceptor).transpose()?;
@@ -71,7 +70,7 @@
         let unauthenticated = UnauthenticatedClients::new(config.max_unauthenticated_clients);
         let context = ServerContext {
             config,
-            fleet,
+            engine,
             pool,
             clients: Rc::default(),
             unauthenticated,
@@ -86,10 +85,10 @@
         }))
     }
 
-    /// Serves until `stopping` becomes true, and then until all transactions in progress have ended.
+    /// Accepts clients until `stopping` becomes true, then waits until all sessions have ended.
     pub async fn run(self: Rc<Self>, listener: TcpListener, mut stopping: watch::Receiver<bool>) {
         let context = &self.context;
-        let maintenance = spawn(context.pool.clone().maintain(context.fleet.clone()));
+        let maintenance = spawn(context.pool.clone().maintain(context.engine.clone()));
         tokio::select! {
             biased;
             () = self.accept_clients(&listener, stopping.clone()) => {}
@@ -102,7 +101,7 @@
         maintenance.abort();
     }
 
-    /// Accepts clients; never returns.
+    /// Accepts clients in a loop; never returns.
     async fn accept_clients(
         self: &Rc<Self>,
         listener: &TcpListener,
@@ -133,7 +132,7 @@
         }
     }
 
-    /// Authenticates a client, and starts what it asks for.
+    /// Authenticates a client, then starts its session, serves the console or forwards its cancel request.
     async fn handle_connection(
         self: Rc<Self>,
         stream: TcpStream,
@@ -141,7 +140,7 @@
         pending: PendingClient,
         stopping: watch::Receiver<bool>,
     ) {
-        // Without it small messages are only sent later; the connection works nevertheless.
+        // Best effort: without TCP_NODELAY, small messages are delayed.
         let _ = stream.set_nodelay(true);
         let client = Client {
             stream: Stream::plain(stream),
@@ -154,28 +153,30 @@
             authenticated = clock.timeout(AUTHENTICATION_TIMEOUT, authentication) => authenticated,
             () = pending.evicted() => return,
         };
-        // What follows has limits of its own, and none of them counts from the connect.
+        // The following phases have their own time limits, which do not start at the connect.
         let served = match authenticated {
             Ok(Ok(Some(Authenticated::Client(authenticated)))) => {
                 drop(pending);
                 Box::pin(self.serve_authenticated(authenticated, address, stopping)).await
             }
             Ok(Ok(Some(Authenticated::Cancel(request)))) => {
-                // Others may take its slot, but not end it: it has a time limit of its own.
+                // Eviction does not interrupt the cancel request, which has its own time limit.
                 self.cancel(request).await;
                 drop(pending);
                 Ok(())
             }
             Ok(Ok(None)) => Ok(()),
             Ok(Err(error)) => Err(error),
-            Err(_) => Err(ClientError::NotAllowed("not authenticated in time")),
+            Err(_) => Err(ClientError::NotAllowed(
+                "the client did not authenticate within the time limit",
+            )),
         };
         if let Err(error) = served {
-            tracing::debug!(%address, %error, "PostgreSQL client rejected");
+            tracing::debug!(%address, %error, "PostgreSQL client rejected; closing its connection");
         }
     }
 
-    /// Passes a cancel request on, and holds its client's connection until the server has taken it.
+    /// Forwards a cancel request and keeps the client's connection open until the server has received the request.
     async fn cancel(&self, request: CancelRequest) {
         let CancelRequest {
             client,
@@ -190,7 +191,7 @@
         drop(client);
     }
 
-    /// Serves the console, or starts the session, that an authenticated client asks for.
+    /// Serves the console to an authenticated client, or admits the client and starts its session.
     async fn serve_authenticated(
         self: Rc<Self>,
         authenticated: AuthenticatedClient,
@@ -202,12 +203,12 @@
             return console::serve(&self.context, client, startup.user, stopping).await;
         }
         let admitted = self.admit(client, startup, address).await?;
-        // In a task of its own: that of the admission is larger than an idle session needs.
+        // Runs in a separate task, because the admission's task is larger than an idle session needs.
         drop(spawn(self.run_session(admitted, address, stopping)));
         Ok(())
     }
 
-    /// Runs the session of an admitted client until its end.
+    /// Runs the session of an admitted client until the session ends.
     async fn run_session(
         self: Rc<Self>,
         admitted: AdmittedClient,
@@ -228,7 +229,7 @@
                 .config
                 .class_of(&startup.user, &startup.database, startup.application());
         let session_context = SessionContext {
-            fleet: context.fleet.clone(),
+            engine: context.engine.clone(),
             pool: context.pool.clone(),
             class: class.map(SessionClass::from).unwrap_or_default(),
             target,
--- a/adapters/postgres/src/server/admission.rs
+++ b/adapters/postgres/src/server/admission.rs
@@ -1,5 +1,5 @@
-//! Admission of a client: authentication, access rules, limits, and the settings that it asks for. A client that is not
-//! admitted receives an error with the reason.
+//! Admission of clients: authentication, access rules, the limit on sessions, and the requested settings. A client that
+//! is not admitted receives an `ErrorResponse` with the reason.
 
 use std::net::SocketAddr;
 
@@ -18,48 +18,48 @@
 use crate::pool::ConnectionTarget;
 use crate::unauthenticated_clients::PendingClient;
 
-/// The database by whose name the console is reached.
+/// Name of the virtual database that serves the console.
 const CONSOLE_DATABASE: &str = "badgerpost";
 
-/// What a client may do that has shown who it is.
+/// Result of the authentication phase.
 pub(super) enum Authenticated {
-    /// Its password was checked.
+    /// The client has proven its password.
     Client(AuthenticatedClient),
-    /// It cancels the statement of a session.
+    /// The client requests to cancel the running statement of a session.
     Cancel(CancelRequest),
 }
 
-/// A client whose password was checked.
+/// A client that has proven its password.
 pub(super) struct AuthenticatedClient {
     pub(super) client: Client,
     pub(super) startup: StartupMessage,
 }
 
-/// A request to cancel the statement of a session. The session's key is its password.
+/// A request to cancel the running statement of a session, authorized by the session's secret key.
 pub(super) struct CancelRequest {
-    /// The client's connection, which stays open until the server has taken the request.
+    /// The client's connection, which stays open until the server has received the request.
     pub(super) client: Client,
-    /// The session's number.
+    /// Number of the session, sent to clients as the process ID.
     pub(super) session: u32,
-    /// The session's secret key.
+    /// The secret key that the requesting client sent; not checked yet.
     pub(super) key: Bytes,
 }
 
-/// A client that may have a session.
+/// A client that was admitted to a session.
 pub(super) struct AdmittedClient {
     pub(super) client: Client,
     pub(super) startup: StartupMessage,
     pub(super) settings: ClientSettings,
-    /// The parameters of the servers.
+    /// The parameters to report to the client.
     pub(super) parameters: Parameters,
-    /// Its database, and the login of its transactions at the servers.
+    /// The client's database, and the login with which its transactions run on the servers.
     pub(super) target: ConnectionTarget,
-    /// Counts the session.
+    /// Counts the session until dropped.
     pub(super) guard: ConnectionGuard,
 }
 
 impl PostgresServer {
-    /// Authenticates a client. `None` if it has left.
+    /// Authenticates a client. `None` if the connection ended before the authentication.
     pub(super) async fn authenticate_client(
         &self,
         client: Client,
@@ -91,8 +91,8 @@
         })))
     }
 
-    /// Admits an authenticated client to a session. It may wait for a first login at a server, whose time limit is the
-    /// pool's.
+    /// Admits an authenticated client to a session. May wait for the first login at a server, limited by the pool's
+    /// connect timeout.
     pub(super) async fn admit(
         &self,
         mut client: Client,
@@ -125,11 +125,11 @@
         })
     }
 
-    /// Checks the client's password, and that it has TLS where that is required.
+    /// Checks that the client uses TLS where required, and authenticates the client.
     async fn authenticate(&self, client: &mut Client, user: &str) -> Result<(), ClientError> {
         let is_tls = client.stream.is_tls();
         if self.tls.as_ref().is_some_and(|tls| tls.is_required) && !is_tls {
-            let detail = "the node takes clients with TLS only";
+            let detail = "the node accepts TLS connections only";
             return Err(reject(client, ErrorReason::NotAuthorized, detail).await);
         }
         let channel_binding = self
@@ -145,13 +145,13 @@
         }
     }
 
-    /// Whether the client asks for the operators' console and may use it.
+    /// Whether the client requests the console's database and its user may use the console.
     pub(super) fn is_for_console(&self, startup: &StartupMessage) -> bool {
         startup.database == CONSOLE_DATABASE
             && self.context.config.console_users.contains(&startup.user)
     }
 
-    /// Checks the access rules, and finds the login that the client's transactions use.
+    /// Checks the access rules and returns the login for the client's transactions.
     async fn authorize(
         &self,
         client: &mut Client,
@@ -165,22 +165,23 @@
             is_tls: client.stream.is_tls(),
         };
         if !is_allowed(&self.context.config.access_rules, &request) {
-            let detail = "no rule lets this user come to this database";
+            let detail =
+                "no access rule allows this user to connect to this database from this address";
             return Err(reject(client, ErrorReason::NotAuthorized, detail).await);
         }
         match self.context.pool.login_for(&startup.user) {
             Some(login) => Ok(login),
             None => {
-                let detail = "the node has no login for this user";
+                let detail = "no login at the servers is configured for this user";
                 Err(reject(client, ErrorReason::NotAuthorized, detail).await)
             }
         }
     }
 
-    /// Counts the session, if the limit allows one more.
+    /// Counts a new session, or rejects the client if the limit on sessions is reached.
     async fn take_session_slot(&self, client: &mut Client) -> Result<ConnectionGuard, ClientError> {
         if self.context.sessions.get() >= self.context.config.max_clients {
-            let detail = "all of the node's client connections are in use";
+            let detail = "the node's limit on client connections is reached";
             return Err(reject(client, ErrorReason::TooManyClients, detail).await);
         }
         Ok(self.context.sessions.open())
@@ -192,18 +193,21 @@
         target: &ConnectionTarget,
     ) -> Result<Parameters, ClientError> {
         let context = &self.context;
-        let parameters = context.pool.server_parameters(&context.fleet, target).await;
+        let parameters = context
+            .pool
+            .server_parameters(&context.engine, target)
+            .await;
         match parameters {
             Some(parameters) => Ok(parameters),
             None => {
-                let detail = "no server of the fleet can be reached";
+                let detail = "the node could not log in to any server";
                 Err(reject(client, ErrorReason::NoServer, detail).await)
             }
         }
     }
 }
 
-/// Sends a client the reason why it gets no session.
+/// Sends the client an `ErrorResponse` with the reason for the rejection.
 async fn reject(client: &mut Client, reason: ErrorReason, detail: &'static str) -> ClientError {
     client
         .reject(reason, Some(detail), ClientError::NotAllowed(detail))
--- a/adapters/postgres/src/server/greeting.rs
+++ b/adapters/postgres/src/server/greeting.rs
@@ -1,4 +1,5 @@
-//! The messages that follow a client's authentication: parameters, cancel key, and that it may send a query.
+//! The messages that complete a client's start-up: `AuthenticationOk`, `ParameterStatus`, `BackendKeyData` and
+//! `ReadyForQuery`.
 
 use badgerpost_postgres_session::server_messages::{
     ParameterStatus, TransactionStatus, authentication_ok, backend_key_data,
@@ -10,7 +11,7 @@
 use crate::client_registry::RegisteredClient;
 use crate::login::Parameters;
 
-/// The greeting of a client whose servers have these parameters and who wants these settings.
+/// Encodes the start-up messages for a client. `settings` override the `parameters` of the servers.
 pub(super) fn encode(
     mut parameters: Parameters,
     settings: &ClientSettings,
@@ -19,7 +20,7 @@
 ) -> BytesMut {
     parameters.entry("application_name".to_owned()).or_default();
     for (name, value) in &mut parameters {
-        adapt_to_client(name, value, settings, client);
+        apply_session_value(name, value, settings, client);
     }
     let mut out = BytesMut::new();
     authentication_ok().write(&mut out);
@@ -35,18 +36,18 @@
     out
 }
 
-/// Replaces a parameter's value by the one that it has in this client's session.
-fn adapt_to_client(
+/// Replaces the server's value of a parameter by the value in this client's session.
+fn apply_session_value(
     name: &str,
     value: &mut String,
     settings: &ClientSettings,
     client: &RegisteredClient,
 ) {
-    let wanted = settings
+    let requested = settings
         .iter()
-        .find(|(wanted_name, _)| name.eq_ignore_ascii_case(wanted_name));
-    if let Some((_, wanted_value)) = wanted {
-        wanted_value.clone_into(value);
+        .find(|(requested_name, _)| name.eq_ignore_ascii_case(requested_name));
+    if let Some((_, requested_value)) = requested {
+        requested_value.clone_into(value);
     }
     if name == "session_authorization" {
         client.user().clone_into(value);
--- a/adapters/postgres/src/server/startup.rs
+++ b/adapters/postgres/src/server/startup.rs
@@ -1,4 +1,4 @@
-//! A client's first packets: requests for encryption and their answers, until it asks for a session or a cancellation.
+//! A client's first packets: encryption requests and their responses, up to a `StartupMessage` or a `CancelRequest`.
 
 use badgerpost_postgres_session::frame::Frame;
 use badgerpost_postgres_session::message_tags::backend;
@@ -12,32 +12,33 @@
 use crate::tls::Acceptor;
 use crate::unauthenticated_clients::PendingClient;
 
-/// Most bytes that are read at once.
+/// Maximum number of bytes per read.
 const READ_BUFFER_SIZE: usize = 1024;
-/// The answers to a request for encryption.
+/// Responses to an encryption request.
 const ENCRYPTION_ACCEPTED: &[u8] = b"S";
 const ENCRYPTION_REFUSED: &[u8] = b"N";
 
-/// What a client asks for at last.
+/// The request that ends a client's start-up packets.
 pub(super) enum StartupRequest {
-    /// A session.
+    /// To start a session.
     Session(StartupMessage),
-    /// To cancel the statement of a session.
+    /// To cancel the running statement of a session.
     Cancel {
-        /// The session's number.
+        /// Number of the session, sent to clients as the process ID.
         session: u32,
-        /// The session's secret key.
+        /// The session's secret key, as sent by the client.
         key: Bytes,
     },
 }
 
-/// A client that has sent its first packets.
+/// A client and the request that it has sent.
 pub(super) struct StartedClient {
     pub(super) client: Client,
     pub(super) request: StartupRequest,
 }
 
-/// Reads and answers a client's first packets. `None` if the client asks for nothing.
+/// Reads a client's first packets and responds to encryption requests. `None` if the connection ends before a request,
+/// or the client violates the protocol before TLS.
 pub(super) async fn read_startup(
     mut client: Client,
     tls: Option<&Acceptor>,
@@ -72,7 +73,7 @@
     Ok(None)
 }
 
-/// The next packet; `None` at the end of the connection.
+/// Reads the next packet; `None` at the end of the connection.
 async fn next_packet(
     client: &mut Client,
     reader: &mut StartupReader,
@@ -99,15 +100,16 @@
     }
 }
 
-/// Switches to TLS; `None` if the client violates the protocol, of which it is notified.
+/// Accepts an `SSLRequest` and performs the TLS handshake. Sends an `ErrorResponse` and returns `None` if unencrypted
+/// data follows the request.
 async fn start_tls(
     mut client: Client,
     reader: &mut StartupReader,
     tls: &Acceptor,
 ) -> Result<Option<Client>, ClientError> {
-    // Bytes sent ahead unencrypted would pass for the client's own.
+    // Otherwise an attacker could inject unencrypted bytes that are handled as the client's (CVE-2021-23214).
     if !reader.take_remaining().is_empty() {
-        let detail = Some("data behind SSLRequest");
+        let detail = Some("unencrypted data after SSLRequest");
         client
             .send(&[error_response(ErrorReason::ProtocolViolation, detail)])
             .await?;
@@ -122,7 +124,7 @@
     Ok(Some(client))
 }
 
-/// Answers a client that asks for more than is supported.
+/// Sends `NegotiateProtocolVersion` to a client that requests an unsupported minor version or protocol option.
 async fn negotiate_version(
     client: &mut Client,
     message: &StartupMessage,
--- a/adapters/postgres/src/stream.rs
+++ b/adapters/postgres/src/stream.rs
@@ -1,4 +1,4 @@
-//! A connection's byte stream, unencrypted or in TLS, with the bytes counted that pass the socket.
+//! The byte stream of a connection, unencrypted or TLS, which counts the bytes read from and written to the socket.
 
 use std::io;
 use std::pin::Pin;
@@ -8,12 +8,13 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio_rustls::TlsStream;
 
-/// A socket whose bytes are counted: a test's clock advances only once all that was written has been read.
+/// A socket whose bytes are counted. Tests with a virtual clock advance the clock only after all written bytes have
+/// been read.
 #[derive(Debug)]
 pub struct CountedStream(TcpStream);
 
 impl CountedStream {
-    /// Counts the bytes of a socket.
+    /// Wraps a socket.
     pub fn new(socket: TcpStream) -> Self {
         Self(socket)
     }
@@ -59,24 +60,24 @@
 pub enum Stream {
     /// Unencrypted.
     Plain(CountedStream),
-    /// In TLS; boxed, as its state is large compared with a plain socket's.
+    /// TLS; boxed because the state of a TLS connection is large.
     Tls(Box<TlsStream<CountedStream>>),
 }
 
 impl Stream {
-    /// An unencrypted connection.
+    /// Wraps a socket as an unencrypted connection.
     pub fn plain(socket: TcpStream) -> Self {
         Self::Plain(CountedStream::new(socket))
     }
 
-    /// Whether it is in TLS.
+    /// Whether the connection uses TLS.
     pub fn is_tls(&self) -> bool {
         matches!(self, Self::Tls(_))
     }
 
-    /// Whether the connection is open and nothing unread has arrived. A byte that has arrived is lost, so the
-    /// connection can't be used any more if not.
-    pub fn is_open_and_silent(&mut self) -> bool {
+    /// Whether the connection is open and has no unread input. The check consumes a pending byte, so the connection
+    /// must be closed if the result is false.
+    pub fn is_open_without_pending_input(&mut self) -> bool {
         let mut byte = [0; 1];
         let mut cx = Context::from_waker(Waker::noop());
         Pin::new(self)
--- a/adapters/postgres/src/unauthenticated_clients.rs
+++ b/adapters/postgres/src/unauthenticated_clients.rs
@@ -1,5 +1,5 @@
-//! Slots for clients that are not authenticated yet, separate from those of sessions: any number of silent connections
-//! keeps no client out. When all slots are taken, the client that has been silent longest is evicted.
+//! Slots for clients that are not authenticated yet, counted separately from sessions. When all slots are taken, a new
+//! client evicts the client that has been silent longest, so that idle connections cannot block new clients.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,12 +10,12 @@
 /// One client's slot.
 #[derive(Default)]
 struct Slot {
-    /// The number of the last event of this client, counted over all clients; 0 before the first.
+    /// Sequence number, over all clients, of the last input from this client; 0 before the first input.
     last_event: Cell<u64>,
     evicted: Notify,
 }
 
-/// The slots of all clients that are not authenticated.
+/// The slots of all clients that are not authenticated yet.
 pub struct UnauthenticatedClients {
     slots: RefCell<BTreeMap<u64, Rc<Slot>>>,
     max_clients: usize,
@@ -24,7 +24,7 @@
     evictions: Cell<u64>,
 }
 
-/// A client that is not authenticated. Its slot is free again once this is dropped.
+/// A client that is not authenticated yet. Dropping it frees the slot.
 pub struct PendingClient {
     clients: Rc<UnauthenticatedClients>,
     number: u64,
@@ -32,7 +32,7 @@
 }
 
 impl UnauthenticatedClients {
-    /// Slots for this many clients, at least one.
+    /// Creates `max_clients` slots; 0 counts as 1.
     pub fn new(max_clients: usize) -> Rc<Self> {
         Rc::new(Self {
             slots: RefCell::default(),
@@ -43,7 +43,7 @@
         })
     }
 
-    /// A slot for a new client. If all are taken, another client is evicted.
+    /// Takes a slot for a new client. Evicts another client if all slots are taken.
     pub fn admit(self: &Rc<Self>) -> PendingClient {
         let mut slots = self.slots.borrow_mut();
         if slots.len() >= self.max_clients {
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Evicts the client that has been silent longest; those that never sent anything first, the oldest before others.
+    /// Evicts the client that has been silent longest. Clients that have sent nothing are evicted first, in order of
+    /// arrival.
     fn evict_one(&self, slots: &mut BTreeMap<u64, Rc<Slot>>) {
         let longest_silent = slots
             .iter()
@@ -72,26 +73,26 @@
         }
     }
 
-    /// The number of clients that are not authenticated yet.
+    /// Number of clients that hold a slot.
     pub fn pending(&self) -> usize {
         self.slots.borrow().len()
     }
 
-    /// The number of clients that were evicted so far.
+    /// Number of clients evicted since the node started.
     pub fn evictions(&self) -> u64 {
         self.evictions.get()
     }
 }
 
 impl PendingClient {
-    /// Notes that something was received from this client.
+    /// Records that bytes were received from this client.
     pub fn record_activity(&self) {
         let events = self.clients.events.get() + 1;
         self.clients.events.set(events);
         self.slot.last_event.set(events);
     }
 
-    /// Resolves once the client is evicted.
+    /// Resolves when the client is evicted.
     pub async fn evicted(&self) {
         self.slot.evicted.notified().await;
     }
--- a/adapters/postgres/src/unauthenticated_clients/tests.rs
+++ b/adapters/postgres/src/unauthenticated_clients/tests.rs
@@ -17,7 +17,7 @@
     let clients: Vec<PendingClient> = (0..3).map(|_| all.admit()).collect();
     clients[0].record_activity();
     let _fourth = all.admit();
-    // The first has sent something, so the second is evicted: it was silent for longer than the third.
+    // The first client has sent data. Of the two silent clients, the second arrived before the third.
     assert_eq!(
         clients.iter().map(is_evicted).collect::<Vec<_>>(),
         [false, true, false]
--- a/adapters/postgres/src/upstream.rs
+++ b/adapters/postgres/src/upstream.rs
@@ -1,5 +1,5 @@
-//! The engine's transport to PostgreSQL servers. An attempt takes a connection from the pool and leases it to the
-//! session that asked; that session reports how the attempt ends.
+//! The engine's transport to PostgreSQL servers. An attempt acquires a connection from the pool and leases it to the
+//! requesting session. The session reports the end of the attempt to the engine.
 
 use std::rc::Rc;
 
@@ -11,16 +11,16 @@
 use crate::pool::{Pool, PoolKey, ServerAddress};
 use crate::{Postgres, PostgresEngine};
 
-/// Makes attempts with connections of a pool.
+/// Starts attempts on connections from a pool.
 pub struct PostgresTransport(pub Rc<Pool>);
 
 impl Transport<Postgres> for PostgresTransport {
-    fn start_attempt(&self, fleet: &PostgresEngine, command: AttemptCommand<Postgres>) {
-        let (pool, fleet) = (self.0.clone(), fleet.clone());
+    fn start_attempt(&self, engine: &PostgresEngine, command: AttemptCommand<Postgres>) {
+        let (pool, engine) = (self.0.clone(), engine.clone());
         spawn(async move {
             let attempt = command.attempt;
-            if let Err(outcome) = lease_connection(&pool, &fleet, command).await {
-                fleet.attempt_ended(attempt, AttemptEnd::without_response(outcome));
+            if let Err(outcome) = lease_connection(&pool, &engine, command).await {
+                engine.attempt_ended(attempt, AttemptEnd::without_response(outcome));
             }
         });
     }
@@ -30,13 +30,13 @@
     }
 }
 
-/// Leases a connection to the transaction that the attempt is for.
+/// Acquires a connection and leases it to the attempt's transaction.
 ///
 /// # Errors
-/// The outcome of the attempt, if it has ended without a lease.
+/// The outcome of the attempt if no lease was delivered.
 async fn lease_connection(
     pool: &Pool,
-    fleet: &PostgresEngine,
+    engine: &PostgresEngine,
     command: AttemptCommand<Postgres>,
 ) -> Result<(), Outcome> {
     let AttemptCommand {
@@ -57,17 +57,17 @@
         biased;
         _ = &mut cancelled => return Err(Outcome::NotSent),
         acquired = pool.acquire(&key, request.rank, deadline) => acquired,
-        // A login may take longer than that. Nothing was sent.
-        () = fleet.clock().wait_for_deadline(deadline) => return Err(Outcome::NotSent),
+        // A login can outlast the deadline. No part of the transaction was sent.
+        () = engine.clock().wait_for_deadline(deadline) => return Err(Outcome::NotSent),
     };
     let connection = acquired.map_err(|error| {
-        let server = fleet.endpoint_name(backend);
-        tracing::debug!(server, %endpoint, %error, "no connection to a PostgreSQL server");
+        let server = engine.endpoint_name(backend);
+        tracing::debug!(server, %endpoint, %error, "no connection to the PostgreSQL server; ending the attempt");
         outcome_of(&error)
     })?;
-    // The wait or the login may have outlasted the request, or the server's entry on the endpoint list.
-    if !fleet.may_write(attempt) {
-        pool.release(fleet, connection);
+    // During the wait or the login, the request may have ended or the server may have been removed.
+    if !engine.may_write(attempt) {
+        pool.release(engine, connection);
         return Err(Outcome::NotSent);
     }
     let lease = ServerLease {
@@ -78,13 +78,13 @@
         cancelled,
     };
     if let Some(undelivered) = request.slot.deliver(request.transaction, lease) {
-        pool.release(fleet, undelivered.connection);
+        pool.release(engine, undelivered.connection);
         return Err(Outcome::NotSent);
     }
     Ok(())
 }
 
-/// How an attempt ends that got no connection.
+/// The outcome of an attempt that could not acquire a connection.
 fn outcome_of(error: &ConnectError) -> Outcome {
     if error.is_capacity() {
         Outcome::Rejected
--- a/adapters/postgres/tests/admission.rs
+++ b/adapters/postgres/tests/admission.rs
@@ -291,7 +291,7 @@
         drop(clients);
         let client = connect_when_possible(&node).await;
         // Without servers a transaction is rejected with the code that says that nothing ran.
-        node.fleet.endpoints_updated(EndpointUpdate::Snapshot, &[]);
+        node.engine.endpoints_updated(EndpointUpdate::Snapshot, &[]);
         let error = client.batch_execute("select 1").await;
         let error = error.expect_err("no server");
         assert_eq!(error.code().map(SqlState::code), Some("53300"));
--- a/adapters/postgres/tests/common/mod.rs
+++ b/adapters/postgres/tests/common/mod.rs
@@ -34,7 +34,7 @@
 
 pub struct Node {
     pub at: SocketAddr,
-    pub fleet: PostgresEngine,
+    pub engine: PostgresEngine,
     pub config: Config,
     /// Held, as its end would stop the server.
     stop: watch::Sender<bool>,
@@ -97,10 +97,10 @@
         );
         let site = config.site().expect("a site");
         let launcher = Rc::new(PostgresTransport(pool.clone()));
-        let fleet =
+        let engine =
             PostgresEngine::new(site.settings, site.names, 7, clock, launcher).expect("a fleet");
-        fleet.endpoints_updated(EndpointUpdate::Snapshot, &config.endpoints());
-        let timers = fleet.clone();
+        engine.endpoints_updated(EndpointUpdate::Snapshot, &config.endpoints());
+        let timers = engine.clone();
         spawn(async move { timers.run_timers().await });
         let user = |name: &str| {
             (
@@ -111,7 +111,7 @@
         let server = PostgresServer::new(
             config.clone(),
             [user("ann"), user("eve")].into(),
-            fleet.clone(),
+            engine.clone(),
             pool,
         );
         let listener = tokio::net::TcpListener::bind(config.listen)
@@ -122,7 +122,7 @@
         spawn(server.expect("a server").run(listener, stopping));
         Self {
             at,
-            fleet,
+            engine,
             config,
             stop,
         }
--- a/adapters/postgres/tests/transactions.rs
+++ b/adapters/postgres/tests/transactions.rs
@@ -196,7 +196,7 @@
         }
         let mut list = node.config.endpoints();
         list[0].state = badgerpost_balancer::EndpointState::Draining;
-        node.fleet
+        node.engine
             .endpoints_updated(EndpointUpdate::Snapshot, &list);
         let before = one.statements();
         for client in &clients {
