--- a/adapters/postgres/src/access.rs
+++ b/adapters/postgres/src/access.rs
@@ -1,43 +1,43 @@
-//! Access rules: which user may come to which database from which address. The first rule that matches counts, as in a
-//! server's `pg_hba.conf`.
+//! Access rules: which users may connect to which databases from which addresses. The first matching rule decides, as
+//! in PostgreSQL's `pg_hba.conf`.
 
 use std::net::IpAddr;
 use std::str::FromStr;
 
 use serde::Deserialize;
 
-/// Bits of an address.
+/// Length of an address in bits.
 const IPV4_BITS: u8 = 32;
 const IPV6_BITS: u8 = 128;
 
-/// An access rule. It matches a client that fits all conditions that are set.
+/// An access rule. The rule matches a client that meets all conditions that are set.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccessRule {
-    /// The user.
+    /// User name that the client has to have; any user if absent.
     pub user: Option<String>,
-    /// The database.
+    /// Database that the client has to request; any database if absent.
     pub database: Option<String>,
-    /// The range that the client's address lies in, as `10.0.0.0/8`.
+    /// CIDR range that has to contain the client's address, such as `10.0.0.0/8`; any address if absent.
     pub address: Option<AddressRange>,
-    /// Whether the client's connection is in TLS.
+    /// Whether the client has to use TLS (true) or no TLS (false); either if absent.
     #[serde(rename = "tls")]
     pub is_tls: Option<bool>,
-    /// Whether clients that match are rejected.
+    /// Whether matching clients are rejected instead of allowed.
     #[serde(rename = "refuse", default)]
     pub rejects: bool,
 }
 
-/// What a client asks for, as far as the rules look at it.
+/// The properties of a client that access rules are matched against.
 #[derive(Clone, Copy, Debug)]
 pub struct AccessRequest<'a> {
-    /// The user.
+    /// User name that the client authenticated with.
     pub user: &'a str,
-    /// The database.
+    /// Database that the client requests.
     pub database: &'a str,
-    /// The client's address.
+    /// The client's IP address.
     pub address: IpAddr,
-    /// Whether its connection is in TLS.
+    /// Whether the client's connection uses TLS.
     pub is_tls: bool,
 }
 
@@ -54,8 +54,8 @@
     }
 }
 
-/// Whether the rules allow a request. Without rules every authenticated user may come; with rules, none that no rule
-/// matches.
+/// Whether the rules allow a request. Without any rules, all requests are allowed; otherwise, requests that match no
+/// rule are rejected.
 pub fn is_allowed(rules: &[AccessRule], request: &AccessRequest<'_>) -> bool {
     if rules.is_empty() {
         return true;
@@ -64,7 +64,7 @@
     first_match.is_some_and(|rule| !rule.rejects)
 }
 
-/// A range of addresses (CIDR).
+/// A range of IP addresses in CIDR notation; an address without a prefix length is a range of one address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub struct AddressRange {
@@ -72,9 +72,9 @@
     prefix_length: u8,
 }
 
-/// A text that is no range of addresses.
+/// Error for a text that is not a CIDR range. Contains the text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no range of addresses like 10.0.0.0/8")]
+#[error("{0:?} is not a range of addresses; use CIDR notation such as 10.0.0.0/8")]
 pub struct AddressRangeError(String);
 
 impl TryFrom<String> for AddressRange {
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Whether an address lies in the range. An IPv4 address that came over IPv6 (`::ffff:10.0.0.1`) counts as IPv4.
+    /// Whether the range contains an address. IPv4-mapped IPv6 addresses (`::ffff:10.0.0.1`) are treated as IPv4.
     pub fn contains(&self, address: IpAddr) -> bool {
         match (self.base, address.to_canonical()) {
             (IpAddr::V4(base), IpAddr::V4(address)) => {
@@ -126,7 +126,7 @@
 
     fn has_same_prefix(&self, base: u128, address: u128, address_bits: u8) -> bool {
         let host_bits = u32::from(address_bits - self.prefix_length);
-        // A prefix of no bits fits all addresses; a shift by all of the 128 bits would overflow.
+        // A prefix of zero bits matches all addresses. Shifting by all 128 bits would overflow.
         host_bits >= u128::BITS || base >> host_bits == address >> host_bits
     }
 }
--- a/adapters/postgres/src/access/tests.rs
+++ b/adapters/postgres/src/access/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_first_rule_that_matches_counts() {
+fn the_first_matching_rule_decides() {
     let rule = |user: Option<&str>, database: Option<&str>, is_tls, rejects| AccessRule {
         user: user.map(str::to_owned),
         database: database.map(str::to_owned),
@@ -45,10 +45,13 @@
         rule(None, Some("ratings"), None, false),
         rule(Some("amy"), None, Some(true), false),
     ];
-    let may = |user, database, is_tls| is_allowed(&rules, &request(user, database, is_tls));
-    assert!(may("amy", "ratings", false) && may("amy", "other", true));
+    let is_allowed_for =
+        |user, database, is_tls| is_allowed(&rules, &request(user, database, is_tls));
+    assert!(is_allowed_for("amy", "ratings", false) && is_allowed_for("amy", "other", true));
     assert!(
-        !may("amy", "other", false) && !may("eve", "ratings", true) && !may("bob", "other", true)
+        !is_allowed_for("amy", "other", false)
+            && !is_allowed_for("eve", "ratings", true)
+            && !is_allowed_for("bob", "other", true)
     );
     assert!(is_allowed(&[], &request("bob", "other", false)));
 }
--- a/adapters/postgres/src/config.rs
+++ b/adapters/postgres/src/config.rs
@@ -1,4 +1,4 @@
-//! The section `[postgres]` of the operators' file: its keys, and what other modules make of them.
+//! The section `[postgres]` of the configuration file.
 
 mod balancer_settings;
 
@@ -20,124 +20,125 @@
 pub use self::balancer_settings::idempotent_class_name;
 pub use crate::config_error::{ConfigError, TlsFileError, UserLineError};
 
-/// The section `[postgres]`. Field names follow its keys, or a key is given where they differ.
+/// The section `[postgres]`. Where a field's name differs from the key, serde's `rename` gives the key.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Where clients connect.
+    /// Address on which the node accepts clients.
     pub listen: SocketAddr,
-    /// The node's own zone.
+    /// Zone in which the node runs.
     pub zone: String,
-    /// A file with a line for each user, of its name and its SCRAM verifier: `name SCRAM-SHA-256$...`. Only its owner
-    /// may access it.
+    /// File with one line per client user, with mode 0600. Each line has a user name, a space and a SCRAM verifier:
+    /// `name SCRAM-SHA-256$...`.
     pub users: PathBuf,
-    /// Most clients that have a session.
+    /// Maximum number of sessions.
     #[serde(rename = "clients", default = "default_max_clients")]
     pub max_clients: usize,
-    /// Most clients that are connected and not authenticated; with more, the one that is silent longest is evicted.
+    /// Maximum number of clients that are not authenticated yet. Beyond it, the client that has been silent longest is
+    /// evicted.
     #[serde(
         rename = "unidentified",
         default = "default_max_unauthenticated_clients"
     )]
     pub max_unauthenticated_clients: usize,
-    /// For how long a server connection is leased.
+    /// How long a session keeps a server connection.
     #[serde(default)]
     pub pooling: Pooling,
-    /// Most connections to one server.
+    /// Maximum number of connections to each server.
     #[serde(rename = "per_server", default = "default_max_connections_per_server")]
     pub max_connections_per_server: usize,
-    /// Most logins in progress at one server.
+    /// Maximum number of concurrent logins at each server.
     #[serde(rename = "logins", default = "default_max_concurrent_logins")]
     pub max_concurrent_logins: usize,
-    /// Idle connections kept ready at each server, for each database and login in use.
+    /// Number of idle connections to keep open to each server, for each database and login in use.
     #[serde(default)]
     pub min_idle: usize,
-    /// A connection that has been idle for this time is closed.
+    /// Time after which an idle server connection is closed, in milliseconds.
     #[serde(rename = "idle_close_ms", default = "default_idle_timeout_ms")]
     pub idle_timeout_ms: u64,
-    /// A connection is closed at this age, a quarter more or less.
+    /// Maximum age of a server connection, in milliseconds, varied by up to 25% per connection.
     #[serde(rename = "lifetime_ms", default = "default_max_lifetime_ms")]
     pub max_lifetime_ms: u64,
-    /// The node's logins at the servers.
+    /// The node's logins at the servers; at least one is required.
     pub login: Vec<Login>,
-    /// Who may come to which database from where; without rules, all users.
+    /// Access rules, matched in order. Without rules, every authenticated user may connect to every database.
     #[serde(rename = "allow", default)]
     pub access_rules: Vec<AccessRule>,
-    /// TLS towards clients; without it, a client's request for TLS is refused.
+    /// TLS for clients. If absent, clients cannot use TLS.
     pub tls: Option<ClientTls>,
-    /// TLS towards servers; without it, connections to them are not encrypted.
+    /// TLS for connections to servers. If absent, connections to servers are not encrypted.
     pub server_tls: Option<ServerTls>,
-    /// Users who may use the console, which is the database `badgerpost`.
+    /// Users that may use the console, which is served as the database `badgerpost`.
     #[serde(rename = "console", default)]
     pub console_users: Vec<String>,
-    /// Where an endpoint list with further servers is, in the platform's form.
+    /// Address of a discovery service that provides an endpoint list with additional servers.
     pub discovery: Option<SocketAddr>,
-    /// The servers.
+    /// Statically configured servers.
     #[serde(default)]
     pub server: Vec<Server>,
-    /// The classes of transactions; the first one that matches counts, and the last one where none does.
+    /// The classes of transactions. A client gets the first class that matches, or the last class if none matches.
     pub class: Vec<Class>,
 }
 
-/// For how long a server connection is leased.
+/// How long a session keeps a server connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Pooling {
-    /// For a transaction.
+    /// For one transaction.
     #[default]
     Transaction,
-    /// From a session's first transaction to the session's end.
+    /// From the session's first transaction to the end of the session.
     Session,
 }
 
-/// The pool's limits.
+/// Limits of the connection pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// Most connections to one server, at least one.
+    /// Maximum number of connections to each server, at least 1.
     pub max_connections_per_server: usize,
-    /// Most logins in progress at one server, at least one.
+    /// Maximum number of concurrent logins at each server, at least 1.
     pub max_concurrent_logins: usize,
-    /// Idle connections kept ready at each server, for each database and login in use.
+    /// Number of idle connections to keep open to each server, for each database and login in use.
     pub min_idle: usize,
-    /// A connection that has been idle for this time is closed.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// A connection is closed at this age, a quarter more or less.
+    /// Maximum age of a connection, varied by up to 25% per connection.
     pub max_lifetime: Duration,
 }
 
-/// A server.
+/// A statically configured server, `[[postgres.server]]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// Its name.
+    /// Unique name, shown in logs and on the console.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the server accepts connections.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone in which the server runs.
     pub zone: String,
 }
 
-/// A class of transactions. It matches clients that fit all conditions that are set.
+/// A class of transactions, `[[postgres.class]]`. The class matches clients that meet all conditions that are set.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Unique name of the class, also the name of the balancer's class.
     pub name: String,
-    /// The client's user.
+    /// User name that the client has to have; any user if absent.
     pub user: Option<String>,
-    /// The client's database.
+    /// Database that the client has to request; any database if absent.
     pub database: Option<String>,
-    /// The client's `application_name`.
+    /// `application_name` that the client has to have; any if absent.
     pub application: Option<String>,
-    /// A response within this time has its full value.
+    /// Latency objective of a transaction, in milliseconds.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: u64,
-    /// A transaction that takes longer is aborted.
+    /// Deadline of a transaction, in milliseconds. Transactions that take longer are aborted.
     pub deadline_ms: u64,
-    /// The value of its transactions, compared with those of other classes.
+    /// Priority weight of the class's transactions relative to other classes.
     #[serde(rename = "worth", default = "default_priority_weight")]
     pub priority_weight: f64,
-    /// Whether a single statement may run twice, and so be retried though it may have run.
+    /// Whether statements outside a transaction block are idempotent, so that a statement that may have run is retried.
     #[serde(rename = "repeatable", default)]
     pub has_idempotent_statements: bool,
 }
@@ -171,10 +172,10 @@
 }
 
 impl Config {
-    /// Reads the users and their verifiers.
+    /// Reads the users file: SCRAM verifiers by user name.
     ///
     /// # Errors
-    /// [`ConfigError`] if the file can't be read, others than its owner may access it, or a line is malformed.
+    /// [`ConfigError`] if the file cannot be read, is accessible by others, or has a malformed line.
     pub fn read_users(&self) -> Result<BTreeMap<String, Verifier>, ConfigError> {
         let text = read_private(&self.users)?;
         let mut users = BTreeMap::new();
@@ -193,10 +194,10 @@
         Ok(users)
     }
 
-    /// Reads the logins' passwords.
+    /// Reads the password files of the logins.
     ///
     /// # Errors
-    /// [`ConfigError`] if there is no login, or a password's file can't be used.
+    /// [`ConfigError`] if no login is configured, or a password file cannot be read or is accessible by others.
     pub fn read_logins(&self) -> Result<Logins, ConfigError> {
         if self.login.is_empty() {
             return Err(ConfigError::NoLogin);
@@ -204,10 +205,10 @@
         Logins::read(&self.login)
     }
 
-    /// Reads all files that the section names, to check them.
+    /// Validates the section and all files that it names.
     ///
     /// # Errors
-    /// [`ConfigError`] for the first that can't be used.
+    /// The first [`ConfigError`] found.
     pub fn check(&self) -> Result<(), ConfigError> {
         self.site()?;
         self.read_users()?;
@@ -220,7 +221,7 @@
         Ok(())
     }
 
-    /// The pool's limits.
+    /// The limits of the connection pool; limits that have to be at least 1 are raised to 1.
     pub fn limits(&self) -> PoolLimits {
         PoolLimits {
             max_connections_per_server: self.max_connections_per_server.max(1),
@@ -231,7 +232,8 @@
         }
     }
 
-    /// The class of a client's transactions: the first one that matches, otherwise the last one.
+    /// The class of a client's transactions: the first class that matches, otherwise the last class. `None` if no class
+    /// is configured.
     pub fn class_of(&self, user: &str, database: &str, application: &str) -> Option<&Class> {
         self.class
             .iter()
@@ -239,7 +241,7 @@
             .or(self.class.last())
     }
 
-    /// The servers of the section, as entries of an endpoint list.
+    /// The statically configured servers, as entries of an endpoint list.
     pub fn endpoints(&self) -> Vec<DiscoveredEndpoint> {
         self.server.iter().map(Server::endpoint).collect()
     }
@@ -262,16 +264,18 @@
 
 impl Class {
     fn matches(&self, user: &str, database: &str, application: &str) -> bool {
-        let is_any_or = |condition: &Option<String>, value: &str| {
-            condition.as_deref().is_none_or(|wanted| wanted == value)
+        let is_unset_or_equal = |condition: &Option<String>, value: &str| {
+            condition
+                .as_deref()
+                .is_none_or(|required| required == value)
         };
-        is_any_or(&self.user, user)
-            && is_any_or(&self.database, database)
-            && is_any_or(&self.application, application)
+        is_unset_or_equal(&self.user, user)
+            && is_unset_or_equal(&self.database, database)
+            && is_unset_or_equal(&self.application, application)
     }
 }
 
-/// Reads a line of the users' file.
+/// Parses a line of the users file into a user name and a SCRAM verifier.
 fn parse_user(line: &str) -> Result<(&str, Verifier), UserLineError> {
     let (name, verifier) = line.split_once(' ').ok_or(UserLineError::NoVerifier)?;
     let verifier = Verifier::parse(verifier).map_err(|_| UserLineError::UnsupportedVerifier)?;
--- a/adapters/postgres/src/config/balancer_settings.rs
+++ b/adapters/postgres/src/config/balancer_settings.rs
@@ -1,5 +1,4 @@
-//! The balancer's settings for a PostgreSQL fleet, made of the section `[postgres]` in the words of the settings
-//! object.
+//! Builds the balancer's settings for PostgreSQL servers from the section `[postgres]`, as a settings object.
 
 use badgerpost_settings::Site;
 use serde_json::{Value, json};
@@ -8,16 +7,15 @@
 use crate::config_error::ConfigError;
 
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
-/// Transactions that are sent to a server, in proportion to its connections. A few more than it has connections wait in
-/// the pool; the others wait in the balancer, which orders them by their classes.
+/// Maximum number of transactions assigned to a server, per allowed connection. The surplus over 1 waits in the pool;
+/// all further transactions wait in the balancer, which orders them by class.
 const TRANSACTIONS_PER_CONNECTION: f64 = 1.25;
 
 impl Config {
-    /// The balancer's settings for this fleet. Each class is in them once as it is and, where its statements are
-    /// idempotent, a second time for those.
+    /// The balancer's settings. A class with idempotent statements yields a second class for them.
     ///
     /// # Errors
-    /// [`ConfigError`] if a class or the servers are missing, or the balancer can't work with the values.
+    /// [`ConfigError`] if no class or no source of servers is configured, or a value is out of range.
     pub fn site(&self) -> Result<Site, ConfigError> {
         if self.class.is_empty() || (self.server.is_empty() && self.discovery.is_none()) {
             return Err(ConfigError::NoClassOrServer);
@@ -56,7 +54,7 @@
         })
     }
 
-    /// The node's own zone, then the others in the order of the servers.
+    /// The node's zone, followed by the zones of the configured servers in order of first occurrence.
     fn zones(&self) -> Vec<&str> {
         let mut zones = vec![self.zone.as_str()];
         for server in &self.server {
@@ -68,7 +66,7 @@
     }
 }
 
-/// The class as it is and, where its statements are idempotent, a second one for those.
+/// The settings objects of a class: one for its transactions and, with idempotent statements, one for those.
 fn class_objects(class: &Class) -> Vec<Value> {
     let mut objects = vec![class_object(class, &class.name, "once")];
     if class.has_idempotent_statements {
@@ -88,7 +86,7 @@
     })
 }
 
-/// The name of the class for the idempotent statements of a class.
+/// Name of the balancer's class for the idempotent statements of a configured class.
 pub fn idempotent_class_name(class_name: &str) -> String {
     format!("{class_name}, repeatable")
 }
--- a/adapters/postgres/src/config/tests.rs
+++ b/adapters/postgres/src/config/tests.rs
@@ -2,13 +2,12 @@
 
 use super::*;
 
-/// The section of the operators' file that would say the same.
 #[test]
-fn an_invalid_section_is_rejected_with_its_problem() {
+fn an_invalid_section_is_rejected_with_an_error_that_names_the_problem() {
     let text = "listen = \"127.0.0.1:0\"\nzone = \"a\"\nusers = \"/no/such/file\"\nclass = []\nlogin = []\n";
     let no_class: Config = Source::embedded("test", text)
         .parse()
-        .expect("the keys that there must be");
+        .expect("a section with the required keys");
     assert!(
         no_class
             .read_logins()
@@ -29,17 +28,21 @@
     );
     let path = std::env::temp_dir().join(format!("badgerpost-users-{}", std::process::id()));
     std::fs::write(&path, "# who\nann secret\n").unwrap();
-    let with = Config {
+    let with_users_file = Config {
         users: path.clone(),
         ..no_class
     };
-    let mode = |mode| {
+    let error_at_mode = |mode| {
         use std::os::unix::fs::PermissionsExt;
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
-        with.read_users().err().expect("bad").to_string()
+        with_users_file
+            .read_users()
+            .err()
+            .expect("an invalid users file")
+            .to_string()
     };
-    assert!(mode(0o644).contains("0600"));
-    let error = mode(0o600);
+    assert!(error_at_mode(0o644).contains("0600"));
+    let error = error_at_mode(0o600);
     assert!(
         error.contains(":2: only SCRAM-SHA-256") && !error.contains("secret"),
         "{error}"
--- a/adapters/postgres/src/config_error.rs
+++ b/adapters/postgres/src/config_error.rs
@@ -1,4 +1,4 @@
-//! Why the section `[postgres]` can't be used, and reading of the private files that it names.
+//! Errors in the section `[postgres]`, and reading of the private files that the section names.
 
 use std::path::{Path, PathBuf};
 
@@ -7,85 +7,87 @@
 use badgerpost_settings::private_file::{self, PrivateFileError};
 use rustls::pki_types::InvalidDnsNameError;
 
-/// Why the section can't be used.
+/// An error in the section `[postgres]` or in a file that the section names.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A file that it names can't be read.
-    #[error("postgres: {}: {source}", path.display())]
+    /// A file cannot be read.
+    #[error("postgres: cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The operating system's error.
         source: std::io::Error,
     },
-    /// Others than the owner may access a file with secrets.
-    #[error("postgres: {}: others may read it; its mode must be 0600", .0.display())]
+    /// A file with secrets is accessible by users other than its owner. Contains the file's path.
+    #[error("postgres: {}: the file is accessible by other users; its mode must be 0600", .0.display())]
     AccessibleByOthers(PathBuf),
-    /// A line of the users' file is malformed.
+    /// A line of the users file is malformed.
     #[error("postgres: {}:{line}: {problem}", path.display())]
     Users {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What is wrong. Never the line itself, which may be a secret.
+        /// What is wrong. Never contains the line itself, which may hold a secret.
         problem: UserLineError,
     },
-    /// A certificate or a key can't be used.
+    /// A file with certificates or a key is invalid.
     #[error("postgres: {}: {problem}", path.display())]
     Tls {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// What is wrong.
         problem: TlsFileError,
     },
-    /// The name of the servers' certificates is not a host name.
+    /// `server_tls.name` is not a valid host name.
     #[error("postgres: server_tls.name: {0}")]
     ServerName(#[from] InvalidDnsNameError),
-    /// There is no login for the servers.
-    #[error("postgres: there must be a [[postgres.login]]")]
+    /// No login at the servers is configured.
+    #[error("postgres: at least one [[postgres.login]] is required")]
     NoLogin,
-    /// There is no class, or nothing says where the servers are.
-    #[error("postgres: there must be a [[postgres.class]], and a [[postgres.server]] or discovery")]
+    /// No class is configured, or neither servers nor discovery.
+    #[error(
+        "postgres: at least one [[postgres.class]] is required, and a [[postgres.server]] or postgres.discovery"
+    )]
     NoClassOrServer,
-    /// The settings object that is made of the section can't be read.
+    /// The settings object built from the section is invalid.
     #[error("postgres: {0}")]
     SettingsObject(#[from] ObjectError),
-    /// The balancer can't work with the settings.
+    /// The balancer rejects the settings.
     #[error("postgres: {0}")]
     Settings(#[from] SettingsError),
-    /// The system gives no random numbers.
-    #[error("postgres: the system has no random numbers")]
+    /// The operating system returned no random bytes.
+    #[error("postgres: the operating system returned no random bytes")]
     Random,
 }
 
-/// What is wrong with a line of the users' file.
+/// What is wrong with a line of the users file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UserLineError {
-    /// It has no space between a name and a verifier.
-    #[error("a name and a verifier")]
+    /// The line has no space between a user name and a verifier.
+    #[error("expected a user name, a space and a SCRAM-SHA-256 verifier")]
     NoVerifier,
-    /// What follows the name is no verifier of a supported kind.
-    #[error("only SCRAM-SHA-256 verifiers are taken, no passwords, no md5")]
+    /// The text after the user name is not a supported verifier.
+    #[error("only SCRAM-SHA-256 verifiers are supported, not passwords or MD5 hashes")]
     UnsupportedVerifier,
 }
 
 /// What is wrong with a file with certificates or a key.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsFileError {
-    /// It is not PEM.
+    /// The file cannot be read or is not valid PEM.
     #[error("{0}")]
     Pem(#[from] rustls::pki_types::pem::Error),
-    /// It holds no certificate.
-    #[error("no certificate in it")]
+    /// The file contains no certificate.
+    #[error("the file contains no certificate")]
     NoCertificate,
-    /// The TLS library can't use what it holds.
+    /// The TLS library rejects the certificates or the key.
     #[error("{0}")]
     Unusable(#[from] rustls::Error),
 }
 
 impl TlsFileError {
-    /// The same with the file's path.
+    /// Adds the file's path to the error.
     pub(crate) fn at(self, path: &Path) -> ConfigError {
         ConfigError::Tls {
             path: path.to_owned(),
@@ -94,12 +96,12 @@
     }
 }
 
-/// Reads a file that only its owner may access.
+/// Reads a file, which must be accessible by its owner only.
 pub(crate) fn read_private(path: &Path) -> Result<String, ConfigError> {
     private_file::read(path).map_err(|error| private_file_error(path, error))
 }
 
-/// Checks that only its owner may access a file.
+/// Checks that a file is accessible by its owner only.
 pub(crate) fn check_private(path: &Path) -> Result<(), ConfigError> {
     private_file::check(path).map_err(|error| private_file_error(path, error))
 }
--- a/adapters/postgres/src/console.rs
+++ b/adapters/postgres/src/console.rs
@@ -1,7 +1,8 @@
-//! The operators' console: the database `badgerpost`, for named users. Any client that sends simple queries can use it.
+//! The operators' console, served as the database `badgerpost` to the configured users. Only the simple query protocol
+//! is supported.
 //!
-//! - `command`: the commands, and what they do
-//! - `table`, `tables`: what SHOW prints
+//! - `command`: parses and runs the commands
+//! - `table`, `tables`: the output of SHOW
 
 mod command;
 mod table;
@@ -22,15 +23,15 @@
 use crate::client::{Client, ClientError};
 use crate::context::ServerContext;
 
-/// Most bytes that are read at once.
+/// Maximum number of bytes per read.
 const READ_BUFFER_SIZE: usize = 1024;
-/// Most consoles that are open at a time.
+/// Maximum number of open consoles.
 const MAX_CONSOLES: usize = 32;
-/// Longest time without a message from a console's client. It does not run while a command does.
+/// Time without a message from the client after which a console is closed. Does not elapse while a command runs.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(600);
-/// Longest time in which a console's client has to take a response.
+/// Time limit for sending a response to a console's client.
 const SEND_TIMEOUT: Duration = Duration::from_secs(10);
-/// What the console reports of itself, so that drivers and `psql` can work with it.
+/// The parameters that the console reports, as drivers and `psql` require them.
 const PARAMETERS: [(&str, &str); 7] = [
     (
         "server_version",
@@ -44,10 +45,11 @@
     ("TimeZone", "UTC"),
 ];
 
-/// Serves the console until the client closes it, is idle for too long or does not read, or the node stops.
+/// Serves the console until the client disconnects or is idle for too long, sending fails or times out, or the node
+/// stops.
 ///
 /// # Errors
-/// [`ClientError`] if the connection breaks, the client does not follow the protocol, or a limit ends the console.
+/// [`ClientError`] if the connection fails, the client violates the protocol, or a limit is exceeded.
 pub async fn serve(
     context: &ServerContext,
     mut client: Client,
@@ -55,7 +57,7 @@
     mut stopping: watch::Receiver<bool>,
 ) -> Result<(), ClientError> {
     if context.consoles.get() >= MAX_CONSOLES {
-        let detail = "all of the node's consoles are in use";
+        let detail = "the node's limit on open consoles is reached";
         let error = ClientError::NotAllowed(detail);
         return Err(client
             .reject(ErrorReason::TooManyClients, Some(detail), error)
@@ -82,17 +84,17 @@
     }
 }
 
-/// Why a console has ended.
+/// Why a console was closed.
 enum ConsoleEnd {
-    /// Its client has closed it.
+    /// The client disconnected.
     Closed,
-    /// Its client has sent nothing for too long.
+    /// The client sent nothing within the idle timeout.
     Idle,
     /// The node is shutting down.
     Stopping,
 }
 
-/// The first messages to a client. It can't cancel anything, so its key is empty.
+/// The start-up messages to the client. Console commands cannot be cancelled, so `BackendKeyData` is zero.
 fn greeting() -> Vec<Frame> {
     let mut frames = vec![authentication_ok()];
     frames.extend(PARAMETERS.map(|(name, value)| {
@@ -107,19 +109,19 @@
     frames
 }
 
-/// One user's console.
+/// One client's console.
 struct ConsoleSession<'a> {
     context: &'a ServerContext,
     client: Client,
     user: String,
-    /// An extended query was rejected: its other messages are skipped up to the `Sync`.
+    /// Whether messages are ignored up to the next `Sync`, because an extended query was rejected.
     skips_until_sync: bool,
-    /// A response is being sent.
+    /// Whether a response is partly sent.
     is_sending: bool,
 }
 
 impl ConsoleSession<'_> {
-    /// Answers the client until it leaves or is idle for too long.
+    /// Handles the client's messages until the client disconnects or is idle for too long.
     async fn run(&mut self) -> Result<ConsoleEnd, ClientError> {
         self.send(&greeting()).await?;
         loop {
@@ -140,16 +142,16 @@
         }
     }
 
-    /// Ends the console, and tells its client why.
+    /// Sends the client an `ErrorResponse` with the reason for closing the console.
     async fn end(&mut self, reason: ErrorReason) -> Result<(), ClientError> {
         if self.is_sending {
-            // Behind a part of a response it could not be read.
+            // An error after a partial response could not be decoded by the client.
             return Ok(());
         }
         self.send(&[error_response(reason, None)]).await
     }
 
-    /// Sends messages to a client that reads them in time.
+    /// Sends messages; an error if the client does not read them within the time limit.
     async fn send(&mut self, frames: &[Frame]) -> Result<(), ClientError> {
         self.is_sending = true;
         let sent = self.client.send(frames);
@@ -157,16 +159,18 @@
         self.is_sending = false;
         match sent {
             Ok(sent) => Ok(sent?),
-            Err(_) => Err(ClientError::NotAllowed("it does not read its responses")),
+            Err(_) => Err(ClientError::NotAllowed(
+                "the client did not read a response within the time limit",
+            )),
         }
     }
 
-    /// The client's next message; `None` at the end of the connection.
+    /// Reads the client's next message; `None` at the end of the connection.
     async fn next_frame(&mut self) -> Result<Option<Frame>, ClientError> {
         loop {
             match self.client.decoder.next_from_client()? {
                 Some(DecodeResult::Frame(frame)) => return Ok(Some(frame)),
-                // Copied data without a COPY.
+                // CopyData outside a COPY is ignored.
                 Some(DecodeResult::Chunk { .. }) => continue,
                 None => {}
             }
@@ -179,7 +183,7 @@
         }
     }
 
-    /// Runs the commands of a simple query, up to the first that fails.
+    /// Runs the commands of a simple query, up to the first command that fails.
     async fn answer_query(&mut self, query: &Frame) -> Result<(), ClientError> {
         let text = String::from_utf8_lossy(query.first_string().unwrap_or_default()).into_owned();
         let commands = text
@@ -220,7 +224,7 @@
         if std::mem::replace(&mut self.skips_until_sync, true) {
             return Ok(());
         }
-        let detail = Some("the console takes simple queries only");
+        let detail = Some("the console supports the simple query protocol only");
         let error = error_response(ErrorReason::Unsupported, detail);
         self.send(&[error]).await
     }
--- a/adapters/postgres/src/console/command.rs
+++ b/adapters/postgres/src/console/command.rs
@@ -1,4 +1,4 @@
-//! The console's commands.
+//! Parses and runs the console's commands.
 
 use std::time::Duration;
 
@@ -9,51 +9,51 @@
 use super::tables;
 use crate::context::ServerContext;
 
-/// How often PAUSE looks whether all transactions have ended.
+/// Interval at which PAUSE checks whether all transactions have ended.
 const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often it looks at most: for 60 s, as its error says.
+/// Maximum number of checks by PAUSE: 60 s at the poll interval.
 const MAX_PAUSE_POLLS: usize = 3000;
 
 const HELP: &str = "SHOW POOLS | CLIENTS | SERVERS | STATS | CONFIG | HELP; PAUSE; RESUME; RECONNECT; DISCONNECT n";
 
-/// Why a command was not done, in words for the operator.
+/// Why a command failed. The text is sent to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CommandError {
-    /// There is no such command.
-    #[error("not understood; {HELP}")]
+    /// The text is not a command.
+    #[error("unknown command; available: {HELP}")]
     UnknownCommand,
-    /// SHOW knows no such table.
-    #[error("there is no SHOW {0}; {HELP}")]
+    /// SHOW has no such table. Contains the table's name in upper case.
+    #[error("unknown table in SHOW {0}; available: {HELP}")]
     UnknownTable(String),
-    /// No client has this number.
-    #[error("there is no client {0}; SHOW CLIENTS tells them")]
+    /// No client has this number. Contains the number as entered.
+    #[error("no client has the number {0}; SHOW CLIENTS lists all clients")]
     UnknownClient(String),
-    /// PAUSE waited in vain for the end of all transactions.
+    /// Some transactions did not end within the time limit of PAUSE.
     #[error(
-        "some transactions have not ended in 60 s; new ones still wait: RESUME lets them go on"
+        "some transactions have not ended within 60 s; new transactions stay paused until RESUME"
     )]
     TransactionsInProgress,
 }
 
-/// A command.
+/// A console command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Command {
-    /// Prints a table.
+    /// Shows a table.
     Show(TableName),
-    /// Holds new transactions back, waits for those in progress, and closes all connections to servers.
+    /// Holds back new transactions, waits for those in progress, and closes all connections to servers.
     Pause,
-    /// Ends a pause.
+    /// Ends a pause, so that held back transactions start.
     Resume,
-    /// Closes each connection to a server once it is idle.
+    /// Closes idle connections to servers now, and leased connections when they are released.
     Reconnect,
-    /// Ends a client's session at the end of its transaction.
+    /// Ends a client's session after its current transaction.
     Disconnect {
-        /// The client's number, as the operator wrote it.
+        /// The client's number, as entered.
         client: String,
     },
 }
 
-/// What SHOW prints.
+/// The tables of SHOW.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TableName {
     Pools,
@@ -66,7 +66,7 @@
 }
 
 impl Command {
-    /// Reads a command. Upper and lower case are the same.
+    /// Parses a command. Case is ignored.
     pub(super) fn parse(text: &str) -> Result<Self, CommandError> {
         let text = text.to_ascii_uppercase();
         let words: Vec<&str> = text.split_whitespace().collect();
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Runs the command and adds its response.
+    /// Runs the command and appends the response messages.
     pub(super) async fn run(
         self,
         context: &ServerContext,
@@ -142,7 +142,7 @@
     }
 }
 
-/// Ends a client's session.
+/// Requests the end of a client's session.
 fn disconnect(context: &ServerContext, number: String) -> Result<(), CommandError> {
     let is_known = number
         .parse()
@@ -154,7 +154,7 @@
     }
 }
 
-/// Holds new transactions back, waits until those in progress have ended, and closes all connections.
+/// Holds back new transactions, waits until those in progress have ended, and closes all connections to servers.
 async fn pause(context: &ServerContext) -> Result<(), CommandError> {
     context.pool.pause();
     let has_transactions = || {
--- a/adapters/postgres/src/console/command/tests.rs
+++ b/adapters/postgres/src/console/command/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn commands_are_read_in_upper_and_lower_case() {
+fn commands_are_parsed_ignoring_case() {
     for (text, command) in [
         ("SHOW POOLS", Command::Show(TableName::Pools)),
         ("show  version", Command::Show(TableName::Version)),
@@ -18,11 +18,14 @@
 }
 
 #[test]
-fn an_unknown_command_is_rejected_with_what_there_is() {
+fn an_unknown_command_is_rejected_with_the_available_commands() {
     for (text, error) in [
-        ("show nothing", "there is no SHOW NOTHING; SHOW POOLS |"),
-        ("pause now", "not understood; SHOW POOLS |"),
-        ("", "not understood; SHOW POOLS |"),
+        (
+            "show nothing",
+            "unknown table in SHOW NOTHING; available: SHOW POOLS |",
+        ),
+        ("pause now", "unknown command; available: SHOW POOLS |"),
+        ("", "unknown command; available: SHOW POOLS |"),
     ] {
         let found = Command::parse(text).expect_err("unknown").to_string();
         assert!(found.starts_with(error), "{text}: {found}");
--- a/adapters/postgres/src/console/table.rs
+++ b/adapters/postgres/src/console/table.rs
@@ -1,4 +1,4 @@
-//! A table of texts, and its messages on the wire.
+//! A table of text values, and its encoding as `RowDescription` and `DataRow` messages.
 
 use std::fmt::Display;
 
@@ -6,16 +6,16 @@
 use badgerpost_postgres_session::message_tags::backend;
 use bytes::{BufMut, BytesMut};
 
-/// Object number of the type `text`.
+/// Object ID of the type `text`.
 const TEXT_TYPE_OID: u32 = 25;
-/// Size of a type whose values have different lengths.
+/// Type size of variable-length types.
 const VARIABLE_SIZE: i16 = -1;
-/// A type without a modifier.
+/// Type modifier of types without a modifier.
 const NO_TYPE_MODIFIER: i32 = -1;
-/// Values are sent as text.
+/// Format code of text values.
 const TEXT_FORMAT: u16 = 0;
 
-/// A table of texts.
+/// A table of text values.
 pub(super) struct Table {
     columns: &'static [&'static str],
     rows: Vec<Vec<String>>,
@@ -26,7 +26,7 @@
         Self { columns, rows }
     }
 
-    /// Adds the table's messages.
+    /// Appends the table's messages to a response.
     pub(super) fn write(&self, response: &mut Vec<Frame>) {
         response.push(self.row_description());
         response.extend(self.rows.iter().map(|row| data_row(row)));
@@ -38,7 +38,7 @@
         for column in self.columns {
             body.put_slice(column.as_bytes());
             body.put_u8(0);
-            // The column is of no table: its object number and the column's number there.
+            // Table object ID and column number are 0, as the column belongs to no database table.
             body.put_u32(0);
             body.put_u16(0);
             body.put_u32(TEXT_TYPE_OID);
@@ -60,7 +60,7 @@
     Frame::new(backend::DATA_ROW, body.freeze())
 }
 
-/// A row of displayed values.
+/// Formats values as a row.
 pub(super) fn row<const N: usize>(values: [&dyn Display; N]) -> Vec<String> {
     values.iter().map(ToString::to_string).collect()
 }
--- a/adapters/postgres/src/console/tables.rs
+++ b/adapters/postgres/src/console/tables.rs
@@ -1,11 +1,11 @@
-//! The tables that SHOW prints. Their columns are known to operators' tools and stay as they are.
+//! The tables of SHOW. Operators' tools depend on the column names.
 
 use super::table::{Table, row};
 use crate::client_registry::ClientEntry;
 use crate::context::ServerContext;
 use crate::pool::{ServerAddress, ServerStats};
 
-/// SHOW POOLS: the connections to each server.
+/// SHOW POOLS: connection statistics of each server.
 pub(super) fn pools(context: &ServerContext) -> Table {
     let columns = &[
         "server",
@@ -35,7 +35,7 @@
     Table::new(columns, rows.collect())
 }
 
-/// SHOW CLIENTS: the sessions.
+/// SHOW CLIENTS: the clients and the activity of their sessions.
 pub(super) fn clients(context: &ServerContext) -> Table {
     let columns = &[
         "client",
@@ -73,7 +73,7 @@
     ])
 }
 
-/// SHOW SERVERS: the servers that there are connections to, and whether they are still in service.
+/// SHOW SERVERS: the servers known to the pool, and whether they are in service.
 pub(super) fn servers(context: &ServerContext) -> Table {
     let in_service: Vec<ServerAddress> = context
         .engine
@@ -114,7 +114,7 @@
     Table::new(&["name", "value"], rows)
 }
 
-/// SHOW CONFIG: the settings in use, by their keys.
+/// SHOW CONFIG: the settings in use, by configuration key.
 pub(super) fn config(context: &ServerContext) -> Table {
     let config = &context.config;
     let pooling = format!("{:?}", config.pooling).to_lowercase();
--- a/adapters/postgres/src/login/error.rs
+++ b/adapters/postgres/src/login/error.rs
@@ -15,7 +15,7 @@
     TimedOut,
     /// No connection is expected to be released before the deadline, or the queue is full.
     #[error(
-        "no capacity: all of the node's connections to the server are in use, and the queue is too long"
+        "no capacity: all of the node's connections to the server are in use, and the wait would exceed the deadline"
     )]
     PoolExhausted,
     /// No connection was released before the deadline.
--- a/adapters/postgres/src/logins.rs
+++ b/adapters/postgres/src/logins.rs
@@ -1,4 +1,4 @@
-//! The node's logins at the servers, and which of them the transactions of a client use.
+//! The node's logins at the servers, and the choice of the login for a client's transactions.
 
 use std::path::{Path, PathBuf};
 
@@ -6,28 +6,28 @@
 
 use crate::config_error::{ConfigError, read_private};
 
-/// A login at the servers, as it is configured.
+/// A login at the servers, as configured in `[[postgres.login]]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Login {
-    /// The node's user at the servers.
+    /// User name with which the node logs in.
     pub user: String,
-    /// A file that holds only the user's password, if it has one. Only its owner may access it.
+    /// File that contains the password and nothing else, with mode 0600. Absent if the servers request no password.
     pub password_file: Option<PathBuf>,
-    /// The clients that use this login; if left out, all that no other login names.
+    /// User names of the clients that use this login. If absent, all clients that no other login lists.
     pub clients: Option<Vec<String>>,
 }
 
-/// With what the node logs in at a server.
+/// The credentials of a login.
 #[derive(Clone)]
 pub struct Credentials {
-    /// The user.
+    /// User name with which the node logs in.
     pub user: String,
-    /// The user's password, if it has one.
+    /// The password; `None` if no password file is configured.
     pub password: Option<String>,
 }
 
-/// The number of a login, in the order of the configuration.
+/// Index of a login in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoginId(usize);
 
@@ -36,14 +36,14 @@
     clients: Option<Vec<String>>,
 }
 
-/// All logins.
+/// All configured logins, with their passwords.
 pub struct Logins(Vec<LoginEntry>);
 
 impl Logins {
-    /// Reads the passwords of configured logins.
+    /// Reads the password files of the configured logins.
     ///
     /// # Errors
-    /// [`ConfigError`] if a password's file can't be read, or others than its owner may access it.
+    /// [`ConfigError`] if a password file cannot be read or is accessible by others.
     pub fn read(logins: &[Login]) -> Result<Self, ConfigError> {
         logins
             .iter()
@@ -52,20 +52,21 @@
             .map(Self)
     }
 
-    /// The login of a client: the first one that names it, otherwise the first one for all.
+    /// The login for a client: the first login that lists the client's user name, otherwise the first login without a
+    /// list of clients.
     pub fn for_client(&self, user: &str) -> Option<LoginId> {
-        let names_client = |login: &LoginEntry| {
+        let lists_client = |login: &LoginEntry| {
             let mut clients = login.clients.iter().flatten();
             clients.any(|client| client == user)
         };
         self.0
             .iter()
-            .position(names_client)
+            .position(lists_client)
             .or_else(|| self.0.iter().position(|login| login.clients.is_none()))
             .map(LoginId)
     }
 
-    /// The credentials of a login.
+    /// The credentials of a login; `None` if the index is out of range.
     pub fn get(&self, login: LoginId) -> Option<&Credentials> {
         self.0.get(login.0).map(|login| &login.credentials)
     }
@@ -84,7 +85,7 @@
     }
 }
 
-/// The file's text without the end of its line.
+/// Reads a password file and removes the trailing line break.
 fn read_password(path: &Path) -> Result<String, ConfigError> {
     let text = read_private(path)?;
     Ok(text.trim_end_matches(['\r', '\n']).to_owned())
--- a/adapters/postgres/src/logins/tests.rs
+++ b/adapters/postgres/src/logins/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_login_that_names_the_client_precedes_the_one_for_all() {
+fn a_login_that_lists_the_client_precedes_the_default_login() {
     let login = |user: &str, clients: Option<&[&str]>| Login {
         user: user.to_owned(),
         password_file: None,
--- a/adapters/postgres/src/pool.rs
+++ b/adapters/postgres/src/pool.rs
@@ -53,7 +53,7 @@
     pub logging_in: usize,
     /// Transactions that wait for a connection.
     pub waiting: usize,
-    /// Transactions that have released a connection since the node started.
+    /// Transactions that have acquired and released a connection to the server.
     pub transactions: u64,
     /// Moving average of the time for which a transaction holds a connection, in microseconds.
     pub mean_lease_us: u64,
--- a/adapters/postgres/src/tls.rs
+++ b/adapters/postgres/src/tls.rs
@@ -1,6 +1,6 @@
-//! TLS towards clients and servers, by rustls: certificates, keys and roots from the operators' files.
+//! TLS with clients and servers, using rustls: reads certificates, keys and root certificates from configured files.
 //!
-//! Source: PostgreSQL documentation, "SSL Session Encryption"; channel binding: RFC 5929, `tls-server-end-point`.
+//! Reference: PostgreSQL documentation, "SSL Session Encryption"; channel binding: RFC 5929, `tls-server-end-point`.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -15,37 +15,37 @@
 
 use crate::config_error::{ConfigError, TlsFileError, check_private};
 
-/// TLS towards clients.
+/// TLS settings for connections from clients, `[postgres.tls]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientTls {
-    /// The node's certificate and those between it and the root, in PEM.
+    /// PEM file with the node's certificate and the intermediate certificates.
     pub certificate: PathBuf,
-    /// The certificate's key, in PEM. Only its owner may access the file.
+    /// PEM file with the certificate's private key, with mode 0600.
     pub key: PathBuf,
-    /// Whether clients without TLS are rejected.
+    /// Whether clients without TLS are rejected; TLS is optional by default.
     #[serde(rename = "required", default)]
     pub is_required: bool,
 }
 
-/// TLS towards servers. Where it is set, it is required.
+/// TLS settings for connections to servers, `[postgres.server_tls]`. If present, TLS is required.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerTls {
-    /// The roots of the servers' certificates, in PEM.
+    /// PEM file with the root certificates that issue the servers' certificates.
     pub roots: PathBuf,
-    /// The name that their certificates are for.
+    /// Host name that all server certificates have to be valid for.
     pub name: String,
 }
 
-/// Accepts TLS connections of clients.
+/// Accepts TLS connections from clients.
 #[derive(Clone)]
 pub struct Acceptor {
     /// Performs the handshake.
     pub acceptor: TlsAcceptor,
-    /// `tls-server-end-point` of the node's certificate.
+    /// Channel binding data `tls-server-end-point` of the node's certificate.
     pub channel_binding: Vec<u8>,
-    /// Whether clients without TLS are rejected.
+    /// Whether clients without TLS are rejected; see [`ClientTls::is_required`].
     pub is_required: bool,
 }
 
@@ -53,7 +53,7 @@
     /// Reads the certificate and the key.
     ///
     /// # Errors
-    /// [`ConfigError`] if a file can't be used, or others than its owner may access the key.
+    /// [`ConfigError`] if a file cannot be read or is invalid, or the key file is accessible by others.
     pub fn acceptor(&self) -> Result<Acceptor, ConfigError> {
         let chain = read_certificates(&self.certificate)?;
         check_private(&self.key)?;
@@ -77,15 +77,15 @@
 pub struct Connector {
     /// Performs the handshake.
     pub connector: TlsConnector,
-    /// The name that the servers' certificates are for.
+    /// Host name that the server certificates have to be valid for.
     pub server_name: ServerName<'static>,
 }
 
 impl ServerTls {
-    /// Reads the roots.
+    /// Reads the root certificates.
     ///
     /// # Errors
-    /// [`ConfigError`] if the file can't be used, or the name is no host name.
+    /// [`ConfigError`] if the file cannot be read or is invalid, or the name is not a valid host name.
     pub fn connector(&self) -> Result<Connector, ConfigError> {
         let at_roots = |error: rustls::Error| TlsFileError::from(error).at(&self.roots);
         let mut roots = RootCertStore::empty();
@@ -109,7 +109,7 @@
     Arc::new(ring::default_provider())
 }
 
-/// The certificates of a file, at least one.
+/// Reads the certificates of a PEM file; an error if the file contains none.
 fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, ConfigError> {
     let certificates = CertificateDer::pem_file_iter(path)
         .and_then(Iterator::collect::<Result<Vec<_>, _>>)
@@ -120,8 +120,8 @@
     Ok(certificates)
 }
 
-/// The channel binding `tls-server-end-point` (RFC 5929): the hash of the server's certificate by the hash function of
-/// the certificate's signature or, where that is a weaker one, by SHA-256.
+/// The channel binding data `tls-server-end-point` (RFC 5929) of a certificate in DER: the certificate's hash, using
+/// the hash function of the certificate's signature algorithm, or SHA-256 in place of MD5 and SHA-1.
 pub fn tls_server_end_point(certificate: &[u8]) -> Vec<u8> {
     let is_signed_by = |oid: &[u8]| certificate.windows(oid.len()).any(|window| window == oid);
     if is_signed_by(signature_oid::RSA_SHA384) || is_signed_by(signature_oid::ECDSA_SHA384) {
@@ -133,7 +133,7 @@
     }
 }
 
-/// Object identifiers of signature algorithms (RFC 8017, RFC 5758), in DER.
+/// DER-encoded object identifiers of signature algorithms (RFC 8017, RFC 5758).
 mod signature_oid {
     pub(super) const RSA_SHA384: &[u8] = &[0x2a, 0x86, 0x48, 0x86, 0xf7, 0x0d, 0x01, 0x01, 0x0c];
     pub(super) const RSA_SHA512: &[u8] = &[0x2a, 0x86, 0x48, 0x86, 0xf7, 0x0d, 0x01, 0x01, 0x0d];
