--- a/adapters/postgres/tests/admission.rs
+++ b/adapters/postgres/tests/admission.rs
@@ -1,5 +1,5 @@
-//! Which clients get a session: passwords, access rules, TLS with channel binding, silent connections, malformed first
-//! packets. A real driver connects where the protocol is kept.
+//! Admission of clients: passwords, access rules, TLS with channel binding, silent connections, malformed start-up
+//! packets.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -27,16 +27,20 @@
 use tokio_postgres_rustls::MakeRustlsConnect;
 
 #[test]
-fn a_client_without_the_password_gets_no_session() {
-    test(async {
-        let database = database();
+fn a_client_with_an_unknown_user_or_wrong_password_is_rejected() {
+    run_test(async {
+        let database = start_database();
         let node = Node::start(&[&database], |_| {}).await;
         for (user, password) in [("ann", "wrong"), ("bob", "secret")] {
             let error = node
                 .try_connect(user, password, "x")
                 .await
                 .expect_err("rejected");
-            assert_eq!(code(&error), Some(&SqlState::INVALID_PASSWORD), "{user}");
+            assert_eq!(
+                sqlstate(&error),
+                Some(&SqlState::INVALID_PASSWORD),
+                "{user}"
+            );
         }
         node.connect()
             .await
@@ -46,12 +50,12 @@
         assert_eq!(
             database.connections(),
             1,
-            "no server was asked for those that were rejected"
+            "no server connection was opened for the rejected clients"
         );
     });
 }
 
-/// Two logins, each for one client.
+/// Two logins, each for one client user.
 fn logins_for_ann_and_eve(folder: &TestFolder) -> Vec<Login> {
     let login = |user: &str, password: &str, client: &str| Login {
         user: user.to_owned(),
@@ -64,7 +68,7 @@
     ]
 }
 
-/// Everybody may come everywhere, but eve not to the database of secrets.
+/// Allows all connections, except from eve to the database `secrets`.
 fn rules_that_keep_eve_from_secrets() -> Vec<AccessRule> {
     let rejects_eve = AccessRule {
         user: Some("eve".to_owned()),
@@ -84,9 +88,9 @@
 
 #[test]
 fn logins_and_access_rules_apply_by_client() {
-    test(async {
+    run_test(async {
         let folder = TestFolder::new("logins");
-        let database = database();
+        let database = start_database();
         database.set_user("shared", "shared-password");
         database.set_user("eve_at_db", "eve-password");
         let node = Node::start(&[&database], |config| {
@@ -98,21 +102,27 @@
         let eve = node.try_connect("eve", "secret", "x").await;
         let eve = eve.expect("allowed");
         for _ in 0..3 {
-            assert_eq!(one(&ann, "SELECT current_user").await, "shared");
-            assert_eq!(one(&eve, "SELECT current_user").await, "eve_at_db");
+            assert_eq!(query_value(&ann, "SELECT current_user").await, "shared");
+            assert_eq!(query_value(&eve, "SELECT current_user").await, "eve_at_db");
         }
         let connections = database.connections();
-        let mut config = node.driver("eve", "secret", "x");
-        let error = open(config.dbname("secrets")).await.expect_err("rejected");
+        let mut config = node.driver_config("eve", "secret", "x");
+        let error = connect_with(config.dbname("secrets"))
+            .await
+            .expect_err("rejected");
         assert_eq!(
-            code(&error),
+            sqlstate(&error),
             Some(&SqlState::INVALID_AUTHORIZATION_SPECIFICATION)
         );
-        assert_eq!(database.connections(), connections, "no server was asked");
+        assert_eq!(
+            database.connections(),
+            connections,
+            "no server connection was opened"
+        );
     });
 }
 
-/// A certificate for localhost that is its own root.
+/// A self-signed certificate for localhost.
 struct TestCertificate {
     pem: PathBuf,
     key: PathBuf,
@@ -122,11 +132,11 @@
 impl TestCertificate {
     fn new(folder: &TestFolder) -> Self {
         let names = vec!["localhost".to_owned()];
-        let made = rcgen::generate_simple_self_signed(names).expect("a certificate");
+        let generated = rcgen::generate_simple_self_signed(names).expect("a certificate");
         Self {
-            pem: folder.private_file("node.pem", &made.cert.pem()),
-            key: folder.private_file("node.key", &made.signing_key.serialize_pem()),
-            der: made.cert.der().to_vec(),
+            pem: folder.private_file("node.pem", &generated.cert.pem()),
+            key: folder.private_file("node.key", &generated.signing_key.serialize_pem()),
+            der: generated.cert.der().to_vec(),
         }
     }
 
@@ -145,7 +155,7 @@
         }
     }
 
-    /// A driver's TLS that trusts this certificate.
+    /// A driver's TLS configuration that trusts this certificate.
     fn driver_tls(&self) -> MakeRustlsConnect {
         let mut roots = rustls::RootCertStore::empty();
         roots.add(self.der.clone().into()).expect("a root");
@@ -159,19 +169,19 @@
     }
 }
 
-/// Runs a query through a driver in TLS.
-async fn query_in_tls(node: &Node, tls: MakeRustlsConnect, binding: ChannelBinding) {
+/// Runs a query through a driver over TLS.
+async fn query_over_tls(node: &Node, tls: MakeRustlsConnect, binding: ChannelBinding) {
     let mut config = tokio_postgres::Config::new();
     config
         .host("localhost")
         .hostaddr(IpAddr::V4(Ipv4Addr::LOCALHOST))
-        .port(node.at.port())
+        .port(node.address.port())
         .user("ann")
         .password("secret")
         .dbname("ratings")
         .channel_binding(binding)
         .ssl_mode(SslMode::Require);
-    let (client, connection) = config.connect(tls).await.expect("a connection in TLS");
+    let (client, connection) = config.connect(tls).await.expect("a TLS connection");
     tokio::task::spawn_local(async move {
         let _ = connection.await;
     });
@@ -179,15 +189,15 @@
     assert_eq!(row.expect("served").get::<_, i64>(0), 7);
 }
 
-/// The server of the first node is a second one that requires TLS: so both sides of a node are shown, SCRAM bound to the
-/// channel among them.
+/// The outer node's server is the inner node, which requires TLS. This covers TLS and channel binding both as a server
+/// and as a client.
 #[test]
-fn tls_on_both_sides_with_channel_binding() {
-    test(async {
+fn clients_and_servers_are_connected_over_tls_with_channel_binding() {
+    run_test(async {
         let folder = TestFolder::new("tls");
         let certificate = TestCertificate::new(&folder);
         let password_file = folder.private_file("password", "secret");
-        let database = database();
+        let database = start_database();
         let inner = Node::start(&[&database], |config| {
             config.tls = Some(certificate.client_tls(true));
         })
@@ -195,7 +205,7 @@
         let outer = Node::start(&[&database], |config| {
             config.tls = Some(certificate.client_tls(false));
             config.server_tls = Some(certificate.server_tls());
-            config.server[0].address = inner.at;
+            config.server[0].address = inner.address;
             config.login = vec![Login {
                 user: "ann".to_owned(),
                 password_file: Some(password_file.clone()),
@@ -208,24 +218,23 @@
             (&inner, ChannelBinding::Require),
             (&outer, ChannelBinding::Disable),
         ] {
-            query_in_tls(node, certificate.driver_tls(), binding).await;
+            query_over_tls(node, certificate.driver_tls(), binding).await;
         }
         // The inner node accepts no client without TLS.
         let unencrypted = inner.try_connect("ann", "secret", "x").await;
         assert_eq!(
-            code(&unencrypted.expect_err("rejected")),
+            sqlstate(&unencrypted.expect_err("rejected")),
             Some(&SqlState::INVALID_AUTHORIZATION_SPECIFICATION)
         );
         let unencrypted = outer.try_connect("ann", "secret", "x").await;
-        unencrypted.expect("offered, not required");
+        unencrypted.expect("TLS is optional");
     });
 }
 
-/// Connections that never say a word shut nobody out.
 #[test]
 fn silent_connections_are_evicted_for_new_clients() {
-    test(async {
-        let database = database();
+    run_test(async {
+        let database = start_database();
         let node = Node::start(&[&database], |config| {
             config.max_unauthenticated_clients = 20;
         })
@@ -233,9 +242,9 @@
         let mut silent = Vec::new();
         for _ in 0..200 {
             silent.push(
-                tokio::net::TcpStream::connect(node.at)
+                tokio::net::TcpStream::connect(node.address)
                     .await
-                    .expect("it listens"),
+                    .expect("a connection"),
             );
         }
         for _ in 0..10 {
@@ -246,16 +255,18 @@
     });
 }
 
-/// All that a node answers to these bytes.
+/// Sends bytes to the node and returns all bytes of the response.
 async fn response_to(node: &Node, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(node.at).await.expect("it listens");
+    let mut stream = TcpStream::connect(node.address)
+        .await
+        .expect("a connection");
     stream.write_all(bytes).await.expect("written");
     let mut response = Vec::new();
     let _ = stream.read_to_end(&mut response).await;
     String::from_utf8_lossy(&response).into_owned()
 }
 
-/// Connects once the places of clients that have left are free again.
+/// Retries to connect until the sessions of disconnected clients have ended.
 async fn connect_when_possible(node: &Node) -> Client {
     let mut attempts = 0;
     loop {
@@ -270,8 +281,8 @@
 
 #[test]
 fn malformed_startups_and_clients_above_the_limit_are_rejected() {
-    test(async {
-        let database = database();
+    run_test(async {
+        let database = start_database();
         let node = Node::start(&[&database], |config| config.max_clients = 3).await;
         let http = response_to(&node, b"GET / HTTP/1.1\r\n\r\n").await;
         assert!(http.contains("this is HTTP"));
@@ -290,7 +301,7 @@
         assert_eq!(error.code().map(SqlState::code), Some("53300"));
         drop(clients);
         let client = connect_when_possible(&node).await;
-        // Without servers a transaction is rejected with the code that says that nothing ran.
+        // Without servers, a transaction is rejected with the SQLSTATE for a transaction that has not run.
         node.engine.endpoints_updated(EndpointUpdate::Snapshot, &[]);
         let error = client.batch_execute("select 1").await;
         let error = error.expect_err("no server");
--- a/adapters/postgres/tests/common/mod.rs
+++ b/adapters/postgres/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! A node's PostgreSQL adapter in this process, between real drivers and fake databases.
+//! Test fixture: a node's PostgreSQL adapter in the test process, between real drivers and fake databases.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
     clippy::panic,
     reason = "test code"
 )]
-// Each test program uses a part of it.
+// Each test binary uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -29,14 +29,14 @@
 use tokio_postgres::error::SqlState;
 use tokio_postgres::{Client, NoTls, SimpleQueryMessage};
 
-/// Nothing here takes that long.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time limit of a single test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub struct Node {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub engine: PostgresEngine,
     pub config: Config,
-    /// Held, as its end would stop the server.
+    /// Kept in the fixture, because dropping the sender would stop the server.
     stop: watch::Sender<bool>,
 }
 
@@ -64,16 +64,16 @@
 "#;
 
 impl Node {
-    pub async fn start(databases: &[&Database], change: impl Fn(&mut Config)) -> Self {
+    pub async fn start(databases: &[&Database], configure: impl Fn(&mut Config)) -> Self {
         let servers: Vec<SocketAddr> = databases.iter().map(|database| database.at).collect();
-        Self::start_with(&servers, Clock::system(), change).await
+        Self::start_with(&servers, Clock::system(), configure).await
     }
 
-    /// A node with servers at these addresses, on this clock.
+    /// Starts a node with servers at these addresses, on this clock.
     pub async fn start_with(
         servers: &[SocketAddr],
         clock: Clock,
-        change: impl Fn(&mut Config),
+        configure: impl Fn(&mut Config),
     ) -> Self {
         let servers = servers.iter().enumerate().map(|(n, address)| {
             format!("[[server]]\nname = \"db{n}\"\naddress = \"{address}\"\nzone = \"a\"\n")
@@ -82,23 +82,23 @@
         let mut config: Config = Source::embedded("test", &text)
             .parse()
             .expect("a configuration");
-        change(&mut config);
+        configure(&mut config);
         let tls = config
             .server_tls
             .as_ref()
             .map(ServerTls::connector)
             .transpose()
-            .expect("roots");
+            .expect("root certificates");
         let pool = Pool::new(
             clock.clone(),
             config.read_logins().expect("logins"),
             tls,
             config.limits(),
         );
-        let site = config.site().expect("a site");
-        let launcher = Rc::new(PostgresTransport(pool.clone()));
+        let site = config.site().expect("balancer settings");
+        let transport = Rc::new(PostgresTransport(pool.clone()));
         let engine =
-            PostgresEngine::new(site.settings, site.names, 7, clock, launcher).expect("a fleet");
+            PostgresEngine::new(site.settings, site.names, 7, clock, transport).expect("an engine");
         engine.endpoints_updated(EndpointUpdate::Snapshot, &config.endpoints());
         let timers = engine.clone();
         spawn(async move { timers.run_timers().await });
@@ -117,34 +117,39 @@
         let listener = tokio::net::TcpListener::bind(config.listen)
             .await
             .expect("a port");
-        let at = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("an address");
         let (stop, stopping) = watch::channel(false);
         spawn(server.expect("a server").run(listener, stopping));
         Self {
-            at,
+            address,
             engine,
             config,
             stop,
         }
     }
 
-    /// Has the server end, as a node that shuts down does.
+    /// Shuts the server down, as a stopping node does.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
 
-    /// The operators' console.
-    pub async fn console(&self) -> Result<Client, tokio_postgres::Error> {
-        let mut config = self.driver("ann", "secret", "ops");
-        open(config.dbname("badgerpost")).await
+    /// Connects to the operators' console.
+    pub async fn connect_console(&self) -> Result<Client, tokio_postgres::Error> {
+        let mut config = self.driver_config("ann", "secret", "ops");
+        connect_with(config.dbname("badgerpost")).await
     }
 
-    /// What a driver connects with.
-    pub fn driver(&self, user: &str, password: &str, application: &str) -> tokio_postgres::Config {
+    /// The driver configuration for connecting to the node.
+    pub fn driver_config(
+        &self,
+        user: &str,
+        password: &str,
+        application: &str,
+    ) -> tokio_postgres::Config {
         let mut config = tokio_postgres::Config::new();
         config
             .host("127.0.0.1")
-            .port(self.at.port())
+            .port(self.address.port())
             .user(user)
             .password(password)
             .dbname("ratings");
@@ -158,7 +163,7 @@
         password: &str,
         application: &str,
     ) -> Result<Client, tokio_postgres::Error> {
-        open(&self.driver(user, password, application)).await
+        connect_with(&self.driver_config(user, password, application)).await
     }
 
     pub async fn connect(&self) -> Client {
@@ -168,8 +173,10 @@
     }
 }
 
-/// Connects, with the driver's own task on this thread.
-pub async fn open(config: &tokio_postgres::Config) -> Result<Client, tokio_postgres::Error> {
+/// Connects with a driver configuration, and runs the driver's connection task on this thread.
+pub async fn connect_with(
+    config: &tokio_postgres::Config,
+) -> Result<Client, tokio_postgres::Error> {
     let (client, connection) = config.connect(NoTls).await?;
     tokio::task::spawn_local(async move {
         let _ = connection.await;
@@ -177,32 +184,34 @@
     Ok(client)
 }
 
-pub fn test<F: Future>(work: F) -> F::Output {
+pub fn run_test<F: Future>(work: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(PATIENCE, work)
+        tokio::time::timeout(TEST_TIMEOUT, work)
             .await
-            .expect("it comes to its end")
+            .expect("the test ends within its time limit")
     })
 }
 
-pub fn database() -> Database {
-    Database::start().expect("a port")
+pub fn start_database() -> Database {
+    Database::start().expect("a free port")
 }
 
-/// Runs SQL at a fake database, past the node.
+/// Runs SQL on a fake database, bypassing the node.
 pub async fn execute_directly(database: &Database, sql: &str) {
     let address = format!("host=127.0.0.1 port={} user=x dbname=x", database.at.port());
     let config: tokio_postgres::Config = address.parse().expect("an address");
-    let client = open(&config).await.expect("the fake");
+    let client = connect_with(&config)
+        .await
+        .expect("a connection to the fake database");
     client.batch_execute(sql).await.expect("executed");
 }
 
-/// A server that has failed is left alone for a while; the session goes on meanwhile, and is served again.
-pub async fn until_served(client: &Client) {
+/// Repeats a statement in the session until the node uses the failed server again.
+pub async fn wait_until_served(client: &Client) {
     while let Err(error) = client.batch_execute("select 1").await {
         assert!(
             ["53300", "08006"].contains(&error.code().map_or("closed", SqlState::code)),
@@ -212,12 +221,12 @@
     }
 }
 
-pub fn code(error: &tokio_postgres::Error) -> Option<&SqlState> {
+pub fn sqlstate(error: &tokio_postgres::Error) -> Option<&SqlState> {
     error.code()
 }
 
-/// The first value that a query returns.
-pub async fn one(client: &Client, sql: &str) -> String {
+/// The first value in the result of a query.
+pub async fn query_value(client: &Client, sql: &str) -> String {
     let rows = client
         .simple_query(sql)
         .await
@@ -229,7 +238,7 @@
     row.unwrap_or_default()
 }
 
-/// A folder in the temporary one, removed when it is dropped.
+/// A folder in the system's temporary folder, removed on drop.
 pub struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -239,13 +248,13 @@
         Self(path)
     }
 
-    /// Writes a file that only its owner may access.
+    /// Writes a file with mode 0600.
     pub fn private_file(&self, name: &str, text: &str) -> PathBuf {
         use std::os::unix::fs::PermissionsExt;
         let path = self.0.join(name);
         std::fs::write(&path, text).expect("written");
         let owner_only = std::fs::Permissions::from_mode(0o600);
-        std::fs::set_permissions(&path, owner_only).expect("its owner's");
+        std::fs::set_permissions(&path, owner_only).expect("the mode is set");
         path
     }
 }
--- a/adapters/postgres/tests/server_loss.rs
+++ b/adapters/postgres/tests/server_loss.rs
@@ -1,4 +1,5 @@
-//! What a client learns when its server dies or hangs, at each step of a transaction, and what takes effect.
+//! Errors that a client receives when a server crashes or hangs at each step of a transaction, compared with the
+//! effects in the database.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -19,16 +20,16 @@
 use tokio_postgres::Client;
 use tokio_postgres::error::SqlState;
 
-/// A node with one database, which has an empty table t, and a client.
-struct LossFixture {
+/// A node with one client and one database, which has an empty table `t`.
+struct ServerLossFixture {
     database: Database,
     _node: Node,
     client: Client,
 }
 
-impl LossFixture {
+impl ServerLossFixture {
     async fn start() -> Self {
-        let database = database();
+        let database = start_database();
         let node = Node::start(&[&database], |_| {}).await;
         let client = node.connect().await;
         let created = client.batch_execute("create table t (a bigint)").await;
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Inserts a row in a transaction and commits it. Returns the error of the one that fails; a session whose insert
-    /// failed is in a failed transaction until that is rolled back.
+    /// Inserts a row and commits the transaction. Returns the error of the statement that fails. If the insert fails,
+    /// checks that the transaction is in the failed state until it is rolled back.
     async fn failing_transaction(&self) -> tokio_postgres::Error {
         let client = &self.client;
         let Err(error) = client.batch_execute("insert into t values (1)").await else {
@@ -57,16 +58,16 @@
     }
 }
 
-/// A statement alone: it may have run, whether it has or not.
+/// The node cannot know whether the statement ran, so both cases are reported with the same SQLSTATE.
 #[test]
-fn a_client_learns_what_may_have_run_when_its_server_dies_in_a_statement() {
-    test(async {
+fn a_server_crash_in_a_single_statement_is_reported_as_connection_failure() {
+    run_test(async {
         let insert = "insert into t values (1)";
         for (fault, rows) in [
             (InjectedFault::CrashBeforeExecution, 0),
             (InjectedFault::CrashAfterExecution, 1),
         ] {
-            let fixture = LossFixture::start().await;
+            let fixture = ServerLossFixture::start().await;
             fixture.database.inject_fault(insert, fault);
             let error = fixture.client.batch_execute(insert).await;
             let error = error.expect_err("lost");
@@ -76,17 +77,17 @@
     });
 }
 
-/// In a transaction: it is rolled back, unless the server dies in its commit.
+/// The transaction is rolled back unless the server crashes during COMMIT, whose outcome is unknown.
 #[test]
-fn a_client_learns_what_may_have_run_when_its_server_dies_in_a_transaction() {
-    test(async {
+fn a_server_crash_in_a_transaction_is_reported_by_whether_it_may_be_committed() {
+    run_test(async {
         for (statement, fault, code, rows) in [
             ("insert", InjectedFault::CrashBeforeExecution, "08006", 0),
             ("insert", InjectedFault::CrashAfterExecution, "08006", 0),
             ("commit", InjectedFault::CrashBeforeExecution, "08007", 0),
             ("commit", InjectedFault::CrashAfterExecution, "08007", 1),
         ] {
-            let fixture = LossFixture::start().await;
+            let fixture = ServerLossFixture::start().await;
             let begun = fixture.client.batch_execute("begin").await;
             begun.expect("begun");
             fixture.database.inject_fault(statement, fault);
@@ -95,16 +96,16 @@
             assert_eq!(error.code().map(SqlState::code), Some(code), "{at}");
             assert_eq!(fixture.database.rows("t").len(), rows, "{at}");
             fixture.database.revive();
-            until_served(&fixture.client).await;
+            wait_until_served(&fixture.client).await;
         }
     });
 }
 
-/// Only what its class says is safe to repeat goes out again, and then the client never knows.
+/// Statements of a class with idempotent statements are retried; statements of other classes fail.
 #[test]
 fn an_idempotent_statement_is_retried_on_another_server() {
-    test(async {
-        let (one, two) = (database(), database());
+    run_test(async {
+        let (one, two) = (start_database(), start_database());
         let node = Node::start(&[&one, &two], |_| {}).await;
         let reads = node
             .try_connect("ann", "secret", "reads")
@@ -113,14 +114,14 @@
         for database in [&one, &two] {
             database.inject_fault("select 42", InjectedFault::CrashBeforeExecution);
         }
-        // Whichever server comes first dies of it; so does the other at a second try, unless it is mended.
+        // Replaces the fault of the second server, so that the retry succeeds there.
         two.inject_fault("none", InjectedFault::Hang);
         one.inject_fault("select 42", InjectedFault::CrashBeforeExecution);
         for _ in 0..20 {
             reads
                 .batch_execute("select 42")
                 .await
-                .expect("served by the other");
+                .expect("served by the other server");
             one.revive();
             if one.statements() > 0 {
                 break;
@@ -133,15 +134,15 @@
         let error = rest
             .batch_execute("select 43")
             .await
-            .expect_err("not sent again");
+            .expect_err("not retried");
         assert_eq!(error.code().map(SqlState::code), Some("08006"));
     });
 }
 
 #[test]
 fn a_transaction_on_a_hanging_server_times_out_at_its_deadline() {
-    test(async {
-        let database = database();
+    run_test(async {
+        let database = start_database();
         let node = Node::start(&[&database], |config| {
             config.class.iter_mut().for_each(|c| c.deadline_ms = 400);
         })
@@ -153,14 +154,14 @@
             .await
             .expect_err("timed out");
         assert_eq!(error.code().map(SqlState::code), Some("08006"));
-        until_served(&client).await;
+        wait_until_served(&client).await;
     });
 }
 
-/// Kills databases in random statements until `over` is true. Returns how often.
-async fn kill_databases(databases: Rc<[Database; 2]>, over: Rc<Cell<bool>>) -> usize {
-    let (mut random, mut kills) = (Random::new(11, "kills"), 0);
-    while !over.get() {
+/// Crashes random databases in random statements until `is_over` is true. Returns the number of injected crashes.
+async fn crash_databases(databases: Rc<[Database; 2]>, is_over: Rc<Cell<bool>>) -> usize {
+    let (mut random, mut crashes) = (Random::new(11, "kills"), 0);
+    while !is_over.get() {
         let database = &databases[random.between(0, 1) as usize];
         let statement = ["BEGIN", "insert", "COMMIT"][random.between(0, 2) as usize];
         let fault = if random.chance(0.5) {
@@ -171,12 +172,12 @@
         database.inject_fault(statement, fault);
         tokio::time::sleep(Duration::from_millis(random.between(5, 30))).await;
         databases.iter().for_each(Database::revive);
-        kills += 1;
+        crashes += 1;
     }
-    kills
+    crashes
 }
 
-/// How often each row is in the databases.
+/// The number of occurrences of each row in the databases.
 fn count_effects(databases: &[Database; 2]) -> BTreeMap<i64, usize> {
     let mut counts = BTreeMap::new();
     let rows = databases
@@ -191,12 +192,12 @@
     counts
 }
 
-/// Databases die over and over under load. A commit that a client learned of is there once, a failure before the commit
-/// never, and an unknown one at most once.
+/// Databases crash repeatedly under load. A row whose commit was confirmed exists once, a row whose transaction failed
+/// before the commit does not exist, and a row whose commit is unknown exists at most once.
 #[test]
-fn effects_equal_what_clients_learned() {
-    test(async {
-        let databases = Rc::new([database(), database()]);
+fn effects_match_the_results_reported_to_clients() {
+    run_test(async {
+        let databases = Rc::new([start_database(), start_database()]);
         let node = Node::start(&[&databases[0], &databases[1]], |_| {}).await;
         for database in databases.iter() {
             execute_directly(database, "create table effects (id bigint)").await;
@@ -208,30 +209,33 @@
                 let mut results = Vec::new();
                 for n in 0..60 {
                     let id = task * 1000 + n;
-                    results.push((id, run_one(&mut client, id).await));
+                    results.push((id, run_transaction(&mut client, id).await));
                 }
                 results
             }));
         }
-        let over = Rc::new(Cell::new(false));
-        let killer = kill_databases(databases.clone(), over.clone());
-        let killer = tokio::task::spawn_local(killer);
+        let is_over = Rc::new(Cell::new(false));
+        let crashes = crash_databases(databases.clone(), is_over.clone());
+        let crashes = tokio::task::spawn_local(crashes);
         let mut results = Vec::new();
         for task in tasks {
-            results.extend(task.await.expect("a client"));
+            results.extend(task.await.expect("the task does not panic"));
         }
-        over.set(true);
-        assert!(killer.await.expect("the killer") > 5);
+        is_over.set(true);
+        assert!(crashes.await.expect("the task does not panic") > 5);
         let effects = count_effects(&databases);
         let mut result_counts = BTreeMap::new();
         for (id, result) in results {
             let effect = effects.get(&id).copied().unwrap_or(0);
-            let is_true = match result.as_str() {
+            let matches_result = match result.as_str() {
                 "committed" => effect == 1,
                 "08007" => effect <= 1,
                 _ => effect == 0,
             };
-            assert!(is_true, "{id}: {result}, and it is there {effect} times");
+            assert!(
+                matches_result,
+                "row {id}: reported as {result}, found {effect} times"
+            );
             *result_counts.entry(result).or_insert(0) += 1;
         }
         let committed = result_counts.get("committed");
@@ -243,14 +247,14 @@
     });
 }
 
-/// Runs a transaction. Returns what the client learned: "committed", or the code of the error.
-async fn run_one(client: &mut Client, id: i64) -> String {
+/// Runs a transaction that inserts a row. Returns "committed", the SQLSTATE of the error, or "closed".
+async fn run_transaction(client: &mut Client, id: i64) -> String {
     let code_of =
         |error: tokio_postgres::Error| error.code().map_or("closed", SqlState::code).to_owned();
     let transaction = match client.transaction().await {
         Ok(transaction) => transaction,
         Err(error) => {
-            // All servers are away for a moment, or ejected: a later transaction may find one.
+            // No server is available at the moment.
             tokio::time::sleep(Duration::from_millis(5)).await;
             return code_of(error);
         }
--- a/adapters/postgres/tests/transactions.rs
+++ b/adapters/postgres/tests/transactions.rs
@@ -1,5 +1,4 @@
-//! Transactions of a real driver on fake databases: what works in transaction mode, which connections they get, and which
-//! are rejected.
+//! Transactions of a real driver on fake databases: transaction pooling, queueing for connections, rejection and drain.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -16,15 +15,15 @@
 use tokio_postgres::SimpleQueryMessage;
 use tokio_postgres::error::SqlState;
 
-/// Simple and extended queries, prepared once and used in transactions on whatever server comes.
+/// Covers simple queries, and prepared statements that are executed in transactions on several servers.
 #[test]
-fn a_driver_works_in_transaction_mode() {
-    test(async {
-        let (one, two) = (database(), database());
+fn a_driver_works_with_transaction_pooling() {
+    run_test(async {
+        let (one, two) = (start_database(), start_database());
         let node = Node::start(&[&one, &two], |_| {}).await;
         let mut client = node.connect().await;
         for database in [&one, &two] {
-            // Tables are no matter of the node's: each fake gets its own.
+            // The node does not replicate tables, so each fake database gets its own.
             execute_directly(database, "create table scores (id bigint, name text)").await;
         }
         let insert = client
@@ -62,21 +61,20 @@
                 .iter()
                 .any(|m| matches!(m, SimpleQueryMessage::Row(row) if row.get(0) == Some("7")))
         );
-        // An error of the server's is the client's, and the session goes on.
+        // A server's error is forwarded to the client, and the session continues.
         let error = client
             .simple_query("select nothing from nowhere")
             .await
             .expect_err("no such table");
-        assert_eq!(code(&error), Some(&SqlState::UNDEFINED_TABLE));
+        assert_eq!(sqlstate(&error), Some(&SqlState::UNDEFINED_TABLE));
         client.simple_query("select 1").await.expect("served");
     });
 }
 
-/// Many clients over few server connections, and none left behind.
 #[test]
 fn server_connections_are_shared_by_clients() {
-    test(async {
-        let database = database();
+    run_test(async {
+        let database = start_database();
         let node = Node::start(&[&database], |_| {}).await;
         let mut clients = Vec::new();
         for _ in 0..30 {
@@ -90,9 +88,9 @@
 }
 
 #[test]
-fn nothing_of_a_session_leaks_into_another() {
-    test(async {
-        let database = database();
+fn settings_and_open_transactions_do_not_leak_into_other_sessions() {
+    run_test(async {
+        let database = start_database();
         let node = Node::start(&[&database], |_| {}).await;
         let (first, second) = (node.connect().await, node.connect().await);
         first
@@ -105,7 +103,7 @@
             2,
             "a session with a setting keeps its connection"
         );
-        // A client that goes in a transaction takes its connection with it.
+        // The server connection of a client that disconnects in a transaction is closed, not reused.
         second
             .batch_execute("create table t (a bigint)")
             .await
@@ -124,11 +122,12 @@
     });
 }
 
-/// With fewer connections than transactions these wait; with far too many they are rejected early.
+/// Transactions wait for a connection if they can be served before the deadline; others are rejected without waiting
+/// for the deadline.
 #[test]
 fn transactions_wait_for_a_connection_or_are_rejected_early() {
-    test(async {
-        let database = database();
+    run_test(async {
+        let database = start_database();
         let node = Node::start(&[&database], |config| config.max_connections_per_server = 2).await;
         let mut tasks = Vec::new();
         for _ in 0..20 {
@@ -142,12 +141,11 @@
             }));
         }
         for task in tasks {
-            let (served, _) = task.await.expect("it ends");
+            let (served, _) = task.await.expect("the task does not panic");
             served.expect("served, after a wait");
         }
         assert!(database.open() <= 2);
-        // 300 ms each on two connections: of thirty, those that would have to wait past the deadline of 5 s are many
-        // fewer than those behind twice as many.
+        // At 300 ms on two connections, about 33 transactions can be served within the deadline of 5 s.
         let mut tasks = Vec::new();
         for _ in 0..70 {
             let client = node.connect().await;
@@ -161,10 +159,10 @@
         }
         let (mut served, mut rejected) = (0, 0);
         for task in tasks {
-            match task.await.expect("it ends") {
+            match task.await.expect("the task does not panic") {
                 (Ok(()), _) => served += 1,
                 (Err(error), took) => {
-                    assert_eq!(code(&error).map(SqlState::code), Some("53300"));
+                    assert_eq!(sqlstate(&error).map(SqlState::code), Some("53300"));
                     assert!(
                         took < Duration::from_millis(4900),
                         "rejected after {took:?}"
@@ -180,16 +178,15 @@
     });
 }
 
-/// Nothing new goes to a server that drains; a transaction that it has may end there.
 #[test]
 fn a_draining_server_completes_its_transactions_and_gets_no_new_ones() {
-    test(async {
-        let (one, two) = (database(), database());
+    run_test(async {
+        let (one, two) = (start_database(), start_database());
         let node = Node::start(&[&one, &two], |_| {}).await;
         let mut clients = Vec::new();
         for _ in 0..10 {
             let client = node.connect().await;
-            // The BEGIN alone takes no server yet.
+            // BEGIN alone does not acquire a server connection.
             client.batch_execute("begin").await.expect("begun");
             client.batch_execute("select 1").await.expect("served");
             clients.push(client);
@@ -208,8 +205,12 @@
         }
         assert!(
             (1..10).contains(&ended),
-            "{ended} of ten transactions were there"
+            "{ended} of ten transactions ended on the draining server"
+        );
+        assert_eq!(
+            one.statements() - before,
+            ended,
+            "no new transactions on the draining server"
         );
-        assert_eq!(one.statements() - before, ended, "nothing new goes there");
     });
 }
