--- a/adapters/postgres/src/config.rs
+++ b/adapters/postgres/src/config.rs
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// Unique name, shown in logs and on the console.
+    /// Name of the server, shown in logs and on the console.
     pub name: String,
     /// Address on which the server accepts connections.
     pub address: SocketAddr,
@@ -122,7 +122,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Unique name of the class, also the name of the balancer's class.
+    /// Name of the class; the balancer's class has the same name.
     pub name: String,
     /// User name that the client has to have; any user if absent.
     pub user: Option<String>,
--- a/adapters/postgres/src/config_error.rs
+++ b/adapters/postgres/src/config_error.rs
@@ -72,7 +72,7 @@
     UnsupportedVerifier,
 }
 
-/// What is wrong with a file with certificates or a key.
+/// What is wrong with a file that holds certificates or a key.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsFileError {
     /// The file cannot be read or is not valid PEM.
--- a/adapters/postgres/src/login/authentication.rs
+++ b/adapters/postgres/src/login/authentication.rs
@@ -59,7 +59,7 @@
     }
 
     fn check_complete(&self) -> Result<(), ConnectError> {
-        // An exchange still in progress means that the server has not proven that it knows the password.
+        // While an exchange is in progress, the server has not proven knowledge of the password.
         match self.exchange {
             Some(_) => Err(ProtocolViolation::NoServerSignature.into()),
             None => Ok(()),
--- a/adapters/postgres/src/login/error.rs
+++ b/adapters/postgres/src/login/error.rs
@@ -79,7 +79,7 @@
     /// The authentication request is shorter than its code.
     #[error("authentication request shorter than 4 bytes")]
     ShortAuthenticationRequest,
-    /// The server completed the login in the middle of a SCRAM exchange, without proving that it knows the password.
+    /// The server completed the login in the middle of a SCRAM exchange, without proving knowledge of the password.
     #[error("AuthenticationOk before the server's SCRAM signature")]
     NoServerSignature,
 }
--- a/adapters/postgres/src/pool.rs
+++ b/adapters/postgres/src/pool.rs
@@ -35,7 +35,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Number of servers with statistics above which servers without connections are removed from the statistics.
 const SERVERS_BEFORE_CLEANUP: usize = 256;
-/// Shortest lifetime of a connection, in percent of the configured one.
+/// Shortest lifetime of a connection, in percent of the configured lifetime.
 const MIN_LIFETIME_PERCENT: u64 = 75;
 /// Number of distinct lifetimes, one percent apart: from 75% to 125% of the configured lifetime.
 const LIFETIME_STEPS: u64 = 51;
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Takes an idle connection that can be reused. Closes expired or outdated connections that it comes across.
+    /// Takes an idle connection. Expired connections and connections of an earlier generation are closed.
     fn take_idle(&self, key: &PoolKey, now: Nanos) -> Option<ServerConnection> {
         while let Some(taken) = self.idle.take(key, now, 0) {
             let mut connection = taken.connection;
--- a/adapters/postgres/src/pool/connection.rs
+++ b/adapters/postgres/src/pool/connection.rs
@@ -15,7 +15,7 @@
 /// A server and the address at which it listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerAddress {
-    /// The server's identity on the endpoint list; it survives a change of address.
+    /// The balancer's ID of the server; unchanged when the server restarts.
     pub backend: BackendId,
     /// The server's IP address and port.
     pub endpoint: SocketAddr,
--- a/adapters/postgres/src/stream.rs
+++ b/adapters/postgres/src/stream.rs
@@ -58,9 +58,9 @@
 /// A connection to a client or a server.
 #[derive(Debug)]
 pub enum Stream {
-    /// Unencrypted.
+    /// No encryption.
     Plain(CountedStream),
-    /// TLS; boxed because the state of a TLS connection is large.
+    /// Encrypted with TLS; boxed because the state of a TLS connection is large.
     Tls(Box<TlsStream<CountedStream>>),
 }
 
