--- a/adapters/postgres/src/console/tables.rs
+++ b/adapters/postgres/src/console/tables.rs
@@ -1,11 +1,11 @@
-//! The tables that SHOW prints. Their columns are known to operators' tools and stay as they are.
+//! The tables of SHOW. Operators' tools depend on the column names.
 
 use super::table::{Table, row};
 use crate::client_registry::ClientEntry;
 use crate::context::ServerContext;
 use crate::pool::{ServerAddress, ServerStats};
 
-/// SHOW POOLS: the connections to each server.
+/// SHOW POOLS: connection statistics of each server.
 pub(super) fn pools(context: &ServerContext) -> Table {
     let columns = &[
         "server",
@@ -20,7 +20,7 @@
     ];
     let pool_row = |server: ServerStats| {
         row([
-            &context.fleet.endpoint_name(server.address.backend),
+            &context.engine.endpoint_name(server.address.backend),
             &server.address.endpoint,
             &server.open.saturating_sub(server.idle),
             &server.idle,
@@ -35,7 +35,7 @@
     Table::new(columns, rows.collect())
 }
 
-/// SHOW CLIENTS: the sessions.
+/// SHOW CLIENTS: the clients and the activity of their sessions.
 pub(super) fn clients(context: &ServerContext) -> Table {
     let columns = &[
         "client",
@@ -73,10 +73,10 @@
     ])
 }
 
-/// SHOW SERVERS: the servers that there are connections to, and whether they are still in service.
+/// SHOW SERVERS: the servers known to the pool, and whether they are in service.
 pub(super) fn servers(context: &ServerContext) -> Table {
     let in_service: Vec<ServerAddress> = context
-        .fleet
+        .engine
         .endpoints_in_service()
         .into_iter()
         .map(ServerAddress::from)
@@ -88,7 +88,7 @@
             "leaving"
         };
         row([
-            &context.fleet.endpoint_name(server.address.backend),
+            &context.engine.endpoint_name(server.address.backend),
             &server.address.endpoint,
             &state,
             &server.open,
@@ -114,7 +114,7 @@
     Table::new(&["name", "value"], rows)
 }
 
-/// SHOW CONFIG: the settings in use, by their keys.
+/// SHOW CONFIG: the settings in use, by configuration key.
 pub(super) fn config(context: &ServerContext) -> Table {
     let config = &context.config;
     let pooling = format!("{:?}", config.pooling).to_lowercase();
