--- a/core/lifecycle/src/lib.rs
+++ b/core/lifecycle/src/lib.rs
@@ -1,8 +1,8 @@
-//! Lifecycle of a node, as a state machine: in service, drained by its operators, shutting down, closed.
+//! The lifecycle state machine of a node: in service, drained by the operators, shutting down, closed.
 //!
-//! This is the one state that the readiness check, the client connections and the end of the process all read; there are
-//! no flags beside it. The machine does no I/O and reads no clock: a transition that has to happen later is requested by
-//! [`Transition::timer`] and arrives as [`Event::TimerFired`].
+//! The readiness check, the client connections and the process exit all read the [`Stage`] of this state machine. The
+//! crate does no I/O and reads no clock: [`Transition::timer`] requests a timer, and the caller delivers
+//! [`Event::TimerFired`] when the timer fires.
 //!
 //! ```text
 //!                 Standby               timer
@@ -15,7 +15,7 @@
 //!     any of these ----------> Stopping -------> Closing -------> Closed
 //! ```
 //!
-//! Shutdown is final: from [`Stage::Stopping`] on, no event leads back.
+//! Shutdown is final: no event returns a node from [`Stage::Stopping`] or a later stage to an earlier one.
 
 mod machine;
 mod stage;
--- a/core/lifecycle/src/stage.rs
+++ b/core/lifecycle/src/stage.rs
@@ -1,25 +1,25 @@
-//! The stages of a node's life and what each of them permits.
+//! The stages of a node's lifecycle.
 
-/// A stage of a node's life, in the order of shutdown: a later stage compares greater.
+/// A stage of a node's lifecycle. Stages are ordered: a later stage compares greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// In service.
+    /// The node is in service.
     #[default]
     Active,
-    /// Draining on the operators' request: connections are accepted, and each response closes its connection.
+    /// The operators drain the node: new connections are accepted, and each connection closes after its next response.
     Draining,
-    /// Drained: idle connections are closed as well. The operators may return the node to service.
+    /// The node is drained: idle connections are closed as well. The operators may return the node to service.
     Empty,
-    /// Shutting down: connections are accepted, and each response closes its connection.
+    /// The node shuts down: new connections are accepted, and each connection closes after its next response.
     Stopping,
-    /// About to exit: idle connections are closed as well, new ones are still accepted.
+    /// The process is about to exit: idle connections are closed as well, and new connections are still accepted.
     Closing,
-    /// Accepts no more connections; the process exits when the last one has ended.
+    /// No new connections are accepted; the process exits when the last open connection has closed.
     Closed,
 }
 
 impl Stage {
-    /// The stage's name in replies to the operators' calls.
+    /// The stage's name in the console's responses.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -32,13 +32,13 @@
         }
     }
 
-    /// Whether new connections should be routed to this node.
+    /// Whether the readiness check tells the platform to route new connections to this node.
     #[must_use]
     pub fn is_ready(self) -> bool {
         self == Self::Active
     }
 
-    /// Whether connections without a request on them are closed.
+    /// Whether connections without a request in progress are closed.
     #[must_use]
     pub fn closes_idle(self) -> bool {
         matches!(self, Self::Empty | Self::Closing | Self::Closed)
@@ -50,7 +50,7 @@
         self != Self::Closed
     }
 
-    /// Whether shutdown has begun, which is final.
+    /// Whether shutdown has begun.
     #[must_use]
     pub(crate) fn is_shutting_down(self) -> bool {
         self >= Self::Stopping
--- a/core/lifecycle/src/tests.rs
+++ b/core/lifecycle/src/tests.rs
@@ -2,13 +2,18 @@
 
 use super::*;
 
-/// The event by which the requested timer fires.
+/// Returns the event of the requested timer firing.
 fn timer_fired(transition: Transition) -> Event {
-    Event::TimerFired(transition.timer.expect("a timer").token)
+    Event::TimerFired(
+        transition
+            .timer
+            .expect("the transition requests a timer")
+            .token,
+    )
 }
 
 #[test]
-fn a_stage_has_its_name_in_operators_replies() {
+fn stage_names_are_those_of_the_console_responses() {
     for (stage, name) in [
         (Stage::Active, "active"),
         (Stage::Draining, "draining"),
@@ -34,18 +39,18 @@
             timer: None,
             ..first
         },
-        "again: the same, and no second timer"
+        "a repeated standby call is granted and requests no second timer"
     );
     assert!(lifecycle.handle(timer_fired(first)).stage.closes_idle());
     assert!(
         lifecycle.accepts(),
-        "connections that still arrive are served"
+        "a drained node still accepts connections"
     );
     assert_eq!(lifecycle.handle(Event::Active).stage, Stage::Active);
     assert!(lifecycle.handle(Event::Active).granted);
 }
 
-/// Guards against a drain that continues after its end: its timer would close idle connections of the next one early.
+/// Guards against a cancelled drain's timer closing idle connections early during the next drain.
 #[test]
 fn a_timer_of_an_earlier_stage_is_ignored() {
     let mut lifecycle = Lifecycle::new();
@@ -58,7 +63,7 @@
 }
 
 #[test]
-fn shutdown_continues_whatever_operators_call_meanwhile() {
+fn shutdown_is_not_reversed_by_console_calls() {
     for before in [
         &[][..],
         &[Event::Standby],
@@ -72,9 +77,12 @@
         assert_eq!(stop.stage, Stage::Stopping);
         assert!(
             lifecycle.handle(Event::Standby).granted,
-            "shutdown drains the node"
+            "a standby call is granted during shutdown"
+        );
+        assert!(
+            !lifecycle.handle(Event::Active).granted,
+            "a return to service is refused during shutdown"
         );
-        assert!(!lifecycle.handle(Event::Active).granted, "too late");
         assert_eq!(lifecycle.handle(Event::Stop).timer, None);
         let closing = lifecycle.handle(timer_fired(stop));
         assert_eq!(closing.stage, Stage::Closing);
@@ -84,24 +92,27 @@
 }
 
 #[test]
-fn a_stopping_node_leaves_new_connections_to_its_successor_while_that_lives() {
+fn a_stopping_node_does_not_accept_while_a_successor_shares_the_listener() {
     let mut lifecycle = Lifecycle::new();
     lifecycle.handle(Event::ListenerShared(true));
-    assert!(lifecycle.accepts(), "both processes accept");
+    assert!(
+        lifecycle.accepts(),
+        "both processes accept while this one is in service"
+    );
     lifecycle.handle(Event::Stop);
     assert!(!lifecycle.accepts());
     lifecycle.handle(Event::ListenerShared(false));
     assert!(
         lifecycle.accepts(),
-        "the successor has died: no other process accepts"
+        "this process accepts again after the successor has exited"
     );
 }
 
 proptest! {
-    /// For events in any order: shutdown is never reversed, a node in service has no timer, and each transient stage
-    /// requests the timer by which it ends.
+    /// For events in any order: shutdown is not reversed, a timer is requested exactly when a stage that ends by a timer
+    /// begins, and only a node in service is ready.
     #[test]
-    fn any_order_of_events_never_reverses_shutdown(events in prop::collection::vec((0u8..5, 0u64..8), 0..40)) {
+    fn shutdown_is_final_for_any_order_of_events(events in prop::collection::vec((0u8..5, 0u64..8), 0..40)) {
         let mut lifecycle = Lifecycle::new();
         for (kind, token) in events {
             let before = lifecycle.stage();
