--- a/core/socket-handover/src/api.rs
+++ b/core/socket-handover/src/api.rs
@@ -1,43 +1,43 @@
-//! Inputs and outputs that both state machines share.
+//! The events and actions of both state machines.
 
 use crate::message::Message;
 
-/// An input, from the connection between the two processes or from this process itself.
+/// An event on the connection between the two processes, or in this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The connection is established.
+    /// The connection has been established.
     Connected,
-    /// The peer has sent a message.
+    /// The other process has sent a message.
     Received {
-        /// The message.
+        /// The parsed message.
         message: Message,
-        /// Whether a socket was attached that listens at the expected address.
+        /// Whether the message carried a file descriptor of a socket that listens at the expected address.
         has_listener: bool,
     },
-    /// The peer has sent a line that is not a message.
+    /// The other process has sent a line that is not a valid message.
     InvalidMessage,
-    /// The time limit for the exchange has passed.
+    /// The time limit of the handover has passed.
     TimedOut,
-    /// The connection has ended or could not be established.
+    /// The connection has closed or could not be established.
     Closed,
-    /// This process accepts connections on its listener now.
+    /// This process has started to accept connections on the received listener.
     Listening,
 }
 
-/// An output, to be carried out by the caller in order.
+/// An action for the caller, which carries out all actions in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send this message.
+    /// Send this message on the connection.
     Send(Message),
-    /// Send this message with the listening socket attached.
+    /// Send this message with the listening socket's file descriptor attached.
     SendListener(Message),
     /// Accept connections on the received socket.
     UseReceivedListener,
-    /// Open a socket of this process's own at the same address, beside the other process's.
+    /// Open a separate listening socket at the same address, beside the other process's.
     ListenSeparately,
-    /// Whether the peer accepts connections on the same socket.
+    /// Record whether the other process accepts connections on the same listening socket.
     SetShared(bool),
-    /// Whether the two processes form one node, in which each may use half of the node's limits.
+    /// Record whether this process may use only half of the node's limits, because two processes share them.
     SetLimitsHalved(bool),
     /// Close the connection.
     Close,
--- a/core/socket-handover/src/lib.rs
+++ b/core/socket-handover/src/lib.rs
@@ -1,8 +1,8 @@
-//! Handover of a listening socket from a running process to the next version started beside it.
+//! Handover of a listening socket from a running process to a newer process that is started beside it.
 //!
-//! Two state machines without I/O: [`Successor`] requests the socket, [`Predecessor`] passes it on. If messages are lost,
-//! malformed, late or out of order, the successor still listens in exactly one way, and the predecessor leaves new
-//! connections to it only while it lives.
+//! The protocol is implemented as two state machines that do no I/O: [`Successor`] requests the socket, and
+//! [`Predecessor`] sends it. If messages are lost, malformed, late or out of order, the successor still opens exactly one
+//! listener, and the predecessor considers its own listener shared only while the successor is connected.
 //!
 //! ```text
 //!     successor                                   predecessor
@@ -12,7 +12,7 @@
 //!         |<-------------------------------------------|   or: refused (reason)
 //!         | serving                                    |
 //!         |------------------------------------------->|
-//!         | end of the connection: one of the two processes has ended
+//!         | the connection closes: one of the two processes has exited
 //! ```
 //!
 //! On the wire each message is one line of JSON.
--- a/core/socket-handover/src/message.rs
+++ b/core/socket-handover/src/message.rs
@@ -1,53 +1,53 @@
-//! The messages between the two processes and their form on the wire.
+//! The messages between the two processes and their encoding.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Version of the protocol. A process that speaks another one is refused, and the two listen side by side.
+/// The version of the protocol. A successor with another version is refused and opens a separate listening socket.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Longest line of a message, in bytes, without its newline.
+/// The maximum length of an encoded message in bytes, without the newline.
 pub const MAX_LINE_LENGTH: usize = 512;
 
-/// A message, on the wire one line of JSON.
+/// A message, encoded as one line of JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Message {
-    /// The successor requests the socket that listens at this address.
+    /// The successor requests the listening socket.
     Hello {
         /// The successor's protocol version.
         version: u32,
-        /// Address at which the successor is to listen.
+        /// The address at which the successor has to listen.
         listen: SocketAddr,
     },
-    /// The predecessor's answer, with the listening socket attached.
+    /// The predecessor grants the request. The listening socket's file descriptor is attached.
     Listener,
-    /// The predecessor's answer if it doesn't hand over its socket.
+    /// The predecessor refuses the request.
     Refused {
-        /// The reason, for the successor's log.
+        /// The reason as a text for the successor's log.
         reason: String,
     },
-    /// The successor accepts connections on the socket.
+    /// The successor has started to accept connections on the received socket.
     Serving,
 }
 
-/// Why a line is not a message.
+/// The reason why a line is not a valid message.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// Longer than [`MAX_LINE_LENGTH`].
-    #[error("a line of more than {MAX_LINE_LENGTH} bytes")]
+    /// The line is longer than [`MAX_LINE_LENGTH`] bytes.
+    #[error("handover message is longer than {MAX_LINE_LENGTH} bytes")]
     TooLong,
-    /// Not the JSON of a message.
-    #[error("no message: {0}")]
+    /// The line is not the JSON encoding of a message.
+    #[error("handover message could not be decoded: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
 impl Message {
-    /// Parses a line without its newline.
+    /// Decodes a line without the newline.
     ///
     /// # Errors
     ///
-    /// [`MessageError`] if the line is too long or not the JSON of a message.
+    /// [`MessageError`] if the line is too long or not the JSON encoding of a message.
     pub fn from_line(line: &[u8]) -> Result<Self, MessageError> {
         if line.len() > MAX_LINE_LENGTH {
             return Err(MessageError::TooLong);
@@ -55,10 +55,10 @@
         Ok(serde_json::from_slice(line)?)
     }
 
-    /// Formats the message as a line with its newline.
+    /// Encodes the message as a line with the newline.
     #[must_use]
     pub fn to_line(&self) -> Vec<u8> {
-        // Serialization fails for maps with keys other than strings only, and a message has no maps.
+        // Encoding a message can't fail: JSON encoding fails only for maps with keys that are not strings.
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
         line
--- a/core/socket-handover/src/predecessor.rs
+++ b/core/socket-handover/src/predecessor.rs
@@ -1,11 +1,11 @@
-//! The side of the running process, which passes its socket on to one successor.
+//! The running process's side of the handover to one successor.
 
 use std::net::SocketAddr;
 
 use crate::api::{Action, Event};
 use crate::message::{Message, PROTOCOL_VERSION};
 
-/// States of the predecessor.
+/// The states of the predecessor.
 ///
 /// ```text
 ///     AwaitingRequest --Received hello--> ListenerSent --Received serving--> Shared
@@ -15,31 +15,31 @@
 ///         Finished                          Finished                        Finished
 /// ```
 ///
-/// [`Event::TimedOut`] is a failure in `AwaitingRequest` only.
+/// [`Event::TimedOut`] is a failure only in `AwaitingRequest`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The successor has connected and not yet sent its request.
+    /// The successor has connected but has not sent the request yet.
     AwaitingRequest,
-    /// The socket was sent.
+    /// The socket has been sent.
     ListenerSent,
     /// Both processes accept connections on the socket.
     Shared,
-    /// The successor was refused or has ended.
+    /// The successor has been refused, has exited or has broken the protocol.
     Finished,
 }
 
-/// Why a request is refused; its text is sent to the successor.
+/// The reason why a request is refused. The text is sent to the successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum RefusalReason {
-    /// The successor speaks another version of the protocol.
+    /// The successor uses another version of the protocol.
     #[error("version {0} is not {PROTOCOL_VERSION}")]
     UnsupportedVersion(u32),
-    /// The successor is to listen at another address than this process.
+    /// The successor has to listen at another address than this process, whose address this is.
     #[error("this one listens at {0}")]
     OtherAddress(SocketAddr),
 }
 
-/// State machine of the running process towards one successor.
+/// The state machine of the running process for one successor.
 #[derive(Clone, Debug)]
 pub struct Predecessor {
     state: State,
@@ -47,7 +47,7 @@
 }
 
 impl Predecessor {
-    /// A predecessor that listens at this address.
+    /// Creates a predecessor that listens at this address.
     #[must_use]
     pub fn new(listen: SocketAddr) -> Self {
         Self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Applies one event and appends the resulting actions.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         match (self.state, event) {
             (
@@ -77,15 +77,15 @@
                 },
             ) => self.share_listener(actions),
             (State::Finished, _) | (_, Event::Connected | Event::Listening) => {}
-            // The successor may take until the end of its own start to serve; from then on only its end counts.
+            // After the socket has been sent, the successor's startup may take longer than the time limit.
             (State::ListenerSent | State::Shared, Event::TimedOut) => {}
             (State::AwaitingRequest | State::ListenerSent | State::Shared, _) => {
-                self.successor_ended(actions);
+                self.end_handover(actions);
             }
         }
     }
 
-    /// Checks that the successor can use this process's socket.
+    /// Checks that the successor uses the same protocol version and has to listen at the same address.
     fn check_request(&self, version: u32, listen: SocketAddr) -> Result<(), RefusalReason> {
         if version != PROTOCOL_VERSION {
             return Err(RefusalReason::UnsupportedVersion(version));
@@ -96,14 +96,14 @@
         Ok(())
     }
 
-    /// `AwaitingRequest` to `ListenerSent`: from here on the two processes share the node's limits.
+    /// `AwaitingRequest` to `ListenerSent`: sends the socket. From now on the two processes share the node's limits.
     fn send_listener(&mut self, actions: &mut Vec<Action>) {
         self.state = State::ListenerSent;
         actions.push(Action::SendListener(Message::Listener));
         actions.push(Action::SetLimitsHalved(true));
     }
 
-    /// `AwaitingRequest` to `Finished`.
+    /// `AwaitingRequest` to `Finished`: refuses the request with a reason.
     fn refuse(&mut self, reason: RefusalReason, actions: &mut Vec<Action>) {
         self.state = State::Finished;
         actions.push(Action::Send(Message::Refused {
@@ -112,14 +112,14 @@
         actions.push(Action::Close);
     }
 
-    /// `ListenerSent` to `Shared`: the successor accepts connections.
+    /// `ListenerSent` to `Shared`: the successor has started to accept connections.
     fn share_listener(&mut self, actions: &mut Vec<Action>) {
         self.state = State::Shared;
         actions.push(Action::SetShared(true));
     }
 
-    /// To `Finished`: takes back what the successor was given, as it has ended or broken the protocol.
-    fn successor_ended(&mut self, actions: &mut Vec<Action>) {
+    /// Any state to `Finished`: the successor has exited or broken the protocol, so nothing is shared any longer.
+    fn end_handover(&mut self, actions: &mut Vec<Action>) {
         let state_before = std::mem::replace(&mut self.state, State::Finished);
         if state_before == State::Shared {
             actions.push(Action::SetShared(false));
--- a/core/socket-handover/src/successor.rs
+++ b/core/socket-handover/src/successor.rs
@@ -1,11 +1,11 @@
-//! The side of the process that was started last and requests the socket.
+//! The newer process's side of the handover.
 
 use std::net::SocketAddr;
 
 use crate::api::{Action, Event};
 use crate::message::{Message, PROTOCOL_VERSION};
 
-/// States of the successor.
+/// The states of the successor.
 ///
 /// ```text
 ///     Connecting --Connected--> AwaitingListener --Received listener--> ListenerReceived --Listening--> Serving
@@ -18,17 +18,17 @@
 enum State {
     /// The connection to the predecessor is being established.
     Connecting,
-    /// The request was sent.
+    /// The request for the socket has been sent.
     AwaitingListener,
-    /// The socket has arrived. The connection stays open, so that its end shows the end of the predecessor.
+    /// The socket has been received. The connection stays open to detect the exit of the predecessor.
     ListenerReceived,
-    /// The predecessor knows that this process accepts connections.
+    /// The predecessor has been told that this process accepts connections.
     Serving,
-    /// There is no predecessor, or none any longer.
+    /// The handover has failed, or the predecessor has exited.
     Finished,
 }
 
-/// State machine of the process that was started last.
+/// The state machine of the newer process.
 #[derive(Clone, Debug)]
 pub struct Successor {
     state: State,
@@ -36,7 +36,7 @@
 }
 
 impl Successor {
-    /// A successor that is to listen at this address.
+    /// Creates a successor that has to listen at this address.
     #[must_use]
     pub fn new(listen: SocketAddr) -> Self {
         Self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Applies one event and appends the resulting actions.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         match (self.state, event) {
             (State::Connecting, Event::Connected) => self.request_listener(actions),
@@ -58,9 +58,9 @@
             ) => self.accept_listener(actions),
             (State::ListenerReceived, Event::Listening) => self.announce_serving(actions),
             (State::ListenerReceived | State::Serving, Event::Closed) => {
-                self.predecessor_ended(actions);
+                self.restore_limits(actions);
             }
-            // Neither event means a failure of the exchange.
+            // These events are unexpected in these states, but no failures.
             (State::Connecting | State::AwaitingListener, Event::Connected | Event::Listening) => {}
             (State::Connecting, _) => self.listen_separately(actions),
             (State::AwaitingListener, _) => self.abandon_request(actions),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// `Connecting` to `AwaitingListener`: asks for the socket. From here on the two processes share the node's limits.
+    /// `Connecting` to `AwaitingListener`: requests the socket. From now on the two processes share the node's limits.
     fn request_listener(&mut self, actions: &mut Vec<Action>) {
         self.state = State::AwaitingListener;
         actions.push(Action::SetLimitsHalved(true));
@@ -78,7 +78,7 @@
         }));
     }
 
-    /// `AwaitingListener` to `ListenerReceived`.
+    /// `AwaitingListener` to `ListenerReceived`: uses the received socket.
     fn accept_listener(&mut self, actions: &mut Vec<Action>) {
         self.state = State::ListenerReceived;
         actions.push(Action::UseReceivedListener);
@@ -90,20 +90,20 @@
         actions.push(Action::Send(Message::Serving));
     }
 
-    /// `ListenerReceived` or `Serving` to `Finished`: the predecessor has exited, as intended.
-    fn predecessor_ended(&mut self, actions: &mut Vec<Action>) {
+    /// `ListenerReceived` or `Serving` to `Finished`: the predecessor has exited, which frees its half of the limits.
+    fn restore_limits(&mut self, actions: &mut Vec<Action>) {
         self.state = State::Finished;
         actions.push(Action::SetLimitsHalved(false));
     }
 
-    /// `AwaitingListener` to `Finished`: without the connection the end of the other process would go unnoticed, so the
-    /// limits are restored now instead of staying halved for good.
+    /// `AwaitingListener` to `Finished`: the limits are restored now, because without the connection the exit of the
+    /// predecessor can't be detected and the limits would stay halved.
     fn abandon_request(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::SetLimitsHalved(false));
         self.listen_separately(actions);
     }
 
-    /// To `Finished`, without a socket from the predecessor.
+    /// `Connecting` or `AwaitingListener` to `Finished`: listens without a socket from the predecessor.
     fn listen_separately(&mut self, actions: &mut Vec<Action>) {
         self.state = State::Finished;
         actions.push(Action::Close);
--- a/core/socket-handover/src/tests.rs
+++ b/core/socket-handover/src/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// The event of a message without a socket attached.
+/// Returns the event of receiving a message without a socket attached.
 fn received(message: Message) -> Event {
     Event::Received {
         message,
@@ -23,7 +23,7 @@
     }
 }
 
-/// The event of the predecessor's answer; whether a usable socket is attached.
+/// Returns the event of receiving the predecessor's grant, with or without a usable socket attached.
 fn received_listener(has_listener: bool) -> Event {
     Event::Received {
         message: Message::Listener,
@@ -31,8 +31,8 @@
     }
 }
 
-/// All actions of a successor after these events.
-fn successor(events: &[Event]) -> Vec<Action> {
+/// Returns all actions of a successor that handles these events.
+fn successor_actions(events: &[Event]) -> Vec<Action> {
     let mut successor = Successor::new(address(1));
     let mut actions = Vec::new();
     for event in events {
@@ -41,8 +41,8 @@
     actions
 }
 
-/// All actions of a predecessor after these events.
-fn predecessor(events: &[Event]) -> Vec<Action> {
+/// Returns all actions of a predecessor that handles these events.
+fn predecessor_actions(events: &[Event]) -> Vec<Action> {
     let mut predecessor = Predecessor::new(address(1));
     let mut actions = Vec::new();
     for event in events {
@@ -56,7 +56,7 @@
     use Action::{Send, SendListener, SetLimitsHalved, SetShared, UseReceivedListener};
     let answer = received_listener(true);
     assert_eq!(
-        successor(&[Event::Connected, answer, Event::Listening, Event::Closed]),
+        successor_actions(&[Event::Connected, answer, Event::Listening, Event::Closed]),
         [
             SetLimitsHalved(true),
             Send(hello(1, 1)),
@@ -67,7 +67,7 @@
     );
     let request = received(hello(1, 1));
     assert_eq!(
-        predecessor(&[
+        predecessor_actions(&[
             request,
             Event::TimedOut,
             received(Message::Serving),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn another_version_or_address_is_refused_with_a_reason() {
+fn a_request_with_another_version_or_address_is_refused_with_a_reason() {
     for (request, reason) in [
         (hello(2, 1), "version 2 is not 1"),
         (hello(1, 9), "this one listens at 127.0.0.1:1"),
@@ -94,17 +94,17 @@
             reason: reason.to_owned(),
         };
         assert_eq!(
-            predecessor(&[received(request)]),
+            predecessor_actions(&[received(request)]),
             [Action::Send(refused.clone()), Action::Close]
         );
-        let actions = successor(&[Event::Connected, received(refused)]);
+        let actions = successor_actions(&[Event::Connected, received(refused)]);
         assert_eq!(actions.last(), Some(&Action::ListenSeparately));
     }
 }
 
-/// Versions of this program that run already send and expect exactly these bytes.
+/// Guards against an incompatible change of the encoding: running processes of earlier versions use these bytes.
 #[test]
-fn messages_have_the_recorded_lines() {
+fn messages_are_encoded_as_recorded() {
     for (message, line) in [
         (
             hello(1, 80),
@@ -121,12 +121,12 @@
     ] {
         assert_eq!(message.to_line(), line.as_bytes());
         let parsed = Message::from_line(line.trim_end().as_bytes());
-        assert_eq!(parsed.expect("a message"), message);
+        assert_eq!(parsed.expect("the line is a message"), message);
     }
 }
 
 #[test]
-fn lines_of_messages_are_parsed_and_others_are_errors() {
+fn encoded_messages_are_decoded_and_other_lines_are_errors() {
     for message in [
         hello(1, 80),
         Message::Listener,
@@ -137,7 +137,7 @@
     ] {
         let line = message.to_line();
         assert_eq!(
-            Message::from_line(&line[..line.len() - 1]).expect("a message"),
+            Message::from_line(&line[..line.len() - 1]).expect("the line is a message"),
             message
         );
     }
@@ -169,7 +169,7 @@
     ]
 }
 
-/// How many times the actions make the successor listen.
+/// Returns the number of listeners that the actions make the successor use.
 fn listener_count(actions: &[Action]) -> usize {
     actions
         .iter()
@@ -182,38 +182,38 @@
         .count()
 }
 
-/// Whether the limits are halved after the actions; none if they were never set.
+/// Returns whether the limits are halved after the actions; `None` if no action changes the limits.
 fn limits_halved(actions: &[Action]) -> Option<bool> {
     actions.iter().rev().find_map(|action| match action {
-        Action::SetLimitsHalved(halved) => Some(*halved),
+        Action::SetLimitsHalved(is_halved) => Some(*is_halved),
         _ => None,
     })
 }
 
 proptest! {
-    /// For events in any order, ending at any step: the successor listens in at most one way, and in exactly one once
-    /// the time limit has passed; neither side's limits stay halved after the connection has ended; the predecessor
-    /// shares its listener only after the successor has announced that it serves.
+    /// For events in any order, ending at any event: the successor uses at most one listener, and exactly one after the
+    /// time limit has passed; neither side's limits stay halved after the connection has closed; the predecessor shares
+    /// its listener only after sending the listener and receiving `Message::Serving`.
     #[test]
-    fn any_order_of_events_leads_to_one_listener_and_restored_limits(events in prop::collection::vec(event(), 0..12)) {
-        prop_assert!(listener_count(&successor(&events)) <= 1);
-        let ended = [&events[..], &[Event::TimedOut, Event::Closed]].concat();
-        prop_assert_eq!(listener_count(&successor(&ended)), 1);
-        prop_assert_ne!(limits_halved(&successor(&ended)), Some(true));
-        let actions = predecessor(&events);
-        let shared = actions.iter().position(|action| *action == Action::SetShared(true));
-        if let Some(shared) = shared {
-            prop_assert!(matches!(actions[..shared].first(), Some(Action::SendListener(_))));
+    fn any_order_of_events_ends_with_one_listener_and_restored_limits(events in prop::collection::vec(event(), 0..12)) {
+        prop_assert!(listener_count(&successor_actions(&events)) <= 1);
+        let events_until_end = [&events[..], &[Event::TimedOut, Event::Closed]].concat();
+        prop_assert_eq!(listener_count(&successor_actions(&events_until_end)), 1);
+        prop_assert_ne!(limits_halved(&successor_actions(&events_until_end)), Some(true));
+        let actions = predecessor_actions(&events);
+        let shared_index = actions.iter().position(|action| *action == Action::SetShared(true));
+        if let Some(shared_index) = shared_index {
+            prop_assert!(matches!(actions[..shared_index].first(), Some(Action::SendListener(_))));
             prop_assert!(events.contains(&received(Message::Serving)));
         }
-        let actions_until_end = predecessor(&ended);
+        let actions_until_end = predecessor_actions(&events_until_end);
         let count = |wanted: &Action| actions_until_end.iter().filter(|action| *action == wanted).count();
         prop_assert_eq!(count(&Action::SetShared(true)), count(&Action::SetShared(false)));
         prop_assert_ne!(limits_halved(&actions_until_end), Some(true));
     }
 
     #[test]
-    fn any_bytes_are_a_message_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn decoding_any_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let _ = Message::from_line(&bytes);
     }
 }
