--- a/core/http-framing/src/framer.rs
+++ b/core/http-framing/src/framer.rs
@@ -1,31 +1,31 @@
-//! The framer: a state machine over a connection's bytes. Sections are those of RFC 9112.
+//! The state machine that finds requests in a connection's bytes. Section numbers refer to RFC 9112.
 
 use crate::chunk::parse_chunk_size;
 use crate::error::FramingError;
 use crate::head::{BodyFraming, RequestHead};
 use crate::line::LineBuffer;
 
-/// Longest head, and longest trailer section, in bytes. The HTTP parser accepts no longer ones either.
-const MAX_SECTION_LENGTH: usize = 32 * 1024;
-/// Longest size line of a chunk with its extensions, in bytes.
-const MAX_CHUNK_SIZE_LINE_LENGTH: usize = 4096;
-/// Longest line end behind a chunk's data, in bytes: CRLF.
-const MAX_CHUNK_DATA_END_LENGTH: usize = 2;
+/// The maximum length of a head, and of a trailer section. The HTTP library has the same limit.
+const MAX_SECTION_BYTES: usize = 32 * 1024;
+/// The maximum length of a chunk's size line, including chunk extensions.
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 4096;
+/// The maximum length of the line end after a chunk's data, CRLF.
+const MAX_CHUNK_DATA_END_BYTES: usize = 2;
 
-/// What was found in the bytes of a connection.
+/// An event found in the bytes of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FramingEvent {
     /// The first byte of a request was received.
     Started,
-    /// The head of a request is complete, or its framing is rejected; after an error no further events follow.
+    /// The head of a request is complete, or the framing is rejected. No further events follow a rejection.
     HeadComplete(Result<(), FramingError>),
     /// The last byte of a request was received.
     MessageComplete,
-    /// The body of a request is malformed; no further events follow.
+    /// The body of a request is malformed. No further events follow.
     BodyInvalid(FramingError),
 }
 
-/// Position within the stream of requests.
+/// The position in the stream of requests.
 ///
 /// ```text
 ///     BetweenRequests --> Line(Request) --> Line(Field) --+--> BetweenRequests             (no body)
@@ -39,26 +39,26 @@
 /// An error in any line leads to `Failed`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
-    /// Before the first byte of a request; empty lines are skipped (section 2.2).
+    /// Before the first byte of a request. Empty lines are skipped (section 2.2).
     #[default]
     BetweenRequests,
-    /// Within a line of this kind.
+    /// In a line of this kind.
     Line(LineKind),
-    /// Within a body of known length (section 6.2).
+    /// In a body with a Content-Length (section 6.2).
     FixedBody {
-        /// Bytes still to be received, at least one.
+        /// The number of bytes still to be received, at least one.
         remaining: u64,
     },
-    /// Within the data of a chunk (section 7.1).
+    /// In the data of a chunk (section 7.1).
     ChunkData {
-        /// Bytes still to be received, at least one.
+        /// The number of bytes still to be received, at least one.
         remaining: u64,
     },
-    /// After an error; all further bytes are ignored.
+    /// After an error. All further bytes are ignored.
     Failed,
 }
 
-/// Lines of a message.
+/// The kinds of lines in a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LineKind {
     /// The request line (section 3).
@@ -67,7 +67,7 @@
     Field,
     /// The size line of a chunk (section 7.1).
     ChunkSize,
-    /// The line end behind a chunk's data (section 7.1).
+    /// The line end after a chunk's data (section 7.1).
     ChunkDataEnd,
     /// A trailer field, or the empty line at the end of the trailer section (section 7.1.2).
     Trailer,
@@ -78,19 +78,19 @@
 pub struct RequestFramer {
     state: State,
     line: LineBuffer,
-    /// Bytes of lines since the beginning of the request, or of its trailer section.
+    /// The number of bytes received of the current head or trailer section.
     section_length: usize,
     head: RequestHead,
 }
 
 impl RequestFramer {
-    /// A framer of a connection on which nothing was received yet.
+    /// Creates a framer for a new connection.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Processes the next bytes of the connection and reports what they contain, in order.
+    /// Processes the next bytes of the connection and reports the events in order.
     pub fn feed(&mut self, bytes: &[u8], on_event: &mut impl FnMut(FramingEvent)) {
         let mut rest = bytes;
         while !rest.is_empty() {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Skips one byte of an empty line, or starts a request without consuming its first byte. Returns the rest.
+    /// Skips one byte of an empty line, or starts a request without consuming the first byte. Returns the remaining bytes.
     fn skip_or_start<'a>(
         &mut self,
         bytes: &'a [u8],
@@ -120,7 +120,7 @@
         bytes
     }
 
-    /// Reads up to the end of the line, as far as it was received. Returns the rest.
+    /// Reads up to the end of the line, or all bytes if the line end has not been received. Returns the remaining bytes.
     fn read_line<'a>(
         &mut self,
         kind: LineKind,
@@ -129,9 +129,9 @@
     ) -> &'a [u8] {
         let newline = bytes.iter().position(|byte| *byte == b'\n');
         let line_length = newline.map_or(bytes.len(), |newline| newline + 1);
-        let (piece, rest) = bytes.split_at(line_length);
-        self.line.push(piece);
-        self.section_length += piece.len();
+        let (received, rest) = bytes.split_at(line_length);
+        self.line.push(received);
+        self.section_length += received.len();
         if let Err(error) = self.check_length(kind) {
             self.fail(kind, error, on_event);
         } else if newline.is_some() {
@@ -141,14 +141,14 @@
         rest
     }
 
-    /// Reads from a body of known length. Returns the rest.
+    /// Reads from a body with a Content-Length. Returns the remaining bytes.
     fn read_body<'a>(
         &mut self,
         remaining: u64,
         bytes: &'a [u8],
         on_event: &mut impl FnMut(FramingEvent),
     ) -> &'a [u8] {
-        let (data, rest) = split_at_most(bytes, remaining);
+        let (data, rest) = split_at_up_to(bytes, remaining);
         let remaining = remaining - data.len() as u64;
         if remaining == 0 {
             self.complete_message(on_event);
@@ -158,9 +158,9 @@
         rest
     }
 
-    /// Reads from the data of a chunk. Returns the rest.
+    /// Reads from the data of a chunk. Returns the remaining bytes.
     fn read_chunk_data<'a>(&mut self, remaining: u64, bytes: &'a [u8]) -> &'a [u8] {
-        let (data, rest) = split_at_most(bytes, remaining);
+        let (data, rest) = split_at_up_to(bytes, remaining);
         let remaining = remaining - data.len() as u64;
         self.state = if remaining == 0 {
             State::Line(LineKind::ChunkDataEnd)
@@ -170,25 +170,25 @@
         rest
     }
 
-    /// Checks the length of the line, or of the section that it is part of, so far.
+    /// Checks the received length of the line, or of the section that contains the line, against the limit.
     fn check_length(&self, kind: LineKind) -> Result<(), FramingError> {
         match kind {
             LineKind::Request | LineKind::Field | LineKind::Trailer
-                if self.section_length > MAX_SECTION_LENGTH =>
+                if self.section_length > MAX_SECTION_BYTES =>
             {
-                Err(FramingError::TooLong)
+                Err(FramingError::SectionTooLong)
             }
-            LineKind::ChunkSize if self.line.length() > MAX_CHUNK_SIZE_LINE_LENGTH => {
+            LineKind::ChunkSize if self.line.length() > MAX_CHUNK_SIZE_LINE_BYTES => {
                 Err(FramingError::InvalidChunk)
             }
-            LineKind::ChunkDataEnd if self.line.length() > MAX_CHUNK_DATA_END_LENGTH => {
+            LineKind::ChunkDataEnd if self.line.length() > MAX_CHUNK_DATA_END_BYTES => {
                 Err(FramingError::InvalidChunk)
             }
             _ => Ok(()),
         }
     }
 
-    /// Processes a complete line.
+    /// Processes a complete line of this kind.
     fn end_line(&mut self, kind: LineKind, on_event: &mut impl FnMut(FramingEvent)) {
         match kind {
             LineKind::Request => {
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Ends the head and continues with the body, if there is one (section 6.3).
+    /// Ends the head and continues with the body, if the request has one (section 6.3).
     fn end_head(&mut self, on_event: &mut impl FnMut(FramingEvent)) {
         let framing = match self.head.body_framing() {
             Ok(framing) => framing,
@@ -233,13 +233,12 @@
         }
     }
 
-    /// Ends the request.
     fn complete_message(&mut self, on_event: &mut impl FnMut(FramingEvent)) {
         on_event(FramingEvent::MessageComplete);
         self.state = State::BetweenRequests;
     }
 
-    /// Reports an error in a line of this kind and ignores the rest of the connection.
+    /// Reports an error in a line of this kind. All further bytes of the connection are ignored.
     fn fail(
         &mut self,
         kind: LineKind,
@@ -256,8 +255,8 @@
     }
 }
 
-/// Splits the bytes behind the first `length`, or behind all of them if there are fewer.
-fn split_at_most(bytes: &[u8], length: u64) -> (&[u8], &[u8]) {
+/// Splits the bytes after the first `length` bytes, or after all bytes if there are fewer.
+fn split_at_up_to(bytes: &[u8], length: u64) -> (&[u8], &[u8]) {
     let middle = usize::try_from(length).map_or(bytes.len(), |length| length.min(bytes.len()));
     bytes.split_at(middle)
 }
--- a/core/http-framing/src/framer/tests.rs
+++ b/core/http-framing/src/framer/tests.rs
@@ -1,9 +1,9 @@
 use proptest::prelude::*;
 
 use super::*;
-use crate::line::MAX_STORED_LINE_LENGTH;
+use crate::line::MAX_STORED_LINE_BYTES;
 
-/// All events of a connection on which these pieces are received.
+/// Returns all events of a connection on which these pieces are received.
 fn events(pieces: &[&[u8]]) -> Vec<FramingEvent> {
     let mut framer = RequestFramer::new();
     let mut events = Vec::new();
@@ -13,9 +13,9 @@
     events
 }
 
-/// Why a request with these field lines is rejected.
-fn head_error(head: &str) -> Option<FramingError> {
-    let text = format!("POST /api HTTP/1.1\r\nHost: h\r\n{head}\r\n");
+/// Returns the error with which a request with these field lines is rejected.
+fn head_error(field_lines: &str) -> Option<FramingError> {
+    let text = format!("POST /api HTTP/1.1\r\nHost: h\r\n{field_lines}\r\n");
     events(&[text.as_bytes()])
         .into_iter()
         .find_map(|event| match event {
@@ -24,7 +24,7 @@
         })
 }
 
-/// The events of one valid request.
+/// The events of a valid request.
 const VALID_REQUEST: [FramingEvent; 3] = [
     FramingEvent::Started,
     FramingEvent::HeadComplete(Ok(())),
@@ -51,86 +51,95 @@
     }
 }
 
-/// Guards against request smuggling: two readers of the same bytes must not see two requests and one.
+/// Guards against request smuggling by framing that two recipients may interpret differently.
 #[test]
 fn ambiguous_framing_is_rejected() {
-    for (head, error) in [
+    for (field_lines, error) in [
         (
             "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
-            FramingError::LengthAndCoding,
+            FramingError::ContentLengthWithTransferEncoding,
         ),
         (
             "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
-            FramingError::LengthAndCoding,
+            FramingError::ContentLengthWithTransferEncoding,
         ),
         (
             "Content-Length: 5\r\nContent-Length: 5\r\n",
             FramingError::MultipleLengths,
         ),
-        ("Content-Length: 5, 5\r\n", FramingError::InvalidLength),
-        ("Content-Length: +5\r\n", FramingError::InvalidLength),
-        ("Content-Length: 0x5\r\n", FramingError::InvalidLength),
-        ("Content-Length:\r\n", FramingError::InvalidLength),
+        (
+            "Content-Length: 5, 5\r\n",
+            FramingError::InvalidContentLength,
+        ),
+        ("Content-Length: +5\r\n", FramingError::InvalidContentLength),
+        (
+            "Content-Length: 0x5\r\n",
+            FramingError::InvalidContentLength,
+        ),
+        ("Content-Length:\r\n", FramingError::InvalidContentLength),
         (
             "Content-Length: 99999999999999999999\r\n",
-            FramingError::InvalidLength,
+            FramingError::InvalidContentLength,
         ),
         (
             "Transfer-Encoding: gzip, chunked\r\n",
-            FramingError::UnsupportedCoding,
+            FramingError::UnsupportedTransferCoding,
         ),
         (
             "Transfer-Encoding: chunked, identity\r\n",
-            FramingError::UnsupportedCoding,
+            FramingError::UnsupportedTransferCoding,
         ),
         (
             "Transfer-Encoding: xchunked\r\n",
-            FramingError::UnsupportedCoding,
+            FramingError::UnsupportedTransferCoding,
         ),
         (
             "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
-            FramingError::UnsupportedCoding,
+            FramingError::UnsupportedTransferCoding,
         ),
         (
             "Transfer-Encoding : chunked\r\n",
-            FramingError::FoldedHeader,
+            FramingError::InvalidFieldWhitespace,
+        ),
+        (
+            "Content-Length\t: 5\r\n",
+            FramingError::InvalidFieldWhitespace,
         ),
-        ("Content-Length\t: 5\r\n", FramingError::FoldedHeader),
-        ("X: a\r\n b\r\n", FramingError::FoldedHeader),
+        ("X: a\r\n b\r\n", FramingError::InvalidFieldWhitespace),
     ] {
-        assert_eq!(head_error(head), Some(error), "{head:?}");
+        assert_eq!(head_error(field_lines), Some(error), "{field_lines:?}");
     }
 }
 
 #[test]
-fn a_transfer_coding_with_http_1_0_is_rejected() {
+fn an_http_1_0_request_with_a_transfer_coding_is_rejected() {
     let http_1_0 = b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n";
     assert_eq!(
         events(&[http_1_0]),
         [
             FramingEvent::Started,
-            FramingEvent::HeadComplete(Err(FramingError::UnsupportedCoding))
+            FramingEvent::HeadComplete(Err(FramingError::UnsupportedTransferCoding))
         ]
     );
 }
 
 #[test]
-fn a_head_or_a_length_beyond_its_limit_is_rejected() {
+fn a_head_or_a_content_length_field_beyond_the_length_limit_is_rejected() {
     assert_eq!(
-        head_error(&format!("X: {}\r\n", "y".repeat(MAX_SECTION_LENGTH))),
-        Some(FramingError::TooLong)
+        head_error(&format!("X: {}\r\n", "y".repeat(MAX_SECTION_BYTES))),
+        Some(FramingError::SectionTooLong)
     );
     assert_eq!(
         head_error(&format!(
             "Content-Length: {}5\r\n",
-            "0".repeat(MAX_STORED_LINE_LENGTH)
+            "0".repeat(MAX_STORED_LINE_BYTES)
         )),
-        Some(FramingError::InvalidLength)
+        Some(FramingError::InvalidContentLength)
     );
 }
 
 #[test]
-fn a_malformed_chunk_is_an_error() {
+fn a_malformed_chunk_is_rejected() {
     for chunks in [
         "g\r\n",
         "\r\n",
@@ -169,7 +178,7 @@
 }
 
 proptest! {
-    /// How the bytes are split between reads changes nothing.
+    /// Guards against events that depend on how the bytes are split between reads.
     #[test]
     fn any_split_of_the_bytes_gives_the_same_events(
         requests in prop::collection::vec(request(), 1..5),
@@ -186,27 +195,27 @@
         prop_assert_eq!(events(&byte_by_byte), unsplit);
     }
 
-    /// No input makes it panic or store more than a line's prefix.
+    /// Guards against panics and unbounded memory for arbitrary input.
     #[test]
     fn any_bytes_are_processed_in_bounded_memory(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 0..20)) {
         let mut framer = RequestFramer::new();
         for piece in pieces {
             framer.feed(&piece, &mut |_| {});
-            prop_assert!(framer.line.stored_length() <= MAX_STORED_LINE_LENGTH);
+            prop_assert!(framer.line.stored_length() <= MAX_STORED_LINE_BYTES);
         }
     }
 }
 
-/// A coding is nothing that HTTP/1.0 knows, however long the request line is that says so at its end.
+/// Guards against losing the protocol version at the end of a request line that is longer than the stored prefix.
 #[test]
-fn a_coding_is_rejected_for_http_1_0_behind_a_request_line_of_any_length() {
+fn an_http_1_0_transfer_coding_is_rejected_for_any_request_line_length() {
     for length in [1, 200, 256, 1000, 30_000] {
         let target = "x".repeat(length);
         let text = format!("POST /{target} HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n");
         assert_eq!(
             events(&[text.as_bytes()]).last(),
             Some(&FramingEvent::HeadComplete(Err(
-                FramingError::UnsupportedCoding
+                FramingError::UnsupportedTransferCoding
             ))),
             "{length}"
         );
--- a/core/http-framing/src/lib.rs
+++ b/core/http-framing/src/lib.rs
@@ -1,12 +1,12 @@
 //! Message framing of HTTP/1.1 requests (RFC 9112): finds where the requests on a client's connection begin and end, and
-//! rejects those whose framing is ambiguous.
+//! rejects requests with ambiguous framing.
 //!
-//! [`RequestFramer`] observes the bytes that the HTTP library parses; it consumes none of them. The library hides what
-//! matters for security: it drops a Content-Length beside a Transfer-Encoding and accepts a repeated Content-Length. If
-//! two recipients disagree on the length of a body, one of them reads part of it as another request (request smuggling,
-//! section 11.2), so such a request is rejected before any of it is forwarded.
+//! [`RequestFramer`] observes the bytes that the HTTP library parses, without consuming them. The library hides
+//! ambiguous framing: a Content-Length beside a Transfer-Encoding is dropped, and a repeated Content-Length is accepted.
+//! If two recipients disagree on the length of a body, one of them parses part of the body as another request (request
+//! smuggling, section 11.2). Such a request is therefore rejected before any part is forwarded.
 //!
-//! No I/O; memory for each connection is bounded by the prefix of one line.
+//! The crate does no I/O. For each connection, at most a prefix of one line is stored.
 
 mod chunk;
 mod error;
--- a/core/http-framing/src/line.rs
+++ b/core/http-framing/src/line.rs
@@ -1,56 +1,55 @@
-//! The line that is being received, of which only a prefix is stored.
+//! A buffer for the line that is being received.
 
-/// Bytes of a line that are stored: a Content-Length or Transfer-Encoding field takes a few dozen.
-pub(crate) const MAX_STORED_LINE_LENGTH: usize = 256;
+/// The maximum number of stored bytes of a line. Valid Content-Length and Transfer-Encoding fields are shorter.
+pub(crate) const MAX_STORED_LINE_BYTES: usize = 256;
 
-/// Bytes at a line's end that are stored whatever its length: a protocol version and a line end.
-const TAIL_LENGTH: usize = 10;
+/// The number of bytes stored from the end of a line of any length: the protocol version and the line end.
+const TAIL_BYTES: usize = 10;
 
-/// A line in the course of reception.
+/// The line that is being received. Only a prefix and the last few bytes are stored.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LineBuffer {
-    /// The line's first bytes, including its end.
+    /// The first bytes of the line, including the line end if the line is short enough.
     stored: Vec<u8>,
-    /// Its last bytes, including its end.
-    tail: [u8; TAIL_LENGTH],
-    /// Bytes received, including those that are not stored.
+    /// The last received bytes of the line, including the line end, right-aligned.
+    tail: [u8; TAIL_BYTES],
+    /// The number of bytes received, including those that are not stored.
     length: usize,
 }
 
 impl LineBuffer {
-    /// Appends received bytes.
     pub(crate) fn push(&mut self, bytes: &[u8]) {
-        let free = MAX_STORED_LINE_LENGTH.saturating_sub(self.stored.len());
+        let free = MAX_STORED_LINE_BYTES.saturating_sub(self.stored.len());
         self.stored
             .extend_from_slice(&bytes[..free.min(bytes.len())]);
         self.length += bytes.len();
-        let last = &bytes[bytes.len().saturating_sub(TAIL_LENGTH)..];
+        let last = &bytes[bytes.len().saturating_sub(TAIL_BYTES)..];
         self.tail.rotate_left(last.len());
-        self.tail[TAIL_LENGTH - last.len()..].copy_from_slice(last);
+        self.tail[TAIL_BYTES - last.len()..].copy_from_slice(last);
     }
 
-    /// Whether the line ends with these bytes, of which there may be eight, before its line end.
+    /// Whether the line, without the line end, ends with these bytes. At most eight bytes can be compared.
     pub(crate) fn ends_with(&self, bytes: &[u8]) -> bool {
-        let tail_start = TAIL_LENGTH - self.length.min(TAIL_LENGTH);
+        let tail_start = TAIL_BYTES - self.length.min(TAIL_BYTES);
         without_line_end(&self.tail[tail_start..]).ends_with(bytes)
     }
 
-    /// Bytes received, including the line's end.
+    /// The number of bytes received, including the line end.
     pub(crate) fn length(&self) -> usize {
         self.length
     }
 
-    /// Whether bytes of the line are not stored.
+    /// Whether the line is longer than the stored prefix.
     pub(crate) fn is_truncated(&self) -> bool {
-        self.length > MAX_STORED_LINE_LENGTH
+        self.length > MAX_STORED_LINE_BYTES
     }
 
-    /// The stored part of the line without its end.
+    /// The stored prefix of the line without the line end.
     pub(crate) fn content(&self) -> &[u8] {
         without_line_end(&self.stored)
     }
 
-    /// Whether the line is empty but for its end.
+    /// Whether the line consists of a line end only.
     pub(crate) fn is_blank(&self) -> bool {
         self.content().is_empty()
     }
@@ -61,14 +60,13 @@
         self.length = 0;
     }
 
-    /// Bytes stored.
     #[cfg(test)]
     pub(crate) fn stored_length(&self) -> usize {
         self.stored.len()
     }
 }
 
-/// A line without its end. A bare LF ends a line like CRLF (RFC 9112, section 2.2).
+/// Removes the line end, which is CRLF or a bare LF (RFC 9112, section 2.2).
 fn without_line_end(line: &[u8]) -> &[u8] {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     line.strip_suffix(b"\r").unwrap_or(line)
