--- a/core/http-framing/src/framer.rs
+++ b/core/http-framing/src/framer.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Skips one byte of an empty line, or starts a request without consuming the first byte. Returns the remaining bytes.
+    /// Skips one byte of an empty line, or starts a request without consuming any byte. Returns the remaining bytes.
     fn skip_or_start<'a>(
         &mut self,
         bytes: &'a [u8],
@@ -120,7 +120,7 @@
         bytes
     }
 
-    /// Reads up to the end of the line, or all bytes if the line end has not been received. Returns the remaining bytes.
+    /// Reads up to the line end, or all bytes if the line end has not been received. Returns the remaining bytes.
     fn read_line<'a>(
         &mut self,
         kind: LineKind,
--- a/core/http-framing/src/framer/tests.rs
+++ b/core/http-framing/src/framer/tests.rs
@@ -65,7 +65,7 @@
         ),
         (
             "Content-Length: 5\r\nContent-Length: 5\r\n",
-            FramingError::MultipleLengths,
+            FramingError::RepeatedContentLength,
         ),
         (
             "Content-Length: 5, 5\r\n",
