--- a/core/socket-handover/src/lib.rs
+++ b/core/socket-handover/src/lib.rs
@@ -1,8 +1,8 @@
 //! Handover of a listening socket from a running process to a newer process that is started beside it.
 //!
 //! The protocol is implemented as two state machines that do no I/O: [`Successor`] requests the socket, and
-//! [`Predecessor`] sends it. If messages are lost, malformed, late or out of order, the successor still opens exactly one
-//! listener, and the predecessor considers its own listener shared only while the successor is connected.
+//! [`Predecessor`] sends the socket. If messages are lost, malformed, late or out of order, the successor still uses
+//! exactly one listener, and the predecessor considers the listener shared only while the successor is connected.
 //!
 //! ```text
 //!     successor                                   predecessor
