--- a/adapters/gossip/src/service.rs
+++ b/adapters/gossip/src/service.rs
@@ -7,7 +7,7 @@
     Clock, DatagramDropReason, Engine, LogLimiter, PeerUpdate, Protocol, ZoneGossip, activity,
 };
 use badgerpost_membership::{
-    Action, DropReason, Event, Key, MAX_DATAGRAM_LENGTH, MemberId, Membership, Nanos, Settings,
+    Action, DropReason, Event, Key, MAX_DATAGRAM_BYTES, MemberId, Membership, Nanos, Settings,
     Topic,
 };
 use tokio::net::UdpSocket;
@@ -90,7 +90,7 @@
         }
         self.handle(Event::Start);
         // One byte more than the longest datagram, so that a longer one shows.
-        let mut buffer = [0; MAX_DATAGRAM_LENGTH + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let timer = wait_until(self.clock.clone(), self.timer_at);
             tokio::select! {
--- a/core/membership/src/api.rs
+++ b/core/membership/src/api.rs
@@ -10,7 +10,7 @@
 use badgerpost_time::Nanos;
 
 /// Longest body of a gossip item, in bytes: dozens of items have to fit into one datagram.
-pub const MAX_ITEM_LENGTH: usize = 64;
+pub const MAX_ITEM_BODY_BYTES: usize = 64;
 
 /// Bytes of a name's hash that make a [`MemberId`].
 const MEMBER_ID_LENGTH: usize = 8;
@@ -71,7 +71,7 @@
     Broadcast {
         /// What the item is about.
         topic: Topic,
-        /// The content, opaque to this core; at most [`MAX_ITEM_LENGTH`] bytes.
+        /// The content, opaque to this core; at most [`MAX_ITEM_BODY_BYTES`] bytes.
         body: &'a [u8],
     },
     /// The node shuts down: it leaves the fleet and informs the other members.
--- a/core/membership/src/datagram_auth.rs
+++ b/core/membership/src/datagram_auth.rs
@@ -19,7 +19,7 @@
 /// Longest content, in bytes: with its header it fits into one packet of any usual network.
 pub(crate) const MAX_CONTENT_LENGTH: usize = 1200;
 /// Longest datagram, in bytes.
-pub const MAX_DATAGRAM_LENGTH: usize = HEADER_LENGTH + MAX_CONTENT_LENGTH;
+pub const MAX_DATAGRAM_BYTES: usize = HEADER_LENGTH + MAX_CONTENT_LENGTH;
 /// Allowed lengths of a key, in bytes.
 const KEY_LENGTHS: RangeInclusive<usize> = 16..=128;
 
--- a/core/membership/src/gossip_store.rs
+++ b/core/membership/src/gossip_store.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::{MAX_ITEM_LENGTH, MemberId, Topic};
+use crate::api::{MAX_ITEM_BODY_BYTES, MemberId, Topic};
 use badgerpost_time::Nanos;
 
 /// Most items stored: sixteen topics of two thousand members. Items beyond that are ignored, and counted by the membership;
@@ -69,7 +69,7 @@
     /// Merges an item; returns whether it was new. Items with too long a body are ignored.
     pub fn merge(&mut self, item: GossipItem) -> bool {
         let is_full = self.is_full();
-        if item.body.len() > MAX_ITEM_LENGTH {
+        if item.body.len() > MAX_ITEM_BODY_BYTES {
             return false;
         }
         match self.items.entry(item.key()) {
--- a/core/membership/src/lib.rs
+++ b/core/membership/src/lib.rs
@@ -19,9 +19,9 @@
 mod swim_output;
 mod timer_queue;
 
-pub use api::{Action, Event, MAX_ITEM_LENGTH, MemberId, Settings, Topic};
+pub use api::{Action, Event, MAX_ITEM_BODY_BYTES, MemberId, Settings, Topic};
 pub use badgerpost_time::Nanos;
-pub use datagram_auth::{Key, KeyError, MAX_DATAGRAM_LENGTH};
+pub use datagram_auth::{Key, KeyError, MAX_DATAGRAM_BYTES};
 pub use drop_reason::DropReason;
 pub use gossip_store::{GossipItem, GossipKey, GossipStore, GossipVersion};
 pub use membership::Membership;
