--- a/core/membership/src/api.rs
+++ b/core/membership/src/api.rs
@@ -1,4 +1,4 @@
-//! Settings, inputs and outputs of the core.
+//! The settings, events and actions of a member.
 
 use std::net::SocketAddr;
 
@@ -9,112 +9,113 @@
 use crate::drop_reason::DropReason;
 use badgerpost_time::Nanos;
 
-/// Longest body of a gossip item, in bytes: dozens of items have to fit into one datagram.
+/// The maximum length of a gossip item's body. One datagram has to hold several items.
 pub const MAX_ITEM_BODY_BYTES: usize = 64;
 
-/// Bytes of a name's hash that make a [`MemberId`].
-const MEMBER_ID_LENGTH: usize = 8;
+/// The number of bytes of a name's hash that form a [`MemberId`].
+const MEMBER_ID_BYTES: usize = 8;
 
-/// A member, by the hash of its node's name.
+/// Identifies a member: the first bytes of the SHA-256 hash of the node's name, big-endian.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct MemberId(pub u64);
 
 impl MemberId {
-    /// The member that is the node of this name.
+    /// Returns the id of the member whose node has this name.
     #[must_use]
     pub fn from_name(name: &str) -> Self {
         let hash = Sha256::digest(name.as_bytes());
-        let prefix = hash.iter().take(MEMBER_ID_LENGTH);
+        let prefix = hash.iter().take(MEMBER_ID_BYTES);
         Self(prefix.fold(0, |id, byte| id << 8 | u64::from(*byte)))
     }
 }
 
-/// What a gossip item is about. The users of this core assign the numbers.
+/// The topic of a gossip item. The users of this crate assign the numbers.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Topic(pub u16);
 
-/// Settings of one member.
+/// The settings of one member.
 #[derive(Clone)]
 pub struct Settings {
-    /// This member.
+    /// The id of this member.
     pub member: MemberId,
-    /// Address at which the other members reach it.
+    /// The address to which the other members send datagrams.
     pub advertise: SocketAddr,
-    /// Its zone, by position in the fleet's settings.
+    /// The index of this member's zone in the fleet's settings.
     pub zone: u8,
-    /// Time of its start; of two incarnations of a member the later one is valid.
+    /// The time at which this member started. A later incarnation of a member supersedes an earlier one.
     pub incarnation: Nanos,
-    /// Addresses of members that are asked to let this one join.
+    /// The addresses of members to which this member announces itself in order to join.
     pub seeds: Vec<SocketAddr>,
-    /// The key that all members share.
+    /// The authentication key that all members share.
     pub key: Key,
-    /// Expected number of members, including this one; determines how often updates are retransmitted.
+    /// The expected number of members, including this one. The number determines how often an update is transmitted and
+    /// how long a suspected member may refute the suspicion.
     pub node_count: u32,
-    /// Seed of all random choices.
+    /// The seed of all random draws.
     pub seed: u64,
 }
 
-/// An input of the core.
+/// An event for [`Membership::handle`](crate::Membership::handle).
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// The node is in service: it joins the fleet.
+    /// The node is in service and joins the fleet.
     Start,
-    /// A datagram was received.
+    /// A datagram has been received.
     Datagram(&'a [u8]),
     /// The time requested by [`Action::SetTimer`] has been reached.
     TimerFired,
-    /// This member publishes a gossip item.
+    /// This node publishes a gossip item.
     Broadcast {
-        /// What the item is about.
+        /// The topic of the item.
         topic: Topic,
-        /// The content, opaque to this core; at most [`MAX_ITEM_BODY_BYTES`] bytes.
+        /// The opaque content, at most [`MAX_ITEM_BODY_BYTES`] bytes. A longer item is ignored.
         body: &'a [u8],
     },
-    /// The node shuts down: it leaves the fleet and informs the other members.
+    /// The node shuts down, leaves the fleet and informs other members.
     Leave,
 }
 
-/// An output of the core.
+/// An action for the caller, which carries out all actions in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a datagram.
     Send {
-        /// The receiver.
+        /// The address of the receiving member.
         to: SocketAddr,
-        /// The datagram.
+        /// The datagram, including the authentication code.
         datagram: Vec<u8>,
     },
-    /// Deliver [`Event::TimerFired`] at this time; replaces the timer before.
+    /// Deliver [`Event::TimerFired`] at this time. The request replaces the previous one.
     SetTimer {
-        /// The time.
+        /// The Unix time at which the timer fires, in nanoseconds.
         at: Nanos,
     },
-    /// Another member has joined, restarted or gone. A member that is reported as up twice has restarted.
+    /// Another member has joined, restarted, left or failed. Two reports in a row that a member is up mean a restart.
     MemberChanged {
-        /// The member.
+        /// The id of the member.
         member: MemberId,
-        /// Its zone, by position in the fleet's settings.
+        /// The index of the member's zone in the fleet's settings.
         zone: u8,
-        /// Its address.
+        /// The address to which datagrams for the member are sent.
         address: SocketAddr,
-        /// Whether it is a member now.
+        /// Whether the member is up after the change.
         is_up: bool,
     },
-    /// A new gossip item of another member was received.
+    /// A new gossip item of another member has been received.
     Received {
-        /// The member that published it.
+        /// The member that published the item.
         member: MemberId,
-        /// What it is about.
+        /// The topic of the item.
         topic: Topic,
-        /// Time of publication, by the member's clock.
+        /// The time of publication by the publishing member's clock.
         sent_at: Nanos,
-        /// The content.
+        /// The opaque content.
         body: Vec<u8>,
     },
-    /// A datagram was dropped.
+    /// A received datagram has been dropped for this reason.
     DatagramDropped(DropReason),
 }
--- a/core/membership/src/broadcast_schedule.rs
+++ b/core/membership/src/broadcast_schedule.rs
@@ -1,30 +1,31 @@
-//! When gossip is sent besides the periodic rounds: at once, with a minimum interval.
+//! Schedules the gossip that is sent between foca's periodic rounds: immediately, but with a minimum interval.
 
 use badgerpost_time::{MILLISECOND, Nanos};
 
-/// Least time between two broadcasts.
+/// The minimum time between two broadcasts.
 const MIN_BROADCAST_INTERVAL: Nanos = 20 * MILLISECOND;
 
-/// Schedule of one member's broadcasts.
+/// The schedule of one member's broadcasts.
 #[derive(Debug, Default)]
 pub(crate) struct BroadcastSchedule {
+    /// `None` while no broadcast is scheduled.
     due_at: Option<Nanos>,
     last_sent_at: Nanos,
 }
 
 impl BroadcastSchedule {
-    /// Schedules a broadcast for the earliest time allowed, unless one is scheduled already.
+    /// Schedules a broadcast for the earliest allowed time, unless a broadcast is already scheduled.
     pub(crate) fn request(&mut self, now: Nanos) {
         let earliest = self.last_sent_at.saturating_add(MIN_BROADCAST_INTERVAL);
         self.due_at.get_or_insert(now.max(earliest));
     }
 
-    /// Time of the next broadcast.
+    /// The time of the scheduled broadcast.
     pub(crate) fn due_at(&self) -> Option<Nanos> {
         self.due_at
     }
 
-    /// Whether a broadcast is due; it then counts as sent.
+    /// Returns whether a broadcast is due. A due broadcast is removed from the schedule and recorded as sent.
     pub(crate) fn take_due(&mut self, now: Nanos) -> bool {
         if self.due_at.is_none_or(|due_at| due_at > now) {
             return false;
--- a/core/membership/src/datagram_auth.rs
+++ b/core/membership/src/datagram_auth.rs
@@ -1,7 +1,8 @@
-//! Authentication of datagrams: protocol version, authentication code (HMAC-SHA-256, RFC 2104), content.
+//! Authentication of datagrams. A datagram consists of a protocol version, an authentication code (HMAC-SHA-256, RFC
+//! 2104) and the content.
 //!
-//! The code covers the version and the content. It shows that a member wrote the datagram; nothing is encrypted. A replay
-//! by a third party has no effect, as merging a known item or a known state of a member changes nothing.
+//! The code authenticates the version and the content as sent by a holder of the fleet's key. The content is not
+//! encrypted. A replayed datagram has no effect, because merging a known item or a known member state changes nothing.
 
 use std::ops::RangeInclusive;
 
@@ -10,37 +11,37 @@
 
 use crate::drop_reason::DropReason;
 
-/// Protocol version; datagrams of others are dropped.
+/// The protocol version. Datagrams with another version are dropped.
 const VERSION: u8 = 1;
-/// Bytes of the authentication code that are sent: half of it, as RFC 2104, section 5, allows.
-const CODE_LENGTH: usize = 16;
-/// Bytes before the content.
-const HEADER_LENGTH: usize = 1 + CODE_LENGTH;
-/// Longest content, in bytes: with its header it fits into one packet of any usual network.
-pub(crate) const MAX_CONTENT_LENGTH: usize = 1200;
-/// Longest datagram, in bytes.
-pub const MAX_DATAGRAM_BYTES: usize = HEADER_LENGTH + MAX_CONTENT_LENGTH;
-/// Allowed lengths of a key, in bytes.
-const KEY_LENGTHS: RangeInclusive<usize> = 16..=128;
+/// The length of the authentication code, which is truncated to half of the HMAC as RFC 2104, section 5, allows.
+const CODE_BYTES: usize = 16;
+/// The length of the header: the version and the authentication code.
+const HEADER_BYTES: usize = 1 + CODE_BYTES;
+/// The maximum length of the content. With the header, the datagram fits into one packet of common networks.
+pub(crate) const MAX_CONTENT_BYTES: usize = 1200;
+/// The maximum length of a datagram.
+pub const MAX_DATAGRAM_BYTES: usize = HEADER_BYTES + MAX_CONTENT_BYTES;
+/// The allowed lengths of a key in bytes.
+const KEY_BYTES: RangeInclusive<usize> = 16..=128;
 
-/// A key of a length that is not allowed.
+/// The error for a key with this length in bytes, which is not allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a key has from 16 to 128 bytes, this one {0}")]
+#[error("the key is {0} bytes long; 16 to 128 bytes are allowed")]
 pub struct KeyError(usize);
 
-/// The key that all members of a fleet share.
+/// The authentication key that all members of a fleet share.
 #[derive(Clone)]
 pub struct Key(Hmac<Sha256>);
 
 impl Key {
-    /// Parses the text of a key file, without surrounding whitespace.
+    /// Creates a key from the text of a key file. Surrounding whitespace is ignored.
     ///
     /// # Errors
     ///
     /// [`KeyError`] if the key has fewer than 16 or more than 128 bytes.
     pub fn parse(text: &str) -> Result<Self, KeyError> {
         let text = text.trim();
-        if !KEY_LENGTHS.contains(&text.len()) {
+        if !KEY_BYTES.contains(&text.len()) {
             return Err(KeyError(text.len()));
         }
         Hmac::new_from_slice(text.as_bytes())
@@ -48,37 +49,37 @@
             .map_err(|_| KeyError(text.len()))
     }
 
-    /// Makes a datagram of this content.
+    /// Creates a datagram with this content.
     pub(crate) fn sign(&self, content: &[u8]) -> Vec<u8> {
-        let code = self.code(content).finalize().into_bytes();
-        let mut datagram = Vec::with_capacity(HEADER_LENGTH + content.len());
+        let code = self.mac(content).finalize().into_bytes();
+        let mut datagram = Vec::with_capacity(HEADER_BYTES + content.len());
         datagram.push(VERSION);
-        datagram.extend_from_slice(&code[..CODE_LENGTH]);
+        datagram.extend_from_slice(&code[..CODE_BYTES]);
         datagram.extend_from_slice(content);
         datagram
     }
 
-    /// The content of a datagram, if a member wrote it.
+    /// Verifies the version, the length and the authentication code of a datagram and returns the content.
     pub(crate) fn verify<'a>(&self, datagram: &'a [u8]) -> Result<&'a [u8], DropReason> {
         let (header, content) = datagram
-            .split_at_checked(HEADER_LENGTH)
+            .split_at_checked(HEADER_BYTES)
             .ok_or(DropReason::Malformed)?;
-        if header[0] != VERSION || content.is_empty() || content.len() > MAX_CONTENT_LENGTH {
+        if header[0] != VERSION || content.is_empty() || content.len() > MAX_CONTENT_BYTES {
             return Err(DropReason::Malformed);
         }
-        // The comparison takes constant time, so that the code can't be guessed byte by byte.
-        self.code(content)
+        // The comparison takes constant time, which prevents guessing the code byte by byte.
+        self.mac(content)
             .verify_truncated_left(&header[1..])
             .map_err(|_| DropReason::Unauthenticated)?;
         Ok(content)
     }
 
-    /// The authentication code of a content, not finalized yet.
-    fn code(&self, content: &[u8]) -> Hmac<Sha256> {
-        let mut code = self.0.clone();
-        code.update(&[VERSION]);
-        code.update(content);
-        code
+    /// Returns the HMAC of the version and this content, not finalized yet.
+    fn mac(&self, content: &[u8]) -> Hmac<Sha256> {
+        let mut mac = self.0.clone();
+        mac.update(&[VERSION]);
+        mac.update(content);
+        mac
     }
 }
 
--- a/core/membership/src/drop_reason.rs
+++ b/core/membership/src/drop_reason.rs
@@ -1,12 +1,12 @@
-//! Why a received datagram is dropped.
+//! The reasons for dropping a received datagram.
 
-/// Why a datagram was dropped.
+/// The reason why a received datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// Of another protocol version, too long or too short.
+    /// The datagram has another protocol version, or is too long or too short.
     Malformed,
-    /// Its authentication code is wrong: the sender does not have the fleet's key.
+    /// The authentication code is invalid: the sender does not have the fleet's key, or the datagram was changed.
     Unauthenticated,
-    /// A member sent it, and its content can't be decoded.
+    /// The authentication code is valid, but the content can't be decoded.
     Undecodable,
 }
--- a/core/membership/src/gossip_handler.rs
+++ b/core/membership/src/gossip_handler.rs
@@ -8,19 +8,20 @@
 use crate::gossip_store::{GossipItem, GossipKey, GossipStore, GossipVersion};
 use crate::member_identity::MemberIdentity;
 
-/// The stored items, and those that were received and not reported yet.
+/// The gossip store and the items that have not been reported to the caller yet.
 #[derive(Default)]
 pub(crate) struct GossipState {
     pub(crate) store: GossipStore,
+    /// Items received from other members, in the order of reception.
     pub(crate) unreported: Vec<GossipItem>,
-    /// Items that were ignored because too many are stored.
+    /// The number of items that were ignored because the store was full.
     pub(crate) ignored_count: u64,
 }
 
-/// Foca's access to the gossip state. Foca owns its handler, so the state is shared with the membership.
+/// Handles foca's custom broadcasts. Foca owns the handler, so the gossip state is shared with the membership.
 pub(crate) struct GossipHandler(pub(crate) Rc<RefCell<GossipState>>);
 
-/// Identifies a broadcast to foca, which stops to retransmit one when a later one with the same key arrives.
+/// Identifies a broadcast to foca, which stops retransmitting a broadcast when a newer one with the same key arrives.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) struct BroadcastKey {
     key: GossipKey,
@@ -37,7 +38,8 @@
     type Key = BroadcastKey;
     type Error = postcard::Error;
 
-    /// Merges an item; foca retransmits it if it is new. Items of this member itself come without a sender.
+    /// Merges an item and returns the broadcast key if foca has to retransmit the item. The sender is `None` for items
+    /// that this member publishes.
     fn receive_item(
         &mut self,
         data: &[u8],
--- a/core/membership/src/gossip_handler/tests.rs
+++ b/core/membership/src/gossip_handler/tests.rs
@@ -15,14 +15,16 @@
         sent_at: 0,
         body: Vec::new(),
     };
-    let sender = MemberIdentity::unknown(SocketAddr::from(([127, 0, 0, 1], 9)));
+    let sender = MemberIdentity::from_seed_address(SocketAddr::from(([127, 0, 0, 1], 9)));
     let mut buffer = [0; 64];
-    let data = postcard::to_slice(&item, &mut buffer).expect("an item");
-    handler.receive_item(data, Some(&sender)).expect("an item");
+    let data = postcard::to_slice(&item, &mut buffer).expect("the item is encoded");
+    handler
+        .receive_item(data, Some(&sender))
+        .expect("the item is decoded");
 }
 
 #[test]
-fn items_beyond_the_limit_are_counted_and_later_ones_of_stored_keys_are_not() {
+fn items_with_new_keys_beyond_the_limit_are_counted_and_updates_of_stored_keys_are_not() {
     let state = Rc::<RefCell<GossipState>>::default();
     let mut handler = GossipHandler(state.clone());
     for member in 0..MAX_STORED_ITEMS as u64 {
--- a/core/membership/src/gossip_store.rs
+++ b/core/membership/src/gossip_store.rs
@@ -1,7 +1,7 @@
 //! The latest gossip item of each member on each topic.
 //!
-//! A map whose values only grow by their version, so merging is a join: any order and any repetition of merges leads to
-//! the same content.
+//! An item is only ever replaced by a greater one, so merging is a join: the content does not depend on the order and
+//! repetition of merges.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -11,45 +11,45 @@
 use crate::api::{MAX_ITEM_BODY_BYTES, MemberId, Topic};
 use badgerpost_time::Nanos;
 
-/// Most items stored: sixteen topics of two thousand members. Items beyond that are ignored, and counted by the membership;
-/// only what their members publish is then missing on this node.
+/// The maximum number of stored items, enough for 16 topics of 2048 members. Items with further keys are ignored and
+/// counted.
 pub(crate) const MAX_STORED_ITEMS: usize = 32_768;
 
-/// Order of a member's items: by the member's start, then by the number of items since.
+/// The version of an item among all items of a member: ordered by incarnation, then by count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GossipVersion {
-    /// Time of the member's start.
+    /// The time at which the member started.
     pub incarnation: Nanos,
-    /// Rises with every item that the member publishes on any topic.
+    /// The number of items that this incarnation has published on any topic, up to and including this item.
     pub count: u32,
 }
 
-/// What a gossip item replaces: the item with the same key.
+/// The key of a gossip item. An item replaces the stored item with the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GossipKey {
     /// The member that published the item.
     pub member: MemberId,
-    /// What the item is about.
+    /// The topic of the item.
     pub topic: Topic,
 }
 
-/// What a member has published on a topic. The order of the fields is that of their bytes in a datagram.
+/// An item that a member has published on a topic. The order of the fields is their order in the encoding.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GossipItem {
-    /// The member.
+    /// The member that published the item.
     pub member: MemberId,
-    /// What the item is about.
+    /// The topic of the item.
     pub topic: Topic,
-    /// Its place among all items of the member.
+    /// The version of the item, which determines which of two items is kept.
     pub version: GossipVersion,
-    /// Time of publication, by the member's clock.
+    /// The time of publication by the publishing member's clock.
     pub sent_at: Nanos,
-    /// The content.
+    /// The opaque content, at most [`MAX_ITEM_BODY_BYTES`] bytes.
     pub body: Vec<u8>,
 }
 
 impl GossipItem {
-    /// The key of the item.
+    /// Returns the key of the item.
     #[must_use]
     pub fn key(&self) -> GossipKey {
         GossipKey {
@@ -59,14 +59,15 @@
     }
 }
 
-/// Gossip items, the latest of each member and topic.
+/// The latest gossip item of each member on each topic.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GossipStore {
     items: BTreeMap<GossipKey, GossipItem>,
 }
 
 impl GossipStore {
-    /// Merges an item; returns whether it was new. Items with too long a body are ignored.
+    /// Merges an item and returns whether the item was stored. An item is ignored if the body is longer than
+    /// [`MAX_ITEM_BODY_BYTES`], if the stored item is newer or equal, or if the key is new and the store is full.
     pub fn merge(&mut self, item: GossipItem) -> bool {
         let is_full = self.is_full();
         if item.body.len() > MAX_ITEM_BODY_BYTES {
@@ -79,7 +80,7 @@
                 true
             }
             Entry::Occupied(mut stored) => {
-                // A faulty member may publish two items of one version; all nodes then agree on the greater one.
+                // A faulty member may publish two items of the same version. All nodes then keep the greater one.
                 let is_later = (item.version, &item) > (stored.get().version, stored.get());
                 if is_later {
                     stored.insert(item);
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The latest item with this key.
+    /// Returns the latest item with this key.
     #[must_use]
     pub fn get(&self, key: GossipKey) -> Option<&GossipItem> {
         self.items.get(&key)
@@ -106,12 +107,12 @@
         self.items.len() >= MAX_STORED_ITEMS
     }
 
-    /// Whether an item with this key is ignored because too many others are stored.
+    /// Whether an item with this key is ignored because the store is full.
     pub(crate) fn ignores(&self, key: GossipKey) -> bool {
         self.is_full() && !self.items.contains_key(&key)
     }
 
-    /// Removes all items of a member that is gone.
+    /// Removes all items of a member that has left or failed.
     pub(crate) fn remove_member(&mut self, member: MemberId) {
         self.items.retain(|key, _| key.member != member);
     }
--- a/core/membership/src/lib.rs
+++ b/core/membership/src/lib.rs
@@ -1,11 +1,14 @@
-//! Membership of a fleet: which nodes are members, suspected or gone (SWIM, by `foca`), and gossip between them.
+//! Membership of a fleet of nodes by the SWIM protocol (crate `foca`), and gossip between the members.
 //!
-//! Each member broadcasts small items about itself. An item replaces the one before it by the same member on the same
-//! topic. Merging is a join (a state-based CRDT), so loss, reordering and repetition of datagrams don't matter.
+//! Each member broadcasts small gossip items. An item replaces the previous item of the same member on the same topic.
+//! Merging items is the join of a state-based CRDT, so reordered and repeated datagrams do not change the result, and a
+//! later item replaces a lost one.
 //!
-//! The core is sans-I/O: [`Membership::handle`] takes the time and an event and appends actions. It reads no clock, and
-//! its only randomness is the seed of its settings. Times are Unix times in nanoseconds. Each datagram carries a protocol
-//! version and a message authentication code; invalid ones are dropped and reported.
+//! The crate does no I/O and reads no clock: [`Membership::handle`] takes the time and an [`Event`] and appends
+//! [`Action`]s. The seed in [`Settings`] determines all random draws. Instants are Unix times in nanoseconds.
+//!
+//! Each datagram carries a protocol version and a message authentication code. Invalid datagrams are dropped and
+//! reported.
 
 mod api;
 mod broadcast_schedule;
--- a/core/membership/src/member_identity.rs
+++ b/core/membership/src/member_identity.rs
@@ -7,20 +7,20 @@
 use crate::api::MemberId;
 use badgerpost_time::Nanos;
 
-/// One incarnation of a member. The order of the fields is that of their bytes in a datagram.
+/// One incarnation of a member. The order of the fields is their order in the encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MemberIdentity {
     pub(crate) address: SocketAddr,
     pub(crate) member: MemberId,
-    /// Position in the fleet's settings.
+    /// The index of the zone in the fleet's settings.
     pub(crate) zone: u8,
-    /// Time of the member's start, raised by one whenever the others considered it down.
+    /// The time at which the member started, incremented whenever the other members considered the member down.
     pub(crate) incarnation: Nanos,
 }
 
 impl MemberIdentity {
-    /// A seed, of which only the address is known; sufficient for the request to join.
-    pub(crate) fn unknown(address: SocketAddr) -> Self {
+    /// Returns a placeholder identity for a seed. The address suffices for announcing this member to the seed.
+    pub(crate) fn from_seed_address(address: SocketAddr) -> Self {
         Self {
             address,
             member: MemberId::default(),
--- a/core/membership/src/membership.rs
+++ b/core/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! State of one member: foca with the datagrams, timers and gossip around it.
+//! The state machine of one member: connects foca with datagrams, timers and gossip.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,10 +18,10 @@
 use crate::timer_queue::TimerQueue;
 use badgerpost_time::{Nanos, SECOND};
 
-/// Time between two announcements to the seeds, while no other member is known.
+/// The interval between two announcements to the seeds while no other member is known.
 const JOIN_RETRY_INTERVAL: Nanos = SECOND;
 
-/// Whether this member takes part in the fleet.
+/// The states of this member.
 ///
 /// ```text
 ///     Created --Start--> Joined --Leave--> Left
@@ -30,33 +30,33 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Not started yet: answers other members, but does not announce itself.
+    /// The member responds to other members, but does not announce itself.
     Created,
-    /// Started.
+    /// The member announces itself to the seeds until another member is known.
     Joined {
-        /// When it announces itself to the seeds again, if no other member is known by then.
+        /// The time of the next announcement, if no other member is known by then.
         next_announcement_at: Nanos,
     },
-    /// Has left the fleet; ignores all events.
+    /// The member has left the fleet and ignores all events.
     Left,
 }
 
-/// One member's view of the fleet.
+/// One member of a fleet, with this member's view of the others.
 pub struct Membership {
     settings: Settings,
     state: State,
     foca: Foca<MemberIdentity, PostcardCodec, SmallRng, GossipHandler>,
     gossip: Rc<RefCell<GossipState>>,
-    /// Gossip items that this member has published.
+    /// The number of gossip items that this member has published.
     published_count: u32,
     broadcasts: BroadcastSchedule,
     timers: TimerQueue,
-    /// The time of the last [`Action::SetTimer`], until it fires.
+    /// The time of the last [`Action::SetTimer`]; `None` after the timer has fired.
     requested_timer: Option<Nanos>,
 }
 
 impl Membership {
-    /// A member that does not know the others yet.
+    /// Creates a member that has not joined the fleet yet.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         let identity = MemberIdentity {
@@ -85,19 +85,19 @@
         }
     }
 
-    /// Number of other members that are up.
+    /// The number of other members that are up.
     #[must_use]
     pub fn member_count(&self) -> usize {
         self.foca.num_members()
     }
 
-    /// Number of gossip items that were ignored because too many are stored.
+    /// The number of gossip items that were ignored because the limit of stored items was reached.
     #[must_use]
     pub fn ignored_items(&self) -> u64 {
         self.gossip.borrow().ignored_count
     }
 
-    /// Applies one event and appends the resulting actions.
+    /// Handles one event at the time `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Nanos, event: Event<'_>, actions: &mut Vec<Action>) {
         if self.state == State::Left {
             return;
@@ -120,7 +120,7 @@
         self.emit(now, output, actions);
     }
 
-    /// Enters `Joined`, or stays there: announces this member to the seeds.
+    /// Announces this member to the seeds. The state is `Joined` afterwards.
     fn announce_to_seeds(&mut self, now: Nanos, output: &mut SwimOutput) {
         self.state = State::Joined {
             next_announcement_at: now.saturating_add(JOIN_RETRY_INTERVAL),
@@ -129,24 +129,24 @@
             if *seed == self.settings.advertise {
                 continue;
             }
-            // An announcement that fails is repeated with the next timer, like one that is lost.
+            // A failed announcement is repeated after `JOIN_RETRY_INTERVAL`, as if the datagram had been lost.
             let _ = self
                 .foca
-                .announce(MemberIdentity::unknown(*seed), &mut *output);
+                .announce(MemberIdentity::from_seed_address(*seed), &mut *output);
         }
     }
 
-    /// Verifies a datagram and passes its content on to foca.
+    /// Verifies a datagram and passes the content to foca.
     fn receive(&mut self, datagram: &[u8], output: &mut SwimOutput) -> Result<(), DropReason> {
         let content = self.settings.key.verify(datagram)?;
         match self.foca.handle_data(content, output) {
-            // Some networks return a member's own datagrams to it, which is no fault.
+            // Some networks return a member's datagrams to the sender. This is not an error.
             Ok(()) | Err(foca::Error::DataFromOurselves) => Ok(()),
             Err(_) => Err(DropReason::Undecodable),
         }
     }
 
-    /// Publishes a gossip item of this member. One that is too long is ignored.
+    /// Publishes a gossip item of this member. An item that is too long is ignored.
     fn publish(&mut self, now: Nanos, topic: Topic, body: &[u8]) {
         self.published_count = self.published_count.saturating_add(1);
         let item = GossipItem {
@@ -167,17 +167,18 @@
         }
     }
 
-    /// Enters `Left`: informs some members, which spread it. Without that they notice by their probes.
+    /// Informs some members, which inform the others, and enters `Left`. If these datagrams are lost, the other members
+    /// detect the failure by their probes.
     fn leave(&mut self, output: &mut SwimOutput) {
         let _ = self.foca.leave_cluster(output);
         self.state = State::Left;
     }
 
-    /// Runs the tasks that are due: foca's timers, announcements to the seeds, broadcasts.
+    /// Runs the tasks that are due: foca's timers, announcements to the seeds and broadcasts.
     fn run_due_tasks(&mut self, now: Nanos, output: &mut SwimOutput) {
-        // New timers are collected in the output, so this ends.
+        // The loop ends because new timers are added to the output, not to the queue.
         while let Some(timer) = self.timers.pop_due(now) {
-            // Foca resumes by itself after any error of a timer.
+            // Foca continues with the next timer after an error.
             let _ = self.foca.handle_timer(timer, &mut *output);
         }
         if self.next_announcement_at().is_some_and(|at| at <= now) {
@@ -187,12 +188,12 @@
             self.broadcasts.request(now);
         }
         if self.broadcasts.take_due(now) {
-            // The periodic rounds repeat what is not sent here.
+            // Items that are not sent here are sent in foca's periodic rounds.
             let _ = self.foca.broadcast(output);
         }
     }
 
-    /// When this member announces itself to the seeds next; never while another member is known.
+    /// The time of the next announcement to the seeds; `None` while another member is known.
     fn next_announcement_at(&self) -> Option<Nanos> {
         match self.state {
             State::Joined {
@@ -202,15 +203,15 @@
         }
     }
 
-    /// Turns the outputs of foca into actions.
+    /// Converts the outputs of foca to actions.
     fn emit(&mut self, now: Nanos, output: SwimOutput, actions: &mut Vec<Action>) {
         let SwimOutput {
             packets,
             timers,
             mut member_changes,
-            renamed,
+            replacements,
         } = output;
-        member_changes.extend(self.restarted_members(renamed));
+        member_changes.extend(self.restarted_members(replacements));
         self.insert_timers(now, timers);
         self.send_packets(packets, actions);
         self.report_members(member_changes, actions);
@@ -218,12 +219,12 @@
         self.request_timer(actions);
     }
 
-    /// The changes for members that restarted unnoticed, if they are still up.
+    /// Returns the changes for members whose identity was replaced and that are still up.
     fn restarted_members(
         &self,
-        renamed: Vec<MemberIdentity>,
+        replacements: Vec<MemberIdentity>,
     ) -> impl Iterator<Item = MemberChange> {
-        renamed
+        replacements
             .into_iter()
             .filter(|identity| {
                 self.foca
@@ -236,7 +237,7 @@
             })
     }
 
-    /// Keeps the timers that foca has requested.
+    /// Adds the timers that foca has requested to the queue.
     fn insert_timers(&mut self, now: Nanos, timers: Vec<TimerRequest>) {
         for TimerRequest { after, timer } in timers {
             let after = Nanos::try_from(after.as_nanos()).unwrap_or(Nanos::MAX);
@@ -244,7 +245,7 @@
         }
     }
 
-    /// Sends packets as authenticated datagrams.
+    /// Signs packets and requests sending the resulting datagrams.
     fn send_packets(&self, packets: Vec<Packet>, actions: &mut Vec<Action>) {
         for Packet { to, content } in packets {
             actions.push(Action::Send {
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Reports members that have joined, restarted or gone, and forgets the gossip of those that are gone.
+    /// Reports member changes, and removes the gossip items of members that are no longer up.
     fn report_members(&self, member_changes: Vec<MemberChange>, actions: &mut Vec<Action>) {
         for MemberChange { identity, is_up } in member_changes {
             if !is_up {
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Reports the items received.
+    /// Reports the gossip items received from other members.
     fn report_gossip(&self, actions: &mut Vec<Action>) {
         let unreported = std::mem::take(&mut self.gossip.borrow_mut().unreported);
         for item in unreported {
@@ -283,7 +284,7 @@
         }
     }
 
-    /// Requests the next timer, unless it is the one requested already.
+    /// Requests a timer for the next due task, unless that timer is already requested.
     fn request_timer(&mut self, actions: &mut Vec<Action>) {
         if self.state == State::Left {
             return;
--- a/core/membership/src/swim_config.rs
+++ b/core/membership/src/swim_config.rs
@@ -1,33 +1,33 @@
-//! Foca's settings for a fleet of a given size.
+//! The configuration of foca, the SWIM implementation.
 
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
 use foca::{Config, PeriodicParams};
 
-use crate::datagram_auth::MAX_CONTENT_LENGTH;
+use crate::datagram_auth::MAX_CONTENT_BYTES;
 
-/// Time between two probes of a member.
+/// The interval between two probes, each of one member.
 const PROBE_PERIOD: Duration = Duration::from_secs(1);
-/// How long a probe's response is awaited before other members are asked to probe as well.
+/// The time to wait for the response to a direct probe before requesting indirect probes.
 const PROBE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Seconds that a suspected member has for refuting the suspicion, times the decimal logarithm of the fleet's size.
+/// The time in which a suspected member may refute the suspicion, per decimal logarithm of the fleet's size.
 const SUSPICION_SECONDS_PER_DECADE: f64 = 3.0;
-/// How long a member that is down is remembered: longer than any message about it is under way.
+/// The time for which a member that is down is remembered. The time has to exceed the lifetime of messages about the
+/// member, which would otherwise add the member again.
 const DOWN_MEMBER_RETENTION: Duration = Duration::from_secs(600);
-/// Time between two rounds of gossip, while there is any.
+/// The interval between two rounds of gossip.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(100);
-/// Members that receive each round of gossip, and that are asked for indirect probes.
+/// The number of members that receive each round of gossip, and of members that are asked for indirect probes.
 const GOSSIP_FANOUT: NonZeroUsize = NonZeroUsize::new(3).unwrap();
-/// Transmissions of each update, times the decimal logarithm of the fleet's size, rounded up. By SWIM's bound an update
-/// that is lost on all its ways is then rare.
+/// The number of transmissions of each update by each member, per decimal logarithm of the fleet's size, rounded up.
 const TRANSMISSIONS_PER_DECADE: u8 = 4;
-/// Time between two requests for the list of all members, to one of them.
+/// The interval between two requests for the list of all members, each to one member.
 const ANNOUNCE_PERIOD: Duration = Duration::from_secs(5);
-/// Time between two such requests to a member that is down: so a network partition heals.
+/// The interval between two such requests to a member that is down, by which members rejoin after a network partition.
 const ANNOUNCE_TO_DOWN_PERIOD: Duration = Duration::from_secs(3);
 
-/// Foca's settings for this number of members.
+/// Returns foca's configuration for a fleet of this number of members.
 pub(crate) fn swim_config(node_count: u32) -> Config {
     let decades = f64::from(node_count.saturating_add(1)).log10().max(1.0);
     Config {
@@ -37,7 +37,7 @@
         max_transmissions: max_transmissions(decades),
         suspect_to_down_after: Duration::from_secs_f64(SUSPICION_SECONDS_PER_DECADE * decades),
         remove_down_after: Some(DOWN_MEMBER_RETENTION),
-        max_packet_size: NonZeroUsize::new(MAX_CONTENT_LENGTH).unwrap_or(NonZeroUsize::MIN),
+        max_packet_size: NonZeroUsize::new(MAX_CONTENT_BYTES).unwrap_or(NonZeroUsize::MIN),
         notify_down_members: true,
         periodic_announce: periodic(ANNOUNCE_PERIOD, NonZeroUsize::MIN),
         periodic_announce_to_down_members: periodic(ANNOUNCE_TO_DOWN_PERIOD, NonZeroUsize::MIN),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Transmissions of each update.
+/// Returns the number of transmissions of each update.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -56,7 +56,7 @@
     NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN)
 }
 
-/// An exchange with some members at a regular interval.
+/// Returns the parameters of a periodic exchange with this number of members.
 fn periodic(frequency: Duration, num_members: NonZeroUsize) -> Option<PeriodicParams> {
     Some(PeriodicParams {
         frequency,
--- a/core/membership/src/swim_output.rs
+++ b/core/membership/src/swim_output.rs
@@ -1,4 +1,4 @@
-//! Collects what calls of foca ask for, to be turned into actions afterwards.
+//! Collects the outputs of foca, which are converted to actions afterwards.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,32 +7,32 @@
 
 use crate::member_identity::MemberIdentity;
 
-/// A packet without its authentication code.
+/// A packet of foca, before the authentication code is added.
 pub(crate) struct Packet {
     pub(crate) to: SocketAddr,
     pub(crate) content: Vec<u8>,
 }
 
-/// A timer requested by foca.
+/// A timer that foca has requested.
 pub(crate) struct TimerRequest {
     pub(crate) after: Duration,
     pub(crate) timer: Timer<MemberIdentity>,
 }
 
-/// A member that has joined, restarted or gone.
+/// A member that has joined, restarted, left or failed.
 pub(crate) struct MemberChange {
     pub(crate) identity: MemberIdentity,
     pub(crate) is_up: bool,
 }
 
-/// Outputs of foca's calls, each kind in its order.
+/// The outputs of one or more calls of foca. Each kind of output is in the order of the calls.
 #[derive(Default)]
 pub(crate) struct SwimOutput {
     pub(crate) packets: Vec<Packet>,
     pub(crate) timers: Vec<TimerRequest>,
     pub(crate) member_changes: Vec<MemberChange>,
-    /// New identities at addresses of known members.
-    pub(crate) renamed: Vec<MemberIdentity>,
+    /// Identities that have replaced another identity at the same address.
+    pub(crate) replacements: Vec<MemberIdentity>,
 }
 
 impl Runtime<MemberIdentity> for &mut SwimOutput {
@@ -46,8 +46,8 @@
                 identity: *identity,
                 is_up: false,
             }),
-            // A member has restarted before the others considered it down.
-            Notification::Rename(_, identity) => self.renamed.push(*identity),
+            // The member has restarted before being considered down.
+            Notification::Rename(_, identity) => self.replacements.push(*identity),
             _ => {}
         }
     }
--- a/core/membership/src/timer_queue.rs
+++ b/core/membership/src/timer_queue.rs
@@ -1,4 +1,4 @@
-//! The timers that foca has requested.
+//! A queue of the timers that foca has requested.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 use crate::member_identity::MemberIdentity;
 use badgerpost_time::Nanos;
 
-/// Order of timers: by time, and for equal times in the order of their requests.
+/// The order of timers: by time, then by insertion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     due_at: Nanos,
     sequence: u64,
 }
 
-/// Pending timers. Foca bounds their number: a few for each member.
+/// The pending timers. Foca requests only a few timers for each member, which bounds their number.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     timers: BTreeMap<TimerKey, Timer<MemberIdentity>>,
@@ -22,7 +22,6 @@
 }
 
 impl TimerQueue {
-    /// Adds a timer.
     pub(crate) fn insert(&mut self, due_at: Nanos, timer: Timer<MemberIdentity>) {
         let key = TimerKey {
             due_at,
@@ -32,13 +31,13 @@
         self.next_sequence += 1;
     }
 
-    /// Time of the first timer.
+    /// The time of the first timer.
     pub(crate) fn next_due_at(&self) -> Option<Nanos> {
         let (key, _) = self.timers.first_key_value()?;
         Some(key.due_at)
     }
 
-    /// Removes and returns the first timer, if it is due.
+    /// Removes and returns the first timer if that timer is due.
     pub(crate) fn pop_due(&mut self, now: Nanos) -> Option<Timer<MemberIdentity>> {
         let first = self.timers.first_entry()?;
         if first.key().due_at > now {
--- a/core/membership/tests/fleet.rs
+++ b/core/membership/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Simulated fleets of up to hundreds of members over a network with delay, loss and partitions: membership, the time
-//! until gossip has spread, and its traffic. The network is a queue of datagrams; the seeds are printed.
+//! Simulated fleets of up to hundreds of members over a network with delay, loss and partitions. The tests check the
+//! membership, the delay of gossip and the traffic. The network is a queue of datagrams.
 
 #![allow(
     clippy::unwrap_used,
@@ -14,60 +14,63 @@
 use badgerpost_membership::{Action, Event, Key, MemberId, Membership, Settings, Topic};
 use badgerpost_time::{MILLISECOND, SECOND};
 
-/// Time of the start, as Unix time.
-const START: u64 = 1_700_000_000 * SECOND;
+/// The Unix time at which a simulation starts, in nanoseconds.
+const START_NS: u64 = 1_700_000_000 * SECOND;
 
-/// A position in [`Fleet::members`].
-type Position = usize;
+/// An index into [`Fleet::members`].
+type MemberIndex = usize;
 
-/// What happens next in the simulation.
-enum Due {
-    /// A member's timer that was requested for this time.
-    Timer { member: Position, at: u64 },
+/// A step of the simulation.
+enum Step {
+    /// A member's timer fires that was requested for this time.
+    Timer { member: MemberIndex, at: u64 },
     /// A datagram arrives at a member.
-    Datagram { member: Position, datagram: Vec<u8> },
+    Datagram {
+        member: MemberIndex,
+        datagram: Vec<u8>,
+    },
 }
 
-/// Order of the simulation's steps: by time, then by their creation.
+/// The order of the simulation's steps: by time, then by insertion.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct DueKey {
+struct StepKey {
     at: u64,
     sequence: u64,
 }
 
-/// Which member has received the gossip of which other one.
+/// The reception of one member's gossip by another member.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Reception {
-    receiver: Position,
+    receiver: MemberIndex,
     publisher: MemberId,
 }
 
-/// Members and the network between them.
+/// The members and the network between them.
 struct Fleet {
     now: u64,
-    /// The members; none for one that has been killed.
+    /// The members; `None` for a killed member.
     members: Vec<Option<Membership>>,
-    /// Time of each member's latest timer.
+    /// The time of each member's latest timer request.
     timers: Vec<u64>,
-    queue: BTreeMap<DueKey, Due>,
+    queue: BTreeMap<StepKey, Step>,
     next_sequence: u64,
     random_state: u64,
-    /// Probability that a datagram is lost.
+    /// The probability that a datagram is lost.
     loss: f64,
-    /// Whether the first half of the members is cut off from the second.
+    /// Whether datagrams between the first and the second half of the members are lost.
     is_partitioned: bool,
-    /// Bytes that each member has sent.
+    /// The number of bytes that each member has sent.
     sent_bytes: Vec<u64>,
-    /// Time of the first reception.
+    /// The time of the first reception.
     received_at: BTreeMap<Reception, u64>,
 }
 
-fn address(member: Position) -> SocketAddr {
+fn address(member: MemberIndex) -> SocketAddr {
     let [high, low] = u16::try_from(member).unwrap().to_be_bytes();
     SocketAddr::from(([127, 0, high, low], 7946))
 }
 
-fn position(address: SocketAddr) -> Option<Position> {
+fn member_index(address: SocketAddr) -> Option<MemberIndex> {
     let SocketAddr::V4(address) = address else {
         return None;
     };
@@ -78,7 +81,7 @@
 impl Fleet {
     fn new(count: usize, seed: u64) -> Self {
         let mut fleet = Self {
-            now: START,
+            now: START_NS,
             members: Vec::new(),
             timers: vec![0; count],
             queue: BTreeMap::new(),
@@ -96,7 +99,7 @@
         fleet
     }
 
-    fn start(&mut self, member: Position, count: usize) {
+    fn start(&mut self, member: MemberIndex, count: usize) {
         self.members[member] = Some(Membership::new(Settings {
             member: MemberId::from_name(&format!("n{member}")),
             advertise: address(member),
@@ -110,7 +113,7 @@
         self.handle(member, Event::Start);
     }
 
-    /// A random number from 0 to 1.
+    /// Returns a random number from 0 (inclusive) to 1 (exclusive).
     fn random(&mut self) -> f64 {
         self.random_state = self
             .random_state
@@ -119,27 +122,27 @@
         (self.random_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A delay of the network from 0.2 to 1.2 ms, in nanoseconds.
+    /// Returns a random network delay from 0.2 to 1.2 ms, in nanoseconds.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "the number is from 0 to a million"
+        reason = "the number is between 0 and a million"
     )]
     fn random_delay(&mut self) -> u64 {
         200_000 + (self.random() * 1e6) as u64
     }
 
-    fn schedule(&mut self, at: u64, due: Due) {
-        let key = DueKey {
+    fn schedule(&mut self, at: u64, step: Step) {
+        let key = StepKey {
             at,
             sequence: self.next_sequence,
         };
-        self.queue.insert(key, due);
+        self.queue.insert(key, step);
         self.next_sequence += 1;
     }
 
-    /// Passes an event to a member, unless it has been killed, and carries out its actions.
-    fn handle(&mut self, member: Position, event: Event<'_>) {
+    /// Passes an event to a member and carries out the actions. Events of killed members are ignored.
+    fn handle(&mut self, member: MemberIndex, event: Event<'_>) {
         let mut actions = Vec::new();
         let Some(membership) = &mut self.members[member] else {
             return;
@@ -150,7 +153,7 @@
                 Action::Send { to, datagram } => self.send(member, to, datagram),
                 Action::SetTimer { at } => {
                     self.timers[member] = at;
-                    self.schedule(at, Due::Timer { member, at });
+                    self.schedule(at, Step::Timer { member, at });
                 }
                 Action::Received {
                     member: publisher, ..
@@ -167,9 +170,9 @@
         }
     }
 
-    /// Sends a datagram with a random delay, unless the network loses it.
-    fn send(&mut self, from: Position, to: SocketAddr, datagram: Vec<u8>) {
-        let Some(to) = position(to) else { return };
+    /// Delivers a datagram after a random delay, unless the datagram is lost.
+    fn send(&mut self, from: MemberIndex, to: SocketAddr, datagram: Vec<u8>) {
+        let Some(to) = member_index(to) else { return };
         self.sent_bytes[from] += datagram.len() as u64;
         let half = self.members.len() / 2;
         let is_cut_off = self.is_partitioned && (to < half) != (from < half);
@@ -177,11 +180,11 @@
             return;
         }
         let delay = self.random_delay();
-        let due = Due::Datagram {
+        let step = Step::Datagram {
             member: to,
             datagram,
         };
-        self.schedule(self.now + delay, due);
+        self.schedule(self.now + delay, step);
     }
 
     fn run(&mut self, duration: u64) {
@@ -191,14 +194,14 @@
             .first_entry()
             .filter(|first| first.key().at <= until)
         {
-            let (key, due) = first.remove_entry();
+            let (key, step) = first.remove_entry();
             self.now = key.at;
-            match due {
-                Due::Timer { member, at } if self.timers[member] == at => {
+            match step {
+                Step::Timer { member, at } if self.timers[member] == at => {
                     self.handle(member, Event::TimerFired);
                 }
-                Due::Timer { .. } => {}
-                Due::Datagram { member, datagram } => {
+                Step::Timer { .. } => {}
+                Step::Datagram { member, datagram } => {
                     self.handle(member, Event::Datagram(&datagram));
                 }
             }
@@ -206,7 +209,7 @@
         self.now = until;
     }
 
-    /// How many others each running member knows.
+    /// Returns the number of other members that each running member considers up.
     fn member_counts(&self) -> Vec<usize> {
         self.members
             .iter()
@@ -215,27 +218,27 @@
             .collect()
     }
 
-    /// Asserts on how many others each running member knows.
+    /// Asserts that each running member considers an expected number of other members up.
     #[track_caller]
     fn assert_member_counts(&self, is_expected: impl Fn(usize) -> bool) {
         let counts = self.member_counts();
         assert!(counts.iter().all(|count| is_expected(*count)), "{counts:?}");
     }
 
-    /// Bytes sent by the average member.
+    /// Returns the mean number of bytes sent by a member.
     fn mean_sent_bytes(&self) -> f64 {
         self.sent_bytes.iter().sum::<u64>() as f64 / self.members.len() as f64
     }
 }
 
-/// Traffic of the average member, and the delay of gossip.
+/// The mean traffic of a member, and the delay of gossip.
 struct Measurement {
-    /// Bytes each second without gossip.
+    /// The bytes sent per second without gossip.
     quiet_bytes_per_second: f64,
-    /// Bytes in the second in which a third of the members publish gossip.
+    /// The bytes sent in a second in which a third of the members publish gossip.
     busy_bytes: f64,
-    /// Milliseconds until nine tenths of the gossip received had been received.
-    gossip_delay_p90: u64,
+    /// The 90th percentile of the time from publication to reception of an item, in milliseconds.
+    gossip_delay_p90_ms: u64,
 }
 
 fn measure(count: usize, seed: u64) -> Measurement {
@@ -246,7 +249,7 @@
     let before_quiet = fleet.mean_sent_bytes();
     fleet.run(20 * SECOND);
     let quiet_bytes_per_second = (fleet.mean_sent_bytes() - before_quiet) / 20.0;
-    // A third of the members publish at the same time, and repeatedly within a second.
+    // A third of the members publish simultaneously, four times within a second.
     let published_at = fleet.now;
     let before_busy = fleet.mean_sent_bytes();
     for round in 0..4u8 {
@@ -276,24 +279,25 @@
     Measurement {
         quiet_bytes_per_second,
         busy_bytes,
-        gossip_delay_p90: delays[delays.len() * 9 / 10] / MILLISECOND,
+        gossip_delay_p90_ms: delays[delays.len() * 9 / 10] / MILLISECOND,
     }
 }
 
 #[test]
-fn all_members_find_each_other_and_gossip_spreads_at_a_bounded_cost() {
+fn all_members_join_and_gossip_stays_within_traffic_and_delay_limits() {
     let Measurement {
         quiet_bytes_per_second,
         busy_bytes,
-        gossip_delay_p90,
+        gossip_delay_p90_ms,
     } = measure(100, 5);
     println!(
-        "quiet {quiet_bytes_per_second:.0} bytes a second, busy {busy_bytes:.0} in a second, nine tenths received after {gossip_delay_p90} ms"
+        "quiet {quiet_bytes_per_second:.0} bytes a second, busy {busy_bytes:.0} in a second, nine tenths received after {gossip_delay_p90_ms} ms"
     );
-    assert!(quiet_bytes_per_second < 1500.0 && busy_bytes < 400_000.0 && gossip_delay_p90 < 300);
+    assert!(quiet_bytes_per_second < 1500.0 && busy_bytes < 400_000.0 && gossip_delay_p90_ms < 300);
 }
 
-/// The figures of the operators' page; some minutes in a debug build: `cargo test --release ... -- --ignored`.
+/// Prints the traffic and the delay of gossip for large fleets. Takes minutes in a debug build; run with
+/// `cargo test --release -p badgerpost-membership -- --ignored`.
 #[test]
 #[ignore = "a measurement"]
 fn cost_in_large_fleets() {
@@ -301,10 +305,10 @@
         let Measurement {
             quiet_bytes_per_second,
             busy_bytes,
-            gossip_delay_p90,
+            gossip_delay_p90_ms,
         } = measure(count, 5);
         println!(
-            "{count}: quiet {quiet_bytes_per_second:.0} bytes/s, busy {busy_bytes:.0} bytes in a second, 90% received after {gossip_delay_p90} ms"
+            "{count}: quiet {quiet_bytes_per_second:.0} bytes/s, busy {busy_bytes:.0} bytes in a second, 90% received after {gossip_delay_p90_ms} ms"
         );
     }
 }
@@ -315,7 +319,7 @@
     fleet.loss = 0.2;
     fleet.run(30 * SECOND);
     fleet.assert_member_counts(|known| known >= 38);
-    // Two halves, each of which considers the other down; they merge again by themselves.
+    // During a partition, each half considers the other half down. After the partition, all members rejoin.
     fleet.loss = 0.0;
     fleet.is_partitioned = true;
     fleet.run(60 * SECOND);
@@ -323,7 +327,7 @@
     fleet.is_partitioned = false;
     fleet.run(60 * SECOND);
     fleet.assert_member_counts(|known| known == 39);
-    // Ten are killed; one returns as a later incarnation.
+    // Ten members are killed, and one of them restarts as a later incarnation.
     for member in 30..40 {
         fleet.members[member] = None;
     }
@@ -332,16 +336,16 @@
     fleet.start(30, 40);
     fleet.run(10 * SECOND);
     fleet.assert_member_counts(|known| known == 30);
-    // A member that leaves is known to be gone at once.
+    // The others learn at once that a member has left.
     fleet.handle(30, Event::Leave);
     fleet.members[30] = None;
     fleet.run(2 * SECOND);
     fleet.assert_member_counts(|known| known == 29);
 }
 
-/// The member is killed and up again before the others consider it down.
+/// Guards against a delayed rejoin of a member that restarts before the others consider it down.
 #[test]
-fn a_member_that_restarts_at_once_knows_the_others_at_once() {
+fn a_member_that_restarts_before_its_failure_is_detected_rejoins_at_once() {
     let mut fleet = Fleet::new(12, 3);
     fleet.run(10 * SECOND);
     fleet.members[4] = None;
--- a/core/membership/tests/gossip_store.rs
+++ b/core/membership/tests/gossip_store.rs
@@ -1,4 +1,4 @@
-//! Gossip items merge to the same content in any order and with any repetition.
+//! Property tests: the content of a gossip store does not depend on the order and repetition of merges.
 
 use badgerpost_membership::{GossipItem, GossipKey, GossipStore, GossipVersion, MemberId, Topic};
 use proptest::prelude::*;
@@ -30,10 +30,10 @@
     store
 }
 
-fn merged(one: &GossipStore, other: &GossipStore) -> GossipStore {
-    let mut both = one.clone();
-    both.merge_all(other);
-    both
+fn merged(left: &GossipStore, right: &GossipStore) -> GossipStore {
+    let mut result = left.clone();
+    result.merge_all(right);
+    result
 }
 
 proptest! {
@@ -43,26 +43,26 @@
         prop_assert_eq!(merged(&a, &b), merged(&b, &a));
         prop_assert_eq!(merged(&merged(&a, &b), &c), merged(&a, &merged(&b, &c)));
         prop_assert_eq!(merged(&a, &a), a.clone());
-        // Versions only grow.
+        // The version of a stored item does not decrease.
         for member in 0..4 {
             for topic in 0..3 {
                 let key = GossipKey { member: MemberId(member), topic: Topic(topic) };
-                if let Some(known) = a.get(key) {
-                    prop_assert!(merged(&a, &b).get(key).unwrap().version >= known.version);
+                if let Some(stored) = a.get(key) {
+                    prop_assert!(merged(&a, &b).get(key).unwrap().version >= stored.version);
                 }
             }
         }
     }
 
     #[test]
-    fn order_and_repetition_of_merges_do_not_matter(all in prop::collection::vec(item(), 1..20), seed in any::<u64>()) {
-        let mut shuffled = all.clone();
-        let mut random = seed;
-        for at in (1..shuffled.len()).rev() {
-            random = random.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-            shuffled.swap(at, (random >> 33) as usize % (at + 1));
+    fn the_content_is_independent_of_order_and_repetition_of_merges(items in prop::collection::vec(item(), 1..20), seed in any::<u64>()) {
+        let mut shuffled = items.clone();
+        let mut random_state = seed;
+        for index in (1..shuffled.len()).rev() {
+            random_state = random_state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            shuffled.swap(index, (random_state >> 33) as usize % (index + 1));
         }
-        shuffled.extend(all.iter().take(3).cloned());
-        prop_assert_eq!(store_of(&shuffled), store_of(&all));
+        shuffled.extend(items.iter().take(3).cloned());
+        prop_assert_eq!(store_of(&shuffled), store_of(&items));
     }
 }
