--- a/adapters/admin/src/api.rs
+++ b/adapters/admin/src/api.rs
@@ -1,4 +1,4 @@
-//! The console's requests and their responses.
+//! The routes of the console and their responses.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,19 +16,19 @@
 use crate::metrics_page::metrics_page;
 use crate::zone_override::{ZoneOverrideCommand, parse_zone_override};
 
-/// What the console reads of its node, and what it acts on.
+/// The console's access to the node.
 pub struct AdminApi {
-    /// The node's lifecycle.
+    /// The node's lifecycle, which the console changes.
     pub lifecycle: LifecycleHandle,
-    /// The node's metrics.
+    /// The node's metrics, which the console only reads.
     pub metrics: Arc<Metrics>,
-    /// Whether this process can serve.
+    /// Whether this process is ready to serve; set by the node.
     pub is_ready: Arc<AtomicBool>,
-    /// Takes the operators' zone overrides.
+    /// The channel to the node for the operators' zone overrides.
     pub zone_overrides: mpsc::Sender<ZoneOverrideCommand>,
 }
 
-/// What a path stands for.
+/// A route of the console.
 #[derive(Clone, Copy)]
 enum Route {
     Status,
@@ -39,8 +39,8 @@
 }
 
 impl Route {
-    /// The route of a path, or none if there is no such call.
-    fn of(path: &str) -> Option<Self> {
+    /// Returns the route of a path, or `None` if the path has no route.
+    fn from_path(path: &str) -> Option<Self> {
         match path {
             "/status" => Some(Self::Status),
             "/status/metrics" => Some(Self::Metrics),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The one method that the route has.
+    /// Returns the only allowed method of the route.
     fn method(self) -> Method {
         match self {
             Self::Status | Self::Metrics => Method::GET,
@@ -61,29 +61,29 @@
 }
 
 impl AdminApi {
-    /// The response to a request.
+    /// Returns the response to a request.
     pub(crate) fn respond(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         let path = request.uri().path();
-        let Some(route) = Route::of(path) else {
-            return text(StatusCode::NOT_FOUND, "no such call\n");
+        let Some(route) = Route::from_path(path) else {
+            return text_response(StatusCode::NOT_FOUND, "no such call\n");
         };
         if *request.method() != route.method() {
             return method_not_allowed(&route.method());
         }
         match route {
-            Route::Status => self.status(),
-            Route::Metrics => text(StatusCode::OK, metrics_page(&self.metrics)),
+            Route::Status => self.status_response(),
+            Route::Metrics => text_response(StatusCode::OK, metrics_page(&self.metrics)),
             Route::Standby => self.change_lifecycle(path, Event::Standby),
             Route::Active => self.change_lifecycle(path, Event::Active),
             Route::ZoneOverride => self.override_zone(path),
         }
     }
 
-    fn status(&self) -> Response<Full<Bytes>> {
+    fn status_response(&self) -> Response<Full<Bytes>> {
         if self.is_ready.load(Ordering::Relaxed) {
-            text(StatusCode::OK, "serving\n")
+            text_response(StatusCode::OK, "serving\n")
         } else {
-            text(StatusCode::SERVICE_UNAVAILABLE, "not yet\n")
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "not yet\n")
         }
     }
 
@@ -100,35 +100,35 @@
         } else {
             StatusCode::CONFLICT
         };
-        text(status, format!("{}\n", transition.stage.as_str()))
+        text_response(status, format!("{}\n", transition.stage.as_str()))
     }
 
     fn override_zone(&self, path: &str) -> Response<Full<Bytes>> {
         let Some(command) = parse_zone_override(path, &self.metrics) else {
-            return text(
+            return text_response(
                 StatusCode::NOT_FOUND,
                 "no such zone or order, or no watch over zones\n",
             );
         };
         tracing::info!(call = path, "zone override requested");
         match self.zone_overrides.try_send(command) {
-            Ok(()) => text(StatusCode::OK, "taken\n"),
-            Err(_) => text(StatusCode::SERVICE_UNAVAILABLE, "too many orders\n"),
+            Ok(()) => text_response(StatusCode::OK, "taken\n"),
+            Err(_) => text_response(StatusCode::SERVICE_UNAVAILABLE, "too many orders\n"),
         }
     }
 }
 
 fn method_not_allowed(allowed: &Method) -> Response<Full<Bytes>> {
-    let mut response = text(StatusCode::METHOD_NOT_ALLOWED, format!("{allowed} only\n"));
+    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, format!("{allowed} only\n"));
     if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
         response.headers_mut().insert(ALLOW, allowed);
     }
     response
 }
 
-/// A response with a text. Each closes its connection.
-fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(text.into()));
+/// Returns a response with a text body that closes the connection.
+fn text_response(status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
     response
         .headers_mut()
--- a/adapters/admin/src/connections.rs
+++ b/adapters/admin/src/connections.rs
@@ -1,5 +1,5 @@
-//! The console's open connections. With too many, the oldest one is closed: a client that has its response closes at
-//! once, so the oldest is one that does not.
+//! Limits the number of the console's open connections. A connection beyond the limit evicts the oldest connection, which
+//! is most likely idle, because a connection closes after one response.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -7,56 +7,57 @@
 
 use tokio::sync::oneshot;
 
-/// The most open connections: some pollers and people. Each holds a descriptor that the clients' side does not get.
+/// The maximum number of open connections. Each connection takes a file descriptor that client connections can't use.
 const MAX_CONNECTIONS: usize = 16;
 
-/// The open connections, the oldest one first.
+/// The open connections.
 #[derive(Default)]
 pub(crate) struct Connections {
+    /// Ordered from the oldest to the newest.
     open: RefCell<VecDeque<OpenConnection>>,
     next_id: Cell<u64>,
 }
 
 struct OpenConnection {
     id: u64,
-    /// Dropped to have the connection closed.
-    _displaced: oneshot::Sender<()>,
+    /// Dropped to evict the connection.
+    _eviction_sender: oneshot::Sender<()>,
 }
 
-/// One connection's place among the open ones, until dropped.
+/// The slot of one open connection, which is freed on drop.
 pub(crate) struct ConnectionSlot {
     connections: Rc<Connections>,
     id: u64,
-    displaced: oneshot::Receiver<()>,
+    eviction: oneshot::Receiver<()>,
 }
 
 impl Connections {
-    /// Adds a connection, in place of the oldest one where there are too many.
+    /// Adds a connection. Evicts the oldest connection if the limit is reached.
     pub(crate) fn open(connections: &Rc<Self>) -> ConnectionSlot {
         let id = connections.next_id.get();
         connections.next_id.set(id + 1);
-        let (displaced_sender, displaced) = oneshot::channel();
+        let (eviction_sender, eviction) = oneshot::channel();
         let mut open = connections.open.borrow_mut();
         if open.len() >= MAX_CONNECTIONS {
             open.pop_front();
         }
         open.push_back(OpenConnection {
             id,
-            _displaced: displaced_sender,
+            _eviction_sender: eviction_sender,
         });
         ConnectionSlot {
             connections: connections.clone(),
             id,
-            displaced,
+            eviction,
         }
     }
 }
 
 impl ConnectionSlot {
-    /// Waits until a newer connection takes this one's place.
-    pub(crate) async fn displaced(&mut self) {
-        // The sender is dropped, never used.
-        let _ = (&mut self.displaced).await;
+    /// Waits until this connection is evicted.
+    pub(crate) async fn evicted(&mut self) {
+        // The receiver only ever yields an error, when the sender is dropped.
+        let _ = (&mut self.eviction).await;
     }
 }
 
--- a/adapters/admin/src/lib.rs
+++ b/adapters/admin/src/lib.rs
@@ -1,14 +1,14 @@
-//! The operators' console: HTTP/1.1, one request to a connection. It runs on a thread and runtime of its own, reads
-//! what the node publishes and passes events to the lifecycle, so that no request waits for the thread that serves
-//! clients.
+//! The operators' console: an HTTP/1.1 server that answers one request per connection. The console runs on a separate
+//! thread and runtime, reads the published metrics and passes events to the lifecycle, so that no console request waits
+//! for the thread that serves clients.
 //!
-//! | request | what it does |
+//! | request | effect |
 //! | --- | --- |
-//! | `GET /status` | whether this process can serve |
-//! | `GET /status/metrics` | the metrics, a line each |
+//! | `GET /status` | reports whether this process is ready to serve |
+//! | `GET /status/metrics` | returns the metrics, one per line |
 //! | `POST /standby` | drains the node |
-//! | `POST /active` | returns it to service |
-//! | `POST /zones/Z/close/SECONDS`, `/open/SECONDS`, `/auto` | overrides a zone's state for a time |
+//! | `POST /active` | returns the node to service |
+//! | `POST /zones/Z/close/SECONDS`, `/open/SECONDS`, `/auto` | overrides a zone's state, or ends the override |
 
 mod api;
 mod connections;
--- a/adapters/admin/src/lifecycle_handle.rs
+++ b/adapters/admin/src/lifecycle_handle.rs
@@ -1,12 +1,11 @@
-//! The node's lifecycle where several threads change and read it: the state machine behind a lock that is held for one
-//! step, and its outputs as watch channels.
+//! Shares the node's lifecycle between threads: a lock guards the state machine, and watch channels publish the state.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use badgerpost_lifecycle::{Event, Lifecycle, Stage, Timer, Transition};
 use tokio::sync::watch;
 
-/// A handle on the lifecycle. Cheap to clone.
+/// A handle to the lifecycle of the node. Clones share the same lifecycle.
 #[derive(Clone)]
 pub struct LifecycleHandle(Arc<Shared>);
 
@@ -29,16 +28,16 @@
 }
 
 impl LifecycleHandle {
-    /// Applies an event.
+    /// Handles an event and publishes the resulting stage and timer request.
     pub fn handle(&self, event: Event) -> Transition {
         let shared = &*self.0;
-        // A thread that panicked with the lock held leaves the state usable: each step is a single assignment.
+        // The state stays consistent if a thread panics while holding the lock, so a poisoned lock is used as usual.
         let mut lifecycle = shared
             .lifecycle
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let transition = lifecycle.handle(event);
-        // Published under the lock, so that stages are seen in the order of their changes.
+        // The changes are published under the lock, so that subscribers see them in order.
         set_if_changed(&shared.stage, transition.stage);
         set_if_changed(&shared.accepts, lifecycle.accepts());
         if transition.timer.is_some() {
@@ -47,23 +46,24 @@
         transition
     }
 
-    /// The stage, and its changes.
+    /// Subscribes to the stage.
     pub fn stage(&self) -> watch::Receiver<Stage> {
         self.0.stage.subscribe()
     }
 
-    /// Whether new connections are accepted, and changes of that.
+    /// Subscribes to whether this process accepts new connections.
     pub fn accepts(&self) -> watch::Receiver<bool> {
         self.0.accepts.subscribe()
     }
 
-    /// The timer requested last. Whoever runs it delivers [`Event::TimerFired`] when it fires.
+    /// Subscribes to the latest timer request; `None` before the first one. The subscriber has to deliver
+    /// [`Event::TimerFired`] when the timer fires.
     pub fn timer_request(&self) -> watch::Receiver<Option<Timer>> {
         self.0.timer_request.subscribe()
     }
 }
 
-/// Publishes a value unless it is the one published last.
+/// Publishes a value if the value differs from the current one.
 fn set_if_changed<T: PartialEq + Copy>(sender: &watch::Sender<T>, value: T) {
     sender.send_if_modified(|current| std::mem::replace(current, value) != value);
 }
--- a/adapters/admin/src/metrics_page.rs
+++ b/adapters/admin/src/metrics_page.rs
@@ -1,21 +1,21 @@
-//! The metrics as the console shows them: a line each, `node.NAME=VALUE`. Their names stand here and nowhere else.
+//! The console's metrics page, with one line `node.NAME=VALUE` for each metric. Metric names are defined only here.
 
 use std::fmt::{Display, Write};
 
 use badgerpost_engine::{ConnectionLimit, Metrics};
 
-/// The page under construction.
+/// The text of the page.
 #[derive(Default)]
 struct Page(String);
 
 impl Page {
     fn line(&mut self, name: &str, value: impl Display) {
-        // Writing to a string can't fail.
+        // Writing to a `String` does not fail.
         let _ = writeln!(self.0, "node.{name}={value}");
     }
 }
 
-/// All metrics of a node.
+/// Returns the page with all metrics of the node. Peer metrics are left out while gossip is off.
 pub(crate) fn metrics_page(metrics: &Metrics) -> String {
     let mut page = Page::default();
     for (class, counts) in metrics.classes() {
--- a/adapters/admin/src/server.rs
+++ b/adapters/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! The console's listener and its thread.
+//! The console's thread, which accepts and serves connections.
 
 use std::convert::Infallible;
 use std::io;
@@ -17,15 +17,15 @@
 use crate::api::AdminApi;
 use crate::connections::{ConnectionSlot, Connections};
 
-/// A connection is closed after this long, whatever its client does: clients wait for one second.
+/// The time after which an open connection is closed. Clients of the console wait for a response for up to one second.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Wait before the next accept after one failed.
+/// The delay before accepting again after a failure.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The most bytes of a request's head, which has a line or two.
+/// The maximum length of a request's head in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
 impl AdminApi {
-    /// Serves on a thread of its own until the process ends.
+    /// Starts a thread that serves the console until the process exits.
     ///
     /// # Errors
     ///
@@ -39,7 +39,7 @@
             LocalSet::new().block_on(&runtime, async {
                 match tokio::net::TcpListener::from_std(listener) {
                     Ok(listener) => self.serve(listener).await,
-                    Err(error) => tracing::error!(%error, "the console can't listen"),
+                    Err(error) => tracing::error!(%error, "opening the console's listener failed; console is unavailable"),
                 }
             });
         };
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Accepts connections. Never returns.
+    /// Accepts connections. Does not return.
     async fn serve(self, listener: tokio::net::TcpListener) {
         let api = Rc::new(self);
         let connections = Rc::<Connections>::default();
@@ -60,7 +60,7 @@
                     spawn_local(serve_connection(api.clone(), stream.into(), slot));
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "accepting a console connection failed");
+                    tracing::warn!(%error, "accepting a console connection failed; trying again");
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -68,12 +68,12 @@
     }
 }
 
-/// Serves one connection until its request is answered, or it has to be closed.
+/// Serves one connection until the request is answered, the connection is evicted or the timeout expires.
 async fn serve_connection(api: Rc<AdminApi>, stream: TcpStream, mut slot: ConnectionSlot) {
     tokio::select! {
         biased;
         () = answer_request(&api, stream) => {}
-        () = slot.displaced() => {}
+        () = slot.evicted() => {}
         () = tokio::time::sleep(CONNECTION_TIMEOUT) => {}
     }
 }
--- a/adapters/gossip/src/lib.rs
+++ b/adapters/gossip/src/lib.rs
@@ -1,6 +1,5 @@
-//! Gossip between the nodes of a fleet: one socket for datagrams, the membership of `core/membership` behind it, and
-//! the observations that zone monitoring exchanges through it. Off unless the operators' own file has a section
-//! `[peers]`.
+//! Gossip between the nodes of a fleet: runs the membership of `core/membership` on a UDP socket and exchanges the
+//! observations of zone monitoring. Gossip is off unless the operators' file has a section `[peers]`.
 
 mod config;
 mod service;
--- a/adapters/gossip/src/service.rs
+++ b/adapters/gossip/src/service.rs
@@ -1,4 +1,4 @@
-//! The socket, and the task that runs the membership on it. Nothing is decided here.
+//! The UDP socket, and the task that carries out the actions of the membership's state machine.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,36 +15,36 @@
 
 use crate::config::Config;
 
-/// The most observations that wait for the task, which takes them at once: some for each zone.
+/// The capacity of the channel from the engine, which holds several observations of each zone.
 const MAX_QUEUED_OBSERVATIONS: usize = 64;
 
-/// This node as a member of its fleet.
+/// This node as a member of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalMember<'a> {
-    /// Its name.
+    /// The name of this node.
     pub name: &'a str,
-    /// The number of its zone.
+    /// The index of this node's zone in the settings.
     pub zone: u8,
-    /// The number of nodes that the fleet is expected to have.
+    /// The expected number of nodes in the fleet, including this one.
     pub node_count: u32,
     /// The seed of the membership's random draws.
     pub seed: u64,
 }
 
-/// Gossip of one node with the others.
+/// The gossip of this node with the other nodes of the fleet.
 pub struct GossipService<P: Protocol> {
     socket: UdpSocket,
     membership: Membership,
     engine: Engine<P>,
     clock: Clock,
     observations: mpsc::Receiver<ZoneGossip>,
-    /// When the membership's timer fires.
+    /// The time of the membership's timer; `None` if no timer is set.
     timer_at: Option<Nanos>,
     drop_log: LogLimiter,
 }
 
 impl<P: Protocol + 'static> GossipService<P> {
-    /// Opens the socket. From now on the engine's observations for the other nodes go through it.
+    /// Opens the socket and registers the service as the receiver of the engine's gossip.
     ///
     /// # Errors
     ///
@@ -59,7 +59,7 @@
         let clock = engine.clock().clone();
         let settings = Settings {
             member: MemberId::from_name(local_member.name),
-            advertise: config.advertised(),
+            advertise: config.advertised_address(),
             zone: local_member.zone,
             incarnation: clock.now(),
             seeds: config.seeds.clone(),
@@ -70,7 +70,7 @@
         let (gossip_sender, observations) = mpsc::channel(MAX_QUEUED_OBSERVATIONS);
         engine.set_gossip_sender(gossip_sender);
         engine.metrics().set_member_count(1);
-        tracing::info!(listen = %socket.local_addr()?, advertise = %config.advertised(), "peers may call");
+        tracing::info!(listen = %socket.local_addr()?, advertise = %config.advertised_address(), "peers may call");
         Ok(Self {
             socket,
             membership: Membership::new(settings),
@@ -82,14 +82,14 @@
         })
     }
 
-    /// Exchanges datagrams until `stopping` is true, and then announces that this node leaves.
+    /// Exchanges datagrams until `stopping` is true, and then informs other members that this node leaves.
     pub async fn run(mut self, mut stopping: watch::Receiver<bool>) {
-        // A new socket sends nothing until the system has reported once that it is writable.
+        // `try_send_to` fails until the runtime has been notified once that the socket is writable.
         if let Err(error) = self.socket.writable().await {
-            tracing::warn!(%error, "datagrams can't be sent yet");
+            tracing::warn!(%error, "gossip socket is not writable yet; datagrams may be lost");
         }
         self.handle(Event::Start);
-        // One byte more than the longest datagram, so that a longer one shows.
+        // The additional byte makes a datagram that is too long detectable.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let timer = wait_until(self.clock.clone(), self.timer_at);
@@ -101,9 +101,10 @@
                 }
                 Some(gossip) = self.observations.recv() => self.broadcast(&gossip),
                 received = self.socket.recv_from(&mut buffer) => match received {
-                    Ok((length, _)) => self.datagram_received(&buffer[..length]),
-                    // Reported for a datagram sent before: nobody listens at its address, which the membership notices.
-                    Err(error) => tracing::debug!(%error, "datagram not received"),
+                    Ok((length, _)) => self.handle_datagram(&buffer[..length]),
+                    // The error reports that no process listens at the address of a datagram sent earlier. The
+                    // membership detects such members by probes.
+                    Err(error) => tracing::debug!(%error, "receiving on the gossip socket failed"),
                 },
                 () = timer => {
                     self.timer_at = None;
@@ -120,7 +121,7 @@
         });
     }
 
-    fn datagram_received(&mut self, datagram: &[u8]) {
+    fn handle_datagram(&mut self, datagram: &[u8]) {
         activity::record_bytes_read(datagram.len());
         self.engine
             .metrics()
@@ -128,7 +129,7 @@
         self.handle(Event::Datagram(datagram));
     }
 
-    /// Passes an event to the membership and carries out its actions.
+    /// Passes an event to the membership and carries out the resulting actions.
     fn handle(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
         self.membership
@@ -151,7 +152,7 @@
                 zone,
                 address,
                 is_up,
-            } => self.member_changed(member, zone, address, is_up),
+            } => self.report_member_change(member, zone, address, is_up),
             Action::Received {
                 member,
                 topic,
@@ -165,11 +166,11 @@
                     observation: body,
                 },
             }),
-            Action::DatagramDropped(reason) => self.datagram_dropped(reason),
+            Action::DatagramDropped(reason) => self.report_dropped_datagram(reason),
         }
     }
 
-    fn member_changed(&self, member: MemberId, zone: u8, address: SocketAddr, is_up: bool) {
+    fn report_member_change(&self, member: MemberId, zone: u8, address: SocketAddr, is_up: bool) {
         let members = self.membership.member_count();
         tracing::info!(peer = %address, zone, up = is_up, members, "peer changed");
         self.engine.metrics().set_member_count(members as u64 + 1);
@@ -180,7 +181,7 @@
         });
     }
 
-    fn datagram_dropped(&mut self, reason: DropReason) {
+    fn report_dropped_datagram(&mut self, reason: DropReason) {
         self.engine.metrics().datagram_dropped(match reason {
             DropReason::Unauthenticated => DatagramDropReason::Unauthenticated,
             _ => DatagramDropReason::Malformed,
@@ -194,19 +195,21 @@
         if self.clock.is_virtual() && !to.ip().is_loopback() {
             return;
         }
-        // What can't be sent at once is lost like what the network loses, which the protocol tolerates.
+        // A datagram that can't be sent immediately is dropped. The protocol tolerates the loss.
         match self.socket.try_send_to(datagram, to) {
             Ok(length) => {
                 activity::record_bytes_written(length);
                 self.engine.metrics().peer_bytes_sent(length as u64);
             }
-            Err(error) => tracing::debug!(%to, %error, "datagram not sent"),
+            Err(error) => {
+                tracing::debug!(%to, %error, "gossip datagram could not be sent");
+            }
         }
     }
 }
 
-/// Waits until this time, and until what peers had sent by then is handled: acknowledgements that lie in the socket of a
-/// node that has stood still have come in time. Forever without a time.
+/// Waits until this time and until the datagrams received by then have been handled, so that a probe response in the
+/// socket of a paused process counts as received in time. Waits forever if the time is `None`.
 async fn wait_until(clock: Clock, at: Option<Nanos>) {
     match at {
         Some(at) => clock.wait_for_deadline(at).await,
--- a/core/lifecycle/src/tests.rs
+++ b/core/lifecycle/src/tests.rs
@@ -109,8 +109,8 @@
 }
 
 proptest! {
-    /// For events in any order: shutdown is not reversed, a timer is requested exactly when a stage with a timer begins,
-    /// and only a node in service is ready.
+    /// For events in any order: shutdown is not reversed, a timer is requested exactly when a stage with a timer
+    /// begins, and only a node in service is ready.
     #[test]
     fn shutdown_is_final_for_any_order_of_events(events in prop::collection::vec((0u8..5, 0u64..8), 0..40)) {
         let mut lifecycle = Lifecycle::new();
