--- a/adapters/admin/src/connections.rs
+++ b/adapters/admin/src/connections.rs
@@ -1,5 +1,5 @@
-//! Limits the number of the console's open connections. A connection beyond the limit evicts the oldest connection, which
-//! is most likely idle, because a connection closes after one response.
+//! Limits the number of the console's open connections. A connection beyond the limit evicts the oldest one. The oldest
+//! one's client has most likely stalled, because a connection closes after one response.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -56,7 +56,7 @@
 impl ConnectionSlot {
     /// Waits until this connection is evicted.
     pub(crate) async fn evicted(&mut self) {
-        // The receiver only ever yields an error, when the sender is dropped.
+        // The sender is only ever dropped, so the result is always an error.
         let _ = (&mut self.eviction).await;
     }
 }
--- a/adapters/admin/src/server.rs
+++ b/adapters/admin/src/server.rs
@@ -39,7 +39,9 @@
             LocalSet::new().block_on(&runtime, async {
                 match tokio::net::TcpListener::from_std(listener) {
                     Ok(listener) => self.serve(listener).await,
-                    Err(error) => tracing::error!(%error, "opening the console's listener failed; console is unavailable"),
+                    Err(error) => {
+                        tracing::error!(%error, "opening the console listener failed; no console");
+                    }
                 }
             });
         };
--- a/adapters/gossip/src/config.rs
+++ b/adapters/gossip/src/config.rs
@@ -73,8 +73,8 @@
 }
 
 impl Config {
-    /// Checks the section against the settings: whether the platform permits gossip, whether this node monitors zones, and
-    /// how many zones there are.
+    /// Checks the section against the settings: whether the platform permits gossip, whether this node monitors zones,
+    /// and the number of zones.
     ///
     /// # Errors
     ///
--- a/core/http-framing/src/error.rs
+++ b/core/http-framing/src/error.rs
@@ -12,7 +12,7 @@
     /// The head has both a Content-Length and a Transfer-Encoding field (section 6.3, rule 3).
     #[error("content-length stands beside transfer-encoding")]
     ContentLengthWithTransferEncoding,
-    /// The Transfer-Encoding is not a single `chunked`, or the request is of HTTP/1.0 (section 6.1).
+    /// The Transfer-Encoding is not a single `chunked`, or is used with HTTP/1.0 (section 6.1).
     #[error("transfer-encoding is not chunked")]
     UnsupportedTransferCoding,
     /// A field line is folded (section 5.2) or has whitespace before the colon (section 5.1).
--- a/core/http-framing/src/head.rs
+++ b/core/http-framing/src/head.rs
@@ -14,7 +14,7 @@
     Chunked,
 }
 
-/// The head that is being received, reduced to what determines the framing of the body.
+/// The parts of the received head that determine the framing of the body.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RequestHead {
     is_http_1_0: bool,
--- a/core/http-framing/src/lib.rs
+++ b/core/http-framing/src/lib.rs
@@ -6,7 +6,7 @@
 //! Content-Length. If two recipients disagree on the length of a body, one of them parses part of the body as another
 //! request (request smuggling, section 11.2). Such a request is therefore rejected before any part is forwarded.
 //!
-//! The crate does no I/O. For each connection, at most a prefix of one line is stored.
+//! The crate does no I/O. For each connection, only a bounded part of one line is stored.
 
 mod chunk;
 mod error;
--- a/core/lifecycle/src/lib.rs
+++ b/core/lifecycle/src/lib.rs
@@ -1,7 +1,7 @@
 //! The lifecycle state machine of a node: in service, drained by the operators, shutting down, closed.
 //!
-//! The readiness check, the client connections and the process exit all read the [`Stage`] of this state machine. The
-//! crate does no I/O and reads no clock: [`Transition::timer`] requests a timer, and the caller delivers
+//! The readiness check, the client connections and the end of the process all depend on this one [`Stage`]. The crate
+//! does no I/O and reads no clock: [`Transition::timer`] requests a timer, and the caller delivers
 //! [`Event::TimerFired`] when the timer fires.
 //!
 //! ```text
--- a/core/lifecycle/src/machine.rs
+++ b/core/lifecycle/src/machine.rs
@@ -144,7 +144,7 @@
         self.transition(true)
     }
 
-    /// Enters a stage that ends when its timer fires `after` this time.
+    /// Enters a stage that ends when a timer fires after this duration.
     fn enter_with_timer(&mut self, stage: Stage, after: Duration) -> Transition {
         let transition = self.enter(stage);
         let timer = Timer {
--- a/core/membership/tests/fleet.rs
+++ b/core/membership/tests/fleet.rs
@@ -22,7 +22,7 @@
 
 /// A step of the simulation.
 enum Step {
-    /// A member's timer fires that was requested for this time.
+    /// A member's timer, requested for this time, fires.
     Timer { member: MemberIndex, at: u64 },
     /// A datagram arrives at a member.
     Datagram {
--- a/core/socket-handover/src/predecessor.rs
+++ b/core/socket-handover/src/predecessor.rs
@@ -118,7 +118,8 @@
         actions.push(Action::SetShared(true));
     }
 
-    /// Any state to `Finished`: the successor has exited or broken the protocol, so nothing is shared any longer.
+    /// Any other state to `Finished`: the successor has exited or broken the protocol, and neither the listener nor the
+    /// limits are shared any longer.
     fn end_handover(&mut self, actions: &mut Vec<Action>) {
         let state_before = std::mem::replace(&mut self.state, State::Finished);
         if state_before == State::Shared {
--- a/core/socket-handover/src/successor.rs
+++ b/core/socket-handover/src/successor.rs
@@ -60,7 +60,7 @@
             (State::ListenerReceived | State::Serving, Event::Closed) => {
                 self.restore_limits(actions);
             }
-            // These events are unexpected in these states, but no failures.
+            // Neither event is a failure of the handover.
             (State::Connecting | State::AwaitingListener, Event::Connected | Event::Listening) => {}
             (State::Connecting, _) => self.listen_separately(actions),
             (State::AwaitingListener, _) => self.abandon_request(actions),
