--- a/adapters/admin/src/server.rs
+++ b/adapters/admin/src/server.rs
@@ -40,7 +40,7 @@
                 match tokio::net::TcpListener::from_std(listener) {
                     Ok(listener) => self.serve(listener).await,
                     Err(error) => {
-                        tracing::error!(%error, "opening the console listener failed; no console");
+                        tracing::error!(%error, "opening the console listener failed; the console is unavailable");
                     }
                 }
             });
