--- a/daemon/tests/serving.rs
+++ b/daemon/tests/serving.rs
@@ -1,4 +1,4 @@
-//! What clients and backends see of a node in service.
+//! Forwarding of requests and responses by a node in service.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -6,22 +6,22 @@
 use badgerpost_fakes::scripted::*;
 use serde_json::json;
 
-fn always(plan: ResponsePlan) -> Backend {
+fn backend_with(plan: ResponsePlan) -> Backend {
     Backend::new(move |_| plan.clone())
 }
 
 #[test]
 fn forwards_a_request_unchanged_and_once() {
-    let backend = always(ResponsePlan::Respond(ok("seated")));
+    let backend = backend_with(ResponsePlan::Respond(ok("seated")));
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
-    let answer = node.request(&post(
+    let response = node.request(&post(
         "join",
         "a1b2",
         "Idempotency-Key: k-77\r\nX-Budget-Ms-Not: 1\r\n",
         "lobby",
     ));
     assert_eq!(
-        (answer.status(), answer.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, b"seated".as_slice())
     );
     let got = backend.next_request();
@@ -34,15 +34,15 @@
         panic!("one budget: {got:?}")
     };
     assert!(budget.parse::<u64>().unwrap() <= 3000, "{budget}");
-    let answer = node.request(&get("a1b3", ""));
-    assert_eq!(answer.status(), 200);
+    let response = node.request(&get("a1b3", ""));
+    assert_eq!(response.status(), 200);
     assert_eq!(backend.next_request().start_line, "GET /api?x=1 HTTP/1.1");
     assert_eq!(backend.take_request_count(), 0);
 }
 
 #[test]
 fn a_bad_request_gets_400_and_reaches_no_backend() {
-    let backend = always(ResponsePlan::Respond(ok("no")));
+    let backend = backend_with(ResponsePlan::Respond(ok("no")));
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let key = "Idempotency-Key: k\r\n";
     let cases = [
@@ -79,11 +79,11 @@
     assert_eq!(backend.take_request_count(), 0);
 }
 
-/// Each of these may have run. An unsafe call then gets no other attempt and no refusal, which would tell the
-/// client that trying again does no harm.
+/// After each of these responses the request may have run. A non-idempotent request then gets neither a retry nor a 503,
+/// which would tell the client that it may safely repeat the request.
 #[test]
 fn a_non_idempotent_request_that_may_have_run_fails() {
-    let spoilt = [
+    let invalid = [
         ResponsePlan::Respond(status(500, "")),
         ResponsePlan::Respond(status(503, "")),
         ResponsePlan::Respond(status(504, "X-Rejected: 0\r\n")),
@@ -100,11 +100,11 @@
         ResponsePlan::RespondAndClose("noise\r\n\r\n".to_owned()),
         ResponsePlan::Hang,
     ];
-    for (n, plan) in spoilt.into_iter().enumerate() {
-        let (first, second) = (always(plan.clone()), always(plan));
+    for (n, plan) in invalid.into_iter().enumerate() {
+        let (first, second) = (backend_with(plan.clone()), backend_with(plan));
         let (node, _discovery) = Node::start_with_backends(&[&first, &second]);
-        let answer = node.request(&post("pay", "u1", "", "").replace("3000", "700"));
-        assert_eq!(answer.status(), 502, "case {n}");
+        let response = node.request(&post("pay", "u1", "", "").replace("3000", "700"));
+        assert_eq!(response.status(), 502, "case {n}");
         assert_eq!(
             first.take_request_count() + second.take_request_count(),
             1,
@@ -113,10 +113,10 @@
     }
 }
 
-/// With neither a length nor chunks an answer is whole when its connection ends (RFC 9112, section 6.3), whether or not
-/// its server has announced that; a reset is no end. Half of these at least have to be forwarded: all are.
+/// A response with neither a length nor chunks ends when the backend closes the connection (RFC 9112, section 6.3), with
+/// or without `Connection: close`. A reset does not complete such a response.
 #[test]
-fn a_response_without_a_length_is_complete_at_the_end_of_its_connection() {
+fn a_response_without_a_length_ends_with_its_connection() {
     for head in [
         "HTTP/1.1 200 OK\r\n",
         "HTTP/1.1 200 OK\r\nConnection: keep-alive\r\n",
@@ -124,12 +124,12 @@
         "HTTP/1.0 200 OK\r\n",
     ] {
         let text = format!("{head}X-Load-Report: {{\"util\":0.5}}\r\n\r\nwhole");
-        let backend = always(ResponsePlan::RespondAndClose(text));
+        let backend = backend_with(ResponsePlan::RespondAndClose(text));
         let (node, _discovery) = Node::start_with_backends(&[&backend]);
         for n in 0..5 {
-            let answer = node.request(&post("pay", &format!("n{n}"), "", ""));
+            let response = node.request(&post("pay", &format!("n{n}"), "", ""));
             assert_eq!(
-                (answer.status(), answer.body.as_slice()),
+                (response.status(), response.body.as_slice()),
                 (200, b"whole".as_slice()),
                 "{head:?}"
             );
@@ -138,13 +138,14 @@
     }
 }
 
-/// Turned away it never ran, so even an unsafe call goes elsewhere, or is refused where there is nobody.
+/// A request that a backend rejected did not run: even a non-idempotent one is retried at another backend, or gets 503 if
+/// there is none.
 #[test]
-fn a_non_idempotent_request_that_never_ran_is_retried_elsewhere() {
-    let away = |code| always(ResponsePlan::Respond(status(code, "X-Rejected: 1\r\n")));
-    let serves = always(ResponsePlan::Respond(ok("paid")));
-    let (full, other) = (away(503), away(504));
-    let (node, _discovery) = Node::start_with_backends(&[&full, &serves]);
+fn a_non_idempotent_request_that_did_not_run_is_retried_at_another_backend() {
+    let rejecting = |code| backend_with(ResponsePlan::Respond(status(code, "X-Rejected: 1\r\n")));
+    let serves = backend_with(ResponsePlan::Respond(ok("paid")));
+    let (first, other) = (rejecting(503), rejecting(504));
+    let (node, _discovery) = Node::start_with_backends(&[&first, &serves]);
     for n in 0..8 {
         assert_eq!(
             node.request(&post("pay", &format!("p{n}"), "", ""))
@@ -157,15 +158,15 @@
     assert_eq!(node.request(&post("pay", "p9", "", "")).status(), 503);
 }
 
-/// A process that has died refuses connections: nothing ran, and the module tries another.
+/// A refused connection means that the request did not run, so it is sent to another backend.
 #[test]
-fn a_dead_backend_costs_no_request() {
-    let dead = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = dead.local_addr().unwrap();
-    drop(dead);
-    let serves = always(ResponsePlan::Respond(ok("paid")));
+fn a_backend_that_refuses_connections_fails_no_request() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let refused_address = listener.local_addr().unwrap();
+    drop(listener);
+    let serves = backend_with(ResponsePlan::Respond(ok("paid")));
     let discovery = Discovery::new(json!([
-        target("s-0", at, "Ready"),
+        target("s-0", refused_address, "Ready"),
         target("s-1", serves.address, "Ready")
     ]));
     let node = Node::start(&config(discovery.address, json!([])));
@@ -180,32 +181,32 @@
     assert_eq!(serves.take_request_count(), 8);
 }
 
-/// A silent backend must not hold a request past its client's time.
+/// A backend that does not respond must not hold a request beyond the client timeout.
 #[test]
-fn an_attempt_at_a_silent_backend_times_out() {
-    let backend = always(ResponsePlan::Hang);
+fn an_attempt_at_a_backend_that_does_not_respond_times_out() {
+    let backend = backend_with(ResponsePlan::Hang);
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
-    let answer = node.request(&get("s1", "").replace("3000", "200"));
-    assert_ne!(answer.status(), 200);
-    // Nothing that is left of it stands in the way of the next.
+    let response = node.request(&get("s1", "").replace("3000", "200"));
+    assert_ne!(response.status(), 200);
+    // The timed-out attempt does not block the next request.
     assert_ne!(
         node.request(&get("s2", "").replace("3000", "200")).status(),
         200
     );
 }
 
-/// The backend closes after each answer without saying so: the pooled connection is dead by the next send,
-/// and writing to it would turn an unsafe call into one that may have run.
+/// The backend closes after each response without announcing the close. Writing a non-idempotent request to such a pooled
+/// connection would leave unknown whether the request ran.
 #[test]
-fn a_connection_closed_while_idle_is_not_used() {
-    let backend = always(ResponsePlan::RespondAndClose(ok("paid")));
+fn a_connection_closed_while_idle_is_not_reused() {
+    let backend = backend_with(ResponsePlan::RespondAndClose(ok("paid")));
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let mut client = Client::connect(node.address);
     for n in 1..=20 {
-        let answer = client
+        let response = client
             .request(&post("pay", &format!("p{n}"), "", ""))
-            .expect("an answer");
-        assert_eq!(answer.status(), 200, "call {n}");
+            .expect("a response");
+        assert_eq!(response.status(), 200, "call {n}");
         wait_until("the node closes its end", || {
             backend.closed_by_node.load(Ordering::SeqCst) == n
         });
@@ -213,29 +214,28 @@
     assert_eq!(backend.connections.load(Ordering::SeqCst), 20);
 }
 
-/// Connections are used again: a new one costs the backend work.
 #[test]
 fn backend_connections_are_reused() {
-    let backend = always(ResponsePlan::Respond(ok("yes")));
+    let backend = backend_with(ResponsePlan::Respond(ok("yes")));
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let mut client = Client::connect(node.address);
     for n in 0..10 {
         assert_eq!(
             client
                 .request(&get(&format!("k{n}"), ""))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
             200
         );
-        // An answer's connection rests first.
+        // The connection is reused only after a short delay.
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
-    // Not one for each, however slow the machine is.
+    // Fewer than one connection per request, even on a slow machine.
     assert!(backend.connections.load(Ordering::SeqCst) <= 5);
 }
 
 #[test]
-fn a_load_report_of_any_shape_is_harmless() {
+fn an_invalid_load_report_fails_no_request() {
     for report in [
         "{\"util\":0.4}",
         "{\"util\":\"high\"}",
@@ -246,7 +246,7 @@
     ] {
         let text =
             format!("HTTP/1.1 200 OK\r\nX-Load-Report: {report}\r\nContent-Length: 2\r\n\r\nok");
-        let backend = always(ResponsePlan::Respond(text));
+        let backend = backend_with(ResponsePlan::Respond(text));
         let (node, _discovery) = Node::start_with_backends(&[&backend]);
         for n in 0..3 {
             assert_eq!(
@@ -258,14 +258,14 @@
     }
 }
 
-/// A client that hangs up must leave nothing behind that the node trips over, nor be answered by mistake.
+/// The late response to a cancelled request must not be sent to another client.
 #[test]
 fn a_request_is_cancelled_when_its_client_disconnects() {
     let latch = Arc::new(Latch::default());
     let first = AtomicBool::new(true);
-    let waits = latch.clone();
+    let backend_latch = latch.clone();
     let backend = Backend::new(move |_| match first.swap(false, Ordering::SeqCst) {
-        true => ResponsePlan::RespondAfter(waits.clone(), ok("late")),
+        true => ResponsePlan::RespondAfter(backend_latch.clone(), ok("late")),
         false => ResponsePlan::Respond(ok("yes")),
     });
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
@@ -274,21 +274,21 @@
     assert_eq!(backend.next_request().value("x-call-id"), Some("g1"));
     drop(client);
     latch.release();
-    let answer = node.request(&get("g2", ""));
+    let response = node.request(&get("g2", ""));
     assert_eq!(
-        (answer.status(), answer.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, b"yes".as_slice())
     );
     assert_eq!(backend.next_request().value("x-call-id"), Some("g2"));
     assert_eq!(backend.take_request_count(), 0);
 }
 
-/// A spoilt answer is a failed attempt that may have run; its connection is of no further use, and the request
-/// is not left waiting for what will never come.
+/// An invalid response is a failed attempt whose request may have run. The node closes the connection and retries without
+/// waiting for the attempt to time out.
 #[test]
-fn an_invalid_response_is_abandoned_at_once_and_retried_elsewhere() {
+fn an_invalid_response_is_abandoned_at_once_and_its_request_retried() {
     let lines = "X-Pad: pppppppppppppppp\r\n";
-    let spoilt = [
+    let invalid = [
         "\u{1}\u{2}noise\r\n\r\n".to_owned(),
         "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nno".to_owned(),
         "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nno".to_owned(),
@@ -305,7 +305,7 @@
         "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n".to_owned(),
         "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 50\r\n\r\nshort".to_owned(),
     ];
-    for (n, text) in spoilt.into_iter().enumerate() {
+    for (n, text) in invalid.into_iter().enumerate() {
         let first = Arc::new(AtomicBool::new(true));
         let plan = move |_: &Message| match first.swap(false, Ordering::SeqCst) {
             true => ResponsePlan::Respond(text.clone()),
@@ -313,11 +313,11 @@
         };
         let backend = Backend::new(plan);
         let (node, _discovery) = Node::start_with_backends(&[&backend]);
-        // The connection stays open on the backend's side: only the node can end the wait. Most of the
-        // client's time is left for the other attempt.
-        let answer = node.request(&get("s1", ""));
+        // The backend keeps the connection open, so the node has to detect the invalid response by itself. Most of the
+        // client timeout remains for the retry.
+        let response = node.request(&get("s1", ""));
         assert_eq!(
-            (answer.status(), answer.body.as_slice()),
+            (response.status(), response.body.as_slice()),
             (200, b"good".as_slice()),
             "case {n}"
         );
@@ -325,65 +325,64 @@
     }
 }
 
-/// What comes behind a good answer spoils neither that one nor the next.
 #[test]
-fn bytes_after_a_response_are_not_a_response() {
-    for behind in [
+fn extra_bytes_after_a_response_are_not_taken_for_the_next_response() {
+    for extra_bytes in [
         ok("mine"),
         "noise".to_owned(),
         "HTTP/1.1 200 OK\r\n".to_owned(),
     ] {
         let backend = Backend::new(move |message| ResponsePlan::RespondWithExtraBytes {
             response: ok(message.value("x-call-id").unwrap_or_default()),
-            extra: behind.clone(),
+            extra: extra_bytes.clone(),
         });
         let (node, _discovery) = Node::start_with_backends(&[&backend]);
         let mut client = Client::connect(node.address);
         for n in 0..6 {
-            let answer = client
+            let response = client
                 .request(&get(&format!("w{n}"), ""))
-                .expect("an answer");
+                .expect("a response");
             assert_eq!(
-                (answer.status(), answer.body),
+                (response.status(), response.body),
                 (200, format!("w{n}").into_bytes())
             );
         }
     }
 }
 
-/// Interim answers announce the real one, which may take its time.
+/// The final response may follow long after the interim (1xx) responses.
 #[test]
 fn interim_responses_are_skipped() {
     let interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
     let latch = Arc::new(Latch::default());
-    let waits = latch.clone();
+    let backend_latch = latch.clone();
     let backend = Backend::new(move |_| ResponsePlan::RespondInTwoParts {
         first: interim.to_owned(),
-        latch: waits.clone(),
+        latch: backend_latch.clone(),
         second: ok("real"),
     });
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let mut client = Client::connect(node.address);
     client.write(&post("pay", "i1", "", ""));
     backend.next_request();
-    // Longer than an answer that has begun may take to become whole.
+    // Longer than a response that has begun may take to become complete.
     std::thread::sleep(std::time::Duration::from_millis(300));
     latch.release();
-    let answer = client.read().expect("an answer");
+    let response = client.read().expect("a response");
     assert_eq!(
-        (answer.status(), answer.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, b"real".as_slice())
     );
 }
 
-/// Requests that backends turn away as bad must not put good backends out of service.
+/// Responses with status 400 do not count against the backend.
 #[test]
 fn bad_requests_eject_no_backend() {
     let backend = Backend::new(|message| match message.value("x-call-id") {
         Some(id) if id.starts_with("bad") => ResponsePlan::Respond(status(400, "")),
         _ => ResponsePlan::Respond(ok("yes")),
     });
-    let other = always(ResponsePlan::Respond(status(400, "")));
+    let other = backend_with(ResponsePlan::Respond(status(400, "")));
     let (node, _discovery) = Node::start_with_backends(&[&backend, &other]);
     for n in 0..40 {
         assert_ne!(node.request(&get(&format!("bad{n}"), "")).status(), 200);
@@ -391,13 +390,13 @@
     assert!(!node.has_logged("ejected"));
 }
 
-/// Clients with little time must not cost a handshake each: the late answer frees the connection.
+/// After a client timeout the late response is read and the connection is reused, which saves a handshake.
 #[test]
 fn a_late_response_leaves_its_connection_usable() {
     let (latch, first) = (Arc::new(Latch::default()), AtomicBool::new(true));
-    let waits = latch.clone();
+    let backend_latch = latch.clone();
     let backend = Backend::new(move |_| match first.swap(false, Ordering::SeqCst) {
-        true => ResponsePlan::RespondAfter(waits.clone(), ok("late")),
+        true => ResponsePlan::RespondAfter(backend_latch.clone(), ok("late")),
         false => ResponsePlan::Respond(ok("good")),
     });
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
@@ -411,10 +410,10 @@
     assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
 }
 
-/// Some networks forget a quiet connection and tell nobody. The node learns after what time, and opens a new
-/// one rather than have a request reset.
+/// Some networks drop idle connections silently. The node learns the idle time after which requests are reset, and opens
+/// new connections instead of reusing older ones.
 #[test]
-fn connections_are_not_reused_after_an_idle_time_that_resets_them() {
+fn connections_are_not_reused_after_an_idle_time_that_causes_resets() {
     let (opened, seen, broken) = (
         Arc::new(OnceLock::<Arc<AtomicU32>>::new()),
         AtomicU32::new(0),
@@ -436,16 +435,16 @@
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let mut client = Client::connect(node.address);
     for n in 0..14 {
-        let answer = client
+        let response = client
             .request(&get(&format!("q{n}"), ""))
-            .expect("an answer");
+            .expect("a response");
         assert_eq!(
-            (answer.status(), answer.body.as_slice()),
+            (response.status(), response.body.as_slice()),
             (200, b"yes".as_slice())
         );
         std::thread::sleep(std::time::Duration::from_millis(150));
     }
-    // Three resets tell, for each class of rests; a slow machine may come to know two.
+    // The node needs three resets for each range of idle times; on a slow machine two ranges may occur.
     let broken = broken.load(Ordering::SeqCst);
     assert!((1..=8).contains(&broken), "{broken} of 14 were reset");
 }
--- a/daemon/tests/shutdown.rs
+++ b/daemon/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! What is still owed when a node ends: requests that come as it shuts its side, and answers on their way.
+//! Graceful shutdown: requests that arrive while the node stops accepting, and responses still in transit.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -7,13 +7,15 @@
 use badgerpost_fakes::scripted::*;
 use serde_json::json;
 
-fn stopping(node: &Node) {
+fn begin_shutdown(node: &Node) {
     node.signal("-TERM");
-    wait_until("the node has heard", || node.has_logged("stopping node="));
+    wait_until("the shutdown is logged", || {
+        node.has_logged("stopping node=")
+    });
 }
 
-/// A node whose one backend hangs, and whose clients wait for 1.5 s at most.
-fn hanging() -> (Node, Backend) {
+/// Starts a node with a single backend that never responds, and class deadlines of 1.5 s.
+fn start_node_with_hanging_backend() -> (Node, Backend) {
     let backend = Backend::new(|_| ResponsePlan::Hang);
     let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
     let mut config = config(discovery.address, json!([]));
@@ -25,23 +27,25 @@
     (node, backend)
 }
 
-/// Two requests in one read: the answer to the first must not end a connection on which another has been read. It did,
-/// and the second request was dropped.
+/// Guards against closing a connection after a response while a further request on this connection has already been
+/// read.
 #[test]
-fn a_request_read_together_with_another_is_answered_during_shutdown() {
+fn pipelined_requests_read_at_once_are_all_answered_during_shutdown() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let (mut node, _discovery) = Node::start_with_backends(&[&backend]);
     let mut client = Client::connect(node.address);
     assert_eq!(
-        client.request(&get("r0", "")).expect("an answer").status(),
+        client.request(&get("r0", "")).expect("a response").status(),
         200
     );
-    stopping(&node);
+    begin_shutdown(&node);
     client.write(&(get("r1", "") + &get("r2", "") + &post("pay", "r3", "", "last")));
     for (n, closes) in [(1, false), (2, false), (3, true)] {
-        let answer = client.read().unwrap_or_else(|| panic!("an answer to r{n}"));
+        let response = client
+            .read()
+            .unwrap_or_else(|| panic!("a response to r{n}"));
         assert_eq!(
-            (answer.status(), answer.value("connection").is_some()),
+            (response.status(), response.value("connection").is_some()),
             (200, closes),
             "r{n}"
         );
@@ -51,25 +55,25 @@
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-/// A client that rests until the node ends its connection writes in that very moment. Nothing of that is read, and the
-/// connection is not reset under it: the client can tell that nobody has taken its request.
+/// A client sends a request while the node closes the idle connection. The node forwards nothing and closes without a
+/// reset, so the client can tell that the request was not processed.
 #[test]
-fn an_idle_connection_is_not_reset_under_a_request_that_crosses_its_close() {
+fn an_idle_connection_closed_at_shutdown_is_not_reset_by_a_late_request() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let mut stream = TcpStream::connect(node.address).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(get("c0", "").as_bytes()).unwrap();
-    let mut answer = [0; 4096];
-    assert!(stream.read(&mut answer).unwrap() > 0);
-    stopping(&node);
-    assert_eq!(stream.read(&mut answer).unwrap(), 0, "its end");
+    let mut response = [0; 4096];
+    assert!(stream.read(&mut response).unwrap() > 0);
+    begin_shutdown(&node);
+    assert_eq!(stream.read(&mut response).unwrap(), 0, "end of stream");
     let began = Instant::now();
-    // A reset shows at the next write or read.
+    // A reset is reported by the next write or read.
     while began.elapsed() < Duration::from_millis(200) {
         stream
             .write_all(get("c1", "").as_bytes())
-            .expect("not reset");
+            .expect("the connection was reset");
         assert_eq!(
             stream.take_error().unwrap().map(|error| error.kind()),
             None::<ErrorKind>
@@ -79,15 +83,15 @@
     assert_eq!(
         backend.take_request_count(),
         1,
-        "and nothing of it was sent on"
+        "only the first request is forwarded"
     );
 }
 
-/// SIGKILL comes 0.7 s behind the longest deadline at the soonest. A request whose last byte comes late has no more time
-/// than that, also where no backend answers: the node ended while it was still open.
+/// SIGKILL follows SIGTERM after the longest deadline plus 0.7 s. A request that is completed late in the shutdown gets a
+/// response before that, even if the backend does not respond.
 #[test]
-fn a_request_completed_at_the_last_moment_is_answered_before_the_end() {
-    let (mut node, _backend) = hanging();
+fn a_request_completed_late_in_the_shutdown_is_answered_before_the_exit() {
+    let (mut node, _backend) = start_node_with_hanging_backend();
     let text = post("pay", "late", "", "0123456789");
     let mut client = Client::connect(node.address);
     client.write(&text[..text.len() - 1]);
@@ -97,17 +101,17 @@
         200
     );
     let began = Instant::now();
-    stopping(&node);
-    wait_until("no more connections are taken", || {
+    begin_shutdown(&node);
+    wait_until("new connections are refused", || {
         TcpStream::connect(node.address).is_err()
     });
-    // The longest deadline from here on ends behind SIGKILL.
-    wait_until("it is late", || {
+    // The longest deadline, counted from now, ends after SIGKILL.
+    wait_until("one second has passed", || {
         began.elapsed() > Duration::from_millis(1000)
     });
     client.write(&text[text.len() - 1..]);
-    let answer = client.read().expect("an answer");
-    assert_eq!(answer.status(), 502, "it may have run");
+    let response = client.read().expect("a response");
+    assert_eq!(response.status(), 502, "the request may have run");
     drop(client);
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
     assert!(
@@ -117,13 +121,12 @@
     );
 }
 
-/// Backends that hang, and requests on connections that are taken until the end: each gets its one answer.
+/// Connections accepted until the listener closes: each request gets exactly one response.
 #[test]
-fn every_request_accepted_while_backends_hang_is_answered_before_the_end() {
-    let (mut node, _backend) = hanging();
-    stopping(&node);
+fn every_request_accepted_while_backends_hang_is_answered_before_the_exit() {
+    let (mut node, _backend) = start_node_with_hanging_backend();
+    begin_shutdown(&node);
     let mut open = Vec::new();
-    // For as long as somebody takes them.
     while let Ok(mut stream) = TcpStream::connect(node.address) {
         let id = format!("h{}", open.len());
         if stream.write_all(get(&id, "").as_bytes()).is_ok() {
@@ -131,44 +134,52 @@
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(open.len() > 5, "{} were taken", open.len());
-    let answers = open.into_iter().map(|mut stream| {
+    assert!(
+        open.len() > 5,
+        "only {} connections were accepted",
+        open.len()
+    );
+    let responses = open.into_iter().map(|mut stream| {
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut text = String::new();
         let _ = stream.read_to_string(&mut text);
         text
     });
-    let answers: Vec<String> = answers.collect();
-    // The very last ones may have been connected to a queue that nobody looked at any more: they were reset unread.
-    let bare = answers
+    let responses: Vec<String> = responses.collect();
+    // The last connection may have been reset in the accept queue as the listener closed.
+    let unanswered = responses
         .iter()
         .rev()
         .take_while(|text| text.is_empty())
         .count();
-    assert!(bare <= 1, "{bare} of {} got no answer", answers.len());
-    for text in &answers[..answers.len() - bare] {
+    assert!(
+        unanswered <= 1,
+        "{unanswered} of {} got no response",
+        responses.len()
+    );
+    for text in &responses[..responses.len() - unanswered] {
         assert!(text.starts_with("HTTP/1.1 5"), "{text:?}");
         assert_eq!(text.matches("HTTP/1.1 ").count(), 1, "{text}");
     }
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-/// Half a request line is told that the node ends, and the node does not wait for the rest.
+/// An incomplete request line gets 503 or a close; the node does not wait for the rest.
 #[test]
-fn half_a_request_line_does_not_keep_the_node_from_ending() {
+fn an_incomplete_request_line_does_not_delay_the_exit() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let (mut node, _discovery) = Node::start_with_backends(&[&backend]);
     let mut client = Client::connect(node.address);
     assert_eq!(
-        client.request(&get("l0", "")).expect("an answer").status(),
+        client.request(&get("l0", "")).expect("a response").status(),
         200
     );
     client.write("GET /api HT");
     assert_eq!(node.request(&get("l1", "")).status(), 200);
     let began = Instant::now();
-    stopping(&node);
-    if let Some(answer) = client.read() {
-        assert_eq!(answer.status(), 503);
+    begin_shutdown(&node);
+    if let Some(response) = client.read() {
+        assert_eq!(response.status(), 503);
     }
     assert!(client.is_closed());
     drop(client);
@@ -180,11 +191,11 @@
     );
 }
 
-/// Each request of a burst that has been read is owed its answer before SIGKILL, while the backends hang through the whole
-/// of the shutdown: also those that are read after no more connections are taken.
+/// Each pipelined request that was read gets a response before SIGKILL, including requests read after the listener closed,
+/// while the backend does not respond.
 #[test]
-fn a_burst_is_answered_before_the_end_while_backends_hang() {
-    let (mut node, backend) = hanging();
+fn pipelined_requests_are_answered_before_the_exit_while_backends_hang() {
+    let (mut node, backend) = start_node_with_hanging_backend();
     let burst: String = (0..30)
         .map(|n| post("pay", &format!("b{n}"), "", "0123456789").replace("3000", "1500"))
         .collect();
@@ -192,11 +203,11 @@
     client.write(&burst);
     assert_eq!(backend.next_request().value("x-call-id"), Some("b0"));
     let began = Instant::now();
-    stopping(&node);
+    begin_shutdown(&node);
     for n in 0..30 {
-        let answer = client.read();
-        let status = answer
-            .unwrap_or_else(|| panic!("an answer to b{n}"))
+        let response = client.read();
+        let status = response
+            .unwrap_or_else(|| panic!("a response to b{n}"))
             .status();
         assert_eq!(status, if n == 0 { 502 } else { 503 }, "b{n}");
     }
@@ -208,12 +219,12 @@
     assert_eq!(
         backend.take_request_count(),
         0,
-        "only the first one was forwarded"
+        "only the first request is forwarded"
     );
 }
 
-/// A client may take two seconds for a head. One that has begun before SIGTERM is answered, also when the head becomes
-/// whole after no more connections are taken, and whatever deadline its class has: SIGKILL comes 3.7 s after SIGTERM.
+/// A head that was begun before SIGTERM and completed after the listener closed is answered before SIGKILL, 3.7 s after
+/// SIGTERM, even if the deadline of its class is longer.
 #[test]
 fn a_head_completed_during_the_shutdown_is_answered_before_sigkill() {
     let backend = Backend::new(|_| ResponsePlan::Hang);
@@ -230,25 +241,25 @@
     client.write(first);
     std::thread::sleep(Duration::from_millis(100));
     let began = Instant::now();
-    stopping(&node);
+    begin_shutdown(&node);
     std::thread::sleep(Duration::from_millis(1200));
     client.write(rest);
-    let answer = client.read().expect("an answer");
-    assert!(answer.status() >= 500, "{answer:?}");
+    let response = client.read().expect("a response");
+    assert!(response.status() >= 500, "{response:?}");
     let took = began.elapsed();
     assert!(took < Duration::from_millis(3700), "{took:?}");
 }
 
-/// Half a head that never becomes whole is answered too: it has been read.
+/// A head that is begun before SIGTERM and never completed is answered with 503.
 #[test]
-fn half_a_head_is_answered_before_the_node_ends() {
-    let (mut node, _backend) = hanging();
+fn an_incomplete_head_is_answered_before_the_exit() {
+    let (mut node, _backend) = start_node_with_hanging_backend();
     let mut client = Client::connect(node.address);
     client.write("GET /api HTTP/1.1\r\nX-Call-Id: half");
     std::thread::sleep(Duration::from_millis(100));
     let began = Instant::now();
-    stopping(&node);
-    assert_eq!(client.read().expect("an answer").status(), 503);
+    begin_shutdown(&node);
+    assert_eq!(client.read().expect("a response").status(), 503);
     assert!(client.is_closed());
     let took = began.elapsed();
     assert!(took < Duration::from_millis(2200), "{took:?}");
@@ -256,9 +267,9 @@
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-/// Signals in series, while requests are open: each is answered, and the node ends once.
+/// Repeated SIGHUP, SIGTERM and SIGINT during open requests: each request is answered, and the node shuts down once.
 #[test]
-fn signals_in_series_lose_no_request() {
+fn repeated_signals_lose_no_request() {
     let backend = Backend::new(|_| {
         std::thread::sleep(Duration::from_millis(400));
         ResponsePlan::Respond(ok("yes"))
@@ -278,20 +289,19 @@
             std::thread::sleep(Duration::from_millis(20));
         }
         for (n, client) in open.iter_mut().enumerate() {
-            let answer = client
+            let response = client
                 .read()
-                .unwrap_or_else(|| panic!("an answer to s{round}-{n}"));
-            assert_eq!(answer.status(), 200, "s{round}-{n}");
+                .unwrap_or_else(|| panic!("a response to s{round}-{n}"));
+            assert_eq!(response.status(), 200, "s{round}-{n}");
         }
     }
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
     assert_eq!(node.log_count("stopping node="), 1);
 }
 
-/// The last answer has left before the process is gone, also to a client that reads late: a close over what it has not
-/// read yet would take it away.
+/// Guards against a reset on exit that discards a response which the client has not read yet.
 #[test]
-fn the_last_response_reaches_a_client_that_reads_after_the_end() {
+fn the_last_response_reaches_a_client_that_reads_after_the_exit() {
     let body = "b".repeat(60_000);
     let text = ok(&body);
     let backend = Backend::new(move |_| ResponsePlan::Respond(text.clone()));
@@ -299,8 +309,8 @@
     let mut client = Client::connect(node.address);
     client.write(&get("last", ""));
     assert_eq!(backend.next_request().value("x-call-id"), Some("last"));
-    stopping(&node);
+    begin_shutdown(&node);
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
-    let answer = client.read().expect("an answer");
-    assert_eq!((answer.status(), answer.body.len()), (200, body.len()));
+    let response = client.read().expect("a response");
+    assert_eq!((response.status(), response.body.len()), (200, body.len()));
 }
