--- a/daemon/tests/lifecycle.rs
+++ b/daemon/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A node's start, its list of backends, and its end.
+//! Start, endpoint list updates, reconfiguration, shutdown and command line of a node.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -17,8 +17,8 @@
     Backend::new(move |_| ResponsePlan::Respond(ok(body)))
 }
 
-/// An address at which nobody listens.
-fn nowhere() -> std::net::SocketAddr {
+/// An address without a listener.
+fn unused_address() -> std::net::SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn starts_with_the_cached_list_while_discovery_is_down() {
+fn a_node_starts_with_the_cached_list_while_discovery_is_down() {
     let backend = serving("yes");
     let node = Node::start(&config(
-        nowhere(),
+        unused_address(),
         json!([target("s-0", backend.address, "Ready")]),
     ));
     assert_eq!(
@@ -40,10 +40,9 @@
     assert_eq!(node.request(&get("k1", "")).status(), 200);
 }
 
-/// A restart beside a list that comes late, or not at all: ready means that there is somebody to send to, and the wait for
-/// that is bounded, as nine in ten have to be ready within 10 s.
+/// A node reports ready once it has a backend in service, or after a timeout if discovery does not respond or lists none.
 #[test]
-fn is_ready_once_it_knows_a_backend_or_the_timeout_is_over() {
+fn a_node_is_ready_once_it_has_a_backend_or_its_start_timeout_is_over() {
     let ready = |node: &Node| {
         node.request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
             .status()
@@ -51,18 +50,24 @@
     let backend = serving("yes");
     let down = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start(&config(down.local_addr().unwrap(), json!([])));
-    assert_eq!(ready(&node), 503, "nobody to send to");
+    assert_eq!(ready(&node), 503, "there is no backend yet");
     let _discovery = Discovery::on_listener(down, json!([target("s-0", backend.address, "Ready")]));
-    wait_until("the list is there", || ready(&node) == 200);
+    wait_until("the list is received", || ready(&node) == 200);
     assert_eq!(node.request(&get("w1", "")).status(), 200);
 
     let began = std::time::Instant::now();
-    let alone = Node::start(&config(
-        nowhere(),
+    let node_without_backends = Node::start(&config(
+        unused_address(),
         json!([target("s-0", backend.address, "Terminating")]),
     ));
-    assert_eq!(ready(&alone), 503, "nobody that wants anything new");
-    wait_until("it has waited long enough", || ready(&alone) == 200);
+    assert_eq!(
+        ready(&node_without_backends),
+        503,
+        "the only backend is draining"
+    );
+    wait_until("the timeout is over", || {
+        ready(&node_without_backends) == 200
+    });
     assert!(
         began.elapsed() < std::time::Duration::from_secs(9),
         "{:?}",
@@ -98,9 +103,9 @@
     assert_eq!(node.request(&get("b9", "")).body, b"other");
 }
 
-/// Where discovery has to be asked, a call that failed is made again when the module asks for it.
+/// With discovery by polling, a failed call is repeated at the next poll.
 #[test]
-fn polls_again_after_a_failed_call() {
+fn discovery_is_polled_again_after_a_failed_call() {
     let backend = serving("yes");
     let discovery = Discovery::new(json!([]));
     discovery.set_response(1, "no list".to_owned());
@@ -138,7 +143,7 @@
 }
 
 #[test]
-fn follows_a_backend_whose_address_changes() {
+fn requests_follow_a_backend_whose_address_changes() {
     let (before, after) = (serving("before"), serving("after"));
     let (node, discovery) = Node::start_with_backends(&[&before]);
     assert_eq!(node.request(&get("e0", "")).body, b"before");
@@ -149,13 +154,13 @@
     }
 }
 
-/// At a planned restart requests go on coming: on connections from before, and on new ones.
+/// After SIGTERM requests are still accepted, on existing connections and on new ones.
 #[test]
-fn answers_every_request_before_it_ends_on_sigterm() {
+fn every_request_is_answered_before_the_exit_on_sigterm() {
     let latch = Arc::new(Latch::default());
-    let waits = latch.clone();
+    let backend_latch = latch.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
-        Some("slow") => ResponsePlan::RespondAfter(waits.clone(), ok("slow")),
+        Some("slow") => ResponsePlan::RespondAfter(backend_latch.clone(), ok("slow")),
         _ => ResponsePlan::Respond(ok("yes")),
     });
     let (mut node, _discovery) = Node::start_with_backends(&[&backend]);
@@ -165,74 +170,76 @@
         Client::connect(node.address),
     );
     assert_eq!(
-        idle.request(&get("i0", "")).expect("an answer").status(),
+        idle.request(&get("i0", "")).expect("a response").status(),
         200
     );
     assert_eq!(
-        kept.request(&get("k0", "")).expect("an answer").status(),
+        kept.request(&get("k0", "")).expect("a response").status(),
         200
     );
     slow.write(&get("slow", ""));
-    wait_until("the slow one is out", || {
+    wait_until("the slow request reaches the backend", || {
         backend
             .requests
             .try_iter()
             .any(|m| m.value("x-call-id") == Some("slow"))
     });
     node.signal("-TERM");
-    wait_until("the node has heard", || node.has_logged("stopping node="));
+    wait_until("the shutdown is logged", || {
+        node.has_logged("stopping node=")
+    });
     for (id, client) in [("a1", kept), ("a2", Client::connect(node.address))] {
         let mut client = client;
-        let answer = client
+        let response = client
             .request(&get(id, ""))
-            .expect("an answer after the signal");
-        assert_eq!(answer.status(), 200);
-        assert_eq!(answer.value("connection"), Some("close"));
+            .expect("a response after the signal");
+        assert_eq!(response.status(), 200);
+        assert_eq!(response.value("connection"), Some("close"));
         assert!(
             client.read().is_none(),
-            "the connection ends with its answer"
+            "the connection is closed after its response"
         );
     }
     assert!(idle.read().is_none(), "an idle connection is closed");
     latch.release();
-    let answer = slow.read().expect("the slow one is answered");
+    let response = slow.read().expect("a response to the slow request");
     assert_eq!(
-        (answer.status(), answer.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, b"slow".as_slice())
     );
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-/// The next life binds the address at once, with the last one's connections still in the system's tables.
+/// A new process binds the address while connections of the killed one are still in the kernel's tables.
 #[test]
 fn a_restarted_node_binds_its_address_at_once() {
     let backend = serving("yes");
     let known = json!([target("s-0", backend.address, "Ready")]);
-    let mut node = Node::start(&config(nowhere(), known.clone()));
+    let mut node = Node::start(&config(unused_address(), known.clone()));
     let mut client = Client::connect(node.address);
     assert_eq!(
-        client.request(&get("r0", "")).expect("an answer").status(),
+        client.request(&get("r0", "")).expect("a response").status(),
         200
     );
     node.child.kill().unwrap();
     node.child.wait().unwrap();
-    let mut again = config(nowhere(), known);
-    again["listen"] = json!(node.address.to_string());
-    let next = Node::start(&again);
+    let mut next_config = config(unused_address(), known);
+    next_config["listen"] = json!(node.address.to_string());
+    let next = Node::start(&next_config);
     assert_eq!(next.address, node.address);
     assert_eq!(next.request(&get("r1", "")).status(), 200);
 }
 
 #[test]
-fn an_invalid_configuration_is_one_line_and_an_exit_code() {
-    let good = config(nowhere(), json!([]));
+fn an_invalid_configuration_prints_one_line_and_exits_with_an_error() {
+    let is_valid = config(unused_address(), json!([]));
     let without = |field: &str| {
-        let mut config = good.clone();
+        let mut config = is_valid.clone();
         config.as_object_mut().unwrap().remove(field);
         config.to_string()
     };
     let with = |field: &str, value: serde_json::Value| {
-        let mut config = good.clone();
+        let mut config = is_valid.clone();
         config[field] = value;
         config.to_string()
     };
@@ -247,38 +254,41 @@
     ];
     for text in texts {
         let NodeProcess { mut child, .. } = spawn(&text);
-        let mut said = String::new();
+        let mut output = String::new();
         child
             .stderr
             .take()
             .unwrap()
-            .read_to_string(&mut said)
+            .read_to_string(&mut output)
             .unwrap();
         assert!(!child.wait().unwrap().success(), "{text}");
         assert!(
-            said.starts_with("badgerpost: ") && said.lines().count() == 1,
-            "{said:?}"
+            output.starts_with("badgerpost: ") && output.lines().count() == 1,
+            "{output:?}"
         );
     }
 }
 
-/// With few descriptors the node goes on serving those it has, and takes the rest as they come free.
+/// At the descriptor limit the node keeps serving open connections, and accepts more once descriptors are free.
 #[test]
-fn more_clients_than_descriptors_are_served_in_turn() {
+fn clients_beyond_the_descriptor_limit_are_served_once_connections_close() {
     let backend = serving("yes");
-    let mut config = config(nowhere(), json!([target("s-0", backend.address, "Ready")]));
-    // Sixteen of these are for clients.
+    let mut config = config(
+        unused_address(),
+        json!([target("s-0", backend.address, "Ready")]),
+    );
+    // Sixteen of the sockets are for client connections.
     config["limits"]["sockets"] = json!(50);
     let node = Node::start(&config);
     let at = node.address;
     let mut clients: Vec<Client> = Vec::new();
-    // Each has asked before the next one comes: a silent one would have to make room.
+    // Each client sends a request before the next one connects: a connection without a request would be evicted.
     for n in 0..16 {
         clients.push(Client::connect(at));
         assert_eq!(
             clients[n]
                 .request(&get(&format!("c{n}"), ""))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
             200
         );
@@ -286,16 +296,16 @@
     let last = thread::spawn(move || {
         Client::connect(at)
             .request(&get("last", ""))
-            .expect("an answer")
+            .expect("a response")
             .status()
     });
     clients.clear();
     assert_eq!(last.join().unwrap(), 200);
 }
 
-/// The watch moves at once, and versions of the old address mean nothing at the new one.
+/// The watch moves at once and starts without a version: versions of the old address are not valid at the new one.
 #[test]
-fn sighup_moves_the_watch_to_another_discovery_address() {
+fn sighup_moves_the_watch_to_the_new_discovery_address() {
     let (old, new) = (serving("old"), serving("new"));
     let (mut node, first) = Node::start_with_backends(&[&old]);
     first.set_response(
@@ -311,7 +321,7 @@
         "GET /registry/instances HTTP/1.1"
     );
     assert_eq!(node.request(&get("h0", "")).body, b"new");
-    // Once more, and out: a signal of one kind must not deafen the node to the other.
+    // SIGTERM is still handled after a second SIGHUP.
     node.reconfigure(&config(first.address, json!([])).to_string());
     node.signal("-TERM");
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
@@ -328,7 +338,7 @@
         .enumerate()
     {
         node.reconfigure(&text);
-        wait_until("it is logged", || {
+        wait_until("the rejected configuration is logged", || {
             node.log_count("the old one stays") == n + 1
         });
         assert_eq!(node.request(&get(&format!("u{n}"), "")).status(), 200);
@@ -339,7 +349,7 @@
     assert_eq!(
         node.request(&get("u8", "")).body,
         b"other",
-        "the old watch goes on"
+        "the old watch is still in use"
     );
     let bad = Discovery::new(json!([]));
     bad.set_response(1, "{".to_owned());
@@ -350,8 +360,7 @@
     assert_eq!(node.request(&get("u9", "")).body, b"other");
 }
 
-/// Two new configurations within one call that discovery is slow to answer: what the addresses before answer later counts
-/// no more.
+/// The discovery address is changed twice while calls to the earlier addresses are open: their late responses are ignored.
 #[test]
 fn late_responses_of_earlier_discovery_addresses_are_ignored() {
     let (old, stale, new) = (serving("old"), serving("stale"), serving("new"));
@@ -361,14 +370,14 @@
     };
     let latch = Arc::new(Latch::default());
     let first_list = list(&old, "s-0");
-    let (waits, late_list) = (latch.clone(), list(&stale, "s-1"));
+    let (backend_latch, late_list) = (latch.clone(), list(&stale, "s-1"));
     let first = Backend::new(move |message| match message.start_line.contains("from=") {
         false => ResponsePlan::Respond(first_list.clone()),
-        true => ResponsePlan::RespondAfter(waits.clone(), late_list.clone()),
+        true => ResponsePlan::RespondAfter(backend_latch.clone(), late_list.clone()),
     });
-    let (waits, late_list) = (latch.clone(), list(&stale, "s-2"));
+    let (backend_latch, late_list) = (latch.clone(), list(&stale, "s-2"));
     let second =
-        Backend::new(move |_| ResponsePlan::RespondAfter(waits.clone(), late_list.clone()));
+        Backend::new(move |_| ResponsePlan::RespondAfter(backend_latch.clone(), late_list.clone()));
     let node = Node::start(&config(first.address, json!([])));
     first.next_request();
     first.next_request();
@@ -384,7 +393,6 @@
     }
 }
 
-/// What a newcomer sees first, and what an operator asks before a change.
 #[test]
 fn the_command_line_prints_its_usage() {
     let program = badgerpost_fakes::program("badgerpost").expect("built with its tests");
@@ -411,49 +419,55 @@
 }
 
 #[test]
-fn check_prints_what_would_run_and_what_is_invalid() {
+fn check_prints_the_effective_configuration_or_the_error() {
     let program = badgerpost_fakes::program("badgerpost").expect("built with its tests");
     let folder = std::env::temp_dir().join(format!("badgerpost-check-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let edge = folder.join("edge.json");
     let check = |known: serde_json::Value, own: &str| {
-        std::fs::write(&edge, config(nowhere(), known).to_string()).unwrap();
+        std::fs::write(&edge, config(unused_address(), known).to_string()).unwrap();
         let file = folder.join("own.toml");
         std::fs::write(&file, own).unwrap();
         let mut command = std::process::Command::new(&program);
-        let output = command
+        let result = command
             .args(["check", "--config"])
             .arg(&file)
             .env("EDGE_CONFIG", &edge)
             .output()
             .unwrap();
-        let said = String::from_utf8([output.stdout, output.stderr].concat()).unwrap();
-        (output.status.success(), said)
+        let output = String::from_utf8([result.stdout, result.stderr].concat()).unwrap();
+        (result.status.success(), output)
     };
-    let (good, said) = check(json!([]), "");
-    assert!(good && said.contains("clock: the system's"), "{said}");
+    let (is_valid, output) = check(json!([]), "");
+    assert!(
+        is_valid && output.contains("clock: the system's"),
+        "{output}"
+    );
     let stepped = "[rehearsal]\ncontrol = \"127.0.0.1:9\"\nstart_ns = 1\n";
-    let (good, said) = check(json!([]), stepped);
-    assert!(good && said.contains("STEPPED"), "{said}");
-    let (good, said) = check(json!([]), "\n[rehearsal]\ncontrl = 1\n");
+    let (is_valid, output) = check(json!([]), stepped);
+    assert!(is_valid && output.contains("STEPPED"), "{output}");
+    let (is_valid, output) = check(json!([]), "\n[rehearsal]\ncontrl = 1\n");
     assert!(
-        !good && said.contains("own.toml:3: contrl: unknown field `contrl`"),
-        "{said}"
+        !is_valid && output.contains("own.toml:3: contrl: unknown field `contrl`"),
+        "{output}"
     );
-    // A stepped clock goes with loopback addresses only.
-    let far = target("s-7", "192.0.2.1:9".parse().unwrap(), "Ready");
-    let (good, said) = check(json!([far]), stepped);
+    // A stepped clock is allowed with loopback addresses only.
+    let remote = target("s-7", "192.0.2.1:9".parse().unwrap(), "Ready");
+    let (is_valid, output) = check(json!([remote]), stepped);
     assert!(
-        !good && said.contains("s-7") && said.contains("loopback"),
-        "{said}"
+        !is_valid && output.contains("s-7") && output.contains("loopback"),
+        "{output}"
     );
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A log that a program reads: each line is an object, and what varies stands in fields.
+/// Each line of a JSON log is an object; variable parts of a message are in fields.
 #[test]
 fn the_log_is_json_if_configured() {
-    let (edge, own) = (config(nowhere(), json!([])), "[log]\nformat = \"json\"\n");
+    let (edge, own) = (
+        config(unused_address(), json!([])),
+        "[log]\nformat = \"json\"\n",
+    );
     let file = std::env::temp_dir().join(format!("badgerpost-json-{}.toml", std::process::id()));
     std::fs::write(&file, own).unwrap();
     let NodeProcess {
@@ -464,22 +478,22 @@
     let (mut log, mut piece) = (String::new(), [0; 4096]);
     while !log.contains("asking discovery failed\"") {
         let read = stderr.read(&mut piece).unwrap();
-        assert!(read > 0, "the node ended: {log}");
+        assert!(read > 0, "the node exited: {log}");
         log += &String::from_utf8_lossy(&piece[..read]);
     }
     child.kill().unwrap();
     child.wait().unwrap();
-    let whole = log.lines().filter(|line| line.ends_with('}'));
-    let lines: Vec<serde_json::Value> = whole
+    let complete_lines = log.lines().filter(|line| line.ends_with('}'));
+    let lines: Vec<serde_json::Value> = complete_lines
         .map(|line| serde_json::from_str(line).expect(line))
         .collect();
-    let of = |message: &str| {
+    let fields_of = |message: &str| {
         lines
             .iter()
             .map(|line| &line["fields"])
             .find(|f| f["message"] == message)
     };
-    let serving = of("serving").expect("a line of its start");
+    let serving = fields_of("serving").expect("a log line of the start");
     assert_eq!(serving["node"], edge["name"]);
     assert!(
         serving["listen"]
@@ -487,7 +501,8 @@
             .is_some_and(|at| at.starts_with("127.0.0.1:")),
         "{serving}"
     );
-    let failed = of("asking discovery failed").expect("a line of its discovery");
+    let failed =
+        fields_of("asking discovery failed").expect("a log line of the failed discovery call");
     assert_eq!(
         (&failed["suppressed"], failed["at"].is_string()),
         (&json!(0), true),
