--- a/daemon/tests/early_responses.rs
+++ b/daemon/tests/early_responses.rs
@@ -1,5 +1,5 @@
-//! Responses that begin while their request is still being uploaded: the client gets all of them, whenever it reads, and
-//! the backend is not blamed for them.
+//! Responses that begin while their request is still being uploaded: the client gets the complete response whenever it
+//! reads, and the backend is not ejected.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -17,20 +17,20 @@
 use badgerpost_fakes::scripted::*;
 use serde_json::json;
 
-/// More than the system buffers between a node and a backend that does not read.
+/// More than the socket buffers hold between a node and a backend that does not read.
 const UPLOAD_BYTES: usize = 20_000_000;
 const LARGE_BODY_BYTES: usize = 200_000;
-/// The most that a node may hold resident while many large bodies are under way, in kB.
+/// Limit on the node's peak resident memory while many large bodies are in transit.
 const MAX_RESIDENT_KB: u64 = 48 * 1024;
 
 /// What a backend does once it has responded to the beginning of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Afterwards {
+enum AfterResponse {
     /// Keeps the connection open and reads nothing more of an upload.
     StopsReading,
     /// Reads the rest of the request.
-    ReadsOn,
-    /// Closes the connection over what it has not read, which resets it.
+    KeepsReading,
+    /// Closes the connection with unread data, which resets the connection.
     Closes,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl EarlyBackend {
-    fn new(response: String, afterwards: Afterwards) -> Self {
+    fn new(response: String, after_response: AfterResponse) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let backend = Self {
             address: listener.local_addr().unwrap(),
@@ -56,7 +56,7 @@
                 let (response, requests, bytes_read) =
                     (response.clone(), requests.clone(), bytes_read.clone());
                 thread::spawn(move || {
-                    serve_early(stream, &response, afterwards, &requests, &bytes_read);
+                    serve_early(stream, &response, after_response, &requests, &bytes_read);
                 });
             }
         });
@@ -75,7 +75,7 @@
 fn serve_early(
     mut stream: TcpStream,
     response: &str,
-    afterwards: Afterwards,
+    after_response: AfterResponse,
     requests: &AtomicUsize,
     bytes_read: &AtomicUsize,
 ) {
@@ -84,16 +84,16 @@
         requests.fetch_add(1, Ordering::SeqCst);
         bytes_read.fetch_add(first, Ordering::SeqCst);
         let _ = stream.write_all(response.as_bytes());
-        match afterwards {
-            Afterwards::StopsReading if buffer.starts_with(b"GET ") => {}
-            Afterwards::StopsReading => return thread::sleep(Duration::from_secs(8)),
-            Afterwards::Closes => return,
-            Afterwards::ReadsOn => read_rest(&mut stream, &buffer[..first], bytes_read),
+        match after_response {
+            AfterResponse::StopsReading if buffer.starts_with(b"GET ") => {}
+            AfterResponse::StopsReading => return thread::sleep(Duration::from_secs(8)),
+            AfterResponse::Closes => return,
+            AfterResponse::KeepsReading => read_rest(&mut stream, &buffer[..first], bytes_read),
         }
     }
 }
 
-/// Reads the rest of a request whose head is among the first bytes of it.
+/// Reads the rest of a request; `first` holds the whole head.
 fn read_rest(stream: &mut TcpStream, first: &[u8], bytes_read: &AtomicUsize) {
     let text = String::from_utf8_lossy(first);
     let (head, body) = text.split_once("\r\n\r\n").expect("a head");
@@ -117,9 +117,9 @@
 
 /// When a client reads the response to its upload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reads {
-    WhileItSends,
-    AfterAllIsSent,
+enum ClientReads {
+    WhileSending,
+    AfterSending,
 }
 
 fn response_with_length(status: u16, body: &str) -> String {
@@ -147,24 +147,24 @@
     head + &chunk.repeat(UPLOAD_BYTES / 50_000) + "0\r\n\r\n"
 }
 
-/// The response to an upload; none where the connection ends first.
-fn upload(address: SocketAddr, text: String, reads: Reads) -> Option<Message> {
+/// Sends an upload and reads its response; `None` if the connection ends without one.
+fn upload(address: SocketAddr, text: String, client_reads: ClientReads) -> Option<Message> {
     let mut client = Client::connect(address);
     let mut stream = client.stream();
     let writing = thread::spawn(move || {
-        // The node may close its side before all is sent.
+        // The node may close the connection before the upload is complete.
         let _ = stream.write_all(text.as_bytes());
     });
-    if reads == Reads::AfterAllIsSent {
+    if client_reads == ClientReads::AfterSending {
         writing.join().unwrap();
         return client.read();
     }
     client.read()
 }
 
-/// Each form of response, on each form of upload, reaches clients that read at once and that read when all is sent.
+/// Checks every framing of responses and uploads, for clients that read while sending and for those that read afterwards.
 #[track_caller]
-fn check_that_clients_get_the_response(afterwards: Afterwards) {
+fn check_that_clients_get_the_response(after_response: AfterResponse) {
     let large = "x".repeat(LARGE_BODY_BYTES);
     let responses = [
         ("small", 200, response_with_length(200, "ok"), "ok"),
@@ -189,88 +189,88 @@
         .into_iter()
         .map(|(form, status, response, body)| {
             let body = body.to_owned();
-            thread::spawn(move || check_response(form, status, response, &body, afterwards))
+            thread::spawn(move || check_response(form, status, response, &body, after_response))
         })
         .collect();
-    let wrong: Vec<String> = checks
+    let failures: Vec<String> = checks
         .into_iter()
         .flat_map(|check| check.join().unwrap())
         .collect();
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// What is wrong with the responses that clients get.
+/// Describes each wrong, late or repeated response to an upload.
 fn check_response(
     form: &str,
     status: u16,
     response: String,
     body: &str,
-    afterwards: Afterwards,
+    after_response: AfterResponse,
 ) -> Vec<String> {
-    let backend = EarlyBackend::new(response, afterwards);
+    let backend = EarlyBackend::new(response, after_response);
     let (node, _discovery) = backend.start_node();
-    let mut wrong = Vec::new();
+    let mut failures = Vec::new();
     let mut requests = 0;
     for (framing, text) in [
         ("length", upload_with_length as fn(&str) -> String),
         ("chunks", upload_in_chunks),
     ] {
-        for reads in [Reads::WhileItSends, Reads::AfterAllIsSent] {
+        for client_reads in [ClientReads::WhileSending, ClientReads::AfterSending] {
             requests += 1;
             let began = Instant::now();
-            let answer = upload(node.address, text(&format!("r{requests}")), reads);
+            let response = upload(node.address, text(&format!("r{requests}")), client_reads);
             let took = began.elapsed();
-            let got = answer.map(|answer| (answer.status(), answer.body.len(), answer.body));
+            let got =
+                response.map(|response| (response.status(), response.body.len(), response.body));
             let is_right = got.as_ref().is_some_and(|(got_status, _, got_body)| {
                 *got_status == status && got_body == body.as_bytes()
             });
             if !is_right || took > Duration::from_secs(4) {
                 let got = got.map(|(status, length, _)| (status, length));
-                wrong.push(format!(
-                    "{form}, upload by {framing}, read {reads:?}: {got:?} in {took:?}"
+                failures.push(format!(
+                    "{form}, upload by {framing}, client reads {client_reads:?}: {got:?} in {took:?}"
                 ));
             }
         }
     }
     let attempts = backend.requests.load(Ordering::SeqCst);
     if attempts != requests {
-        wrong.push(format!(
+        failures.push(format!(
             "{form}: {attempts} attempts for {requests} requests"
         ));
     }
     if node.has_logged("server ejected") {
-        wrong.push(format!("{form}: the backend was ejected"));
+        failures.push(format!("{form}: the backend was ejected"));
     }
-    wrong
+    failures
 }
 
 #[test]
 fn the_response_of_a_backend_that_stops_reading_reaches_its_client() {
-    check_that_clients_get_the_response(Afterwards::StopsReading);
+    check_that_clients_get_the_response(AfterResponse::StopsReading);
 }
 
 #[test]
-fn the_response_of_a_backend_that_reads_on_reaches_its_client() {
-    check_that_clients_get_the_response(Afterwards::ReadsOn);
+fn the_response_of_a_backend_that_keeps_reading_reaches_its_client() {
+    check_that_clients_get_the_response(AfterResponse::KeepsReading);
 }
 
 #[test]
-fn the_response_of_a_backend_that_closes_at_once_reaches_its_client_as_far_as_it_came() {
-    let backend = EarlyBackend::new(response_with_length(413, "no"), Afterwards::Closes);
+fn a_backend_that_closes_after_an_early_response_yields_its_response_or_503() {
+    let backend = EarlyBackend::new(response_with_length(413, "no"), AfterResponse::Closes);
     let (node, _discovery) = backend.start_node();
-    // Its reset may overtake its response: then the request has not run, and may be repeated without harm.
+    // The reset may overtake the response. Then the request did not run, and 503 allows the client to repeat it.
     for n in 0..10 {
         let text = upload_with_length(&format!("r{n}"));
-        let answer = upload(node.address, text, Reads::AfterAllIsSent);
-        let status = answer.expect("an answer").status();
+        let response = upload(node.address, text, ClientReads::AfterSending);
+        let status = response.expect("a response").status();
         assert!([413, 503].contains(&status), "{status}");
     }
     assert!(!node.has_logged("server ejected"));
 }
 
-/// A response whose end did not come does not look complete, whatever the backend did to the upload.
 #[test]
-fn a_truncated_early_response_does_not_end_cleanly() {
+fn a_truncated_early_response_does_not_look_complete() {
     let half = "x".repeat(LARGE_BODY_BYTES / 2);
     let chunk = format!("{:x}\r\n{half}\r\n", half.len());
     let responses = [
@@ -279,7 +279,7 @@
         format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{half}"),
     ];
     for response in responses {
-        let backend = EarlyBackend::new(response, Afterwards::Closes);
+        let backend = EarlyBackend::new(response, AfterResponse::Closes);
         let (node, _discovery) = backend.start_node();
         let mut stream = TcpStream::connect(node.address).unwrap();
         let mut writer = stream.try_clone().unwrap();
@@ -297,18 +297,22 @@
 }
 
 #[test]
-fn a_backend_that_reads_on_gets_the_rest_of_the_upload() {
-    let backend = EarlyBackend::new(response_with_length(200, "ok"), Afterwards::ReadsOn);
+fn a_backend_that_keeps_reading_gets_the_rest_of_the_upload() {
+    let backend = EarlyBackend::new(response_with_length(200, "ok"), AfterResponse::KeepsReading);
     let (node, _discovery) = backend.start_node();
-    let answer = upload(node.address, upload_with_length("r1"), Reads::WhileItSends);
-    assert_eq!(answer.expect("an answer").status(), 200);
-    wait_until("the backend has read all of it", || {
+    let response = upload(
+        node.address,
+        upload_with_length("r1"),
+        ClientReads::WhileSending,
+    );
+    assert_eq!(response.expect("a response").status(), 200);
+    wait_until("the backend has read the whole upload", || {
         backend.bytes_read.load(Ordering::SeqCst) > UPLOAD_BYTES
     });
 }
 
-/// A backend that returns a body while it reads it.
-fn echo_as_it_reads() -> SocketAddr {
+/// Starts a backend that sends a request body back while receiving it.
+fn start_streaming_echo_backend() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -334,28 +338,31 @@
 }
 
 #[test]
-fn a_response_may_depend_on_the_rest_of_its_request() {
-    let address = echo_as_it_reads();
+fn a_backend_may_echo_an_upload_while_it_is_received() {
+    let address = start_streaming_echo_backend();
     let targets = json!([target("s-0", address, "Ready")]);
     let discovery = Discovery::new(targets.clone());
     let node = Node::start(&config(discovery.address, targets));
     for n in 0..3 {
         let text = upload_with_length(&format!("r{n}"));
-        let answer = upload(node.address, text, Reads::WhileItSends).expect("an answer");
-        assert_eq!((answer.status(), answer.body.len()), (200, UPLOAD_BYTES));
+        let response = upload(node.address, text, ClientReads::WhileSending).expect("a response");
+        assert_eq!(
+            (response.status(), response.body.len()),
+            (200, UPLOAD_BYTES)
+        );
     }
 }
 
-/// The connection that still has the rest of an upload before it is not used for another request.
+/// Guards against a request that is queued behind the unsent rest of an upload on the same connection.
 #[test]
-fn a_request_does_not_wait_behind_an_upload_that_was_responded_to() {
-    let backend = EarlyBackend::new(response_with_length(200, "ok"), Afterwards::StopsReading);
+fn a_connection_with_an_unfinished_upload_is_not_reused() {
+    let backend = EarlyBackend::new(response_with_length(200, "ok"), AfterResponse::StopsReading);
     let (node, _discovery) = backend.start_node();
     for n in 0..4 {
         let text = upload_in_chunks(&format!("u{n}"));
-        let answer = upload(node.address, text, Reads::WhileItSends);
-        assert_eq!(answer.expect("an answer").status(), 200);
-        // Kept connections rest for a moment before they are used again.
+        let response = upload(node.address, text, ClientReads::WhileSending);
+        assert_eq!(response.expect("a response").status(), 200);
+        // A kept connection is reused only after a short delay.
         thread::sleep(Duration::from_millis(30));
         let began = Instant::now();
         assert_eq!(node.request(&get(&format!("g{n}"), "")).status(), 200);
@@ -364,18 +371,17 @@
     }
 }
 
-/// An error of the backend's own is counted once, and as a failure of the request's.
 #[test]
-fn an_early_error_counts_as_one_failed_request_and_not_against_the_transport() {
-    let backend = EarlyBackend::new(response_with_length(413, "no"), Afterwards::StopsReading);
+fn an_early_error_counts_as_one_failed_request_and_not_as_a_connection_error() {
+    let backend = EarlyBackend::new(response_with_length(413, "no"), AfterResponse::StopsReading);
     let (node, _discovery) = backend.start_node();
     for n in 0..8 {
-        let answer = upload(
+        let response = upload(
             node.address,
             upload_with_length(&format!("r{n}")),
-            Reads::WhileItSends,
+            ClientReads::WhileSending,
         );
-        assert_eq!(answer.expect("an answer").status(), 413);
+        assert_eq!(response.expect("a response").status(), 413);
     }
     let value = |name: &str| metric(node.console(), name).expect("a metric");
     assert_eq!(value("node.transactions.pay.errored"), "8");
@@ -395,41 +401,44 @@
     value.unwrap().parse().unwrap()
 }
 
-/// Clients that stop, go on or leave within an upload that was responded to hold neither memory nor descriptors.
+/// Clients stall, disconnect or stop reading during an upload that already has a response.
 #[test]
 fn early_responses_leak_neither_memory_nor_descriptors() {
     let response = response_with_length(200, &"x".repeat(LARGE_BODY_BYTES));
-    let backend = EarlyBackend::new(response, Afterwards::StopsReading);
+    let backend = EarlyBackend::new(response, AfterResponse::StopsReading);
     let (node, _discovery) = backend.start_node();
-    let answer = upload(
+    let response = upload(
         node.address,
         upload_with_length("first"),
-        Reads::WhileItSends,
+        ClientReads::WhileSending,
     );
-    assert_eq!(answer.expect("an answer").status(), 200);
+    assert_eq!(response.expect("a response").status(), 200);
     let mut kept = Vec::new();
     for n in 0..30 {
         let client = Client::connect(node.address);
         let mut stream = client.stream();
         let text = upload_with_length(&format!("r{n}"));
         match n % 3 {
-            // Stops, and stays.
+            // Stalls within the upload, and keeps the connection open.
             0 => stream.write_all(&text.as_bytes()[..1_000_000]).unwrap(),
-            // Leaves at once.
+            // Disconnects within the upload.
             1 => {
                 let _ = stream.write_all(&text.as_bytes()[..200_000]);
                 stream.shutdown(Shutdown::Both).unwrap();
             }
-            // Sends all, and reads nothing.
+            // Sends the whole upload, and does not read the response.
             _ => drop(thread::spawn(move || stream.write_all(text.as_bytes()))),
         }
         kept.push(client);
     }
-    // The listeners, the watch and the log, and a connection or two to the backend.
+    // The remaining descriptors: listeners, watch, log, and one or two backend connections.
     wait_until("all connections have ended", || {
         open_descriptors(&node) < 20
     });
     let resident = peak_resident_kb(&node);
-    assert!(resident < MAX_RESIDENT_KB, "{resident} kB resident at most");
+    assert!(
+        resident < MAX_RESIDENT_KB,
+        "peak resident memory is {resident} kB"
+    );
     drop(kept);
 }
