--- a/daemon/tests/endpoint_list.rs
+++ b/daemon/tests/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! Changes of the list that discovery had and could tell, while the call that should have brought them comes to a bad
-//! end: each is in force within 6 s. What goes wrong begins with the first watch, and the change is there from then on.
+//! Endpoint list updates after failed discovery calls: an update that is available from the first watch on applies within
+//! 6 s, whichever way this watch and some calls after it fail.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -14,7 +14,7 @@
 use badgerpost_fakes::scripted::*;
 use serde_json::{Value, json};
 
-const TOLD_WITHIN: Duration = Duration::from_secs(6);
+const UPDATE_TIME_LIMIT: Duration = Duration::from_secs(6);
 
 fn serving(body: &'static str) -> Backend {
     Backend::new(move |_| ResponsePlan::Respond(ok(body)))
@@ -24,11 +24,11 @@
     json!({"rev": rev, "all": true, "targets": targets}).to_string()
 }
 
-/// How long a change takes to be in force where the first watch, and so many calls behind it, end like this.
-fn in_force_after(
-    bad: impl Fn() -> ResponsePlan + Send + Sync + 'static,
-    calls: usize,
-    asked: bool,
+/// The time until an update applies if the first `calls` calls after the initial one fail in this way.
+fn time_to_update_after_failures(
+    failure: impl Fn() -> ResponsePlan + Send + Sync + 'static,
+    failed_calls: usize,
+    is_polled: bool,
 ) -> Duration {
     let (old, new) = (serving("old"), serving("new"));
     let before = list(5, &[target("s-0", old.address, "Ready")]);
@@ -45,67 +45,70 @@
         let call = counted.fetch_add(1, Ordering::SeqCst);
         match call {
             0 => ResponsePlan::Respond(ok(&before)),
-            call if call <= calls => bad(),
-            // Nothing newer than that.
+            call if call <= failed_calls => failure(),
+            // There is no newer version.
             _ if message.start_line.contains("from=6") => ResponsePlan::Hang,
             _ => ResponsePlan::Respond(ok(&after)),
         }
     });
     let mut config = config(discovery.address, json!([]));
-    if asked {
+    if is_polled {
         config["settings"]["discovery"] = json!("on_request");
     }
     let node = Node::start(&config);
     wait_until("the first watch", || count.load(Ordering::SeqCst) >= 2);
-    until_new(&node)
+    time_until_new_backend_is_used(&node)
 }
 
-/// How long it takes until requests go to the new backend.
-fn until_new(node: &Node) -> Duration {
+/// The time until requests go to the new backend.
+fn time_until_new_backend_is_used(node: &Node) -> Duration {
     let began = Instant::now();
     let mut n = 0;
     while node.request(&get(&format!("u{n}"), "")).body != b"new" {
         n += 1;
-        assert!(began.elapsed() < TEST_TIMEOUT, "never");
+        assert!(
+            began.elapsed() < TEST_TIMEOUT,
+            "no request reached the new backend"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
     began.elapsed()
 }
 
-type Play = Box<dyn FnOnce() -> Duration + Send>;
+type Case = Box<dyn FnOnce() -> Duration + Send>;
 
-/// All at the same time, each with a node of its own.
-fn all_in_time(cases: Vec<(&'static str, Play)>) {
-    let plays: Vec<_> = cases
+/// Runs all cases in parallel, each with its own node.
+fn check_update_times(cases: Vec<(&'static str, Case)>) {
+    let running: Vec<_> = cases
         .into_iter()
-        .map(|(what, play)| (what, std::thread::spawn(play)))
+        .map(|(name, run)| (name, std::thread::spawn(run)))
         .collect();
-    for (what, play) in plays {
-        let took = play.join().unwrap();
-        assert!(took < TOLD_WITHIN, "{what}: {took:?}");
+    for (name, run) in running {
+        let took = run.join().unwrap();
+        assert!(took < UPDATE_TIME_LIMIT, "{name}: {took:?}");
     }
 }
 
-const HALF: &str = "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":6,\"all\":true,\"targets\":[{\"uid\":\"s-0\",\"end";
+const INCOMPLETE_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":6,\"all\":true,\"targets\":[{\"uid\":\"s-0\",\"end";
 
 #[test]
-fn a_pushed_update_is_in_force_in_time_however_the_call_failed() {
-    let case = |bad: fn() -> ResponsePlan, calls| -> Play {
-        Box::new(move || in_force_after(bad, calls, false))
+fn a_pushed_update_applies_in_time_after_failed_calls() {
+    let case = |failure: fn() -> ResponsePlan, failed_calls| -> Case {
+        Box::new(move || time_to_update_after_failures(failure, failed_calls, false))
     };
-    all_in_time(vec![
-        ("a watch falls silent", case(|| ResponsePlan::Hang, 1)),
-        ("and the call behind it too", case(|| ResponsePlan::Hang, 2)),
+    check_update_times(vec![
+        ("a watch is not answered", case(|| ResponsePlan::Hang, 1)),
+        ("two calls are not answered", case(|| ResponsePlan::Hang, 2)),
         (
-            "silent in mid-head",
+            "no more data within the head",
             case(
                 || ResponsePlan::Respond("HTTP/1.1 200 OK\r\nContent-Le".to_owned()),
                 1,
             ),
         ),
         (
-            "silent in mid-body",
-            case(|| ResponsePlan::Respond(HALF.to_owned()), 1),
+            "no more data within the body",
+            case(|| ResponsePlan::Respond(INCOMPLETE_RESPONSE.to_owned()), 1),
         ),
         (
             "reset",
@@ -116,15 +119,18 @@
             case(|| ResponsePlan::RespondAndClose(String::new()), 5),
         ),
         (
-            "ends in mid-body",
-            case(|| ResponsePlan::RespondAndClose(HALF.to_owned()), 3),
+            "closed within the body",
+            case(
+                || ResponsePlan::RespondAndClose(INCOMPLETE_RESPONSE.to_owned()),
+                3,
+            ),
         ),
         (
             "503 five times",
             case(|| ResponsePlan::Respond(status(503, "")), 5),
         ),
         (
-            "broken in the middle",
+            "truncated JSON",
             case(
                 || ResponsePlan::Respond(ok("{\"rev\":6,\"all\":true,\"targets\":[{\"uid\"")),
                 3,
@@ -133,13 +139,12 @@
     ]);
 }
 
-/// A watch that falls silent there is another matter: see `pace.rs`.
 #[test]
-fn a_polled_update_is_in_force_in_time_after_failed_calls() {
-    let case = |bad: fn() -> ResponsePlan, calls| -> Play {
-        Box::new(move || in_force_after(bad, calls, true))
+fn a_polled_update_applies_in_time_after_failed_calls() {
+    let case = |failure: fn() -> ResponsePlan, failed_calls| -> Case {
+        Box::new(move || time_to_update_after_failures(failure, failed_calls, true))
     };
-    all_in_time(vec![
+    check_update_times(vec![
         (
             "reset",
             case(|| ResponsePlan::RespondAndClose(String::new()), 1),
@@ -153,7 +158,7 @@
             case(|| ResponsePlan::Respond(status(503, "")), 3),
         ),
         (
-            "broken in the middle",
+            "truncated JSON",
             case(
                 || ResponsePlan::Respond(ok("{\"rev\":6,\"all\":true,\"tar")),
                 2,
@@ -162,16 +167,20 @@
     ]);
 }
 
-/// One entry that can't be read must not keep the others' drains from being honoured, nor take its own server away.
+/// An invalid entry must not delay updates of the other entries, nor remove its own backend.
 #[test]
-fn an_invalid_entry_among_valid_ones_delays_nothing() {
+fn an_invalid_entry_does_not_delay_updates_of_valid_entries() {
     let (old, new) = (serving("old"), serving("new"));
     let (node, discovery) = Node::start_with_backends(&[&old]);
     assert_eq!(node.request(&get("o0", "")).body, b"old");
-    let mut odd = target("s-1", new.address, "Ready");
-    odd["endpoint"] = json!("somewhere");
+    let mut invalid_entry = target("s-1", new.address, "Ready");
+    invalid_entry["endpoint"] = json!("somewhere");
     let unknown = target("s-2", new.address, "Quarantined");
-    discovery.set_endpoints(json!([target("s-0", old.address, "Ready"), odd, unknown]));
+    discovery.set_endpoints(json!([
+        target("s-0", old.address, "Ready"),
+        invalid_entry,
+        unknown
+    ]));
     discovery.wait_for_watch_from(2);
     wait_until("the entry is logged", || {
         node.has_logged("an entry of the list can't be read") && node.has_logged("server=\"s-1\"")
@@ -180,50 +189,50 @@
         assert_eq!(
             node.request(&get(&format!("o{n}"), "")).body,
             b"old",
-            "nobody is sent to an unknown state"
+            "a backend in an unknown state gets no requests"
         );
     }
-    odd["uid"] = json!("s-0");
-    discovery.set_endpoints(json!([odd, target("s-3", new.address, "Ready")]));
+    invalid_entry["uid"] = json!("s-0");
+    discovery.set_endpoints(json!([invalid_entry, target("s-3", new.address, "Ready")]));
     discovery.wait_for_watch_from(3);
     let bodies = (0..40)
         .map(|n| node.request(&get(&format!("p{n}"), "")).body)
         .collect::<Vec<_>>();
     assert!(
         bodies.contains(&b"old".to_vec()) && bodies.contains(&b"new".to_vec()),
-        "both are in service"
+        "both backends are in service"
     );
-    let mut drains = odd;
-    drains["state"] = json!("Terminating");
-    discovery.set_endpoints(json!([drains, target("s-3", new.address, "Ready")]));
+    let mut draining_entry = invalid_entry;
+    draining_entry["state"] = json!("Terminating");
+    discovery.set_endpoints(json!([draining_entry, target("s-3", new.address, "Ready")]));
     discovery.wait_for_watch_from(4);
     for n in 0..10 {
         assert_eq!(
             node.request(&get(&format!("q{n}"), "")).body,
             b"new",
-            "its state could be read"
+            "the state of the invalid entry still applies"
         );
     }
 }
 
-/// The agent has started anew and counts from the beginning: a watch from the old version would wait for ever.
+/// A restarted discovery agent counts versions from the start; a watch from the old version would never be answered.
 #[test]
-fn a_version_that_goes_back_after_a_failure_is_accepted() {
+fn a_lower_version_is_accepted_after_a_failed_call() {
     let (old, new) = (serving("old"), serving("new"));
     let (node, discovery) = Node::start_with_backends(&[&old]);
     discovery.set_response(900, list(900, &[target("s-0", old.address, "Ready")]));
     discovery.wait_for_watch_from(900);
-    // A failed call, then the list of a new agent.
+    // A failed call, then the list of the restarted agent.
     discovery.set_response(901, "no list".to_owned());
     wait_until("the call fails", || node.has_logged("error=not a list"));
     discovery.set_response(2, list(2, &[target("s-1", new.address, "Ready")]));
-    until_new(&node);
+    time_until_new_backend_is_used(&node);
 }
 
-/// An agent is silent while discovery is down, answers nothing that it was asked meanwhile, and what it gets at the return
-/// counts at once: from then on nothing new may go to a server that drains for longer than half a second.
+/// While discovery is down its calls are never answered. Once discovery is up again, requests to a draining backend stop
+/// within the drain grace of 0.5 s.
 #[test]
-fn the_list_of_an_agent_that_returns_is_known_within_the_drain_grace() {
+fn an_update_applies_within_the_drain_grace_once_discovery_responds_again() {
     let (old, new) = (serving("old"), serving("new"));
     let before = list(5, &[target("s-0", old.address, "Ready")]);
     let after = list(
@@ -233,29 +242,27 @@
             target("s-1", new.address, "Ready"),
         ],
     );
-    let (count, back) = (
+    let (count, is_discovery_up) = (
         Arc::new(AtomicUsize::new(0)),
         Arc::new(AtomicBool::new(false)),
     );
-    let (counted, is_back) = (count.clone(), back.clone());
+    let (counted, is_up) = (count.clone(), is_discovery_up.clone());
     let discovery = Backend::new(
         move |message| match counted.fetch_add(1, Ordering::SeqCst) {
             0 => ResponsePlan::Respond(ok(&before)),
-            _ if !is_back.load(Ordering::SeqCst) || message.start_line.contains("from=6") => {
+            _ if !is_up.load(Ordering::SeqCst) || message.start_line.contains("from=6") => {
                 ResponsePlan::Hang
             }
             _ => ResponsePlan::Respond(ok(&after)),
         },
     );
     let node = Node::start(&config(discovery.address, json!([])));
-    wait_until("some calls are not answered", || {
-        count.load(Ordering::SeqCst) >= 4
-    });
-    let calls = count.load(Ordering::SeqCst);
-    wait_until("another has just been made in vain", || {
-        count.load(Ordering::SeqCst) > calls
+    wait_until("some calls are open", || count.load(Ordering::SeqCst) >= 4);
+    let failed_calls = count.load(Ordering::SeqCst);
+    wait_until("another call has just been made", || {
+        count.load(Ordering::SeqCst) > failed_calls
     });
-    back.store(true, Ordering::SeqCst);
-    let took = until_new(&node);
+    is_discovery_up.store(true, Ordering::SeqCst);
+    let took = time_until_new_backend_is_used(&node);
     assert!(took < Duration::from_millis(450), "{took:?}");
 }
--- a/daemon/tests/health_checks.rs
+++ b/daemon/tests/health_checks.rs
@@ -1,17 +1,17 @@
-//! Load that backends tell only when asked, over sockets: asked rarely, heeded, and no harm where it is no answer.
+//! Health checks that read the load of backends: their rate, their effect on routing, and invalid responses.
 
 use badgerpost_fakes::scripted::*;
 use serde_json::{Value, json};
 
-fn with_probes(discovery: &Discovery) -> Value {
+fn config_with_health_checks(discovery: &Discovery) -> Value {
     let mut config = config(discovery.address, json!([]));
     config["settings"]["report"] = json!({"how": "pull", "fields": ["util"]});
     config["settings"]["policy-limits"]["probes"] = json!(true);
     config
 }
 
-/// A backend that answers requests, and `stats` to probes.
-fn reporting(stats: ResponsePlan) -> Backend {
+/// A backend that serves requests and answers health checks with `stats`.
+fn backend_with_stats(stats: ResponsePlan) -> Backend {
     Backend::new(
         move |message| match message.start_line.starts_with("GET /stats ") {
             true => stats.clone(),
@@ -29,26 +29,26 @@
     Discovery::new(json!(listed.collect::<Vec<_>>()))
 }
 
-/// The home zone's server says that it is full, so requests go to the other zone.
+/// The backend in the local zone reports full utilization, so requests spill to the other zone.
 #[test]
 fn health_check_results_decide_where_requests_go() {
-    let full = reporting(ResponsePlan::Respond(ok(
+    let full = backend_with_stats(ResponsePlan::Respond(ok(
         r#"{"qps":90.5,"latency_ms":70,"eps":0,"util":0.99}"#,
     )));
-    let free = reporting(ResponsePlan::Respond(ok(
+    let free = backend_with_stats(ResponsePlan::Respond(ok(
         r#"{"qps":1.5,"latency_ms":70,"eps":0,"util":0.05}"#,
     )));
     let discovery = in_zones(&[(&full, "a"), (&free, "b")]);
-    let node = Node::start(&with_probes(&discovery));
+    let node = Node::start(&config_with_health_checks(&discovery));
     discovery.wait_for_watch_from(1);
-    let mut asked = 0;
+    let mut request_count = 0;
     let mut client = Client::connect(node.address);
-    wait_until("requests leave the full zone", || {
-        asked += 1;
+    wait_until("requests spill to the other zone", || {
+        request_count += 1;
         assert_eq!(
             client
-                .request(&get(&format!("r{asked}"), ""))
-                .expect("an answer")
+                .request(&get(&format!("r{request_count}"), ""))
+                .expect("a response")
                 .status(),
             200
         );
@@ -56,44 +56,43 @@
             .try_iter()
             .any(|message| message.start_line.starts_with("GET /api"))
     });
-    let at_home: Vec<Message> = full.requests.try_iter().collect();
-    let probes = at_home
+    let home_messages: Vec<Message> = full.requests.try_iter().collect();
+    let probes = home_messages
         .iter()
         .filter(|message| message.start_line.starts_with("GET /stats "));
     let probes = probes
         .inspect(|probe| assert!(probe.value("x-call-id").is_none(), "{probe:?}"))
         .count();
     assert!(
-        (1..=asked / 5 + 4).contains(&probes),
-        "{probes} probes for {asked} requests"
+        (1..=request_count / 5 + 4).contains(&probes),
+        "{probes} health checks for {request_count} requests"
     );
 }
 
-/// A backend that answers probes with what is none, or not at all, is served with as before.
 #[test]
-fn invalid_health_check_responses_are_harmless() {
-    let bad = ["{", "[]", r#"{"util":"much"}"#, r#"{"util":1e999}"#, ""];
-    let mut answers: Vec<ResponsePlan> = bad
+fn invalid_health_check_responses_fail_no_request() {
+    let invalid = ["{", "[]", r#"{"util":"much"}"#, r#"{"util":1e999}"#, ""];
+    let mut responses: Vec<ResponsePlan> = invalid
         .iter()
         .map(|body| ResponsePlan::Respond(ok(body)))
         .collect();
-    answers.extend([
+    responses.extend([
         ResponsePlan::Respond(status(404, "")),
         ResponsePlan::Respond("nonsense\r\n\r\n".to_owned()),
         ResponsePlan::RespondAndClose(String::new()),
         ResponsePlan::Hang,
     ]);
-    for stats in answers {
-        let backend = reporting(stats);
+    for stats in responses {
+        let backend = backend_with_stats(stats);
         let discovery = in_zones(&[(&backend, "a")]);
-        let node = Node::start(&with_probes(&discovery));
+        let node = Node::start(&config_with_health_checks(&discovery));
         discovery.wait_for_watch_from(1);
-        for turn in 0..20 {
-            assert_eq!(node.request(&get(&format!("r{turn}"), "")).status(), 200);
+        for n in 0..20 {
+            assert_eq!(node.request(&get(&format!("r{n}"), "")).status(), 200);
         }
         let mut messages = Vec::new();
         let is_health_check = |message: &Message| message.start_line.starts_with("GET /stats ");
-        // It is sent beside the requests, and may arrive after the last of them.
+        // The health check is sent in parallel with the requests, and may arrive after the last of them.
         wait_until("a health check arrives", || {
             messages.extend(backend.requests.try_iter());
             messages.iter().any(is_health_check)
@@ -103,13 +102,12 @@
     }
 }
 
-/// Where answers tell the load, or the settings forbid it, nobody is probed.
 #[test]
-fn no_health_checks_are_made_unless_the_settings_allow_them() {
-    let backend = reporting(ResponsePlan::Respond(ok("{}")));
+fn no_health_checks_are_sent_unless_the_settings_allow_them() {
+    let backend = backend_with_stats(ResponsePlan::Respond(ok("{}")));
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
-    for turn in 0..20 {
-        assert_eq!(node.request(&get(&format!("r{turn}"), "")).status(), 200);
+    for n in 0..20 {
+        assert_eq!(node.request(&get(&format!("r{n}"), "")).status(), 200);
     }
     assert!(
         backend
--- a/daemon/tests/large_bodies.rs
+++ b/daemon/tests/large_bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of any size, both ways, in every framing of HTTP/1.1, and what breaks in their midst.
+//! Request and response bodies of any size in every framing of HTTP/1.1, and connections that break within a body.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -15,9 +15,9 @@
 use badgerpost_fakes::scripted::*;
 use serde_json::json;
 
-const LARGE: usize = 4 * 1024 * 1024;
-/// The most that a node may hold resident while many large bodies are under way, in kB.
-const RESIDENT_MOST: u64 = 48 * 1024;
+const LARGE_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// Limit on the node's peak resident memory while many large bodies are in transit.
+const MAX_RESIDENT_KB: u64 = 48 * 1024;
 
 fn pattern(length: usize) -> String {
     (0..length)
@@ -48,7 +48,7 @@
     Backend::new(|message| ResponsePlan::Respond(ok(&String::from_utf8_lossy(&message.body))))
 }
 
-fn resident(node: &Node) -> u64 {
+fn peak_resident_kb(node: &Node) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).unwrap();
     let line = status
         .lines()
@@ -61,12 +61,21 @@
 fn bodies_of_any_size_are_forwarded_unchanged_in_either_framing() {
     let backend = echo();
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
-    for (n, length) in [0, 1, 1000, 65_535, 65_536, 65_537, 200_000, LARGE]
-        .into_iter()
-        .enumerate()
+    for (n, length) in [
+        0,
+        1,
+        1000,
+        65_535,
+        65_536,
+        65_537,
+        200_000,
+        LARGE_BODY_BYTES,
+    ]
+    .into_iter()
+    .enumerate()
     {
         let body = pattern(length);
-        for (kind, text) in [
+        for (framing, text) in [
             ("length", post("pay", &format!("l{n}"), "", &body)),
             (
                 "chunks",
@@ -82,23 +91,23 @@
                 let mut stream = client.stream();
                 move || stream.write_all(text.as_bytes())
             });
-            let mut answer = client.read().expect("an answer");
-            if answer.status() == 100 {
-                answer = client.read().expect("the final answer");
+            let mut response = client.read().expect("a response");
+            if response.status() == 100 {
+                response = client.read().expect("the final answer");
             }
-            assert_eq!(answer.status(), 200, "{kind} of {length}");
+            assert_eq!(response.status(), 200, "{framing} of {length}");
             assert!(
-                answer.body == body.as_bytes(),
-                "{kind} of {length}: {} bytes",
-                answer.body.len()
+                response.body == body.as_bytes(),
+                "{framing} of {length}: {} bytes",
+                response.body.len()
             );
-            writer.join().unwrap().expect("all of it is read");
+            writer.join().unwrap().expect("the whole request is read");
         }
     }
 }
 
 #[test]
-fn requests_split_anywhere_and_pipelined_ones_are_answered() {
+fn pipelined_requests_split_at_any_byte_are_answered() {
     let backend = echo();
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let body = pattern(3000);
@@ -109,24 +118,30 @@
     ];
     let mut client = Client::connect(node.address);
     client.write_in_pieces(texts.concat().as_bytes(), 97);
-    for wanted in [body.as_bytes(), body.as_bytes(), b""] {
-        let answer = client.read().expect("an answer");
-        assert_eq!((answer.status(), answer.body.as_slice()), (200, wanted));
+    for expected in [body.as_bytes(), body.as_bytes(), b""] {
+        let response = client.read().expect("a response");
+        assert_eq!(
+            (response.status(), response.body.as_slice()),
+            (200, expected)
+        );
     }
     let absolute = get("p4", "").replace("GET /api", "GET http://origin.svc/api");
-    assert_eq!(client.request(&absolute).expect("an answer").status(), 200);
+    assert_eq!(client.request(&absolute).expect("a response").status(), 200);
     let first = backend
         .requests
         .try_iter()
         .map(|message| message.start_line)
         .last()
         .unwrap();
-    assert_eq!(first, "GET /api?x=1 HTTP/1.1", "servers get path and query");
+    assert_eq!(
+        first, "GET /api?x=1 HTTP/1.1",
+        "backends get path and query only"
+    );
 }
 
 #[test]
 fn responses_of_every_framing_are_forwarded_unchanged() {
-    let body = pattern(LARGE);
+    let body = pattern(LARGE_BODY_BYTES);
     let sent = body.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
         Some("chunks") => ResponsePlan::Respond(format!(
@@ -144,55 +159,54 @@
     });
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     for id in ["length", "chunks", "interim", "close"] {
-        let answer = node.request(&get(id, ""));
-        assert_eq!(answer.status(), 200, "{id}");
+        let response = node.request(&get(id, ""));
+        assert_eq!(response.status(), 200, "{id}");
         assert!(
-            answer.body == body.as_bytes(),
+            response.body == body.as_bytes(),
             "{id}: {} bytes",
-            answer.body.len()
+            response.body.len()
         );
     }
 }
 
-/// The first bytes of a large answer do not wait for its last.
 #[test]
 fn a_large_response_is_streamed_as_it_arrives() {
     let latch = Arc::new(Latch::default());
-    let waits = latch.clone();
+    let backend_latch = latch.clone();
     let backend = Backend::new(move |_| {
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE_BODY_BYTES}\r\n\r\n");
         ResponsePlan::RespondInTwoParts {
             first: head + &pattern(10_000),
-            latch: waits.clone(),
-            second: pattern(LARGE)[10_000..].to_owned(),
+            latch: backend_latch.clone(),
+            second: pattern(LARGE_BODY_BYTES)[10_000..].to_owned(),
         }
     });
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let mut client = Client::connect(node.address);
     client.write(&get("g1", ""));
     let mut stream = client.stream();
-    let mut seen = Vec::new();
-    while !seen.ends_with(&pattern(10_000).as_bytes()[9_900..]) {
+    let mut received = Vec::new();
+    while !received.ends_with(&pattern(10_000).as_bytes()[9_900..]) {
         let mut piece = [0; 512];
         let read = stream
             .read(&mut piece)
-            .expect("the first bytes come while the rest is held back");
+            .expect("the first bytes arrive while the backend holds the rest back");
         assert!(read > 0);
-        seen.extend_from_slice(&piece[..read]);
+        received.extend_from_slice(&piece[..read]);
     }
     latch.release();
-    let mut rest = vec![0; LARGE - 10_000];
+    let mut rest = vec![0; LARGE_BODY_BYTES - 10_000];
     stream.read_exact(&mut rest).expect("the rest");
-    assert!(rest == pattern(LARGE).as_bytes()[10_000..]);
+    assert!(rest == pattern(LARGE_BODY_BYTES).as_bytes()[10_000..]);
 }
 
-/// Once begun, an answer is not replaced; the client can tell that it is not whole.
+/// A response whose beginning was forwarded is not retried; the client can tell that the response is truncated.
 #[test]
 fn an_aborted_large_response_is_truncated_and_never_retried() {
     let backend = Backend::new(|_| {
         let body = pattern(300_000);
         ResponsePlan::RespondAndClose(format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n{body}"
+            "HTTP/1.1 200 OK\r\nContent-Length: {LARGE_BODY_BYTES}\r\n\r\n{body}"
         ))
     });
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
@@ -200,37 +214,36 @@
     client.write(&get("b1", ""));
     let mut all = Vec::new();
     let _ = client.stream().read_to_end(&mut all);
-    assert!(all.starts_with(b"HTTP/1.1 200 ") && all.len() < LARGE);
+    assert!(all.starts_with(b"HTTP/1.1 200 ") && all.len() < LARGE_BODY_BYTES);
     assert_eq!(backend.take_request_count(), 1);
 }
 
-/// A small one that breaks off is repeated where that is safe: nothing of it has gone out.
+/// A small response is buffered, so a retry is possible as long as nothing of the response was forwarded.
 #[test]
-fn an_aborted_small_response_is_retried_if_that_is_safe() {
-    for (text, wanted, tries) in [
+fn an_aborted_small_response_is_retried_if_its_request_is_idempotent() {
+    for (text, expected, attempts) in [
         (get("s1", ""), 200, 2),
         (post("pay", "s1", "", "x"), 502, 1),
     ] {
-        let seen = std::sync::atomic::AtomicU32::new(0);
-        let backend =
-            Backend::new(
-                move |_| match seen.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
-                    0 => ResponsePlan::RespondAndClose(
-                        "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nabc".to_owned(),
-                    ),
-                    _ => ResponsePlan::Respond(ok("yes")),
-                },
-            );
+        let received = std::sync::atomic::AtomicU32::new(0);
+        let backend = Backend::new(move |_| {
+            match received.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
+                0 => ResponsePlan::RespondAndClose(
+                    "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nabc".to_owned(),
+                ),
+                _ => ResponsePlan::Respond(ok("yes")),
+            }
+        });
         let (node, _discovery) = Node::start_with_backends(&[&backend]);
-        assert_eq!(node.request(&text).status(), wanted);
-        assert_eq!(backend.take_request_count(), tries);
+        assert_eq!(node.request(&text).status(), expected);
+        assert_eq!(backend.take_request_count(), attempts);
     }
 }
 
-/// What has gone out of a body can't be had again. Never whole at a server, the request never ran: it is refused, and
-/// trying again is harmless.
+/// The sent part of a body is not kept, so the node cannot retry. The backend never received the complete request, so the
+/// request did not run and 503 allows the client to repeat it.
 #[test]
-fn a_reset_within_an_upload_rejects_the_request() {
+fn a_request_whose_upload_is_reset_is_rejected_without_a_retry() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let connections = Arc::new(std::sync::atomic::AtomicU32::new(0));
@@ -238,21 +251,21 @@
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             counter.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
-            // Reads some of the body and goes.
+            // Reads the beginning of the body and closes.
             let mut stream = stream;
-            let mut some = vec![0; 200_000];
-            let _ = stream.read_exact(&mut some);
+            let mut beginning = vec![0; 200_000];
+            let _ = stream.read_exact(&mut beginning);
         }
     });
     let discovery = Discovery::new(serde_json::json!([target("s-0", at, "Ready")]));
     let node = Node::start(&config(discovery.address, serde_json::json!([])));
     discovery.wait_for_watch_from(1);
-    for (id, class, more) in [("r1", "pay", ""), ("r2", "join", "Idempotency-Key: k\r\n")] {
+    for (id, class, headers) in [("r1", "pay", ""), ("r2", "join", "Idempotency-Key: k\r\n")] {
         let mut client = Client::connect(node.address);
-        let text = post(class, id, more, &pattern(LARGE));
+        let text = post(class, id, headers, &pattern(LARGE_BODY_BYTES));
         let mut stream = client.stream();
         thread::spawn(move || stream.write_all(text.as_bytes()));
-        assert_eq!(client.read().expect("an answer").status(), 503, "{class}");
+        assert_eq!(client.read().expect("a response").status(), 503, "{class}");
     }
     assert_eq!(
         connections.load(std::sync::atomic::Ordering::SeqCst),
@@ -261,14 +274,14 @@
     );
 }
 
-/// A client that goes away in the midst of its body ends the attempt, and harms nobody.
+/// A client that disconnects within a body cancels the attempt; the backend is not ejected.
 #[test]
 fn a_client_that_disconnects_within_its_upload_leaks_nothing() {
     let backend = echo();
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     for n in 0..20 {
         let mut client = Client::connect(node.address);
-        let text = post("pay", &format!("gone{n}"), "", &pattern(LARGE));
+        let text = post("pay", &format!("gone{n}"), "", &pattern(LARGE_BODY_BYTES));
         client.write(&text[..300_000]);
         drop(client);
     }
@@ -284,7 +297,7 @@
     );
 }
 
-/// A slow client's time runs from its last byte, and a body may come at 64 kB a second.
+/// The client timeout starts with the last byte of the request; a body may arrive at 64 kB/s.
 #[test]
 fn a_slow_body_is_accepted_and_a_stalled_one_times_out() {
     let backend = echo();
@@ -299,14 +312,14 @@
     }
     assert!(
         began.elapsed() > Duration::from_millis(2500),
-        "longer than a head may take"
+        "the body took longer than the limit of a head"
     );
-    let answer = client.read().expect("an answer");
-    assert_eq!((answer.status(), answer.body.len()), (200, body.len()));
-    for (id, part) in [("half", 1000), ("part", 100_000)] {
+    let response = client.read().expect("a response");
+    assert_eq!((response.status(), response.body.len()), (200, body.len()));
+    for (id, sent_bytes) in [("half", 1000), ("part", 100_000)] {
         let mut stalled = Client::connect(node.address);
         let text = post("pay", id, "", &body);
-        stalled.write(&text[..part]);
+        stalled.write(&text[..sent_bytes]);
         let began = Instant::now();
         while stalled.read().is_some() {}
         assert!(began.elapsed() < Duration::from_secs(10), "{id}");
@@ -314,15 +327,14 @@
     assert_eq!(
         backend.requests.try_iter().count(),
         1,
-        "none that is not whole arrives"
+        "incomplete requests are not forwarded"
     );
 }
 
-/// Many large answers to readers that take their time: together far more than the node may hold.
 #[test]
 fn many_large_responses_to_slow_readers_stay_within_the_memory_limit() {
-    const EACH: usize = 8 * 1024 * 1024;
-    let body = pattern(EACH);
+    const RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+    let body = pattern(RESPONSE_BYTES);
     let backend = Backend::new(move |_| ResponsePlan::Respond(ok(&body)));
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let readers: Vec<_> = (0..40)
@@ -331,18 +343,21 @@
             client.write(&get(&format!("m{n}"), ""));
             thread::spawn(move || {
                 thread::sleep(Duration::from_millis(300));
-                client.read().map_or(0, |answer| answer.body.len())
+                client.read().map_or(0, |response| response.body.len())
             })
         })
         .collect();
     for reader in readers {
-        assert_eq!(reader.join().unwrap(), EACH);
+        assert_eq!(reader.join().unwrap(), RESPONSE_BYTES);
     }
-    let most = resident(&node);
-    assert!(most < RESIDENT_MOST, "{most} kB resident at most");
+    let peak_kb = peak_resident_kb(&node);
+    assert!(
+        peak_kb < MAX_RESIDENT_KB,
+        "{peak_kb} kB of peak resident memory"
+    );
 }
 
-/// A backend that responds once a request has begun to arrive, and reads no more of it.
+/// Starts a backend that responds to the first bytes of a request, and reads nothing more.
 fn backend_that_responds_early(response: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -359,9 +374,8 @@
     address
 }
 
-/// An attempt ends as its response begins. With that its message to the backend was abandoned, whose failure ended the
-/// connection on which the response was still arriving: `server connection failed error=hyper::Error(User(Body), "the
-/// attempt has ended")`, and 8,248 bytes at the client. Now only the message of an attempt without a response is abandoned.
+/// Guards against aborting the upload when the response begins, which closed the backend connection and truncated the
+/// response.
 #[test]
 fn an_early_response_reaches_a_client_that_still_uploads() {
     let response = ok(&"x".repeat(200_000));
--- a/daemon/tests/lifecycle.rs
+++ b/daemon/tests/lifecycle.rs
@@ -232,14 +232,14 @@
 
 #[test]
 fn an_invalid_configuration_prints_one_line_and_exits_with_an_error() {
-    let is_valid = config(unused_address(), json!([]));
+    let valid_config = config(unused_address(), json!([]));
     let without = |field: &str| {
-        let mut config = is_valid.clone();
+        let mut config = valid_config.clone();
         config.as_object_mut().unwrap().remove(field);
         config.to_string()
     };
     let with = |field: &str, value: serde_json::Value| {
-        let mut config = is_valid.clone();
+        let mut config = valid_config.clone();
         config[field] = value;
         config.to_string()
     };
