--- a/daemon/tests/connection_limits.rs
+++ b/daemon/tests/connection_limits.rs
@@ -1,4 +1,4 @@
-//! Which limit closed a client's connection shows in a metric and in the log.
+//! Metrics and log lines for client connections that a limit closed.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -9,7 +9,7 @@
 use badgerpost_fakes::scripted::*;
 use serde_json::json;
 
-/// A node with a console, where clients have sixteen connections.
+/// A node with a console and room for sixteen client connections.
 fn node_with_console(backend: &Backend) -> (Node, Discovery) {
     let targets = json!([target("s-0", backend.address, "Ready")]);
     let discovery = Discovery::new(targets.clone());
@@ -19,7 +19,7 @@
     (Node::start(&config), discovery)
 }
 
-fn metric_of(node: &Node, name: &str) -> u64 {
+fn closed_by_limit(node: &Node, name: &str) -> u64 {
     let name = format!("node.connections.closed.{name}");
     let value = metric(node.console(), &name).expect("a metric");
     value.parse().unwrap()
@@ -30,17 +30,19 @@
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let (node, _discovery) = node_with_console(&backend);
     let mut silent = Client::connect(node.address);
-    let mut half_a_head = Client::connect(node.address);
-    half_a_head.write("GET /api HTTP/1.1\r\nX-Ca");
-    let mut half_a_body = Client::connect(node.address);
+    let mut incomplete_head = Client::connect(node.address);
+    incomplete_head.write("GET /api HTTP/1.1\r\nX-Ca");
+    let mut incomplete_body = Client::connect(node.address);
     let text = post("pay", "half", "", "0123456789");
-    half_a_body.write(&text[..text.len() - 3]);
-    assert!(silent.is_closed() && half_a_head.is_closed());
-    assert_eq!(half_a_body.read().expect("an answer").status(), 408);
+    incomplete_body.write(&text[..text.len() - 3]);
+    assert!(silent.is_closed() && incomplete_head.is_closed());
+    assert_eq!(incomplete_body.read().expect("a response").status(), 408);
     for limit in ["first_request", "request_head", "request_body"] {
-        wait_until("the limit is counted", || metric_of(&node, limit) == 1);
+        wait_until("the limit is counted", || {
+            closed_by_limit(&node, limit) == 1
+        });
     }
-    assert_eq!(metric_of(&node, "idle"), 0);
+    assert_eq!(closed_by_limit(&node, "idle"), 0);
     wait_until("the limit is logged", || {
         node.has_logged("client connection closed by a limit")
     });
@@ -52,6 +54,6 @@
     let (node, _discovery) = node_with_console(&backend);
     let _crowd: Vec<Client> = (0..60).map(|_| Client::connect(node.address)).collect();
     wait_until("connections are evicted", || {
-        metric_of(&node, "eviction") > 0
+        closed_by_limit(&node, "eviction") > 0
     });
 }
--- a/daemon/tests/endpoint_list.rs
+++ b/daemon/tests/endpoint_list.rs
@@ -24,7 +24,7 @@
     json!({"rev": rev, "all": true, "targets": targets}).to_string()
 }
 
-/// The time until an update applies if the first `calls` calls after the initial one fail in this way.
+/// The time until an update applies if `failed_calls` calls after the first one fail in this way.
 fn time_to_update_after_failures(
     failure: impl Fn() -> ResponsePlan + Send + Sync + 'static,
     failed_calls: usize,
@@ -258,9 +258,9 @@
     );
     let node = Node::start(&config(discovery.address, json!([])));
     wait_until("some calls are open", || count.load(Ordering::SeqCst) >= 4);
-    let failed_calls = count.load(Ordering::SeqCst);
+    let call_count = count.load(Ordering::SeqCst);
     wait_until("another call has just been made", || {
-        count.load(Ordering::SeqCst) > failed_calls
+        count.load(Ordering::SeqCst) > call_count
     });
     is_discovery_up.store(true, Ordering::SeqCst);
     let took = time_until_new_backend_is_used(&node);
--- a/daemon/tests/given_up.rs
+++ b/daemon/tests/given_up.rs
@@ -1,4 +1,4 @@
-//! An attempt that the node gives up has ended before the next one of its request is written.
+//! The connection of an abandoned attempt is closed before the next attempt of its request is written.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -15,12 +15,12 @@
 use badgerpost_fakes::scripted::*;
 use serde_json::json;
 
-/// The first attempts of each request, and what the later ones found of them.
 #[derive(Default)]
 struct Attempts {
-    hanging: HashMap<String, TcpStream>,
-    /// For each later attempt, whether the one before it had ended.
-    before_had_ended: Vec<bool>,
+    /// Connections of first attempts by request id.
+    open_first_attempts: HashMap<String, TcpStream>,
+    /// For each later attempt, whether the previous one had ended when it arrived.
+    had_previous_ended: Vec<bool>,
 }
 
 /// The beginning of a response.
@@ -45,10 +45,12 @@
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while let Some(message) = read_message(&mut reader) {
         let id = message.value("x-call-id").unwrap().to_owned();
-        if id.starts_with("hang") && first_one_hangs(&id, stream, &mut attempts.lock().unwrap()) {
+        if id.starts_with("hang")
+            && register_first_attempt(&id, stream, &mut attempts.lock().unwrap())
+        {
             let mut writer = stream;
             writer.write_all(INCOMPLETE_RESPONSE.as_bytes()).unwrap();
-            // Nothing is read any more, so that its end can be seen.
+            // Nothing more is read, so that the end of the stream stays visible to `peek`.
             return;
         }
         let mut writer = stream;
@@ -58,24 +60,24 @@
     }
 }
 
-/// Whether this was the first attempt. Looks whether that has ended if not.
-fn first_one_hangs(id: &str, stream: &TcpStream, attempts: &mut Attempts) -> bool {
-    let Some(hanging) = attempts.hanging.get(id) else {
+/// Whether this is the first attempt; records for a later one whether the first had ended.
+fn register_first_attempt(id: &str, stream: &TcpStream, attempts: &mut Attempts) -> bool {
+    let Some(open_first_attempts) = attempts.open_first_attempts.get(id) else {
         let kept = stream.try_clone().unwrap();
-        attempts.hanging.insert(id.to_owned(), kept);
+        attempts.open_first_attempts.insert(id.to_owned(), kept);
         return true;
     };
-    hanging.set_nonblocking(true).unwrap();
-    let ended = match hanging.peek(&mut [0]) {
+    open_first_attempts.set_nonblocking(true).unwrap();
+    let has_ended = match open_first_attempts.peek(&mut [0]) {
         Ok(bytes) => bytes == 0,
         Err(error) => error.kind() != ErrorKind::WouldBlock,
     };
-    attempts.before_had_ended.push(ended);
+    attempts.had_previous_ended.push(has_ended);
     false
 }
 
-/// Requests whose first attempts hang, at a node that sends no second copies.
-fn attempts_of_hanging_requests(prepare: fn(&Node)) -> Vec<bool> {
+/// Sends requests whose first attempts hang to a node without hedged requests, and returns `had_previous_ended`.
+fn run_hanging_requests(prepare: fn(&Node)) -> Vec<bool> {
     let attempts = Arc::<Mutex<Attempts>>::default();
     let backends = [(); 3].map(|()| start_backend(&attempts));
     let targets: Vec<_> = (0..)
@@ -96,25 +98,25 @@
         responses.iter().all(Option::is_some),
         "one final response each"
     );
-    std::mem::take(&mut attempts.lock().unwrap().before_had_ended)
+    std::mem::take(&mut attempts.lock().unwrap().had_previous_ended)
 }
 
 #[track_caller]
-fn each_had_ended(attempts: &[bool]) {
-    assert!(attempts.len() >= 10, "{} are few", attempts.len());
-    let open = attempts.iter().filter(|ended| !**ended).count();
-    assert_eq!(open, 0, "of {}", attempts.len());
+fn check_that_all_had_ended(attempts: &[bool]) {
+    assert!(attempts.len() >= 10, "only {} retries", attempts.len());
+    let open = attempts.iter().filter(|has_ended| !**has_ended).count();
+    assert_eq!(open, 0, "open first attempts of {}", attempts.len());
 }
 
 #[test]
-fn an_attempt_has_ended_before_the_next_one_is_written_on_a_new_connection() {
-    each_had_ended(&attempts_of_hanging_requests(|_| ()));
+fn an_abandoned_attempt_ends_before_the_retry_is_written_on_a_new_connection() {
+    check_that_all_had_ended(&run_hanging_requests(|_| ()));
 }
 
-/// Many requests have left idle connections to each backend.
+/// Earlier requests leave idle connections to each backend.
 #[test]
-fn an_attempt_has_ended_before_the_next_one_is_written_on_a_kept_connection() {
-    each_had_ended(&attempts_of_hanging_requests(|node| {
+fn an_abandoned_attempt_ends_before_the_retry_is_written_on_a_kept_connection() {
+    check_that_all_had_ended(&run_hanging_requests(|node| {
         let mut clients: Vec<Client> = (0..60).map(|_| Client::connect(node.address)).collect();
         for (n, client) in clients.iter_mut().enumerate() {
             client.write(&get(&format!("served{n}"), ""));
--- a/daemon/tests/large_bodies.rs
+++ b/daemon/tests/large_bodies.rs
@@ -93,7 +93,7 @@
             });
             let mut response = client.read().expect("a response");
             if response.status() == 100 {
-                response = client.read().expect("the final answer");
+                response = client.read().expect("the final response");
             }
             assert_eq!(response.status(), 200, "{framing} of {length}");
             assert!(
@@ -225,9 +225,9 @@
         (get("s1", ""), 200, 2),
         (post("pay", "s1", "", "x"), 502, 1),
     ] {
-        let received = std::sync::atomic::AtomicU32::new(0);
+        let requests = std::sync::atomic::AtomicU32::new(0);
         let backend = Backend::new(move |_| {
-            match received.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
+            match requests.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
                 0 => ResponsePlan::RespondAndClose(
                     "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nabc".to_owned(),
                 ),
--- a/daemon/tests/log_output.rs
+++ b/daemon/tests/log_output.rs
@@ -1,4 +1,4 @@
-//! A log that can't be written: the node serves and ends as ever.
+//! A log that cannot be written affects neither service nor shutdown.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -18,19 +18,19 @@
 use badgerpost_fakes::scripted::*;
 use serde_json::json;
 
-/// How long the load lasts on each side of a line that the node logs.
-const HALF: Duration = Duration::from_secs(1);
-/// The soonest that a node is killed after the signal to end: the longest deadline and 0.7 s.
-const KILLED: Duration = Duration::from_millis(3700);
+/// Duration of the load before and after a reload, which the node logs.
+const LOAD_TIME_PER_HALF: Duration = Duration::from_secs(1);
+/// The earliest time of SIGKILL after SIGTERM: the longest deadline plus 0.7 s.
+const SHUTDOWN_TIME_LIMIT: Duration = Duration::from_millis(3700);
 
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
-/// Each request to a node that logs there is answered, before and after a reload that it logs, and it ends by itself.
+/// Checks that a node with this log serves every request before and after a reload, and exits on SIGTERM.
 #[track_caller]
-fn serves_logging_to(log: impl Into<Stdio>, mut once_it_serves: impl FnMut()) {
+fn check_service_with_log(log: impl Into<Stdio>, mut after_start: impl FnMut()) {
     let backends = [
         Backend::new(|_| ResponsePlan::Respond(ok("yes"))),
         Backend::new(|_| ResponsePlan::Respond(ok("yes"))),
@@ -43,50 +43,50 @@
     let mut config = config(discovery.address, targets);
     config["listen"] = json!(free_address().to_string());
     let mut node = Node::start_logging_to(&config, log.into());
-    once_it_serves();
+    after_start();
     let load = Load::start(node.address, "r", 5, Duration::from_millis(50), |id| {
         get(id, "")
     });
-    thread::sleep(HALF);
+    thread::sleep(LOAD_TIME_PER_HALF);
     node.reconfigure(&config.to_string());
-    thread::sleep(HALF);
+    thread::sleep(LOAD_TIME_PER_HALF);
     let results = load.stop();
     assert!(
         results.len() > 150,
-        "{} requests are no load",
+        "only {} requests were sent",
         results.len()
     );
     let lost: Vec<_> = results.iter().filter(|result| !result.is_ok()).collect();
     assert!(lost.is_empty(), "not served: {lost:?}");
     node.signal("-TERM");
-    let told = Instant::now();
-    let ended = loop {
+    let signalled = Instant::now();
+    let exit_status = loop {
         if let Some(status) = node.child.try_wait().unwrap() {
             break status;
         }
         assert!(
-            told.elapsed() < KILLED,
-            "the node is there when it is killed"
+            signalled.elapsed() < SHUTDOWN_TIME_LIMIT,
+            "the node was still running at SIGKILL"
         );
         thread::sleep(Duration::from_millis(10));
     };
-    assert_eq!(ended.code(), Some(0));
+    assert_eq!(exit_status.code(), Some(0));
 }
 
 #[test]
 fn a_full_log_device_costs_no_request() {
     let full = OpenOptions::new().write(true).open("/dev/full").unwrap();
-    serves_logging_to(full, || ());
+    check_service_with_log(full, || ());
 }
 
 #[test]
 fn a_log_reader_that_closes_costs_no_request() {
     let (log, reader) = UnixStream::pair().unwrap();
     let mut reader = Some(reader);
-    serves_logging_to(OwnedFd::from(log), || drop(reader.take()));
+    check_service_with_log(OwnedFd::from(log), || drop(reader.take()));
 }
 
-/// Nothing is read of the log, and there is no room left in it.
+/// The socket buffer of the log is full, and its reader does not read.
 #[test]
 fn a_log_reader_that_stalls_costs_no_request() {
     let (mut log, _reader) = UnixStream::pair().unwrap();
@@ -98,5 +98,5 @@
     };
     assert_eq!(full.kind(), ErrorKind::WouldBlock);
     log.set_nonblocking(false).unwrap();
-    serves_logging_to(OwnedFd::from(log), || ());
+    check_service_with_log(OwnedFd::from(log), || ());
 }
--- a/daemon/tests/misbehaving_clients.rs
+++ b/daemon/tests/misbehaving_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that mean harm, or might as well: others are served beside them, and they are told off in time.
+//! Malicious and faulty clients: they get an error or a close in time, and other clients are still served.
 
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -14,45 +14,43 @@
     Backend::new(|_| ResponsePlan::Respond(ok("yes")))
 }
 
-/// A node with room for few connections, a third of what these tests open.
-fn small(backend: &Backend) -> Node {
+/// A node with room for sixteen client connections, a third of what these tests open.
+fn node_with_few_descriptors(backend: &Backend) -> Node {
     let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
     let mut config = config(
         discovery.address,
         json!([target("s-0", backend.address, "Ready")]),
     );
-    // Sixteen of these are for clients.
     config["limits"]["sockets"] = json!(50);
     Node::start(&config)
 }
 
-fn silent(node: &Node, count: usize) -> Vec<Client> {
+fn connect_silent_clients(node: &Node, count: usize) -> Vec<Client> {
     (0..count).map(|_| Client::connect(node.address)).collect()
 }
 
 #[test]
 fn silent_connections_are_evicted_for_new_clients() {
     let backend = serving();
-    let node = small(&backend);
-    let mut crowd = silent(&node, 48);
+    let node = node_with_few_descriptors(&backend);
+    let mut crowd = connect_silent_clients(&node, 48);
     assert_eq!(node.request(&get("s0", "")).status(), 200);
     crowd
         .iter_mut()
-        .for_each(|client| assert!(client.is_closed(), "a silent one is closed"));
+        .for_each(|client| assert!(client.is_closed(), "not evicted"));
 }
 
-/// Clients that ask once and keep their connection make room for others.
 #[test]
 fn idle_connections_are_evicted_for_new_clients() {
     let backend = serving();
-    let node = small(&backend);
+    let node = node_with_few_descriptors(&backend);
     let mut kept = Vec::new();
     for n in 0..40 {
         let mut client = Client::connect(node.address);
         assert_eq!(
             client
                 .request(&get(&format!("i{n}"), ""))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
             200
         );
@@ -60,53 +58,57 @@
     }
 }
 
-/// The system before a node has room for fewer connections than the node: it must not be full of idle ones.
+/// Idle connections must not use up the connection limit of a proxy in front of the node.
 #[test]
-fn connections_close_after_their_response_while_many_are_idle() {
+fn a_connection_closes_after_its_response_while_many_are_idle() {
     let backend = serving();
-    let node = small(&backend);
-    let asked = Cell::new(0);
-    let ask = || {
-        let n = asked.replace(asked.get() + 1);
+    let node = node_with_few_descriptors(&backend);
+    let sent = Cell::new(0);
+    let send_request = || {
+        let n = sent.replace(sent.get() + 1);
         let mut client = Client::connect(node.address);
-        let answer = client
+        let response = client
             .request(&get(&format!("m{n}"), ""))
-            .expect("an answer");
-        assert_eq!(answer.status(), 200);
+            .expect("a response");
+        assert_eq!(response.status(), 200);
         (
             client,
-            answer
+            response
                 .value("connection")
                 .is_some_and(|value| value == "close"),
         )
     };
-    let kept: Vec<(Client, bool)> = (0..8).map(|_| ask()).collect();
-    assert!(kept.iter().all(|(_, closes)| !closes), "there is room");
-    let (mut surplus, closes) = ask();
+    let kept: Vec<(Client, bool)> = (0..8).map(|_| send_request()).collect();
+    assert!(
+        kept.iter().all(|(_, closes)| !closes),
+        "a connection was closed below the limit"
+    );
+    let (mut surplus, closes) = send_request();
     assert!(closes && surplus.is_closed());
     drop(kept);
-    wait_until("there is room again", || !ask().1);
+    wait_until("connections are kept open again", || !send_request().1);
 }
 
 #[test]
 fn a_connection_with_a_request_is_not_evicted() {
     let latch = Arc::new(Latch::default());
-    let waits = latch.clone();
-    let backend = Backend::new(move |_| ResponsePlan::RespondAfter(waits.clone(), ok("late")));
-    let node = small(&backend);
+    let backend_latch = latch.clone();
+    let backend =
+        Backend::new(move |_| ResponsePlan::RespondAfter(backend_latch.clone(), ok("late")));
+    let node = node_with_few_descriptors(&backend);
     let mut open = Client::connect(node.address);
     open.write(&get("o0", ""));
     assert_eq!(backend.next_request().value("x-call-id"), Some("o0"));
-    let mut crowd = silent(&node, 48);
+    let mut crowd = connect_silent_clients(&node, 48);
     crowd
         .iter_mut()
         .take(8)
         .for_each(|client| assert!(client.is_closed()));
     latch.release();
-    assert_eq!(open.read().expect("an answer").body, b"late");
+    assert_eq!(open.read().expect("a response").body, b"late");
 }
 
-/// Bytes that trickle in do not prolong the time that a request has to become whole.
+/// A trickle of bytes does not extend the time limit of an incomplete request.
 #[test]
 fn an_incomplete_request_times_out() {
     let backend = serving();
@@ -114,7 +116,7 @@
     let started = Instant::now();
     let head = "GET /api HTTP/1.1\r\nX-Drop: ".to_owned();
     let body = post("pay", "t1", "", "").replace("Content-Length: 0", "Content-Length: 60000");
-    for (text, wanted) in [(head, None), (body, Some(408))] {
+    for (text, expected) in [(head, None), (body, Some(408))] {
         let mut client = Client::connect(node.address);
         client.write(&text);
         let mut trickle = client.stream();
@@ -123,17 +125,17 @@
                 thread::sleep(Duration::from_millis(50));
             }
         });
-        if let Some(status) = wanted {
-            assert_eq!(client.read().expect("an answer").status(), status);
+        if let Some(status) = expected {
+            assert_eq!(client.read().expect("a response").status(), status);
         }
         assert!(client.is_closed());
     }
-    // Either is owed its end within 3 s; the margin is for slow machines.
+    // The limit is 3 s for each of the two; the margin is for slow machines.
     assert!(started.elapsed() < Duration::from_secs(8));
     assert_eq!(backend.take_request_count(), 0);
 }
 
-/// A request with two lengths may hide another one: each side would see a different end.
+/// Guards against request smuggling with ambiguous body lengths.
 #[test]
 fn a_length_beside_a_transfer_coding_is_rejected_in_either_order() {
     let backend = serving();
@@ -156,27 +158,24 @@
         let text = post("pay", "c1", "", "").replace("Content-Length: 0\r\n", &headers) + &chunked;
         let mut client = Client::connect(node.address);
         assert_eq!(
-            client.request(&text).expect("an answer").status(),
+            client.request(&text).expect("a response").status(),
             400,
             "{headers}"
         );
-        assert!(
-            client.is_closed(),
-            "nothing behind it is taken for a request"
-        );
+        assert!(client.is_closed(), "the body was parsed as another request");
     }
-    // Also behind a good one, which is sent ahead of its answer.
+    // The same for a request pipelined behind a valid one.
     let bad =
         post("pay", "c2", "", "").replace("Content-Length: 0\r\n", &format!("{length}{coding}"));
     let mut client = Client::connect(node.address);
     assert_eq!(
         client
             .request(&(get("good", "") + &bad + &chunked))
-            .expect("an answer")
+            .expect("a response")
             .status(),
         200
     );
-    assert_eq!(client.read().expect("an answer").status(), 400);
+    assert_eq!(client.read().expect("a response").status(), 400);
     assert!(client.is_closed());
     assert_eq!(backend.take_request_count(), 1);
 }
@@ -198,7 +197,7 @@
         let text = post("pay", "l1", "", "").replace("Length: 0", &format!("Length: {length}"));
         let mut client = Client::connect(node.address);
         assert_eq!(
-            client.request(&text).expect("an answer").status(),
+            client.request(&text).expect("a response").status(),
             400,
             "{length}"
         );
@@ -207,9 +206,9 @@
     assert_eq!(backend.take_request_count(), 0);
 }
 
-/// The error is not lost in a reset while the client still sends.
+/// Guards against a reset that discards the error response while the client still sends.
 #[test]
-fn the_error_response_is_sent_while_a_large_body_arrives() {
+fn the_error_response_is_not_lost_while_a_large_body_arrives() {
     let backend = serving();
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let mut stream = TcpStream::connect(node.address).unwrap();
@@ -217,33 +216,35 @@
     let length = 60_000_000;
     let text = post("nobody", "b1", "", "").replace("Length: 0", &format!("Length: {length}"));
     stream.write_all(text.as_bytes()).unwrap();
-    // All of it goes out before the answer is looked at.
+    // The whole body is sent before the response is read.
     stream
         .write_all(&vec![b'x'; length])
-        .expect("the node reads on");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("no reset");
-    assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
+        .expect("the node stopped reading the body");
+    let mut response = String::new();
+    stream
+        .read_to_string(&mut response)
+        .expect("the connection was reset");
+    assert!(response.starts_with("HTTP/1.1 400 "), "{response}");
 }
 
-/// Backends tell requests apart by their ids: another's open one must not reach them.
+/// Backends identify requests by id: a second request with the id of an open one must not be forwarded.
 #[test]
 fn the_id_of_an_open_request_is_rejected() {
     let latch = Arc::new(Latch::default());
-    let waits = latch.clone();
-    let backend = Backend::new(move |_| ResponsePlan::RespondAfter(waits.clone(), ok("mine")));
+    let backend_latch = latch.clone();
+    let backend =
+        Backend::new(move |_| ResponsePlan::RespondAfter(backend_latch.clone(), ok("mine")));
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let mut owner = Client::connect(node.address);
     owner.write(&post("pay", "d1", "", "mine"));
     assert_eq!(backend.next_request().value("x-call-id"), Some("d1"));
     assert_eq!(node.request(&post("pay", "d1", "", "theirs")).status(), 409);
     latch.release();
-    assert_eq!(owner.read().expect("an answer").body, b"mine");
+    assert_eq!(owner.read().expect("a response").body, b"mine");
     assert_eq!(backend.take_request_count(), 0);
 }
 
-/// Idle clients fill what they may while discovery is down: the node still reaches its backends, and discovery once it is
-/// back. The process has the descriptors that the platform tells it of and not one more.
+/// With its descriptor limit exhausted by clients the node still connects to its backends, and to discovery once it is up.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_backends() {
     for sockets in [32, 64, 256] {
@@ -251,7 +252,7 @@
             serving(),
             Backend::new(|_| ResponsePlan::Respond(ok("new"))),
         );
-        // Connections come up, and nobody says a word.
+        // Discovery accepts connections but does not respond.
         let down = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let mut config = config(
             down.local_addr().unwrap(),
@@ -261,11 +262,11 @@
         let node = Node::start(&config);
         let limit = format!("--nofile={sockets}:{sockets}");
         let id = node.child.id().to_string();
-        let set = std::process::Command::new("prlimit")
+        let status = std::process::Command::new("prlimit")
             .args(["--pid", &id, &limit])
             .status();
-        assert!(set.expect("prlimit is there").success());
-        // Idle, silent and half way.
+        assert!(status.expect("prlimit runs").success());
+        // Idle connections, incomplete heads, and connections without a request.
         let mut crowd = Vec::new();
         for n in 0..sockets {
             let mut client = Client::connect(node.address);
@@ -303,13 +304,12 @@
     }
 }
 
-/// Crowds that connect and stop half way, or ask once and stay, make room for those who have a request.
 #[test]
 fn stalled_and_idle_connections_are_evicted_for_requests() {
     let backend = serving();
     let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
     let mut config = config(discovery.address, json!([]));
-    // 32 of these are for clients.
+    // 32 of the sockets are for client connections.
     config["limits"]["sockets"] = json!(79);
     let node = Node::start(&config);
     discovery.wait_for_watch_from(1);
@@ -329,7 +329,7 @@
     for n in 0..10 {
         assert_eq!(node.request(&get(&format!("r{n}"), "")).status(), 200);
     }
-    // 133 who stopped half way hold 32 places; without making room each of them stays for 2.5 s: ten seconds.
+    // Without evictions the 133 incomplete requests would occupy the 32 connections for 2.5 s each, ten seconds in all.
     assert!(
         began.elapsed() < Duration::from_secs(7),
         "{:?}",
@@ -338,8 +338,7 @@
     drop(crowd);
 }
 
-/// Clients that stop in the middle of a request and stay are owed an error or a close within 3 s, on a connection that
-/// has served a request too. Half a head that had come before that request's answer went out stayed open for ten seconds.
+/// Guards against an incomplete request on a used connection that gets the idle limit instead of the limit of a head.
 #[test]
 fn half_a_request_on_a_used_connection_times_out() {
     let backend = Backend::new(|_| {
@@ -353,34 +352,39 @@
         "G",
         &half_body[..half_body.len() - 3],
     ];
-    let cases = halves
-        .iter()
-        .flat_map(|half| ["with it", "behind it", "after its answer"].map(|when| (*half, when)));
+    let cases = halves.iter().flat_map(|half| {
+        [
+            "with the first request",
+            "before the first response",
+            "after the first response",
+        ]
+        .map(|when| (*half, when))
+    });
     let mut clients = Vec::new();
     for (n, (half, when)) in cases.enumerate() {
         let whole = get(&format!("whole{n}"), "");
         let mut client = Client::connect(node.address);
-        if when == "with it" {
+        if when == "with the first request" {
             client.write(&(whole + half));
         } else {
             client.write(&whole);
         }
-        if when == "behind it" {
+        if when == "before the first response" {
             assert!(backend.next_request().value("x-call-id").is_some());
             client.write(half);
         }
         clients.push((client, half, when));
     }
     for (client, half, when) in &mut clients {
-        assert_eq!(client.read().expect("an answer").status(), 200);
-        if *when == "after its answer" {
+        assert_eq!(client.read().expect("a response").status(), 200);
+        if *when == "after the first response" {
             client.write(half);
         }
     }
     let began = Instant::now();
     for (client, half, when) in &mut clients {
-        if let Some(answer) = client.read() {
-            assert_eq!(answer.status(), 408, "{half:?} {when}");
+        if let Some(response) = client.read() {
+            assert_eq!(response.status(), 408, "{half:?} {when}");
         }
         let took = began.elapsed();
         assert!(took < Duration::from_secs(3), "{half:?} {when}: {took:?}");
--- a/daemon/tests/pipelining.rs
+++ b/daemon/tests/pipelining.rs
@@ -1,4 +1,4 @@
-//! Requests sent ahead of the answers to those before them on the same connection.
+//! Pipelined requests: forwarded deadlines, rejections, and time limits of heads and bodies.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -14,45 +14,43 @@
 use badgerpost_fakes::scripted::*;
 use serde_json::json;
 
-/// How long the backend takes for the first of the requests.
-const FIRST_TAKES: Duration = Duration::from_millis(600);
+const FIRST_RESPONSE_TIME: Duration = Duration::from_millis(600);
 
-/// A backend that takes its time for the request `r1`, and answers all others at once.
-fn slow_for_the_first() -> Backend {
+/// A backend that responds to the request `r1` after `FIRST_RESPONSE_TIME`, and to all others at once.
+fn backend_with_slow_first_response() -> Backend {
     Backend::new(|message| {
         if message.value("x-call-id") == Some("r1") {
-            thread::sleep(FIRST_TAKES);
+            thread::sleep(FIRST_RESPONSE_TIME);
         }
         ResponsePlan::Respond(ok("yes"))
     })
 }
 
-/// Its time runs from its last byte, also while another is answered first: its server is told what is left of it.
+/// The client timeout of a pipelined request also runs while the request waits for the response before its own.
 #[test]
 fn the_deadline_forwarded_for_a_pipelined_request_is_its_remaining_time() {
-    let backend = slow_for_the_first();
+    let backend = backend_with_slow_first_response();
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let mut client = Client::connect(node.address);
     client.write(&(get("r1", "") + &post("pay", "r2", "", "body").replace("3000", "1000")));
-    assert_eq!(client.read().expect("an answer").status(), 200);
-    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
     backend.next_request();
-    let told = backend.next_request();
-    assert_eq!(told.value("x-call-id"), Some("r2"));
-    let told: u64 = told.value("x-budget-ms").unwrap().parse().unwrap();
-    let left = 1000 - u64::try_from(FIRST_TAKES.as_millis()).unwrap();
-    assert!(told <= left, "told {told} ms, {left} left");
+    let forwarded = backend.next_request();
+    assert_eq!(forwarded.value("x-call-id"), Some("r2"));
+    let forwarded: u64 = forwarded.value("x-budget-ms").unwrap().parse().unwrap();
+    let left = 1000 - u64::try_from(FIRST_RESPONSE_TIME.as_millis()).unwrap();
+    assert!(forwarded <= left, "forwarded {forwarded} ms, {left} left");
 }
 
-/// With its time over it goes to no server any more, and is answered at once.
 #[test]
 fn a_pipelined_request_past_its_deadline_is_rejected_and_not_forwarded() {
-    let backend = slow_for_the_first();
+    let backend = backend_with_slow_first_response();
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let mut client = Client::connect(node.address);
-    let late = |id| post("pay", id, "", "body").replace("3000", "300");
-    client.write(&(get("r1", "") + &late("r2") + &late("r3") + &get("r4", "")));
-    let statuses = [(); 4].map(|()| client.read().expect("an answer").status());
+    let expired = |id| post("pay", id, "", "body").replace("3000", "300");
+    client.write(&(get("r1", "") + &expired("r2") + &expired("r3") + &get("r4", "")));
+    let statuses = [(); 4].map(|()| client.read().expect("a response").status());
     assert_eq!(statuses, [200, 503, 503, 200]);
     let ids = [backend.next_request(), backend.next_request()]
         .map(|message| message.value("x-call-id").map(str::to_owned));
@@ -60,13 +58,12 @@
     assert_eq!(backend.take_request_count(), 0);
 }
 
-/// Bytes that arrive while the request before is out, and in pieces: the time runs from the last of them.
 #[test]
-fn the_time_of_a_request_in_pieces_runs_from_its_last_byte() {
+fn the_client_timeout_of_a_pipelined_request_starts_with_its_last_byte() {
     let latch = Arc::new(Latch::default());
-    let waits = latch.clone();
+    let backend_latch = latch.clone();
     let backend = Backend::new(move |message| match message.value("x-call-id") {
-        Some("r1") => ResponsePlan::RespondAfter(waits.clone(), ok("first")),
+        Some("r1") => ResponsePlan::RespondAfter(backend_latch.clone(), ok("first")),
         _ => ResponsePlan::Respond(ok("yes")),
     });
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
@@ -81,44 +78,48 @@
     let last_byte = Instant::now();
     thread::sleep(Duration::from_millis(300));
     latch.release();
-    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
     let waited = u64::try_from(last_byte.elapsed().as_millis()).unwrap();
-    assert_eq!(client.read().expect("an answer").status(), 200);
-    let told = backend.next_request();
-    let told: u64 = told.value("x-budget-ms").unwrap().parse().unwrap();
+    assert_eq!(client.read().expect("a response").status(), 200);
+    let forwarded = backend.next_request();
+    let forwarded: u64 = forwarded.value("x-budget-ms").unwrap().parse().unwrap();
     let left = 900 - waited;
-    assert!(told <= left + 50, "told {told} ms, {left} left");
-    assert!(told + 100 >= left, "told {told} ms, {left} left");
+    assert!(
+        forwarded <= left + 50,
+        "forwarded {forwarded} ms, {left} left"
+    );
+    assert!(
+        forwarded + 100 >= left,
+        "forwarded {forwarded} ms, {left} left"
+    );
 }
 
-/// A request that is turned away does not take those behind it with it, as long as its own end is known.
+/// A rejected request does not close the connection as long as its length is known.
 #[test]
-fn requests_pipelined_behind_a_rejected_one_are_answered() {
+fn a_request_pipelined_after_a_rejected_one_is_answered() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
-    let turned_away = [
+    let rejected = [
         (400, post("unheard-of", "b1", "", "body")),
         (400, get("b2", "").replace("3000", "soon")),
         (405, post("read", "b3", "", "")),
         (404, get("b4", "").replace("/api", "/elsewhere")),
         (409, post("pay", "good-4", "", "body")),
     ];
-    for (n, (wanted, bad)) in turned_away.into_iter().enumerate() {
+    for (n, (expected, invalid)) in rejected.into_iter().enumerate() {
         let mut client = Client::connect(node.address);
-        let (before, behind) = (format!("good-{n}"), format!("behind-{n}"));
-        client.write(&(post("pay", &before, "", "one") + &bad + &post("pay", &behind, "", "two")));
-        let statuses = [(); 3].map(|()| client.read().expect("an answer").status());
-        assert_eq!(statuses, [200, wanted, 200], "{n}");
+        let (before, after) = (format!("good-{n}"), format!("behind-{n}"));
+        client
+            .write(&(post("pay", &before, "", "one") + &invalid + &post("pay", &after, "", "two")));
+        let statuses = [(); 3].map(|()| client.read().expect("a response").status());
+        assert_eq!(statuses, [200, expected, 200], "{n}");
     }
 }
 
-/// The node does not read the second request while the first one runs, so its client stops for no fault of its own.
-///
-/// It got 408: the stall limit of a body counted from the arrival of its last bytes, and those had lain unread for longer
-/// than the limit when the node turned to them. Seen at the client: 200 at 2.602 s and 408 at 2.602 s, and
-/// `connections.closed.request_body` 1. The limit now counts from when the node reads on.
+/// Guards against a stall limit that counts the time during which the node does not read because the first request is
+/// still open, and then answers the second request with 408.
 #[test]
-fn a_body_sent_ahead_of_a_slow_response_does_not_time_out_while_it_is_not_read() {
+fn a_pipelined_body_does_not_time_out_while_the_node_does_not_read_it() {
     let backend = Backend::new(|message| {
         if message.value("x-call-id") == Some("r1") {
             thread::sleep(Duration::from_millis(2600));
@@ -129,24 +130,24 @@
     let mut client = Client::connect(node.address);
     let body = "b".repeat(60_000);
     client.write(&(get("r1", "") + &post("pay", "r2", "", &body)));
-    assert_eq!(client.read().expect("an answer").status(), 200);
-    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
 }
 
-/// How long the backend takes for a request whose id begins with `slow`: longer than a client may stall.
-const LONGER_THAN_A_STALL: Duration = Duration::from_millis(2600);
-/// What a client that stops is owed its error or close within, from when it is waited for.
+/// Response time for requests whose id begins with `slow`: longer than the stall limit of a body.
+const SLOW_RESPONSE_TIME: Duration = Duration::from_millis(2600);
+/// The time after the first response within which a stalled client gets an error or a close.
 const STALLED_CLIENT_LIMIT: Duration = Duration::from_secs(3);
 
-/// A backend that takes its time for requests whose id begins with `slow`, half of it where it begins with `half`, has a
-/// large response for `large`, and answers all others at once.
-fn slow_by_id() -> Backend {
+/// A backend that responds after `SLOW_RESPONSE_TIME` if the id begins with `slow`, after half of it for `half`, with a
+/// large body for `large`, and at once to all others.
+fn backend_with_response_time_by_id() -> Backend {
     Backend::new(|message| {
         let id = message.value("x-call-id").unwrap_or_default();
         if id.starts_with("slow") {
-            thread::sleep(LONGER_THAN_A_STALL);
+            thread::sleep(SLOW_RESPONSE_TIME);
         } else if id.starts_with("half") {
-            thread::sleep(LONGER_THAN_A_STALL / 2);
+            thread::sleep(SLOW_RESPONSE_TIME / 2);
         }
         let size = if id.starts_with("large") {
             16_000_000
@@ -174,7 +175,7 @@
     head + &chunks.concat() + "0\r\n\r\n"
 }
 
-/// A node whose classes have time for several slow requests behind each other.
+/// A node with class deadlines that leave time for several slow requests in sequence.
 fn node_for_slow_requests(backend: &Backend) -> (Node, Discovery) {
     let targets = json!([target("s-0", backend.address, "Ready")]);
     let discovery = Discovery::new(targets.clone());
@@ -186,18 +187,20 @@
     (Node::start(&config), discovery)
 }
 
-/// Each of these clients sends its requests at once, and gets a response to each.
 #[test]
-fn bodies_of_any_form_sent_ahead_of_slow_responses_are_answered() {
+fn pipelined_bodies_of_any_framing_are_answered_after_slow_responses() {
     let (small, large) = ("b".repeat(60_000), "b".repeat(300_000));
     let forms = [
         (
-            "a length",
+            "small, with a length",
             get("slow-1", "") + &post("pay", "r1", "", &small),
         ),
-        ("chunks", get("slow-2", "") + &post_in_chunks("r2", &small)),
         (
-            "a large one",
+            "small, in chunks",
+            get("slow-2", "") + &post_in_chunks("r2", &small),
+        ),
+        (
+            "large, with a length",
             get("slow-3", "") + &post("pay", "r3", "", &large),
         ),
         (
@@ -205,13 +208,13 @@
             get("slow-4", "") + &post_in_chunks("r4", &large),
         ),
         (
-            "behind two",
+            "after two requests",
             get("half-1", "") + &get("half-2", "") + &post("pay", "r5", "", &small),
         ),
     ];
     let clients = forms.map(|(form, text)| {
         thread::spawn(move || {
-            let backend = slow_by_id();
+            let backend = backend_with_response_time_by_id();
             let (node, _discovery) = node_for_slow_requests(&backend);
             let mut client = Client::connect(node.address);
             let mut writer = client.stream();
@@ -227,62 +230,62 @@
     });
     for client in clients {
         let (form, statuses) = client.join().unwrap();
-        let are_served = statuses.iter().all(|status| *status == Some(200));
-        assert!(are_served, "{form}: {statuses:?}");
+        let all_served = statuses.iter().all(|status| *status == Some(200));
+        assert!(all_served, "{form}: {statuses:?}");
     }
 }
 
-/// A client that goes on with a body once it sees that it is waited for has not stalled before that.
+/// The stall limit of a half-sent body starts when the node reads on, after the first response.
 #[test]
-fn a_body_of_which_half_was_sent_ahead_may_be_continued_after_the_response() {
-    let backend = slow_by_id();
+fn a_half_sent_pipelined_body_may_be_continued_after_the_first_response() {
+    let backend = backend_with_response_time_by_id();
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let text = post("pay", "r2", "", &"b".repeat(60_000));
     let half = text.len() / 2;
     let mut client = Client::connect(node.address);
     client.write(&(get("slow", "") + &text[..half]));
-    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
     thread::sleep(Duration::from_millis(1500));
     client.write(&text[half..]);
-    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
 }
 
-/// While a response is streamed the node reads no further request, however long its client takes for the response.
+/// The node reads no further request while it streams a response, however slowly the client reads.
 #[test]
-fn a_body_sent_ahead_of_a_response_that_is_read_slowly_is_answered() {
-    let backend = slow_by_id();
+fn a_pipelined_body_after_a_slowly_read_response_is_answered() {
+    let backend = backend_with_response_time_by_id();
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let text = post("pay", "r2", "", &"b".repeat(60_000));
     let half = text.len() / 2;
     let mut client = Client::connect(node.address);
     client.write(&(get("large", "") + &text[..half]));
-    // The head of the response has come; the rest waits for this client.
-    thread::sleep(LONGER_THAN_A_STALL);
-    assert_eq!(client.read().expect("an answer").body.len(), 16_000_000);
+    // The node has begun to stream the response; the rest waits until the client reads.
+    thread::sleep(SLOW_RESPONSE_TIME);
+    assert_eq!(client.read().expect("a response").body.len(), 16_000_000);
     thread::sleep(Duration::from_millis(500));
     client.write(&text[half..]);
-    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
 }
 
-/// More than the node reads ahead lies in front of the rest of a head, so that its client is not at fault.
+/// The head is longer than the node reads ahead, so the client cannot complete it before the first response.
 #[test]
-fn a_head_behind_more_than_is_read_ahead_is_not_late() {
-    let backend = slow_by_id();
+fn a_pipelined_head_beyond_the_read_buffer_does_not_time_out() {
+    let backend = backend_with_response_time_by_id();
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let last = get("last", &format!("X-Filler: {}\r\n", "f".repeat(30_000)));
     let half = last.len() - 2;
     let mut client = Client::connect(node.address);
     client.write(&(get("slow", "") + &last[..half]));
-    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
     thread::sleep(Duration::from_millis(500));
     client.write(&last[half..]);
-    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
 }
 
-/// A client that really stops within what it has sent ahead is told so in time, counted from when it is waited for.
+/// A client that stalls within a pipelined request gets 408 or a close, counted from the first response.
 #[test]
-fn a_client_that_stops_within_what_it_sent_ahead_times_out() {
-    let backend = slow_by_id();
+fn a_stalled_pipelined_request_times_out() {
+    let backend = backend_with_response_time_by_id();
     let (node, _discovery) = Node::start_with_backends(&[&backend]);
     let body = |id, size| post("pay", id, "", &"b".repeat(size));
     let parts = [
@@ -296,12 +299,12 @@
             let mut writer = client.stream();
             let first = get(&format!("slow-{part}"), "");
             thread::spawn(move || writer.write_all((first + &text).as_bytes()));
-            assert_eq!(client.read().expect("an answer").status(), 200, "{part}");
-            let waited_for = Instant::now();
+            assert_eq!(client.read().expect("a response").status(), 200, "{part}");
+            let response_received = Instant::now();
             if let Some(response) = client.read() {
                 assert_eq!(response.status(), 408, "{part}");
             }
-            (part, waited_for.elapsed())
+            (part, response_received.elapsed())
         })
     });
     for client in clients {
@@ -310,23 +313,23 @@
     }
 }
 
-/// In a crowd, a client that has only just been waited for is not among those that have stalled.
+/// The stall limit starts with the first response, so new connections do not evict this one right after it.
 #[test]
-fn a_connection_whose_body_was_sent_ahead_is_not_evicted_as_stalled() {
-    let backend = slow_by_id();
+fn a_connection_with_a_pipelined_body_is_not_evicted_as_stalled() {
+    let backend = backend_with_response_time_by_id();
     let targets = json!([target("s-0", backend.address, "Ready")]);
     let discovery = Discovery::new(targets.clone());
     let mut config = config(discovery.address, targets);
-    // Sixteen of these are for clients.
+    // Sixteen of the sockets are for client connections.
     config["limits"]["sockets"] = json!(50);
     let node = Node::start(&config);
     let text = post("pay", "r2", "", &"b".repeat(60_000));
     let half = text.len() / 2;
     let mut client = Client::connect(node.address);
     client.write(&(get("slow", "") + &text[..half]));
-    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
     let _crowd: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
     thread::sleep(Duration::from_millis(300));
     client.write(&text[half..]);
-    assert_eq!(client.read().expect("an answer").status(), 200);
+    assert_eq!(client.read().expect("a response").status(), 200);
 }
--- a/daemon/tests/system_calls.rs
+++ b/daemon/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail as Linux documents, under a steady load: each request gets its answer all the same.
+//! Short and failing system calls, as documented for Linux, under a steady load: every request is served.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -13,10 +13,9 @@
 use badgerpost_fakes::system_faults::{CallFault, SystemCall, SystemFaults};
 use serde_json::json;
 
-/// How long a load lasts.
-const LASTS: Duration = Duration::from_secs(3);
-/// By which the deadlines that are told to backends may be off, as they count from the accept.
-const CROWD_LIMIT: Duration = Duration::from_millis(150);
+const LOAD_TIME: Duration = Duration::from_secs(3);
+/// The slack of forwarded deadlines, which count from the accept.
+const CONNECTION_TIME_LIMIT: Duration = Duration::from_millis(150);
 
 fn serving() -> Backend {
     Backend::new(|_| {
@@ -27,9 +26,9 @@
     })
 }
 
-/// The requests of a load on a node with these faults that were not served. The requests may not be repeated, so that
-/// nothing hides an attempt that broke.
-fn not_served(faults: &SystemFaults) -> (usize, Vec<LoadResult>) {
+/// Runs a load on a node with these faults; returns the number of requests and those that failed. The requests are
+/// non-idempotent, so that no retry hides a broken attempt.
+fn run_load(faults: &SystemFaults) -> (usize, Vec<LoadResult>) {
     let backends = [serving(), serving(), serving()];
     let targets: Vec<_> = (0..)
         .zip(&backends)
@@ -40,52 +39,63 @@
     let load = Load::start(node.address, "r", 20, Duration::from_millis(50), |id| {
         post("pay", id, "", "what is paid").replace("3000", "2000")
     });
-    thread::sleep(LASTS);
+    thread::sleep(LOAD_TIME);
     let results = load.stop();
-    let asked = results.len();
-    assert!(asked > 600, "{asked} requests are no load");
-    let lost = results
+    let sent = results.len();
+    assert!(sent > 600, "only {sent} requests were sent");
+    let failed = results
         .into_iter()
         .filter(|result| !result.is_ok())
         .collect();
-    (asked, lost)
+    (sent, failed)
 }
 
 #[track_caller]
-fn all_served(faults: &SystemFaults) {
-    let (asked, lost) = not_served(faults);
+fn check_that_all_are_served(faults: &SystemFaults) {
+    let (sent, failed) = run_load(faults);
     assert!(
-        lost.is_empty(),
-        "{faults}: {} of {asked} not served: {:?}",
-        lost.len(),
-        &lost[..lost.len().min(10)]
+        failed.is_empty(),
+        "{faults}: {} of {sent} failed: {:?}",
+        failed.len(),
+        &failed[..failed.len().min(10)]
     );
 }
 
-/// A read that returns less than was asked for does not mean that there is no more.
+/// A short read does not mean that no more data is available.
 #[test]
 fn short_reads_lose_no_request() {
     for permille in [10, 50, 500] {
-        all_served(&SystemFaults::seeded(7).with(SystemCall::Recv, CallFault::Short, permille));
+        check_that_all_are_served(&SystemFaults::seeded(7).with(
+            SystemCall::Recv,
+            CallFault::Short,
+            permille,
+        ));
     }
 }
 
 #[test]
 fn short_writes_lose_no_request() {
     for permille in [50, 500] {
-        all_served(&SystemFaults::seeded(7).with(SystemCall::Send, CallFault::Short, permille));
+        check_that_all_are_served(&SystemFaults::seeded(7).with(
+            SystemCall::Send,
+            CallFault::Short,
+            permille,
+        ));
     }
 }
 
-/// An interrupted call has done nothing: it is made again.
+/// A call that failed with EINTR is repeated.
 #[test]
 fn interrupted_system_calls_lose_no_request() {
     for call in [SystemCall::Recv, SystemCall::Send, SystemCall::EpollWait] {
-        all_served(&SystemFaults::seeded(7).with(call, CallFault::Error("EINTR"), 50));
+        check_that_all_are_served(&SystemFaults::seeded(7).with(
+            call,
+            CallFault::Error("EINTR"),
+            50,
+        ));
     }
 }
 
-/// Sockets that are short for a moment are no reason not to start.
 #[test]
 fn a_node_retries_to_listen_when_no_socket_is_available() {
     for (seed, error) in [(1, "ENFILE"), (2, "EMFILE"), (3, "ENOBUFS")] {
@@ -104,9 +114,9 @@
     }
 }
 
-/// An accept that fails says nothing of the connections behind it: a crowd that connects at once waits no longer for it.
+/// Guards against a back-off after a failed accept that delays the other connections in the queue.
 #[test]
-fn failed_accepts_do_not_hold_up_the_connections_behind_them() {
+fn failed_accepts_do_not_delay_other_connections() {
     for (seed, error) in [(1, "ENFILE"), (2, "ECONNABORTED"), (3, "ENOBUFS")] {
         let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
         let targets = json!([target("s-0", backend.address, "Ready")]);
@@ -120,9 +130,9 @@
             client.write("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
         }
         for client in &mut clients {
-            assert_eq!(client.read().expect("an answer").status(), 200, "{error}");
+            assert_eq!(client.read().expect("a response").status(), 200, "{error}");
         }
         let took = began.elapsed();
-        assert!(took < CROWD_LIMIT, "{error}: {took:?}");
+        assert!(took < CONNECTION_TIME_LIMIT, "{error}: {took:?}");
     }
 }
