--- a/daemon/tests/client_disconnect.rs
+++ b/daemon/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect while their request waits, connects or is retried: nothing more is sent to a backend for them.
-//! Also requests whose time or deduplication window ends before the backend connection is established.
+//! Clients that disconnect while their request waits, connects or is retried: nothing more is sent to a backend for
+//! them. Also requests whose time or deduplication window ends before the backend connection is established.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,7 +39,8 @@
     ids.filter(|id| !id.starts_with("stays")).collect()
 }
 
-/// Guards against a disconnect that is noticed only if nothing follows the request: hyper stops reading otherwise.
+/// Guards against a disconnect that stays undetected because data follows the request: hyper looks for one only without
+/// it.
 #[test]
 fn a_disconnect_is_detected_with_any_data_after_the_request() {
     let flood = get("flood", "").repeat(400);
@@ -141,8 +142,8 @@
     );
 }
 
-/// Guards against a retry that starts within the deduplication window but whose connection is established after the window,
-/// so that the request runs twice.
+/// Guards against a retry that starts within the deduplication window but whose connection is established after the
+/// window, so that the request runs twice.
 #[test]
 fn a_retry_is_not_written_after_the_deduplication_window() {
     let latch = Arc::new(Latch::default());
@@ -180,7 +181,8 @@
     );
 }
 
-/// Guards against closing the connection as stalled because the node does not read the body while no backend is available.
+/// Guards against closing the connection as stalled because the node does not read the body while no backend is
+/// available.
 #[test]
 fn a_large_request_without_a_backend_is_rejected_in_time() {
     let (node, _discovery) = node_without_backends(|config| {
@@ -240,8 +242,8 @@
     );
 }
 
-/// A suspended node reads a request together with its client's disconnect: no attempt starts, whether the connection is new
-/// or used, nor for a request pipelined behind another.
+/// A suspended node reads a request together with its client's disconnect: no attempt starts, whether the connection is
+/// new or used, nor for a request pipelined behind another.
 #[test]
 fn no_attempt_starts_for_a_client_that_disconnected_before_its_request_was_read() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
--- a/daemon/tests/early_responses.rs
+++ b/daemon/tests/early_responses.rs
@@ -117,7 +117,7 @@
 
 /// When a client reads the response to its upload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ClientReads {
+enum Reads {
     WhileSending,
     AfterSending,
 }
@@ -148,21 +148,22 @@
 }
 
 /// Sends an upload and reads its response; `None` if the connection ends without one.
-fn upload(address: SocketAddr, text: String, client_reads: ClientReads) -> Option<Message> {
+fn upload(address: SocketAddr, text: String, reads: Reads) -> Option<Message> {
     let mut client = Client::connect(address);
     let mut stream = client.stream();
     let writing = thread::spawn(move || {
         // The node may close the connection before the upload is complete.
         let _ = stream.write_all(text.as_bytes());
     });
-    if client_reads == ClientReads::AfterSending {
+    if reads == Reads::AfterSending {
         writing.join().unwrap();
         return client.read();
     }
     client.read()
 }
 
-/// Checks every framing of responses and uploads, for clients that read while sending and for those that read afterwards.
+/// Checks every framing of responses and uploads, for clients that read while sending and for those that read
+/// afterwards.
 #[track_caller]
 fn check_that_clients_get_the_response(after_response: AfterResponse) {
     let large = "x".repeat(LARGE_BODY_BYTES);
@@ -215,10 +216,10 @@
         ("length", upload_with_length as fn(&str) -> String),
         ("chunks", upload_in_chunks),
     ] {
-        for client_reads in [ClientReads::WhileSending, ClientReads::AfterSending] {
+        for reads in [Reads::WhileSending, Reads::AfterSending] {
             requests += 1;
             let began = Instant::now();
-            let response = upload(node.address, text(&format!("r{requests}")), client_reads);
+            let response = upload(node.address, text(&format!("r{requests}")), reads);
             let took = began.elapsed();
             let got =
                 response.map(|response| (response.status(), response.body.len(), response.body));
@@ -228,7 +229,7 @@
             if !is_right || took > Duration::from_secs(4) {
                 let got = got.map(|(status, length, _)| (status, length));
                 failures.push(format!(
-                    "{form}, upload by {framing}, client reads {client_reads:?}: {got:?} in {took:?}"
+                    "{form}, upload by {framing}, client reads {reads:?}: {got:?} in {took:?}"
                 ));
             }
         }
@@ -262,7 +263,7 @@
     // The reset may overtake the response. Then the request did not run, and 503 allows the client to repeat it.
     for n in 0..10 {
         let text = upload_with_length(&format!("r{n}"));
-        let response = upload(node.address, text, ClientReads::AfterSending);
+        let response = upload(node.address, text, Reads::AfterSending);
         let status = response.expect("a response").status();
         assert!([413, 503].contains(&status), "{status}");
     }
@@ -300,11 +301,7 @@
 fn a_backend_that_keeps_reading_gets_the_rest_of_the_upload() {
     let backend = EarlyBackend::new(response_with_length(200, "ok"), AfterResponse::KeepsReading);
     let (node, _discovery) = backend.start_node();
-    let response = upload(
-        node.address,
-        upload_with_length("r1"),
-        ClientReads::WhileSending,
-    );
+    let response = upload(node.address, upload_with_length("r1"), Reads::WhileSending);
     assert_eq!(response.expect("a response").status(), 200);
     wait_until("the backend has read the whole upload", || {
         backend.bytes_read.load(Ordering::SeqCst) > UPLOAD_BYTES
@@ -345,7 +342,7 @@
     let node = Node::start(&config(discovery.address, targets));
     for n in 0..3 {
         let text = upload_with_length(&format!("r{n}"));
-        let response = upload(node.address, text, ClientReads::WhileSending).expect("a response");
+        let response = upload(node.address, text, Reads::WhileSending).expect("a response");
         assert_eq!(
             (response.status(), response.body.len()),
             (200, UPLOAD_BYTES)
@@ -360,7 +357,7 @@
     let (node, _discovery) = backend.start_node();
     for n in 0..4 {
         let text = upload_in_chunks(&format!("u{n}"));
-        let response = upload(node.address, text, ClientReads::WhileSending);
+        let response = upload(node.address, text, Reads::WhileSending);
         assert_eq!(response.expect("a response").status(), 200);
         // A kept connection is reused only after a short delay.
         thread::sleep(Duration::from_millis(30));
@@ -379,7 +376,7 @@
         let response = upload(
             node.address,
             upload_with_length(&format!("r{n}")),
-            ClientReads::WhileSending,
+            Reads::WhileSending,
         );
         assert_eq!(response.expect("a response").status(), 413);
     }
@@ -410,7 +407,7 @@
     let response = upload(
         node.address,
         upload_with_length("first"),
-        ClientReads::WhileSending,
+        Reads::WhileSending,
     );
     assert_eq!(response.expect("a response").status(), 200);
     let mut kept = Vec::new();
--- a/daemon/tests/given_up.rs
+++ b/daemon/tests/given_up.rs
@@ -62,13 +62,13 @@
 
 /// Whether this is the first attempt; records for a later one whether the first had ended.
 fn register_first_attempt(id: &str, stream: &TcpStream, attempts: &mut Attempts) -> bool {
-    let Some(open_first_attempts) = attempts.open_first_attempts.get(id) else {
+    let Some(first_attempt) = attempts.open_first_attempts.get(id) else {
         let kept = stream.try_clone().unwrap();
         attempts.open_first_attempts.insert(id.to_owned(), kept);
         return true;
     };
-    open_first_attempts.set_nonblocking(true).unwrap();
-    let has_ended = match open_first_attempts.peek(&mut [0]) {
+    first_attempt.set_nonblocking(true).unwrap();
+    let has_ended = match first_attempt.peek(&mut [0]) {
         Ok(bytes) => bytes == 0,
         Err(error) => error.kind() != ErrorKind::WouldBlock,
     };
--- a/daemon/tests/gossip.rs
+++ b/daemon/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Nodes that talk to each other, as processes: who is let in, what is dropped, what is refused at the start.
+//! Gossip between node processes: membership, dropped datagrams, invalid configuration, and false zone observations.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -20,7 +20,7 @@
 
 const KEY: &str = "a key that the fleet's nodes have";
 
-/// A file that only its owner may read, or everybody.
+/// Creates a temporary file with these permissions.
 fn file(name: &str, text: &str, mode: u32) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -33,56 +33,64 @@
     path
 }
 
-/// Doors at which the nodes are reached; what comes to one goes on to its node, once that is known.
-struct Doors {
-    doors: Vec<UdpSocket>,
+/// Sockets at the advertised addresses of the nodes; each forwards datagrams to its node once the node's address is
+/// known.
+struct ForwardingSockets {
+    sockets: Vec<UdpSocket>,
     nodes: Arc<Mutex<Vec<Option<SocketAddr>>>>,
 }
 
-impl Doors {
+impl ForwardingSockets {
     fn open(count: usize) -> Self {
-        let doors: Vec<_> = (0..count)
+        let sockets: Vec<_> = (0..count)
             .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
             .collect();
         let nodes = Arc::new(Mutex::new(vec![None; count]));
-        for (number, door) in doors.iter().enumerate() {
-            let (door, nodes) = (door.try_clone().unwrap(), nodes.clone());
+        for (number, socket) in sockets.iter().enumerate() {
+            let (socket, nodes) = (socket.try_clone().unwrap(), nodes.clone());
             std::thread::spawn(move || {
                 let mut buffer = [0; 2048];
-                while let Ok((length, _)) = door.recv_from(&mut buffer) {
+                while let Ok((length, _)) = socket.recv_from(&mut buffer) {
                     if let Some(node) = nodes.lock().unwrap()[number] {
-                        let _ = door.send_to(&buffer[..length], node);
+                        let _ = socket.send_to(&buffer[..length], node);
                     }
                 }
             });
         }
-        Self { doors, nodes }
+        Self { sockets, nodes }
     }
 
-    fn at(&self, number: usize) -> SocketAddr {
-        self.doors[number].local_addr().unwrap()
+    fn address(&self, number: usize) -> SocketAddr {
+        self.sockets[number].local_addr().unwrap()
     }
 
-    fn own(&self, number: usize, key: &std::path::Path) -> String {
+    fn operator_file(&self, number: usize, key: &std::path::Path) -> String {
         format!(
             "[zones]\nwatch = true\n[peers]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{}\"\nseeds = [\"{}\"]\nkey_file = \"{}\"\n",
-            self.at(number),
-            self.at(0),
+            self.address(number),
+            self.address(0),
             key.display()
         )
     }
 
     fn start(&self, number: usize, discovery: &Discovery, key: &std::path::Path) -> Node {
-        let own = file(&format!("n{number}.toml"), &self.own(number, key), 0o600);
-        let node = Node::start_with_file(&allowed(discovery.address, number), &own);
+        let operator_file = file(
+            &format!("n{number}.toml"),
+            &self.operator_file(number, key),
+            0o600,
+        );
+        let node = Node::start_with_file(
+            &config_with_peers_allowed(discovery.address, number),
+            &operator_file,
+        );
         self.nodes.lock().unwrap()[number] = Some(node.logged_address("peers may call listen="));
-        std::fs::remove_file(own).unwrap();
+        std::fs::remove_file(operator_file).unwrap();
         node
     }
 }
 
-/// A configuration where the platform allows peers.
-fn allowed(discovery: SocketAddr, number: usize) -> Value {
+/// An edge configuration that allows peers.
+fn config_with_peers_allowed(discovery: SocketAddr, number: usize) -> Value {
     let mut config = config(discovery, json!([]));
     config["console"] = json!("127.0.0.1:0");
     config["name"] = json!(format!("n{number}"));
@@ -95,13 +103,13 @@
 }
 
 #[test]
-fn nodes_discover_each_other_and_learn_at_once_who_leaves() {
+fn nodes_discover_each_other_and_detect_a_leaving_member_at_once() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
     let key = file("key", KEY, 0o600);
-    let doors = Doors::open(3);
+    let sockets = ForwardingSockets::open(3);
     let mut nodes: Vec<Node> = (0..3)
-        .map(|number| doors.start(number, &discovery, &key))
+        .map(|number| sockets.start(number, &discovery, &key))
         .collect();
     for node in &nodes {
         wait_until("three members", || {
@@ -117,16 +125,16 @@
     }
     assert!(
         began.elapsed() < Duration::from_secs(2),
-        "it said so, nobody had to suspect it"
+        "the member announced its departure"
     );
-    // One that is killed and starts anew is let in again under its address.
+    // A node that is killed and restarted joins again under its address.
     nodes[1].signal("-KILL");
     drop(nodes.remove(1));
-    let again = doors.start(1, &discovery, &key);
-    wait_until("let in again", || {
+    let again = sockets.start(1, &discovery, &key);
+    wait_until("the restarted node sees two members", || {
         number(&again, "node.peers.members") == Some(2)
     });
-    wait_until("known again", || {
+    wait_until("the other node sees two members", || {
         number(&nodes[0], "node.peers.members") == Some(2)
     });
     std::fs::remove_file(key).unwrap();
@@ -136,40 +144,40 @@
 fn unauthenticated_datagrams_are_counted_and_dropped() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
-    let (key, other) = (
+    let (key, other_key) = (
         file("one", KEY, 0o600),
         file("other", "another key, of another fleet", 0o600),
     );
-    let doors = Doors::open(2);
-    let node = doors.start(0, &discovery, &key);
-    // Another fleet's node knocks, and noise comes.
-    let stranger = doors.start(1, &discovery, &other);
+    let sockets = ForwardingSockets::open(2);
+    let node = sockets.start(0, &discovery, &key);
+    // A node with another fleet's key tries to join, and malformed datagrams arrive.
+    let stranger = sockets.start(1, &discovery, &other_key);
     wait_until("the stranger is counted", || {
         number(&node, "node.peers.strangers") >= Some(1)
     });
     let noise = UdpSocket::bind("127.0.0.1:0").unwrap();
     let before = number(&node, "node.peers.malformed");
     for datagram in [&b""[..], b"x", &[0; 40], &[1; 4000]] {
-        noise.send_to(datagram, doors.at(0)).unwrap();
+        noise.send_to(datagram, sockets.address(0)).unwrap();
     }
-    wait_until("noise is counted", || {
+    wait_until("malformed datagrams are counted", || {
         number(&node, "node.peers.malformed") >= before.map(|before| before + 3)
     });
     assert_eq!(
         number(&node, "node.peers.members"),
         Some(1),
-        "nobody was let in"
+        "a member joined without the key"
     );
     assert_eq!(number(&stranger, "node.peers.members"), Some(1));
     assert_eq!(node.request(&get("r1", "")).status(), 200);
     wait_until("the drop is logged", || node.has_logged("datagram dropped"));
-    [key, other]
+    [key, other_key]
         .into_iter()
         .for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
 #[test]
-fn an_invalid_peers_section_is_an_error_that_names_the_key() {
+fn an_invalid_peers_section_is_an_error_that_names_the_setting() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
     let (key, open) = (file("good", KEY, 0o600), file("open", KEY, 0o644));
@@ -182,45 +190,41 @@
     };
     let good = section("127.0.0.1:7946", "\"127.0.0.1:7947\"", &key);
     let unwatched = good.replace("watch = true", "watch = false");
-    let mut forbidden = allowed(discovery.address, 0);
-    forbidden["settings"]["policy-limits"]["peers"] = json!(false);
-    let yes = allowed(discovery.address, 0);
-    let silent = config(discovery.address, json!([]));
-    for (edge, own, wanted) in [
-        (&forbidden, good.clone(), "settings.policy-limits.peers"),
-        (&silent, good, "settings.policy-limits.peers"),
-        (&yes, unwatched, "[zones] watch = true"),
-        (&yes, section("127.0.0.1:7946", "", &open), "peers.key_file"),
-        (
-            &yes,
-            section("127.0.0.1:7946", "", &short),
-            "peers.key_file",
-        ),
+    let mut off = config_with_peers_allowed(discovery.address, 0);
+    off["settings"]["policy-limits"]["peers"] = json!(false);
+    let on = config_with_peers_allowed(discovery.address, 0);
+    let unset = config(discovery.address, json!([]));
+    for (edge_config, operator_file, expected) in [
+        (&off, good.clone(), "settings.policy-limits.peers"),
+        (&unset, good, "settings.policy-limits.peers"),
+        (&on, unwatched, "[zones] watch = true"),
+        (&on, section("127.0.0.1:7946", "", &open), "peers.key_file"),
+        (&on, section("127.0.0.1:7946", "", &short), "peers.key_file"),
         (
-            &yes,
+            &on,
             section("127.0.0.1:7946", "", std::path::Path::new("/no/such/key")),
             "peers.key_file",
         ),
-        (&yes, section("127.0.0.1:0", "", &key), "peers.listen"),
-        (&yes, section("0.0.0.0:7946", "", &key), "peers.advertise"),
+        (&on, section("127.0.0.1:0", "", &key), "peers.listen"),
+        (&on, section("0.0.0.0:7946", "", &key), "peers.advertise"),
         (
-            &yes,
+            &on,
             section("127.0.0.1:7946", "\"127.0.0.1:0\"", &key),
             "peers.seeds",
         ),
         (
-            &yes,
+            &on,
             section("127.0.0.1:7946", "", &key) + "port = 1\n",
             "port",
         ),
     ] {
-        let own = file("bad.toml", &own, 0o600);
-        let NodeProcess { child, .. } = spawn_with_file(&edge.to_string(), &own);
+        let operator_file = file("bad.toml", &operator_file, 0o600);
+        let NodeProcess { child, .. } = spawn_with_file(&edge_config.to_string(), &operator_file);
         let output = child.wait_with_output().unwrap();
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            !output.status.success() && said.contains(wanted),
-            "{wanted}: {said}"
+            !output.status.success() && stderr.contains(expected),
+            "{expected}: {stderr}"
         );
     }
     [key, open, short]
@@ -228,20 +232,20 @@
         .for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
-/// A member that has the fleet's key and says of zone `a`, five times a second, that it is as dead as can be said.
-struct Liar {
-    over: Arc<AtomicBool>,
+/// A member with the fleet's key that broadcasts the strongest failure evidence about zone `a` five times a second.
+struct FalseObserver {
+    is_stopping: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Liar {
+impl FalseObserver {
     #[expect(
         clippy::too_many_lines,
         reason = "one scenario, read from top to bottom"
     )]
     fn start(number: usize, seed: SocketAddr) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
-        let ended = over.clone();
+        let is_stopping = Arc::new(AtomicBool::new(false));
+        let ended = is_stopping.clone();
         let now = || {
             SystemTime::now()
                 .duration_since(UNIX_EPOCH)
@@ -254,7 +258,7 @@
                 .set_read_timeout(Some(Duration::from_millis(5)))
                 .unwrap();
             let mut core = Membership::new(Settings {
-                member: MemberId::from_name(&format!("liar{number}")),
+                member: MemberId::from_name(&format!("false-observer{number}")),
                 advertise: socket.local_addr().unwrap(),
                 zone: 0,
                 incarnation: now(),
@@ -263,8 +267,8 @@
                 node_count: 5,
                 seed: number as u64,
             });
-            let (mut buffer, mut wake, mut said) = ([0; 2048], None, Instant::now());
-            let dead = ZoneObservation {
+            let (mut buffer, mut timer, mut last_broadcast) = ([0; 2048], None, Instant::now());
+            let observation = ZoneObservation {
                 observer_zone: GossipZone(0),
                 silence_evidence: u16::MAX,
                 failure_evidence: u16::MAX,
@@ -272,49 +276,49 @@
                 state: ObservedState::Suspected,
                 is_first_hand: true,
             };
-            let mut tell = |event: Event<'_>, wake: &mut Option<u64>| {
+            let mut handle = |event: Event<'_>, timer: &mut Option<u64>| {
                 let mut actions = Vec::new();
                 core.handle(now(), event, &mut actions);
                 for action in actions {
                     match action {
                         Action::Send { to, datagram } => drop(socket.send_to(&datagram, to)),
-                        Action::SetTimer { at } => *wake = Some(at),
+                        Action::SetTimer { at } => *timer = Some(at),
                         _ => {}
                     }
                 }
             };
-            tell(Event::Start, &mut wake);
+            handle(Event::Start, &mut timer);
             while !ended.load(Ordering::Relaxed) {
                 if let Ok((length, _)) = socket.recv_from(&mut buffer) {
-                    tell(Event::Datagram(&buffer[..length]), &mut wake);
+                    handle(Event::Datagram(&buffer[..length]), &mut timer);
                 }
-                if wake.is_some_and(|at| at <= now()) {
-                    wake = None;
-                    tell(Event::TimerFired, &mut wake);
+                if timer.is_some_and(|at| at <= now()) {
+                    timer = None;
+                    handle(Event::TimerFired, &mut timer);
                 }
-                if said.elapsed() > Duration::from_millis(200) {
-                    said = Instant::now();
-                    tell(
+                if last_broadcast.elapsed() > Duration::from_millis(200) {
+                    last_broadcast = Instant::now();
+                    handle(
                         Event::Broadcast {
                             topic: Topic(0),
-                            body: &dead.to_bytes(),
+                            body: &observation.to_bytes(),
                         },
-                        &mut wake,
+                        &mut timer,
                     );
                 }
             }
-            tell(Event::Leave, &mut wake);
+            handle(Event::Leave, &mut timer);
         });
         Self {
-            over,
+            is_stopping,
             thread: Some(thread),
         }
     }
 }
 
-impl Drop for Liar {
+impl Drop for FalseObserver {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.is_stopping.store(true, Ordering::Relaxed);
         self.thread
             .take()
             .into_iter()
@@ -323,37 +327,37 @@
 }
 
 #[test]
-fn one_false_observation_ejects_no_zone_and_two_do() {
+fn a_zone_is_ejected_by_two_false_observers_but_not_by_one() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let mut there = target("s-1", backend.address, "Ready");
     there["az"] = json!("b");
     let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready"), there]));
     let key = file("liars", KEY, 0o600);
-    let doors = Doors::open(3);
+    let sockets = ForwardingSockets::open(3);
     let nodes: Vec<Node> = (0..3)
-        .map(|number| doors.start(number, &discovery, &key))
+        .map(|number| sockets.start(number, &discovery, &key))
         .collect();
-    let all = |members| {
+    let all_have_members = |members| {
         nodes
             .iter()
             .all(|node| number(node, "node.peers.members") == Some(members))
     };
-    wait_until("three members", || all(3));
+    wait_until("three members", || all_have_members(3));
     let share = |node: &Node| number(node, "node.zone.a.share");
-    let _one = Liar::start(1, doors.at(0));
-    wait_until("the liar is a member", || all(4));
+    let _one = FalseObserver::start(1, sockets.address(0));
+    wait_until("the false observer is a member", || all_have_members(4));
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(2) {
         assert!(
             nodes.iter().all(|node| share(node) == Some(1000)),
-            "one member's word moves a node"
+            "one observer changed the share of the zone"
         );
         std::thread::sleep(Duration::from_millis(50));
     }
     assert!(!nodes.iter().any(|node| node.has_logged("zone changed")));
-    // Two of five agree, and nobody has had an answer from there: the check can fail.
-    let _two = Liar::start(2, doors.at(0));
-    wait_until("all have left", || {
+    // Two of five members agree, and no node has had a response from the zone, so the zone is ejected.
+    let _two = FalseObserver::start(2, sockets.address(0));
+    wait_until("all nodes eject the zone", || {
         nodes.iter().all(|node| share(node) == Some(0))
     });
     std::fs::remove_file(key).unwrap();
--- a/daemon/tests/held_up_nodes.rs
+++ b/daemon/tests/held_up_nodes.rs
@@ -1,5 +1,5 @@
-//! A node that is suspended (here by SIGSTOP) across a time limit: data that arrived before the limit counts as in time,
-//! even if the node reads it only after the suspension.
+//! A node that is suspended (here by SIGSTOP) across a time limit: data that arrived before the limit counts as in
+//! time, even if the node reads it only after the suspension.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
--- a/daemon/tests/large_bodies.rs
+++ b/daemon/tests/large_bodies.rs
@@ -240,8 +240,8 @@
     }
 }
 
-/// The sent part of a body is not kept, so the node cannot retry. The backend never received the complete request, so the
-/// request did not run and 503 allows the client to repeat it.
+/// The sent part of a body is not kept, so the node cannot retry. The backend never received the complete request, so
+/// the request did not run and 503 allows the client to repeat it.
 #[test]
 fn a_request_whose_upload_is_reset_is_rejected_without_a_retry() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/daemon/tests/lifecycle.rs
+++ b/daemon/tests/lifecycle.rs
@@ -40,7 +40,8 @@
     assert_eq!(node.request(&get("k1", "")).status(), 200);
 }
 
-/// A node reports ready once it has a backend in service, or after a timeout if discovery does not respond or lists none.
+/// A node reports ready once it has a backend in service, or after a timeout if discovery does not respond or lists
+/// none.
 #[test]
 fn a_node_is_ready_once_it_has_a_backend_or_its_start_timeout_is_over() {
     let ready = |node: &Node| {
@@ -56,18 +57,12 @@
     assert_eq!(node.request(&get("w1", "")).status(), 200);
 
     let began = std::time::Instant::now();
-    let node_without_backends = Node::start(&config(
+    let idle_node = Node::start(&config(
         unused_address(),
         json!([target("s-0", backend.address, "Terminating")]),
     ));
-    assert_eq!(
-        ready(&node_without_backends),
-        503,
-        "the only backend is draining"
-    );
-    wait_until("the timeout is over", || {
-        ready(&node_without_backends) == 200
-    });
+    assert_eq!(ready(&idle_node), 503, "its backend is draining");
+    wait_until("the timeout is over", || ready(&idle_node) == 200);
     assert!(
         began.elapsed() < std::time::Duration::from_secs(9),
         "{:?}",
@@ -185,9 +180,7 @@
             .any(|m| m.value("x-call-id") == Some("slow"))
     });
     node.signal("-TERM");
-    wait_until("the shutdown is logged", || {
-        node.has_logged("stopping node=")
-    });
+    wait_until("shutdown is logged", || node.has_logged("stopping node="));
     for (id, client) in [("a1", kept), ("a2", Client::connect(node.address))] {
         let mut client = client;
         let response = client
@@ -360,7 +353,8 @@
     assert_eq!(node.request(&get("u9", "")).body, b"other");
 }
 
-/// The discovery address is changed twice while calls to the earlier addresses are open: their late responses are ignored.
+/// The discovery address is changed twice while calls to the earlier addresses are open: their late responses are
+/// ignored.
 #[test]
 fn late_responses_of_earlier_discovery_addresses_are_ignored() {
     let (old, stale, new) = (serving("old"), serving("stale"), serving("new"));
--- a/daemon/tests/limits.rs
+++ b/daemon/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Boundary conditions: almost no time left, stalled bodies, exhausted connections, slow connects, and truncated responses
-//! to HTTP/1.0 clients.
+//! Boundary conditions: almost no time left, stalled bodies, exhausted connections, slow connects, and truncated
+//! responses to HTTP/1.0 clients.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -116,7 +116,8 @@
     assert_eq!(client.read().expect("a response").status(), 503);
 }
 
-/// For an HTTP/1.0 client a response of unknown length ends with the connection, so an aborted one must end with a reset.
+/// For an HTTP/1.0 client a response of unknown length ends with the connection, so an aborted one must end with a
+/// reset.
 #[test]
 fn an_aborted_response_of_unknown_length_is_reset_for_an_http_1_0_client() {
     let chunk = format!("{:x}\r\n{}\r\n", 100_000, "b".repeat(100_000));
@@ -134,9 +135,9 @@
     }
 }
 
-/// With each write of the node delayed by 0.15 s, the forwarded deadline exceeds the remaining time by at most 0.15 s, in
-/// first attempts and in retries. Times are taken at the node's system calls, because those of a backend's thread are late
-/// on a busy machine.
+/// With each write of the node delayed by 0.15 s, the forwarded deadline exceeds the remaining time by at most 0.15 s,
+/// in first attempts and in retries. Times are taken at the node's system calls, because those of a backend's thread
+/// are late on a busy machine.
 #[test]
 fn the_deadline_forwarded_by_a_delayed_node_is_within_its_slack() {
     const REQUESTS: usize = 3;
--- a/daemon/tests/misbehaving_clients.rs
+++ b/daemon/tests/misbehaving_clients.rs
@@ -244,7 +244,8 @@
     assert_eq!(backend.take_request_count(), 0);
 }
 
-/// With its descriptor limit exhausted by clients the node still connects to its backends, and to discovery once it is up.
+/// With its descriptor limit exhausted by clients the node still connects to its backends, and to discovery once it is
+/// up.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_backends() {
     for sockets in [32, 64, 256] {
--- a/daemon/tests/operations.rs
+++ b/daemon/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Daily operation: the operators' calls, what the figures say, a drain and its end, a second process beside the first.
+//! Operation: console calls, metrics, draining, and a second process on the same address.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -16,10 +16,10 @@
 use badgerpost_fakes::scripted::*;
 use serde_json::{Value, json};
 
-/// A caller waits no longer than this.
-const CALLER: Duration = Duration::from_secs(1);
+/// The response time limit of console calls.
+const CONSOLE_TIME_LIMIT: Duration = Duration::from_secs(1);
 
-fn operated(backends: &[&Backend]) -> (Node, Discovery, Value) {
+fn start_node(backends: &[&Backend]) -> (Node, Discovery, Value) {
     let listed = (0..)
         .zip(backends)
         .map(|(n, backend)| target(&format!("s-{n}"), backend.address, "Ready"));
@@ -34,35 +34,35 @@
 fn call(console: SocketAddr, method: &str, path: &str) -> Message {
     let began = Instant::now();
     let mut client = Client::connect(console);
-    let answer = client
+    let response = client
         .request(&format!("{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n"))
-        .expect("an answer");
+        .expect("a response");
     assert!(
-        began.elapsed() < CALLER,
+        began.elapsed() < CONSOLE_TIME_LIMIT,
         "{method} {path} took {:?}",
         began.elapsed()
     );
-    assert!(client.is_closed(), "one call to a connection");
-    answer
+    assert!(client.is_closed(), "the console closes after one call");
+    response
 }
 
-fn figures(console: SocketAddr) -> HashMap<String, u64> {
-    let answer = call(console, "GET", "/status/metrics");
-    assert_eq!(answer.status(), 200);
-    let text = String::from_utf8(answer.body).unwrap();
-    let line = |line: &str| {
+fn metrics(console: SocketAddr) -> HashMap<String, u64> {
+    let response = call(console, "GET", "/status/metrics");
+    assert_eq!(response.status(), 200);
+    let text = String::from_utf8(response.body).unwrap();
+    let parse_line = |line: &str| {
         line.split_once('=')
             .map(|(name, value)| (name.to_owned(), value.parse().unwrap()))
     };
     text.lines()
-        .map(|text| line(text).unwrap_or_else(|| panic!("no figure: {text}")))
+        .map(|text| parse_line(text).unwrap_or_else(|| panic!("not a metric: {text}")))
         .collect()
 }
 
-fn ready(at: SocketAddr) -> u16 {
-    Client::connect(at)
+fn ready(address: SocketAddr) -> u16 {
+    Client::connect(address)
         .request("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-        .expect("an answer")
+        .expect("a response")
         .status()
 }
 
@@ -71,9 +71,9 @@
 }
 
 #[test]
-fn each_console_call_has_its_method_and_response() {
+fn console_calls_with_a_wrong_method_or_path_are_rejected() {
     let backend = serving("yes");
-    let (node, _discovery, _) = operated(&[&backend]);
+    let (node, _discovery, _) = start_node(&[&backend]);
     let console = node.console();
     wait_until("the process can serve", || {
         call(console, "GET", "/status").status() == 200
@@ -96,17 +96,17 @@
     assert_eq!(
         Client::connect(console)
             .request("nonsense\r\n\r\n")
-            .expect("an answer")
+            .expect("a response")
             .status(),
         400
     );
 }
 
-/// Callers who connect and say nothing, or begin a call and stop, hold nobody up.
+/// Half of the other connections send nothing, and half send an incomplete head.
 #[test]
-fn unfinished_console_calls_do_not_block_others() {
+fn incomplete_console_calls_do_not_block_others() {
     let backend = serving("yes");
-    let (node, _discovery, _) = operated(&[&backend]);
+    let (node, _discovery, _) = start_node(&[&backend]);
     let console = node.console();
     let silent: Vec<Client> = (0..100)
         .map(|n| {
@@ -128,7 +128,7 @@
     clippy::too_many_lines,
     reason = "one scenario, read from top to bottom"
 )]
-fn figures_are_those_of_the_servers_and_clients() {
+fn metrics_match_what_backends_and_clients_have_seen() {
     let backend = Backend::new(|message| {
         match message.value("x-call-id").unwrap_or_default().as_bytes()[0] {
             b'e' => ResponsePlan::Respond(status(500, "")),
@@ -137,7 +137,7 @@
             _ => ResponsePlan::Respond(ok("yes")),
         }
     });
-    let (node, discovery, _) = operated(&[&backend]);
+    let (node, discovery, _) = start_node(&[&backend]);
     let console = node.console();
     let (mut answered, mut errored, mut deferred) = (0, 0, 0);
     for n in 0..20 {
@@ -151,13 +151,13 @@
             _ => errored += 1,
         }
     }
-    // Taken by nobody, but of a class: failed.
+    // A request that is rejected as invalid counts as an error of its class.
     assert_eq!(
         node.request(&post("pay", "b1", "Idempotency-Key: k\r\n", "x"))
             .status(),
         400
     );
-    // One that is still out.
+    // A request that is still open.
     let mut waiting = Client::connect(node.address);
     waiting.write(&post("pay", "h1", "", "x"));
     let mut sends = 0;
@@ -165,37 +165,43 @@
         sends += 1;
     }
     sends += 1;
-    // The server has it before the node has counted it.
+    // The request may reach the backend before the node has counted it.
     wait_until("the last send is counted", || {
-        figures(console)["node.sends"] >= sends
+        metrics(console)["node.sends"] >= sends
     });
-    let told = figures(console);
-    assert_eq!(told["node.transactions.pay.answered"], answered);
-    assert_eq!(told["node.transactions.pay.deferred"], deferred);
-    assert_eq!(told["node.transactions.pay.errored"], errored + 1);
+    let values = metrics(console);
+    assert_eq!(values["node.transactions.pay.answered"], answered);
+    assert_eq!(values["node.transactions.pay.deferred"], deferred);
+    assert_eq!(values["node.transactions.pay.errored"], errored + 1);
     assert!(
         answered == 10 && errored > 0,
         "{answered} {deferred} {errored}"
     );
-    assert_eq!(told["node.transactions.read.answered"], 0);
-    assert_eq!(told["node.sends"], sends);
-    assert_eq!(told["node.current"], 1);
-    let limits = told
+    assert_eq!(values["node.transactions.read.answered"], 0);
+    assert_eq!(values["node.sends"], sends);
+    assert_eq!(values["node.current"], 1);
+    let limits = values
         .keys()
         .filter(|name| name.starts_with("node.connections.closed."));
     assert_eq!(limits.count(), 10);
-    assert_eq!((told["node.cluster_size"], told.len()), (1, 3 * 3 + 4 + 10));
+    assert_eq!(
+        (values["node.cluster_size"], values.len()),
+        (1, 3 * 3 + 4 + 10)
+    );
     discovery.set_endpoints(json!([
         target("s-0", backend.address, "Terminating"),
         target("s-1", backend.address, "Ready")
     ]));
-    wait_until("the list shows", || {
-        let told = figures(console);
-        (told["node.cluster_size"], told["node.cluster_unhealthy"]) == (2, 1)
+    wait_until("the new endpoint list shows", || {
+        let values = metrics(console);
+        (
+            values["node.cluster_size"],
+            values["node.cluster_unhealthy"],
+        ) == (2, 1)
     });
     drop(waiting);
-    wait_until("who has gone is not counted as open", || {
-        figures(console)["node.current"] == 0
+    wait_until("the open request is no longer counted", || {
+        metrics(console)["node.current"] == 0
     });
 }
 
@@ -204,9 +210,9 @@
     clippy::too_many_lines,
     reason = "one scenario, read from top to bottom"
 )]
-fn a_drain_empties_the_node_and_the_second_call_ends_it() {
+fn a_drain_closes_connections_and_ends_with_the_active_call() {
     let backend = serving("yes");
-    let (node, _discovery, _) = operated(&[&backend]);
+    let (node, _discovery, _) = start_node(&[&backend]);
     let console = node.console();
     for round in 0..2 {
         let (mut idle, mut kept, mut silent) = (
@@ -216,34 +222,34 @@
         );
         assert_eq!(
             idle.request(&get(&format!("i{round}"), ""))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
             200
         );
         assert_eq!(
             kept.request(&get(&format!("k{round}"), ""))
-                .expect("an answer")
+                .expect("a response")
                 .status(),
             200
         );
         assert_eq!(ready(node.address), 200);
         assert_eq!(call(console, "POST", "/standby").status(), 200);
-        assert_eq!(ready(node.address), 503, "at once");
+        assert_eq!(ready(node.address), 503, "not ready at once");
         assert_eq!(
             call(console, "POST", "/standby").status(),
             200,
-            "again: no harm"
+            "a repeated call succeeds"
         );
-        // What still comes is served, on connections from before and on new ones, and ends its connection.
+        // Requests are still served, on existing and new connections, each of which closes after its response.
         for (id, client) in [
             ("old", &mut kept),
             ("new", &mut Client::connect(node.address)),
         ] {
-            let answer = client
+            let response = client
                 .request(&get(&format!("{id}{round}"), ""))
-                .expect("an answer");
+                .expect("a response");
             assert_eq!(
-                (answer.status(), answer.value("connection")),
+                (response.status(), response.value("connection")),
                 (200, Some("close"))
             );
             assert!(client.is_closed());
@@ -251,14 +257,14 @@
         let began = Instant::now();
         assert!(
             idle.is_closed() && silent.is_closed(),
-            "nothing is held idle"
+            "idle connections are closed"
         );
         assert!(began.elapsed() < Duration::from_secs(3));
         assert_eq!(ready(node.address), 503);
         assert_eq!(
             node.request(&get(&format!("late{round}"), "")).status(),
             200,
-            "it still serves who comes"
+            "a draining node still serves requests"
         );
         assert_eq!(call(console, "POST", "/active").status(), 200);
         assert_eq!(ready(node.address), 200);
@@ -267,7 +273,7 @@
             assert_eq!(
                 again
                     .request(&get(&format!("b{round}-{n}"), ""))
-                    .expect("kept open")
+                    .expect("the connection is kept open")
                     .status(),
                 200
             );
@@ -278,23 +284,27 @@
 #[test]
 fn sigterm_during_a_drain_ends_the_process() {
     let backend = serving("yes");
-    let (mut node, _discovery, _) = operated(&[&backend]);
+    let (mut node, _discovery, _) = start_node(&[&backend]);
     let console = node.console();
     assert_eq!(call(console, "POST", "/standby").status(), 200);
     node.signal("-TERM");
-    wait_until("the node has heard", || node.has_logged("stopping node="));
-    assert_eq!(call(console, "POST", "/active").status(), 409, "too late");
+    wait_until("shutdown is logged", || node.has_logged("stopping node="));
+    assert_eq!(
+        call(console, "POST", "/active").status(),
+        409,
+        "already stopping"
+    );
     assert_eq!(call(console, "POST", "/standby").status(), 200);
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
 #[test]
-fn a_second_process_serves_beside_the_first_and_after_it() {
+fn a_second_process_serves_in_parallel_with_the_first_and_after_its_exit() {
     let backend = serving("yes");
-    let (mut old, _discovery, mut config) = operated(&[&backend]);
+    let (mut old, _discovery, mut config) = start_node(&[&backend]);
     config["listen"] = json!(old.address.to_string());
     let new = Node::start(&config);
-    wait_until("the new one can serve", || {
+    wait_until("the second process can serve", || {
         call(new.console(), "GET", "/status").status() == 200
     });
     for n in 0..20 {
@@ -305,12 +315,12 @@
     for n in 0..20 {
         assert_eq!(new.request(&get(&format!("after{n}"), "")).status(), 200);
     }
-    let answered = |node: &Node| figures(node.console())["node.transactions.read.answered"];
-    assert!(answered(&new) >= 20, "each counts for itself");
+    let answered = |node: &Node| metrics(node.console())["node.transactions.read.answered"];
+    assert!(answered(&new) >= 20, "each process counts its own requests");
 }
 
 #[test]
-fn a_console_address_that_cannot_be_bound_is_named() {
+fn an_error_for_an_unavailable_console_address_names_the_setting() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = config(taken.local_addr().unwrap(), json!([]));
     config["console"] = json!(taken.local_addr().unwrap().to_string());
@@ -319,63 +329,64 @@
         config_file: file,
     } = spawn(&config.to_string());
     let ended = child.wait_with_output().unwrap();
-    let said = String::from_utf8_lossy(&ended.stderr);
+    let stderr = String::from_utf8_lossy(&ended.stderr);
     assert_eq!(ended.status.code(), Some(1));
-    assert!(said.contains("console: can't listen at"), "{said}");
+    assert!(stderr.contains("console: can't listen at"), "{stderr}");
     std::fs::remove_file(file).unwrap();
 }
 
-/// The fleet trial loads a library of its own into the process: it has to be linked dynamically.
+/// The fleet trial loads a library into the process, which needs dynamic linking.
 #[test]
 fn the_program_is_linked_dynamically() {
     let program = std::fs::read(badgerpost_fakes::program("badgerpost").unwrap()).unwrap();
     let head = &program[..program.len().min(64 * 1024)];
     assert!(
         head.windows(8).any(|part| part == b"/ld-linu"),
-        "it names no dynamic loader"
+        "the program names no dynamic loader"
     );
 }
 
-/// Callers get their answer within their second while the serving thread has more to do than it can.
 #[test]
 fn console_calls_are_answered_while_the_serving_thread_is_saturated() {
     let backend = serving("yes");
-    let (node, _discovery, _) = operated(&[&backend]);
-    let (console, at) = (node.console(), node.address);
-    let over = Arc::new(AtomicBool::new(false));
+    let (node, _discovery, _) = start_node(&[&backend]);
+    let (console, address) = (node.console(), node.address);
+    let is_stopping = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..16)
         .map(|client| {
-            let over = over.clone();
+            let is_stopping = is_stopping.clone();
             thread::spawn(move || {
-                let mut stream = Client::connect(at);
+                let mut stream = Client::connect(address);
                 for n in 0.. {
-                    if over.load(Ordering::SeqCst) {
+                    if is_stopping.load(Ordering::SeqCst) {
                         return;
                     }
-                    // Ten at a time, so that the node always has some to read.
+                    // Ten pipelined requests, so that the node always has more to read.
                     let text: String = (0..10)
                         .map(|k| get(&format!("c{client}-{n}-{k}"), ""))
                         .collect();
                     stream.write(&text);
                     if (0..10).any(|_| stream.read().is_none()) {
-                        stream = Client::connect(at);
+                        stream = Client::connect(address);
                     }
                 }
             })
         })
         .collect();
-    let (mut longest, mut made, started) = (Duration::ZERO, 0, Instant::now());
+    let (mut longest_call, mut call_count, started) = (Duration::ZERO, 0, Instant::now());
     while started.elapsed() < Duration::from_secs(2) {
-        made += 1;
+        call_count += 1;
         let began = Instant::now();
         assert_eq!(call(console, "GET", "/status/metrics").status(), 200);
-        longest = longest.max(began.elapsed());
+        longest_call = longest_call.max(began.elapsed());
     }
-    over.store(true, Ordering::SeqCst);
+    is_stopping.store(true, Ordering::SeqCst);
     clients
         .into_iter()
         .for_each(|client| client.join().unwrap());
-    let answered = figures(console)["node.transactions.read.answered"];
-    assert!(answered > 500, "{answered} requests in 2 s are no load");
-    println!("longest of {made} calls: {longest:?}; {answered} requests answered meanwhile");
+    let answered = metrics(console)["node.transactions.read.answered"];
+    assert!(answered > 500, "only {answered} requests in 2 s");
+    println!(
+        "longest of {call_count} console calls: {longest_call:?}; {answered} requests answered meanwhile"
+    );
 }
--- a/daemon/tests/serving.rs
+++ b/daemon/tests/serving.rs
@@ -79,8 +79,8 @@
     assert_eq!(backend.take_request_count(), 0);
 }
 
-/// After each of these responses the request may have run. A non-idempotent request then gets neither a retry nor a 503,
-/// which would tell the client that it may safely repeat the request.
+/// After each of these responses the request may have run. A non-idempotent request then gets neither a retry nor a
+/// 503, which would tell the client that it may safely repeat the request.
 #[test]
 fn a_non_idempotent_request_that_may_have_run_fails() {
     let invalid = [
@@ -113,8 +113,8 @@
     }
 }
 
-/// A response with neither a length nor chunks ends when the backend closes the connection (RFC 9112, section 6.3), with
-/// or without `Connection: close`. A reset does not complete such a response.
+/// A response with neither a length nor chunks ends when the backend closes the connection (RFC 9112, section 6.3),
+/// with or without `Connection: close`. A reset does not complete such a response.
 #[test]
 fn a_response_without_a_length_ends_with_its_connection() {
     for head in [
@@ -138,8 +138,8 @@
     }
 }
 
-/// A request that a backend rejected did not run: even a non-idempotent one is retried at another backend, or gets 503 if
-/// there is none.
+/// A request that a backend rejected did not run: even a non-idempotent one is retried at another backend, or gets 503
+/// if there is none.
 #[test]
 fn a_non_idempotent_request_that_did_not_run_is_retried_at_another_backend() {
     let rejecting = |code| backend_with(ResponsePlan::Respond(status(code, "X-Rejected: 1\r\n")));
@@ -195,8 +195,8 @@
     );
 }
 
-/// The backend closes after each response without announcing the close. Writing a non-idempotent request to such a pooled
-/// connection would leave unknown whether the request ran.
+/// The backend closes after each response without announcing the close. Writing a non-idempotent request to such a
+/// pooled connection would leave unknown whether the request ran.
 #[test]
 fn a_connection_closed_while_idle_is_not_reused() {
     let backend = backend_with(ResponsePlan::RespondAndClose(ok("paid")));
@@ -283,8 +283,8 @@
     assert_eq!(backend.take_request_count(), 0);
 }
 
-/// An invalid response is a failed attempt whose request may have run. The node closes the connection and retries without
-/// waiting for the attempt to time out.
+/// An invalid response is a failed attempt whose request may have run. The node closes the connection and retries
+/// without waiting for the attempt to time out.
 #[test]
 fn an_invalid_response_is_abandoned_at_once_and_its_request_retried() {
     let lines = "X-Pad: pppppppppppppppp\r\n";
@@ -410,8 +410,8 @@
     assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
 }
 
-/// Some networks drop idle connections silently. The node learns the idle time after which requests are reset, and opens
-/// new connections instead of reusing older ones.
+/// Some networks drop idle connections silently. The node learns the idle time after which requests are reset, and
+/// opens new connections instead of reusing older ones.
 #[test]
 fn connections_are_not_reused_after_an_idle_time_that_causes_resets() {
     let (opened, seen, broken) = (
--- a/daemon/tests/shutdown.rs
+++ b/daemon/tests/shutdown.rs
@@ -9,9 +9,7 @@
 
 fn begin_shutdown(node: &Node) {
     node.signal("-TERM");
-    wait_until("the shutdown is logged", || {
-        node.has_logged("stopping node=")
-    });
+    wait_until("shutdown is logged", || node.has_logged("stopping node="));
 }
 
 /// Starts a node with a single backend that never responds, and class deadlines of 1.5 s.
@@ -87,8 +85,8 @@
     );
 }
 
-/// SIGKILL follows SIGTERM after the longest deadline plus 0.7 s. A request that is completed late in the shutdown gets a
-/// response before that, even if the backend does not respond.
+/// SIGKILL follows SIGTERM after the longest deadline plus 0.7 s. A request that is completed late in the shutdown gets
+/// a response before that, even if the backend does not respond.
 #[test]
 fn a_request_completed_late_in_the_shutdown_is_answered_before_the_exit() {
     let (mut node, _backend) = start_node_with_hanging_backend();
@@ -191,8 +189,8 @@
     );
 }
 
-/// Each pipelined request that was read gets a response before SIGKILL, including requests read after the listener closed,
-/// while the backend does not respond.
+/// Each pipelined request that was read gets a response before SIGKILL, including requests read after the listener
+/// closed, while the backend does not respond.
 #[test]
 fn pipelined_requests_are_answered_before_the_exit_while_backends_hang() {
     let (mut node, backend) = start_node_with_hanging_backend();
--- a/daemon/tests/slow_start.rs
+++ b/daemon/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start over many real processes: what all nodes together send to a server that has just started stays within the
-//! pages' bound in each window, with an expensive class, retries, and nodes that restart meanwhile.
+//! Slow start with many node processes: the requests of all nodes to a backend that has just started stay within the
+//! budget in each window, with slow requests, retries, and nodes that start meanwhile.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -15,32 +15,31 @@
 use badgerpost_fakes::scripted::*;
 use serde_json::{Value, json};
 
-const SERVERS: usize = 4;
-/// Clients of each node.
-const CLIENTS: usize = 8;
-/// Requests a second over all nodes, before more start.
-const RATE: f64 = 400.0;
-/// The window in which a server in slow start may be pushed over, the multiple that it bears, and how it warms up.
+const OLD_BACKENDS: usize = 4;
+const CLIENTS_PER_NODE: usize = 8;
+/// The load over all nodes before further nodes start.
+const TOTAL_REQUESTS_PER_S: f64 = 400.0;
+/// The window over which the slow start budget counts. This and the next three are as in the settings.
 const WINDOW: Duration = Duration::from_millis(1500);
 const TIP_MULTIPLE: f64 = 2.5;
 const START_CAPACITY: f64 = 0.1;
-const WARM_AFTER: f64 = 20.0;
-/// How long the new server is watched.
-const WATCHED: Duration = Duration::from_secs(6);
+const WARM_UP_SECONDS: f64 = 20.0;
+/// How long requests to the new backend are observed.
+const OBSERVATION_TIME: Duration = Duration::from_secs(6);
 
-/// The most requests that a server may get in the window that ends this long after its start: N + 2 * sqrt(N) + 2, or
-/// N + 3 * sqrt(N) + 3 for an N under 30.
-fn most_in_window(age: Duration) -> f64 {
-    // The others report that they are used to nine tenths.
-    let capacity = RATE / SERVERS as f64 / 0.9;
-    let warmth = START_CAPACITY + (1.0 - START_CAPACITY) * age.as_secs_f64() / WARM_AFTER;
+/// The most requests to a backend in the window that ends at this age, for a budget of N: N + 2 * sqrt(N) + 2, or
+/// N + 3 * sqrt(N) + 3 for N < 30.
+fn max_requests_in_window(age: Duration) -> f64 {
+    // The other backends report a utilization of 0.9.
+    let capacity = TOTAL_REQUESTS_PER_S / OLD_BACKENDS as f64 / 0.9;
+    let warmth = START_CAPACITY + (1.0 - START_CAPACITY) * age.as_secs_f64() / WARM_UP_SECONDS;
     let n = TIP_MULTIPLE * warmth.min(1.0) * capacity * WINDOW.as_secs_f64();
-    let chance = if n < 30.0 { 3.0 } else { 2.0 };
-    n + chance * n.sqrt() + chance
+    let deviations = if n < 30.0 { 3.0 } else { 2.0 };
+    n + deviations * n.sqrt() + deviations
 }
 
-/// A server that works 5 ms, 30 ms for one request in ten, and fails one in twelve.
-fn busy(arrivals: Option<Arc<Mutex<Vec<Instant>>>>) -> Backend {
+/// A backend that takes 5 ms, or 30 ms for one request in ten, and fails one in twelve.
+fn busy_backend(arrivals: Option<Arc<Mutex<Vec<Instant>>>>) -> Backend {
     let count = AtomicU32::new(0);
     Backend::new(move |_| {
         if let Some(arrivals) = &arrivals {
@@ -71,19 +70,20 @@
     config
 }
 
-fn load_on(node: &Node, life: &str, nodes: usize) -> Load {
-    let every = Duration::from_secs_f64(CLIENTS as f64 * nodes as f64 / RATE);
-    Load::start(node.address, life, CLIENTS, every, |id| {
+fn start_load(node: &Node, id_prefix: &str, nodes: usize) -> Load {
+    let interval =
+        Duration::from_secs_f64(CLIENTS_PER_NODE as f64 * nodes as f64 / TOTAL_REQUESTS_PER_S);
+    Load::start(node.address, id_prefix, CLIENTS_PER_NODE, interval, |id| {
         get(id, "").replace("3000", "800")
     })
 }
 
-/// A server starts while `nodes` serve, and `more` of them start behind it; each window of its first seconds stays within
-/// what it bears.
-fn a_new_server_is_spared(nodes: usize, more: usize) {
-    let old: Vec<Backend> = (0..SERVERS).map(|_| busy(None)).collect();
+/// Starts a backend while `nodes` nodes serve, and `late_count` further nodes after it; checks each window of its first
+/// seconds.
+fn check_slow_start_budget(nodes: usize, late_count: usize) {
+    let backends: Vec<Backend> = (0..OLD_BACKENDS).map(|_| busy_backend(None)).collect();
     let mut entries: Vec<Value> = (0..)
-        .zip(&old)
+        .zip(&backends)
         .map(|(n, backend)| entry(&format!("s-{n}"), backend, 0))
         .collect();
     let discovery = Discovery::new(json!(entries));
@@ -91,31 +91,31 @@
     let processes: Vec<Node> = (0..nodes).map(|_| Node::start(&config)).collect();
     let loads: Vec<Load> = (0..)
         .zip(&processes)
-        .map(|(n, node)| load_on(node, &format!("n{n}"), nodes))
+        .map(|(n, node)| start_load(node, &format!("n{n}"), nodes))
         .collect();
     thread::sleep(Duration::from_secs(3));
     let arrivals = Arc::<Mutex<Vec<Instant>>>::default();
-    let new = busy(Some(arrivals.clone()));
+    let new = busy_backend(Some(arrivals.clone()));
     let started = Instant::now();
     let boot = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
-    // The list brings it some hundred milliseconds later.
+    // The endpoint list contains the new backend only some time after its start.
     thread::sleep(Duration::from_millis(300));
     entries.push(entry("new", &new, boot.as_millis()));
     discovery.set_endpoints(json!(entries));
     thread::sleep(Duration::from_millis(1500));
-    // These know nothing but the list.
-    let later: Vec<Node> = (0..more).map(|_| Node::start(&config)).collect();
-    let more_loads: Vec<Load> = (0..)
-        .zip(&later)
-        .map(|(n, node)| load_on(node, &format!("r{n}"), nodes))
+    // These nodes have only the endpoint list to go by.
+    let late_nodes: Vec<Node> = (0..late_count).map(|_| Node::start(&config)).collect();
+    let late_loads: Vec<Load> = (0..)
+        .zip(&late_nodes)
+        .map(|(n, node)| start_load(node, &format!("r{n}"), nodes))
         .collect();
-    thread::sleep(WATCHED.saturating_sub(started.elapsed()));
-    let asked: usize = loads
+    thread::sleep(OBSERVATION_TIME.saturating_sub(started.elapsed()));
+    let sent: usize = loads
         .into_iter()
-        .chain(more_loads)
+        .chain(late_loads)
         .map(|load| load.stop().len())
         .sum();
-    assert!(asked > 2000, "{asked} requests are no load");
+    assert!(sent > 2000, "only {sent} requests were sent");
     let arrivals = arrivals.lock().unwrap();
     for (last, at) in arrivals.iter().enumerate() {
         let in_window = arrivals[..=last]
@@ -123,22 +123,22 @@
             .filter(|earlier| at.duration_since(**earlier) < WINDOW)
             .count();
         let age = at.duration_since(started);
-        let most = most_in_window(age);
+        let limit = max_requests_in_window(age);
         assert!(
-            in_window as f64 <= most,
-            "{in_window} requests in the window that ends {age:?} behind the start, {most} at most"
+            in_window as f64 <= limit,
+            "{in_window} requests in the window that ends {age:?} after the start, {limit} at most"
         );
     }
-    assert!(!arrivals.is_empty(), "it was not used at all");
+    assert!(!arrivals.is_empty(), "the new backend got no request");
 }
 
 #[test]
-fn twenty_processes_together_keep_the_slow_start_budget() {
-    a_new_server_is_spared(20, 5);
+fn twenty_nodes_together_stay_within_the_slow_start_budget() {
+    check_slow_start_budget(20, 5);
 }
 
-/// As in an upgrade: the new version starts from the list, and does not know what the old one sends.
+/// As in an upgrade: the new process does not share the counts of the old one.
 #[test]
-fn two_versions_beside_each_other_keep_the_slow_start_budget() {
-    a_new_server_is_spared(1, 1);
+fn two_versions_in_parallel_stay_within_the_slow_start_budget() {
+    check_slow_start_budget(1, 1);
 }
--- a/daemon/tests/system_calls.rs
+++ b/daemon/tests/system_calls.rs
@@ -61,7 +61,7 @@
     );
 }
 
-/// A short read does not mean that no more data is available.
+/// More data may be available after a short read.
 #[test]
 fn short_reads_lose_no_request() {
     for permille in [10, 50, 500] {
--- a/daemon/tests/wall_clock.rs
+++ b/daemon/tests/wall_clock.rs
@@ -1,5 +1,5 @@
-//! Wall clocks that step, by seconds or an hour: a server in slow start is known as such, and one that has long been up
-//! is not held for one.
+//! Wall clocks that are wrong or step, by seconds or an hour: backends that have just started get slow start, and
+//! backends that started long ago do not.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -16,27 +16,28 @@
 
 const HOUR_MS: i64 = 3_600_000;
 const TEN_MINUTES_MS: i64 = 600_000;
-/// The window in which a server in slow start may be pushed over, by the settings.
+/// The window over which the slow start budget counts, as in the settings.
 const OVERLOAD_WINDOW: Duration = Duration::from_millis(1500);
-/// What a server serves that is used as the others are, a second.
-const RATE: f64 = 400.0 / 3.0;
+/// The load of each of three backends, in requests per second.
+const REQUESTS_PER_SERVER_PER_S: f64 = 400.0 / 3.0;
 
-/// The requests that a server may get in the window right after its start: N + 2 * sqrt(N) + 2.
-fn most_in_window() -> usize {
+/// The most requests to a backend in the window right after its start: N + 2 * sqrt(N) + 2 for a budget of N.
+fn max_requests_in_window() -> usize {
     let tip_multiple = 2.5;
     let start_capacity = 0.1;
-    // The servers report that they are used to nine tenths.
-    let budget = tip_multiple * start_capacity * RATE / 0.9 * OVERLOAD_WINDOW.as_secs_f64();
+    // The backends report a utilization of 0.9.
+    let budget = tip_multiple * start_capacity * REQUESTS_PER_SERVER_PER_S / 0.9
+        * OVERLOAD_WINDOW.as_secs_f64();
     (budget + 2.0 * budget.sqrt() + 2.0) as usize
 }
 
-/// The true Unix time, so many milliseconds ago.
-fn ago(milliseconds: i64) -> i64 {
+/// The true Unix time in milliseconds, this many milliseconds ago.
+fn unix_ms_ago(milliseconds: i64) -> i64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     i64::try_from(now.as_millis()).unwrap() - milliseconds
 }
 
-fn busy() -> Backend {
+fn busy_backend() -> Backend {
     Backend::new(|_| {
         thread::sleep(Duration::from_millis(4));
         ResponsePlan::Respond(
@@ -45,28 +46,28 @@
     })
 }
 
-fn started(uid: &str, backend: &Backend, boot_ms: i64) -> Value {
+fn entry_with_start(uid: &str, backend: &Backend, boot_ms: i64) -> Value {
     let mut entry = target(uid, backend.address, "Ready");
     entry["boot_ms"] = json!(boot_ms);
     entry
 }
 
-/// Three servers, a node that reads this wall clock, and 400 requests a second on it.
-struct Play {
-    old: [Backend; 3],
+/// Three backends, and a node with a controlled wall clock under 400 requests per second.
+struct Fleet {
+    backends: [Backend; 3],
     entries: Vec<Value>,
     discovery: Discovery,
     load: Load,
     _node: Node,
 }
 
-impl Play {
-    /// One whose servers have started at this Unix time; 0 for long ago.
-    fn begin(clock: &WallClock, boot_ms: i64) -> Self {
-        let old = [busy(), busy(), busy()];
+impl Fleet {
+    /// `boot_ms` is the start of the backends as Unix time in milliseconds; 0 for long ago.
+    fn start(clock: &WallClock, boot_ms: i64) -> Self {
+        let backends = [busy_backend(), busy_backend(), busy_backend()];
         let entries: Vec<Value> = (0..)
-            .zip(&old)
-            .map(|(n, backend)| started(&format!("s-{n}"), backend, boot_ms))
+            .zip(&backends)
+            .map(|(n, backend)| entry_with_start(&format!("s-{n}"), backend, boot_ms))
             .collect();
         let discovery = Discovery::new(json!(entries));
         let node = Node::start_with_faults(
@@ -78,7 +79,7 @@
             get(id, "").replace("3000", "500")
         });
         Self {
-            old,
+            backends,
             entries,
             discovery,
             load,
@@ -86,10 +87,10 @@
         }
     }
 
-    /// Adds a server to the list, and counts what it gets in its first window.
-    fn sends_to_a_new_one(&mut self, uid: &str, boot_ms: i64) -> usize {
-        let new = busy();
-        self.entries.push(started(uid, &new, boot_ms));
+    /// Adds a backend to the list, and counts its requests in the first window.
+    fn count_sent_to_new_backend(&mut self, uid: &str, boot_ms: i64) -> usize {
+        let new = busy_backend();
+        self.entries.push(entry_with_start(uid, &new, boot_ms));
         self.discovery.set_endpoints(json!(self.entries));
         self.count_in_window(&new)
     }
@@ -103,69 +104,70 @@
 }
 
 #[track_caller]
-fn spared(sends: usize, case: &str) {
-    let most = most_in_window();
+fn check_slow_start_budget(sent: usize, case: &str) {
+    let limit = max_requests_in_window();
     assert!(
-        sends <= most,
-        "{case}: {sends} requests in the window, {most} at most"
+        sent <= limit,
+        "{case}: {sent} requests in the window, {limit} at most"
     );
 }
 
-/// Plays the cases beside each other, each with a node of its own.
-fn beside_each_other(cases: &[(&'static str, i64)], play: fn(&str, i64)) {
+/// Runs the cases in parallel, each with its own node.
+fn run_in_parallel(cases: &[(&'static str, i64)], run: fn(&str, i64)) {
     thread::scope(|scope| {
         for (case, ahead_ms) in cases {
-            scope.spawn(move || play(case, *ahead_ms));
+            scope.spawn(move || run(case, *ahead_ms));
         }
     });
 }
 
-/// The server has started since the list before, whatever the node's clock says of its start.
+/// A backend that was not in the previous list has just started, whatever the node's clock says.
 #[test]
-fn a_backend_that_starts_while_the_node_runs_is_in_slow_start_under_any_clock() {
+fn a_backend_started_after_the_node_gets_slow_start_under_any_clock() {
     let cases = [
-        ("a clock that is right", 0),
+        ("a correct clock", 0),
         ("ahead by an hour", HOUR_MS),
         ("behind by an hour", -HOUR_MS),
         ("ahead by 30 s", 30_000),
     ];
-    beside_each_other(&cases, |case, ahead_ms| {
+    run_in_parallel(&cases, |case, ahead_ms| {
         let clock = WallClock::ahead_by(ahead_ms).unwrap();
-        let mut play = Play::begin(&clock, 0);
+        let mut fleet = Fleet::start(&clock, 0);
         thread::sleep(Duration::from_secs(2));
-        let sends = play.sends_to_a_new_one("new", ago(300));
-        // A clock that is right again later changes nothing for the next one.
+        let sent = fleet.count_sent_to_new_backend("new", unix_ms_ago(300));
+        // The same holds for the next backend after the clock has been corrected.
         clock.set(0).unwrap();
         thread::sleep(Duration::from_millis(500));
-        let sends_later = play.sends_to_a_new_one("next", ago(300));
-        drop(play.load.stop());
-        spared(sends, case);
-        spared(sends_later, &format!("{case}, then right"));
+        let sent_later = fleet.count_sent_to_new_backend("next", unix_ms_ago(300));
+        drop(fleet.load.stop());
+        check_slow_start_budget(sent, case);
+        check_slow_start_budget(sent_later, &format!("{case}, then corrected"));
     });
 }
 
-/// Servers that have long been up get their full share, also where the node's clock is behind their start.
+/// Such backends get their full share, even if the node's clock is behind their start.
 #[test]
-fn backends_that_have_long_been_up_are_not_in_slow_start() {
+fn backends_started_long_ago_get_no_slow_start_under_any_clock() {
     let cases = [
         ("behind by an hour", -HOUR_MS),
         ("behind by 5 s", -5000),
         ("ahead by an hour", HOUR_MS),
     ];
-    beside_each_other(&cases, |case, ahead_ms| {
+    run_in_parallel(&cases, |case, ahead_ms| {
         let clock = WallClock::ahead_by(ahead_ms).unwrap();
-        let play = Play::begin(&clock, ago(TEN_MINUTES_MS));
+        let fleet = Fleet::start(&clock, unix_ms_ago(TEN_MINUTES_MS));
         for step_ms in [-HOUR_MS, 5000] {
             thread::sleep(Duration::from_secs(1));
             clock.set(ahead_ms + step_ms).unwrap();
         }
         thread::sleep(Duration::from_secs(1));
-        let results = play.load.stop();
+        let results = fleet.load.stop();
         let served = results.iter().filter(|result| result.is_ok());
         let share = served.count() as f64 / results.len() as f64;
-        assert!(share > 0.9, "{case}: {share} served");
+        assert!(share > 0.9, "{case}: a share of {share} served");
         assert!(
-            play.old
+            fleet
+                .backends
                 .iter()
                 .all(|backend| backend.take_request_count() > 100)
         );
--- a/daemon/tests/zones.rs
+++ b/daemon/tests/zones.rs
@@ -1,4 +1,4 @@
-//! The watch over the zones: off unless the operators' own file says otherwise, and what they see and say of it.
+//! Zone health: off by default, enabled by the operator file, and its console calls and metrics.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
@@ -21,18 +21,18 @@
     path
 }
 
-fn operated(backend: &Backend) -> (Discovery, Value) {
+fn config_with_console(backend: &Backend) -> (Discovery, Value) {
     let discovery = Discovery::new(json!([target("s-0", backend.address, "Ready")]));
     let mut config = config(discovery.address, json!([]));
     config["console"] = json!("127.0.0.1:0");
     (discovery, config)
 }
 
-/// The sockets of a process that this file of the system's lists, those in `state` only.
+/// The number of the process's sockets in `/proc/PID/net/KIND`, or of those in `state` only.
 fn sockets(pid: u32, kind: &str, state: Option<&str>) -> usize {
     let folder = std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap();
     let links = folder.filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok());
-    let own: BTreeSet<String> = links
+    let inodes: BTreeSet<String> = links
         .filter_map(|link| {
             Some(
                 link.to_str()?
@@ -48,16 +48,16 @@
         .skip(1)
         .map(|line| line.split_whitespace().collect::<Vec<_>>());
     fields
-        .filter(|line| own.contains(line[9]) && state.is_none_or(|state| line[3] == state))
+        .filter(|line| inodes.contains(line[9]) && state.is_none_or(|state| line[3] == state))
         .count()
 }
 
-const LISTENS: &str = "0A";
+const TCP_LISTEN_STATE: &str = "0A";
 
 #[test]
-fn without_the_operators_file_there_is_no_zone_health_gossip_or_further_socket() {
+fn zone_health_and_gossip_are_off_without_an_operator_file() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
-    let (discovery, config) = operated(&backend);
+    let (discovery, config) = config_with_console(&backend);
     let node = Node::start(&config);
     discovery.wait_for_watch_from(1);
     for n in 0..20 {
@@ -65,9 +65,9 @@
     }
     let (console, pid) = (node.console(), node.child.id());
     assert_eq!(
-        sockets(pid, "tcp", Some(LISTENS)),
+        sockets(pid, "tcp", Some(TCP_LISTEN_STATE)),
         2,
-        "its clients' and its operators' listener"
+        "the listeners for clients and for the console"
     );
     for kind in ["udp", "udp6", "raw", "raw6", "tcp6"] {
         assert_eq!(sockets(pid, kind, None), 0, "{kind}");
@@ -81,14 +81,14 @@
 }
 
 #[test]
-fn the_shipped_file_switches_nothing_on() {
+fn the_shipped_operator_file_enables_nothing() {
     let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/badgerpost.toml");
     let text = std::fs::read_to_string(shipped).unwrap();
     assert!(text.contains("# [zones]\n# watch = true"));
     assert!(
         text.lines()
             .all(|line| line.is_empty() || line.starts_with('#')),
-        "a line counts"
+        "a line of the shipped file is not a comment"
     );
     let run = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
@@ -104,25 +104,25 @@
 }
 
 #[test]
-fn operators_close_a_zone_keep_it_open_and_end_the_override() {
+fn operators_close_a_zone_and_return_it_to_automatic_control() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
-    let (discovery, config) = operated(&backend);
-    let own = file("on", "[zones]\nwatch = true\n");
-    let node = Node::start_with_file(&config, &own);
+    let (discovery, config) = config_with_console(&backend);
+    let operator_file = file("on", "[zones]\nwatch = true\n");
+    let node = Node::start_with_file(&config, &operator_file);
     discovery.wait_for_watch_from(1);
     let console = node.console();
-    let is = |name: &str, value: &str| metric(console, name).as_deref() == Some(value);
-    assert!(is("node.zone.a.share", "1000") && is("node.zone.b.why", "open"));
+    let metric_is = |name: &str, value: &str| metric(console, name).as_deref() == Some(value);
+    assert!(metric_is("node.zone.a.share", "1000") && metric_is("node.zone.b.why", "open"));
     assert_eq!(node.request(&get("r1", "")).status(), 200);
     assert_eq!(
         console_request(console, "POST", "/zones/a/close/600").status(),
         200
     );
     wait_until("closed", || {
-        is("node.zone.a.share", "0") && is("node.zone.a.why", "by-hand")
+        metric_is("node.zone.a.share", "0") && metric_is("node.zone.a.why", "by-hand")
     });
     wait_until("the change is logged", || node.has_logged("zone changed"));
-    // Nothing is left: refused or failed in time, not sent.
+    // No zone is left: the request is rejected or fails in time, and is not sent.
     assert_eq!(backend.next_request().value("x-call-id"), Some("r1"));
     assert_ne!(
         node.request(&get("r2", "").replace("Budget-Ms: 3000", "Budget-Ms: 300"))
@@ -134,13 +134,13 @@
         200
     );
     wait_until("open", || {
-        is("node.zone.a.share", "1000") && is("node.zone.a.why", "open")
+        metric_is("node.zone.a.share", "1000") && metric_is("node.zone.a.why", "open")
     });
     assert_eq!(node.request(&get("r3", "")).status(), 200);
     assert_eq!(
         backend.next_request().value("x-call-id"),
         Some("r3"),
-        "r2 was not sent"
+        "r2 was sent"
     );
     for path in [
         "/zones/a/close/0",
@@ -159,20 +159,20 @@
         console_request(console, "GET", "/zones/a/auto").status(),
         405
     );
-    std::fs::remove_file(own).unwrap();
+    std::fs::remove_file(operator_file).unwrap();
 }
 
 #[test]
-fn an_unknown_key_is_named() {
+fn an_error_for_an_unknown_setting_names_the_setting() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
-    let (_discovery, config) = operated(&backend);
-    let own = file("bad", "[zones]\nwatch = true\nwatsh = 1\n");
-    let NodeProcess { child, .. } = spawn_with_file(&config.to_string(), &own);
+    let (_discovery, config) = config_with_console(&backend);
+    let operator_file = file("bad", "[zones]\nwatch = true\nwatsh = 1\n");
+    let NodeProcess { child, .. } = spawn_with_file(&config.to_string(), &operator_file);
     let output = child.wait_with_output().unwrap();
     assert!(!output.status.success());
     assert!(
         String::from_utf8_lossy(&output.stderr).contains("watsh"),
         "{output:?}"
     );
-    std::fs::remove_file(own).unwrap();
+    std::fs::remove_file(operator_file).unwrap();
 }
