--- a/daemon/tests/connection_limits.rs
+++ b/daemon/tests/connection_limits.rs
@@ -52,7 +52,7 @@
 fn an_eviction_is_counted() {
     let backend = Backend::new(|_| ResponsePlan::Respond(ok("yes")));
     let (node, _discovery) = node_with_console(&backend);
-    let _crowd: Vec<Client> = (0..60).map(|_| Client::connect(node.address)).collect();
+    let _others: Vec<Client> = (0..60).map(|_| Client::connect(node.address)).collect();
     wait_until("connections are evicted", || {
         closed_by_limit(&node, "eviction") > 0
     });
--- a/daemon/tests/early_responses.rs
+++ b/daemon/tests/early_responses.rs
@@ -1,5 +1,5 @@
-//! Responses that begin while their request is still being uploaded: the client gets the complete response whenever it
-//! reads, and the backend is not ejected.
+//! Responses that begin while their request is still being uploaded: the client gets the complete response,
+//! whether it reads while sending or afterwards, and the backend is not ejected.
 #![allow(
     clippy::unwrap_used,
     clippy::expect_used,
--- a/daemon/tests/endpoint_list.rs
+++ b/daemon/tests/endpoint_list.rs
@@ -229,8 +229,8 @@
     time_until_new_backend_is_used(&node);
 }
 
-/// While discovery is down its calls are never answered. Once discovery is up again, requests to a draining backend
-/// stop within the drain grace of 0.5 s.
+/// While discovery is down, the node's calls are never answered. Once discovery is up again, requests to a draining
+/// backend stop within the drain grace of 0.5 s.
 #[test]
 fn an_update_applies_within_the_drain_grace_once_discovery_responds_again() {
     let (old, new) = (serving("old"), serving("new"));
--- a/daemon/tests/health_checks.rs
+++ b/daemon/tests/health_checks.rs
@@ -57,15 +57,15 @@
             .any(|message| message.start_line.starts_with("GET /api"))
     });
     let home_messages: Vec<Message> = full.requests.try_iter().collect();
-    let probes = home_messages
+    let health_checks = home_messages
         .iter()
         .filter(|message| message.start_line.starts_with("GET /stats "));
-    let probes = probes
-        .inspect(|probe| assert!(probe.value("x-call-id").is_none(), "{probe:?}"))
+    let health_checks = health_checks
+        .inspect(|check| assert!(check.value("x-call-id").is_none(), "{check:?}"))
         .count();
     assert!(
-        (1..=request_count / 5 + 4).contains(&probes),
-        "{probes} health checks for {request_count} requests"
+        (1..=request_count / 5 + 4).contains(&health_checks),
+        "{health_checks} health checks for {request_count} requests"
     );
 }
 
--- a/daemon/tests/held_up_nodes.rs
+++ b/daemon/tests/held_up_nodes.rs
@@ -169,9 +169,9 @@
         assert_eq!(response.expect("a response").status(), 200);
     }
     thread::sleep(Duration::from_millis(400));
-    let mut crowd = Vec::new();
+    let mut others = Vec::new();
     run_while_suspended(&node, Duration::from_millis(300), || {
-        crowd.extend((0..40).map(|_| Client::connect(node.address)));
+        others.extend((0..40).map(|_| Client::connect(node.address)));
         for (n, client) in idle.iter_mut().enumerate() {
             client.write(&get(&format!("next{n}"), ""));
         }
--- a/daemon/tests/lifecycle.rs
+++ b/daemon/tests/lifecycle.rs
@@ -358,8 +358,8 @@
 #[test]
 fn late_responses_of_earlier_discovery_addresses_are_ignored() {
     let (old, stale, new) = (serving("old"), serving("stale"), serving("new"));
-    let list = |server: &Backend, uid: &str| {
-        let targets = [target(uid, server.address, "Ready")];
+    let list = |backend: &Backend, uid: &str| {
+        let targets = [target(uid, backend.address, "Ready")];
         ok(&json!({"rev": 7, "all": true, "targets": targets}).to_string())
     };
     let latch = Arc::new(Latch::default());
--- a/daemon/tests/limits.rs
+++ b/daemon/tests/limits.rs
@@ -112,7 +112,7 @@
     let mut client = Client::connect(node.address);
     client.write(&post("pay", "large", "", &"b".repeat(100_000)).replace("3000", "2000"));
     thread::sleep(Duration::from_millis(700));
-    let _crowd: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
+    let _others: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
     assert_eq!(client.read().expect("a response").status(), 503);
 }
 
--- a/daemon/tests/log_output.rs
+++ b/daemon/tests/log_output.rs
@@ -74,13 +74,13 @@
 }
 
 #[test]
-fn a_full_log_device_costs_no_request() {
+fn a_full_log_device_does_not_affect_requests() {
     let full = OpenOptions::new().write(true).open("/dev/full").unwrap();
     check_service_with_log(full, || ());
 }
 
 #[test]
-fn a_log_reader_that_closes_costs_no_request() {
+fn a_log_reader_that_closes_does_not_affect_requests() {
     let (log, reader) = UnixStream::pair().unwrap();
     let mut reader = Some(reader);
     check_service_with_log(OwnedFd::from(log), || drop(reader.take()));
@@ -88,7 +88,7 @@
 
 /// The socket buffer of the log is full, and its reader does not read.
 #[test]
-fn a_log_reader_that_stalls_costs_no_request() {
+fn a_log_reader_that_stalls_does_not_affect_requests() {
     let (mut log, _reader) = UnixStream::pair().unwrap();
     log.set_nonblocking(true).unwrap();
     let full = loop {
--- a/daemon/tests/misbehaving_clients.rs
+++ b/daemon/tests/misbehaving_clients.rs
@@ -33,9 +33,9 @@
 fn silent_connections_are_evicted_for_new_clients() {
     let backend = serving();
     let node = node_with_few_descriptors(&backend);
-    let mut crowd = connect_silent_clients(&node, 48);
+    let mut others = connect_silent_clients(&node, 48);
     assert_eq!(node.request(&get("s0", "")).status(), 200);
-    crowd
+    others
         .iter_mut()
         .for_each(|client| assert!(client.is_closed(), "not evicted"));
 }
@@ -99,8 +99,8 @@
     let mut open = Client::connect(node.address);
     open.write(&get("o0", ""));
     assert_eq!(backend.next_request().value("x-call-id"), Some("o0"));
-    let mut crowd = connect_silent_clients(&node, 48);
-    crowd
+    let mut others = connect_silent_clients(&node, 48);
+    others
         .iter_mut()
         .take(8)
         .for_each(|client| assert!(client.is_closed()));
@@ -268,7 +268,7 @@
             .status();
         assert!(status.expect("prlimit runs").success());
         // Idle connections, incomplete heads, and connections without a request.
-        let mut crowd = Vec::new();
+        let mut others = Vec::new();
         for n in 0..sockets {
             let mut client = Client::connect(node.address);
             match n % 3 {
@@ -276,7 +276,7 @@
                 1 => client.write("GET /api HTTP/1.1\r\nHos"),
                 _ => {}
             }
-            crowd.push(client);
+            others.push(client);
         }
         for n in 0..5 {
             assert_eq!(
@@ -301,7 +301,7 @@
             );
         }
         assert!(!node.has_logged("Too many open files"), "{sockets}");
-        drop(crowd);
+        drop(others);
     }
 }
 
@@ -314,7 +314,7 @@
     config["limits"]["sockets"] = json!(79);
     let node = Node::start(&config);
     discovery.wait_for_watch_from(1);
-    let mut crowd = Vec::new();
+    let mut others = Vec::new();
     for n in 0..200 {
         let mut client = Client::connect(node.address);
         match n % 3 {
@@ -324,7 +324,7 @@
                 &post("pay", &format!("half{n}"), "", "body").replace("Length: 4", "Length: 400"),
             ),
         }
-        crowd.push(client);
+        others.push(client);
     }
     let began = std::time::Instant::now();
     for n in 0..10 {
@@ -336,7 +336,7 @@
         "{:?}",
         began.elapsed()
     );
-    drop(crowd);
+    drop(others);
 }
 
 /// Guards against an incomplete request on a used connection that gets the idle limit instead of the limit of a head.
--- a/daemon/tests/operations.rs
+++ b/daemon/tests/operations.rs
@@ -335,7 +335,7 @@
     std::fs::remove_file(file).unwrap();
 }
 
-/// The fleet trial loads a library into the process, which needs dynamic linking.
+/// A library can be preloaded into the process (LD_PRELOAD) only with dynamic linking.
 #[test]
 fn the_program_is_linked_dynamically() {
     let program = std::fs::read(badgerpost_fakes::program("badgerpost").unwrap()).unwrap();
--- a/daemon/tests/pipelining.rs
+++ b/daemon/tests/pipelining.rs
@@ -328,7 +328,7 @@
     let mut client = Client::connect(node.address);
     client.write(&(get("slow", "") + &text[..half]));
     assert_eq!(client.read().expect("a response").status(), 200);
-    let _crowd: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
+    let _others: Vec<Client> = (0..40).map(|_| Client::connect(node.address)).collect();
     thread::sleep(Duration::from_millis(300));
     client.write(&text[half..]);
     assert_eq!(client.read().expect("a response").status(), 200);
--- a/daemon/tests/serving.rs
+++ b/daemon/tests/serving.rs
@@ -143,9 +143,9 @@
 #[test]
 fn a_non_idempotent_request_that_did_not_run_is_retried_at_another_backend() {
     let rejecting = |code| backend_with(ResponsePlan::Respond(status(code, "X-Rejected: 1\r\n")));
-    let serves = backend_with(ResponsePlan::Respond(ok("paid")));
+    let healthy = backend_with(ResponsePlan::Respond(ok("paid")));
     let (first, other) = (rejecting(503), rejecting(504));
-    let (node, _discovery) = Node::start_with_backends(&[&first, &serves]);
+    let (node, _discovery) = Node::start_with_backends(&[&first, &healthy]);
     for n in 0..8 {
         assert_eq!(
             node.request(&post("pay", &format!("p{n}"), "", ""))
@@ -153,7 +153,7 @@
             200
         );
     }
-    assert_eq!(serves.take_request_count(), 8);
+    assert_eq!(healthy.take_request_count(), 8);
     let (node, _discovery) = Node::start_with_backends(&[&other]);
     assert_eq!(node.request(&post("pay", "p9", "", "")).status(), 503);
 }
@@ -164,10 +164,10 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let refused_address = listener.local_addr().unwrap();
     drop(listener);
-    let serves = backend_with(ResponsePlan::Respond(ok("paid")));
+    let healthy = backend_with(ResponsePlan::Respond(ok("paid")));
     let discovery = Discovery::new(json!([
         target("s-0", refused_address, "Ready"),
-        target("s-1", serves.address, "Ready")
+        target("s-1", healthy.address, "Ready")
     ]));
     let node = Node::start(&config(discovery.address, json!([])));
     discovery.wait_for_watch_from(1);
@@ -178,7 +178,7 @@
             200
         );
     }
-    assert_eq!(serves.take_request_count(), 8);
+    assert_eq!(healthy.take_request_count(), 8);
 }
 
 /// A backend that does not respond must not hold a request beyond the client timeout.
--- a/daemon/tests/slow_start.rs
+++ b/daemon/tests/slow_start.rs
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn twenty_nodes_together_stay_within_the_slow_start_budget() {
+fn twenty_processes_together_stay_within_the_slow_start_budget() {
     check_slow_start_budget(20, 5);
 }
 
