--- a/testkit/fakes/src/database/catalogue.rs
+++ b/testkit/fakes/src/database/catalogue.rs
@@ -1,5 +1,5 @@
-//! Queries of the system catalogue that drivers send by themselves, recognised by their texts: they join and recurse,
-//! which this server's SQL does not. They are answered from the table of types.
+//! Queries on the system catalogue that client drivers send by themselves. They use joins and recursion, which the fake
+//! server does not execute; the server recognises them by their text and answers them from the table [`TYPES`].
 
 use super::result::{ResultColumn, StatementResult};
 use super::value::{TYPES, Type, TypeEntry, Value};
@@ -7,19 +7,19 @@
 /// The schema of built-in types.
 const CATALOGUE_SCHEMA: &str = "pg_catalog";
 
-/// The kind of base types, and of arrays of them.
+/// The `typtype` of base types and of their array types.
 const BASE_TYPE_KIND: &str = "b";
 
-/// A query of the catalogue: its parameters, its columns and how it is answered.
+/// A known query on the system catalogue.
 pub(super) struct CatalogueQuery {
     pub(super) parameters: Vec<Type>,
     pub(super) columns: Vec<ResultColumn>,
-    /// The rows for the values of the parameters.
+    /// Returns the result rows for the values of the parameters.
     rows: fn(&[Value]) -> Vec<Vec<Value>>,
 }
 
 impl CatalogueQuery {
-    /// The query that a text is, if it is a known one.
+    /// Recognises a known query by its text; `None` for any other text.
     pub(super) fn recognize(sql: &str) -> Option<Self> {
         if sql.contains("typeinfo_tree") {
             Some(Self::type_tree())
@@ -30,7 +30,7 @@
         }
     }
 
-    /// asyncpg's query for types and the types that they are made of.
+    /// asyncpg's query for types and the types that they are composed of.
     fn type_tree() -> Self {
         let columns = [
             ("oid", Type::OID),
@@ -82,39 +82,39 @@
         .collect()
 }
 
-fn oid(data_type: Type) -> Value {
+fn oid_value(data_type: Type) -> Value {
     Value::Int(i64::from(data_type.0))
 }
 
-fn text(text: &str) -> Value {
+fn text_value(text: &str) -> Value {
     Value::Text(text.to_owned())
 }
 
 fn array_type_rows(_: &[Value]) -> Vec<Vec<Value>> {
     TYPES
         .iter()
-        .map(|entry| vec![oid(entry.element), oid(entry.array)])
+        .map(|entry| vec![oid_value(entry.data_type), oid_value(entry.array_type)])
         .collect()
 }
 
-/// The rows for an array of type numbers: an array type is preceded by the type of its elements.
+/// The type tree for an array of type OIDs; the row of an array type follows the row of its element type.
 fn type_tree_rows(values: &[Value]) -> Vec<Vec<Value>> {
-    let Some(Value::Array(wanted)) = values.first() else {
+    let Some(Value::Array(oids)) = values.first() else {
         return Vec::new();
     };
     let mut rows = Vec::new();
-    for value in wanted {
-        let Value::Int(number) = value else {
+    for value in oids {
+        let Value::Int(oid) = value else {
             continue;
         };
-        let Ok(number) = u32::try_from(*number) else {
+        let Ok(oid) = u32::try_from(*oid) else {
             continue;
         };
-        let data_type = Type(number);
-        if let Some(entry) = TYPES.iter().find(|entry| entry.array == data_type) {
+        let data_type = Type(oid);
+        if let Some(entry) = TYPES.iter().find(|entry| entry.array_type == data_type) {
             rows.push(element_row(entry, 1));
             rows.push(array_row(entry));
-        } else if let Some(entry) = TYPES.iter().find(|entry| entry.element == data_type) {
+        } else if let Some(entry) = TYPES.iter().find(|entry| entry.data_type == data_type) {
             rows.push(element_row(entry, 0));
         }
     }
@@ -122,30 +122,35 @@
 }
 
 fn element_row(entry: &TypeEntry, depth: i64) -> Vec<Value> {
-    type_row(entry.element, entry.name, [Value::Null, Value::Null], depth)
+    type_row(
+        entry.data_type,
+        entry.name,
+        [Value::Null, Value::Null],
+        depth,
+    )
 }
 
 fn array_row(entry: &TypeEntry) -> Vec<Value> {
     let name = format!("_{}", entry.name);
     type_row(
-        entry.array,
+        entry.array_type,
         &name,
-        [oid(entry.element), text(entry.name)],
+        [oid_value(entry.data_type), text_value(entry.name)],
         0,
     )
 }
 
-/// A row of the type tree; `element` holds the number and name of the type of an array's elements.
+/// A row of the type tree; `element` holds the OID and name of the element type of an array type, otherwise NULLs.
 fn type_row(data_type: Type, name: &str, element: [Value; 2], depth: i64) -> Vec<Value> {
     let [element_oid, element_name] = element;
     vec![
-        oid(data_type),
-        text(CATALOGUE_SCHEMA),
-        text(name),
-        text(BASE_TYPE_KIND),
+        oid_value(data_type),
+        text_value(CATALOGUE_SCHEMA),
+        text_value(name),
+        text_value(BASE_TYPE_KIND),
         Value::Null,
         element_oid,
-        text(","),
+        text_value(","),
         Value::Null,
         Value::Null,
         Value::Null,
--- a/testkit/fakes/src/database/storage.rs
+++ b/testkit/fakes/src/database/storage.rs
@@ -1,8 +1,8 @@
-//! Tables in memory and the transactions that change them.
+//! In-memory tables, and the transactions that change them.
 //!
-//! A transaction sees what is committed and its own changes. Row versions carry the transactions that created and
-//! deleted them; a transaction that would change a row which another open transaction has changed has to wait for it,
-//! as at a server. Its changes are recorded so that a rollback undoes them.
+//! A transaction sees committed changes and its own changes. Each row version records the transactions that created and
+//! deleted it. A transaction that changes a row which another open transaction has changed is blocked until that
+//! transaction ends, as in PostgreSQL. The changes of a transaction are recorded so that a rollback can undo them.
 
 mod table;
 mod transaction;
@@ -18,18 +18,18 @@
 use table::RowVersion;
 use transaction::{Change, Savepoint};
 
-/// Why a statement could not be executed now.
+/// Why a statement was not executed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ExecutionError {
-    /// The statement has failed.
+    /// The statement failed.
     #[error(transparent)]
     Failed(#[from] SqlError),
-    /// This transaction has to end first; then the statement is to be executed again.
-    #[error("transaction {} has to end first", .0.0)]
+    /// The statement must be executed again after this transaction has ended.
+    #[error("blocked by transaction {}, which has not ended", .0.0)]
     BlockedBy(TransactionId),
 }
 
-/// What happens to a new row whose unique key is there already.
+/// How an insert handles a row whose unique key already exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DuplicateKey {
     /// The statement fails.
@@ -38,29 +38,29 @@
     Skip,
 }
 
-/// All tables of a database, and its open transactions.
+/// All tables and open transactions of a database.
 #[derive(Default)]
 pub(super) struct Store {
     tables: BTreeMap<String, Table>,
-    active: BTreeSet<TransactionId>,
-    last_transaction: TransactionId,
-    /// Transactions that were committed and had changed something.
+    active_transactions: BTreeSet<TransactionId>,
+    last_transaction_id: TransactionId,
+    /// The number of committed transactions that had made changes.
     pub(super) committed_writes: u64,
 }
 
 impl Store {
     /// Begins a transaction.
     pub(super) fn begin(&mut self) -> Transaction {
-        self.last_transaction.0 += 1;
-        self.active.insert(self.last_transaction);
+        self.last_transaction_id.0 += 1;
+        self.active_transactions.insert(self.last_transaction_id);
         Transaction {
-            id: self.last_transaction,
+            id: self.last_transaction_id,
             changes: Vec::new(),
             savepoints: Vec::new(),
         }
     }
 
-    /// Commits a transaction: rows that it has deleted are removed.
+    /// Commits a transaction, and removes the row versions that the transaction has deleted.
     pub(super) fn commit(&mut self, transaction: Transaction) {
         self.committed_writes += u64::from(!transaction.changes.is_empty());
         for change in transaction.changes {
@@ -68,7 +68,7 @@
                 self.remove_deleted_row(&table, row_id, transaction.id);
             }
         }
-        self.active.remove(&transaction.id);
+        self.active_transactions.remove(&transaction.id);
     }
 
     fn remove_deleted_row(&mut self, table: &str, row_id: u64, transaction: TransactionId) {
@@ -84,13 +84,13 @@
         }
     }
 
-    /// Undoes all changes of a transaction and ends it.
+    /// Rolls a transaction back: undoes all its changes and ends it.
     pub(super) fn rollback(&mut self, mut transaction: Transaction) {
         self.undo_changes(&mut transaction, 0);
-        self.active.remove(&transaction.id);
+        self.active_transactions.remove(&transaction.id);
     }
 
-    /// Undoes a transaction's changes, the last one first, until only `remaining` are left.
+    /// Undoes a transaction's changes in reverse order, except for the first `remaining` changes.
     fn undo_changes(&mut self, transaction: &mut Transaction, remaining: usize) {
         while transaction.changes.len() > remaining {
             if let Some(change) = transaction.changes.pop() {
@@ -121,12 +121,12 @@
         }
     }
 
-    /// Whether a transaction has not ended yet.
+    /// Whether a transaction is still open.
     pub(super) fn is_active(&self, transaction: TransactionId) -> bool {
-        self.active.contains(&transaction)
+        self.active_transactions.contains(&transaction)
     }
 
-    /// Sets a savepoint; the same name may be set again.
+    /// Sets a savepoint. A name may be used several times; the latest savepoint hides the earlier ones.
     pub(super) fn savepoint(&self, transaction: &mut Transaction, name: String) {
         let change_count = transaction.changes.len();
         transaction
@@ -134,7 +134,7 @@
             .push(Savepoint { name, change_count });
     }
 
-    /// Forgets a savepoint and all later ones.
+    /// Releases a savepoint, and all savepoints set after it.
     pub(super) fn release(
         &self,
         transaction: &mut Transaction,
@@ -145,7 +145,8 @@
         Ok(())
     }
 
-    /// Undoes all changes after a savepoint, which stays set.
+    /// Rolls back to a savepoint: undoes all changes since it was set, and releases all later savepoints. The savepoint
+    /// itself stays valid.
     pub(super) fn rollback_to(
         &mut self,
         transaction: &mut Transaction,
@@ -158,26 +159,26 @@
         Ok(())
     }
 
-    /// A table by its stored name.
+    /// Finds a table by its stored name.
     pub(super) fn table(&self, name: &str) -> Result<&Table, SqlError> {
         self.tables
             .get(name)
             .ok_or_else(|| SqlError::undefined_table(name))
     }
 
-    /// A table by its stored name, to be changed.
+    /// Finds a table by its stored name, for modification.
     pub(super) fn table_mut(&mut self, name: &str) -> Result<&mut Table, SqlError> {
         self.tables
             .get_mut(name)
             .ok_or_else(|| SqlError::undefined_table(name))
     }
 
-    /// Whether there is a table of this stored name.
+    /// Whether a table with this stored name exists.
     pub(super) fn has_table(&self, name: &str) -> bool {
         self.tables.contains_key(name)
     }
 
-    /// Creates a table. There must be none of this name.
+    /// Creates a table. The caller ensures that no table with this name exists.
     pub(super) fn create_table(
         &mut self,
         transaction: &mut Transaction,
@@ -188,7 +189,7 @@
         transaction.changes.push(Change::TableCreated { name });
     }
 
-    /// Drops a table, if there is one of this name.
+    /// Drops a table, if it exists.
     pub(super) fn drop_table(&mut self, transaction: &mut Transaction, name: &str) {
         if let Some(table) = self.tables.remove(name) {
             transaction.changes.push(Change::TableDropped {
@@ -198,13 +199,13 @@
         }
     }
 
-    /// Drops the temporary tables of a session, by the prefix of their stored names.
+    /// Drops the temporary tables of a session, all tables whose stored names start with `prefix`.
     pub(super) fn drop_temporary_tables(&mut self, prefix: &str) {
         self.tables.retain(|name, _| !name.starts_with(prefix));
     }
 
-    /// The rows of a table that are committed or were written by `reader`; with `key`, only those that have it in the
-    /// unique column.
+    /// The rows of a table that are visible to the transaction `reader`: committed rows and its own. Without a `reader`,
+    /// only committed rows. With a `key`, only the rows that have this value in the unique column.
     pub(super) fn visible_rows(
         &self,
         table: &str,
@@ -230,13 +231,13 @@
     }
 
     fn is_visible(&self, row: &RowVersion, reader: Option<TransactionId>) -> bool {
-        let applies = |transaction: TransactionId| {
-            Some(transaction) == reader || !self.active.contains(&transaction)
+        let is_in_effect = |transaction: TransactionId| {
+            Some(transaction) == reader || !self.active_transactions.contains(&transaction)
         };
-        applies(row.created_by) && !row.deleted_by.is_some_and(applies)
+        is_in_effect(row.created_by) && !row.deleted_by.is_some_and(is_in_effect)
     }
 
-    /// Inserts a row. Returns whether it was inserted: not if its unique key is there and that is to be skipped.
+    /// Inserts a row. Returns `false` if the row was skipped because its unique key already exists.
     pub(super) fn insert(
         &mut self,
         transaction: &mut Transaction,
@@ -249,7 +250,7 @@
             .get_mut(table_name)
             .ok_or_else(|| SqlError::undefined_table(table_name))?;
         table.check_not_null(table_name, &values)?;
-        if table.has_duplicate(&values, transaction.id, &self.active)? {
+        if table.has_duplicate(&values, transaction.id, &self.active_transactions)? {
             return match duplicate_key {
                 DuplicateKey::Skip => Ok(false),
                 DuplicateKey::Fail => Err(table.unique_violation().into()),
@@ -263,7 +264,7 @@
         Ok(true)
     }
 
-    /// Deletes a row, if it is there.
+    /// Deletes a row, if it exists.
     pub(super) fn delete(
         &mut self,
         transaction: &mut Transaction,
--- a/testkit/fakes/src/database/storage/table.rs
+++ b/testkit/fakes/src/database/storage/table.rs
@@ -1,4 +1,4 @@
-//! One table: its columns, the versions of its rows, and the index on its unique column.
+//! A table: its columns, row versions, and the index on its unique column.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -12,22 +12,22 @@
     pub(in crate::database) name: String,
     pub(in crate::database) data_type: Type,
     pub(in crate::database) not_null: bool,
-    /// The default, as SQL text.
+    /// The DEFAULT expression, as SQL text; `None` if the default is NULL.
     pub(in crate::database) default: Option<String>,
-    /// Whether the default is a number of its own for each row.
+    /// Whether the default is the next number of the table's sequence, as for `serial` and identity columns.
     pub(in crate::database) is_serial: bool,
 }
 
-/// A constraint that the values of one column are unique.
+/// A UNIQUE or PRIMARY KEY constraint on one column.
 #[derive(Clone, Debug)]
 pub(in crate::database) struct UniqueConstraint {
     /// The position of the column.
     pub(in crate::database) column: usize,
-    /// The constraint's name, for errors.
+    /// The constraint's name, reported in errors.
     pub(in crate::database) name: String,
 }
 
-/// A copy of a row.
+/// An owned copy of a row.
 #[derive(Clone, Debug)]
 pub(in crate::database) struct StoredRow {
     /// The row's number in its table.
@@ -35,7 +35,7 @@
     pub(in crate::database) values: Vec<Value>,
 }
 
-/// A row as a transaction sees it.
+/// A borrowed row that is visible to a transaction.
 pub(in crate::database) struct RowView<'a> {
     /// The row's number in its table.
     pub(in crate::database) id: u64,
@@ -64,13 +64,13 @@
     pub(in crate::database) columns: Vec<Column>,
     pub(in crate::database) unique: Option<UniqueConstraint>,
     pub(super) rows: BTreeMap<u64, RowVersion>,
-    /// The ids of rows by the text of their unique column.
+    /// The ids of rows by the value of their unique column in text format.
     index: HashMap<String, BTreeSet<u64>>,
     next_row_id: u64,
     last_serial: i64,
 }
 
-/// The key of a value in an index.
+/// The index key of a value.
 fn index_key(value: &Value) -> String {
     value.text(Type::TEXT)
 }
@@ -85,12 +85,12 @@
 }
 
 impl Table {
-    /// The ids of the rows that have this key in the unique column.
+    /// The ids of the rows whose unique column has this value.
     pub(super) fn row_ids_by_key(&self, key: &Value) -> impl Iterator<Item = &u64> {
         self.index.get(&index_key(key)).into_iter().flatten()
     }
 
-    /// Removes a row and its entry in the index.
+    /// Removes a row and its index entry.
     pub(super) fn remove_row(&mut self, row_id: u64) {
         self.remove_from_index(row_id);
         self.rows.remove(&row_id);
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The next number of its serial columns.
+    /// Advances the sequence of the table's serial columns, and returns its new value.
     pub(in crate::database) fn next_serial(&mut self) -> i64 {
         self.last_serial += 1;
         self.last_serial
@@ -132,12 +132,13 @@
         Ok(())
     }
 
-    /// Whether another row has the unique key of these values. Blocked while an open transaction decides about one.
+    /// Whether a row with the same unique key exists. Returns [`ExecutionError::BlockedBy`] if another open transaction
+    /// has inserted or deleted such a row.
     pub(super) fn has_duplicate(
         &self,
         values: &[Value],
         transaction: TransactionId,
-        active: &BTreeSet<TransactionId>,
+        active_transactions: &BTreeSet<TransactionId>,
     ) -> Result<bool, ExecutionError> {
         let Some(unique) = &self.unique else {
             return Ok(false);
@@ -147,18 +148,18 @@
             if row.deleted_by == Some(transaction) {
                 continue;
             }
-            if row.created_by != transaction && active.contains(&row.created_by) {
+            if row.created_by != transaction && active_transactions.contains(&row.created_by) {
                 return Err(ExecutionError::BlockedBy(row.created_by));
             }
-            if let Some(deleting) = row.deleted_by {
-                return Err(ExecutionError::BlockedBy(deleting));
+            if let Some(deleted_by) = row.deleted_by {
+                return Err(ExecutionError::BlockedBy(deleted_by));
             }
             return Ok(true);
         }
         Ok(false)
     }
 
-    /// The error for a row whose unique key is there already.
+    /// The error for a row whose unique key already exists.
     pub(super) fn unique_violation(&self) -> SqlError {
         let constraint = self.unique.as_ref().map_or("", |unique| &unique.name);
         SqlError::new(
--- a/testkit/fakes/src/database/storage/transaction.rs
+++ b/testkit/fakes/src/database/storage/transaction.rs
@@ -1,13 +1,13 @@
-//! An open transaction: its changes with what undoes them, and its savepoints.
+//! An open transaction: its changes, with the data to undo them, and its savepoints.
 
 use super::Table;
 use crate::database::error::{SqlError, SqlState};
 
-/// The number of a transaction.
+/// The id of a transaction; ids are assigned in ascending order from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::database) struct TransactionId(pub(in crate::database) u64);
 
-/// A change, with what undoes it.
+/// A change made by a transaction, with the data to undo it.
 pub(super) enum Change {
     Inserted { table: String, row_id: u64 },
     Deleted { table: String, row_id: u64 },
@@ -15,14 +15,14 @@
     TableDropped { name: String, table: Box<Table> },
 }
 
-/// A named point of a transaction to which it can be rolled back.
+/// A named point in a transaction that the transaction can be rolled back to.
 pub(super) struct Savepoint {
     pub(super) name: String,
-    /// How many changes the transaction had made.
+    /// The number of changes that the transaction had made when the savepoint was set.
     pub(super) change_count: usize,
 }
 
-/// A transaction that has not ended. It is ended by [`super::Store::commit`] or [`super::Store::rollback`].
+/// An open transaction, which [`super::Store::commit`] or [`super::Store::rollback`] ends.
 pub(in crate::database) struct Transaction {
     pub(in crate::database) id: TransactionId,
     pub(super) changes: Vec<Change>,
@@ -30,7 +30,7 @@
 }
 
 impl Transaction {
-    /// The position of the last savepoint of this name.
+    /// The position of the latest savepoint with this name.
     pub(super) fn savepoint_position(&self, name: &str) -> Result<usize, SqlError> {
         let position = self
             .savepoints
--- a/testkit/fakes/src/database/value.rs
+++ b/testkit/fakes/src/database/value.rs
@@ -1,7 +1,7 @@
-//! Values, their order, and their text and binary forms.
+//! Values, their sort order, and their text and binary formats.
 //!
-//! Source: PostgreSQL documentation, chapter "Data Types"; the binary forms are those of the servers' send and receive
-//! functions.
+//! Source: PostgreSQL documentation, chapter "Data Types"; the binary formats are those of PostgreSQL's send and
+//! receive functions.
 
 mod array;
 mod binary;
@@ -18,36 +18,36 @@
 pub use types::Type;
 pub(super) use types::{TYPES, TypeEntry};
 
-/// A value.
+/// A value of a SQL type.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// NULL.
     Null,
-    /// A truth value.
+    /// A boolean.
     Bool(bool),
-    /// An integer of any width.
+    /// An integer of any integer type, or an `oid`.
     Int(i64),
-    /// A floating-point number.
+    /// A `float4` or `float8`.
     Float(f64),
-    /// A decimal number, as its digits.
+    /// A `numeric`, in decimal digits with an optional sign and fraction, or `NaN`.
     Numeric(String),
-    /// A text, or a value that is kept as one (json, name).
+    /// A text, or a value of another type that is stored as text (`json`, `jsonb`, `name`).
     Text(String),
-    /// Bytes.
+    /// A `bytea`.
     Bytes(Vec<u8>),
-    /// A UUID.
+    /// A `uuid`.
     Uuid([u8; 16]),
-    /// Days since 2000-01-01.
+    /// A `date`, in days since 2000-01-01.
     Date(i32),
-    /// Microseconds since 2000-01-01, UTC.
+    /// A timestamp with or without time zone, in microseconds since 2000-01-01 00:00:00 UTC.
     Timestamp(i64),
-    /// An array of one dimension.
+    /// A one-dimensional array.
     Array(Vec<Value>),
 }
 
 impl Value {
-    /// Compares two values; `None` if either is NULL or not a number. Values of different types are ordered as
-    /// numbers if both are numbers, otherwise by their text forms.
+    /// Compares two values; `None` if either is NULL, or if both are numbers and either is NaN. Values of different
+    /// types are compared as numbers if both are numbers, otherwise by their text format.
     pub fn compare(&self, other: &Self) -> Option<Ordering> {
         match (self, other) {
             (Self::Null, _) | (_, Self::Null) => None,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Arrays are ordered by their first elements that differ, then by their lengths.
+/// Compares arrays by the first elements that differ, then by their lengths.
 fn compare_arrays(left: &[Value], right: &[Value]) -> Ordering {
     let first_difference = left
         .iter()
@@ -85,7 +85,7 @@
     first_difference.unwrap_or(left.len().cmp(&right.len()))
 }
 
-/// The instant that dates and timestamps count from: 2000-01-01, 00:00 UTC.
+/// PostgreSQL's epoch for dates and timestamps: 2000-01-01 00:00:00 UTC.
 fn epoch() -> NaiveDateTime {
     NaiveDate::from_ymd_opt(2000, 1, 1)
         .and_then(|day| day.and_hms_opt(0, 0, 0))
--- a/testkit/fakes/src/database/value/array.rs
+++ b/testkit/fakes/src/database/value/array.rs
@@ -1,16 +1,16 @@
-//! The text form of arrays of one dimension.
+//! The text format of one-dimensional arrays.
 
 use super::{Type, Value};
 use crate::database::error::SqlError;
 
-/// An element as it is written in an array, without what quotes and escapes it.
+/// An element of an array in text format, without its quotes and escapes.
 #[derive(Default)]
-struct WrittenElement {
+struct ElementText {
     text: String,
     is_quoted: bool,
 }
 
-impl WrittenElement {
+impl ElementText {
     fn read(&self, element_type: Type) -> Result<Value, SqlError> {
         if !self.is_quoted && self.text.eq_ignore_ascii_case("null") {
             Ok(Value::Null)
@@ -20,20 +20,20 @@
     }
 }
 
-/// Reads an array from its text form; `None` if the text is not one.
+/// Parses an array from its text format; `None` if the text is not an array literal.
 pub(super) fn read_array(element_type: Type, text: &str) -> Option<Result<Value, SqlError>> {
     let elements = split_elements(text)?;
     let values = elements.iter().map(|element| element.read(element_type));
     Some(values.collect::<Result<_, _>>().map(Value::Array))
 }
 
-fn split_elements(text: &str) -> Option<Vec<WrittenElement>> {
+fn split_elements(text: &str) -> Option<Vec<ElementText>> {
     let inner = text.trim().strip_prefix('{')?.strip_suffix('}')?;
     if inner.is_empty() {
         return Some(Vec::new());
     }
     let mut elements = Vec::new();
-    let mut element = WrittenElement::default();
+    let mut element = ElementText::default();
     let mut in_quotes = false;
     let mut characters = inner.chars();
     while let Some(character) = characters.next() {
@@ -51,7 +51,7 @@
     Some(elements)
 }
 
-/// An element's text form, in quotes where an array needs them.
+/// Quotes the text format of an element if the array syntax requires quotes.
 pub(super) fn quote_element(text: &str) -> String {
     let is_plain = !text.is_empty()
         && !text.eq_ignore_ascii_case("null")
--- a/testkit/fakes/src/database/value/binary.rs
+++ b/testkit/fakes/src/database/value/binary.rs
@@ -1,22 +1,22 @@
-//! The binary form of values.
+//! The binary format of values.
 
 use super::numeric::{read_numeric, write_numeric};
 use super::{Type, Value};
 use crate::database::error::{SqlError, SqlState};
 
-/// The version byte at the head of a jsonb value.
+/// The version byte at the start of a `jsonb` value.
 const JSONB_VERSION: u8 = 1;
 
-/// The length that stands for a NULL element.
+/// The length field of a NULL element.
 const NULL_LENGTH: i32 = -1;
 
-/// Positions of fields in an array's binary form, in bytes.
-const ARRAY_DIMENSIONS: usize = 0;
-const ARRAY_ELEMENT_COUNT: usize = 12;
-const ARRAY_FIRST_ELEMENT: usize = 20;
+// Byte offsets of the fields of an array.
+const ARRAY_DIMENSIONS_OFFSET: usize = 0;
+const ARRAY_ELEMENT_COUNT_OFFSET: usize = 12;
+const ARRAY_FIRST_ELEMENT_OFFSET: usize = 20;
 
 impl Value {
-    /// Its binary form as a value of a type.
+    /// Encodes the value in the binary format of a type; NULL as no bytes.
     pub fn binary(&self, data_type: Type) -> Vec<u8> {
         match self {
             Self::Null => Vec::new(),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Reads a value of a type from its binary form.
+    /// Decodes a value from the binary format of a type.
     pub fn read_binary(data_type: Type, bytes: &[u8]) -> Result<Self, SqlError> {
         read_value(data_type, bytes).ok_or_else(|| {
             SqlError::new(
@@ -49,7 +49,7 @@
 
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "integers were checked against the range of their type"
+    reason = "the integer is within the range of its type"
 )]
 fn write_integer(number: i64, data_type: Type) -> Vec<u8> {
     match data_type {
@@ -71,12 +71,13 @@
     }
 }
 
-/// A length or count as messages have it.
+/// A length or count as a 32-bit big-endian integer.
 fn length_field(length: usize) -> [u8; 4] {
     i32::try_from(length).unwrap_or(i32::MAX).to_be_bytes()
 }
 
-/// An array: dimensions, whether it has NULLs, element type, length and lower bound, then each element.
+/// Encodes an array: number of dimensions, NULL flag, element type, length and lower bound of the dimension, then each
+/// element with its length.
 fn write_array(elements: &[Value], data_type: Type) -> Vec<u8> {
     let element_type = data_type.element().unwrap_or(Type::TEXT);
     let dimensions = i32::from(!elements.is_empty());
@@ -101,7 +102,7 @@
     bytes
 }
 
-/// Reads a value; `None` if the bytes are not one of this type.
+/// Decodes a value; `None` if the bytes are not a value of this type.
 fn read_value(data_type: Type, bytes: &[u8]) -> Option<Value> {
     let value = match data_type {
         Type::BOOL => Value::Bool(*bytes.first()? != 0),
@@ -133,11 +134,11 @@
 
 fn read_array(element_type: Type, bytes: &[u8]) -> Option<Value> {
     let mut elements = Vec::new();
-    if read_i32(bytes, ARRAY_DIMENSIONS)? <= 0 {
+    if read_i32(bytes, ARRAY_DIMENSIONS_OFFSET)? <= 0 {
         return Some(Value::Array(elements));
     }
-    let count = usize::try_from(read_i32(bytes, ARRAY_ELEMENT_COUNT)?).ok()?;
-    let mut position = ARRAY_FIRST_ELEMENT;
+    let count = usize::try_from(read_i32(bytes, ARRAY_ELEMENT_COUNT_OFFSET)?).ok()?;
+    let mut position = ARRAY_FIRST_ELEMENT_OFFSET;
     for _ in 0..count {
         let length = read_i32(bytes, position)?;
         position += 4;
--- a/testkit/fakes/src/database/value/cast.rs
+++ b/testkit/fakes/src/database/value/cast.rs
@@ -1,4 +1,4 @@
-//! Conversion of values to other types.
+//! Conversion of values to other types by casts and assignments.
 
 use super::text::invalid_text;
 use super::{Type, Value};
@@ -7,8 +7,8 @@
 const MICROSECONDS_PER_DAY: i64 = 86_400_000_000;
 
 impl Value {
-    /// The value as another type, as by a cast or an assignment. A value that the type has no conversion for stays as
-    /// it is.
+    /// Converts the value to another type, as a cast or an assignment does. A value is returned unchanged if there is
+    /// no conversion to the type.
     pub fn cast(self, target: Type) -> Result<Self, SqlError> {
         match (self, target) {
             (Self::Null, _) => Ok(Self::Null),
@@ -43,7 +43,7 @@
 
     fn cast_to_text(self, target: Type) -> Self {
         match self {
-            // The text form of a truth value is shorter: `t` or `f`.
+            // A cast to text gives `true` or `false`, but the text format of a boolean is `t` or `f`.
             Self::Bool(truth) => Self::Text(truth.to_string()),
             other => Self::Text(other.text(target)),
         }
@@ -74,10 +74,10 @@
     digits.parse().map_err(|_| invalid_text(target, digits))
 }
 
-/// The nearest integer; numbers beyond 64 bits become the largest or smallest one.
+/// The nearest integer, saturated to the range of `i64`.
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "the cast saturates, which is what is wanted beyond 64 bits"
+    reason = "the cast saturates at the limits of i64, as intended"
 )]
 fn round_to_integer(number: f64) -> i64 {
     number.round() as i64
--- a/testkit/fakes/src/database/value/numeric.rs
+++ b/testkit/fakes/src/database/value/numeric.rs
@@ -1,5 +1,5 @@
-//! The binary form of NUMERIC: the count of groups, the weight of the first one, sign and scale, then groups of four
-//! decimal digits.
+//! The binary format of `numeric`: the number of groups, the weight of the first group, the sign and the scale, then
+//! the groups. A group is one base-10000 digit, which holds four decimal digits.
 
 /// Decimal digits in a group.
 const GROUP_DIGITS: usize = 4;
@@ -10,11 +10,11 @@
 /// The sign field of NaN.
 const SIGN_NAN: u16 = 0xC000;
 
-/// Writes a number that is given as its digits.
+/// Encodes a number given in decimal digits.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a number has far fewer than 32,768 groups, and the weight's bits are sent as they are"
+    reason = "a number has fewer than 32,768 groups, and a negative weight is encoded in two's complement"
 )]
 pub(super) fn write_numeric(digits: &str) -> Vec<u8> {
     if digits.eq_ignore_ascii_case("nan") {
@@ -31,7 +31,7 @@
     let mut groups: Vec<u16> = [integer, padded_fraction]
         .iter()
         .flat_map(|part| part.as_bytes().chunks(GROUP_DIGITS))
-        .map(read_group)
+        .map(parse_group)
         .collect();
     while groups.first() == Some(&0) {
         groups.remove(0);
@@ -52,32 +52,32 @@
         .collect()
 }
 
-/// How many digits are missing to full groups.
-fn missing_digits(digits: &str) -> usize {
+/// The number of zeros that pad the digits to whole groups.
+fn padding_length(digits: &str) -> usize {
     (GROUP_DIGITS - digits.len() % GROUP_DIGITS) % GROUP_DIGITS
 }
 
 fn pad_front(digits: &str) -> String {
-    format!("{}{digits}", "0".repeat(missing_digits(digits)))
+    format!("{}{digits}", "0".repeat(padding_length(digits)))
 }
 
 fn pad_back(digits: &str) -> String {
-    format!("{digits}{}", "0".repeat(missing_digits(digits)))
+    format!("{digits}{}", "0".repeat(padding_length(digits)))
 }
 
-fn read_group(digits: &[u8]) -> u16 {
+fn parse_group(digits: &[u8]) -> u16 {
     let text = std::str::from_utf8(digits).ok();
     text.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-/// The digit groups of a number, by their weight: group 0 is the one before the decimal point.
+/// The digit groups of a number by weight; the group before the decimal point has weight 0.
 struct DigitGroups<'a> {
     groups: &'a [u16],
     first_weight: i32,
 }
 
 impl DigitGroups<'_> {
-    /// The four digits of a group; zeros for one that is not there.
+    /// The four decimal digits of a group; zeros for a group that is not stored.
     fn digits(&self, weight: i32) -> String {
         let index = usize::try_from(self.first_weight - weight).ok();
         let group = index.and_then(|index| self.groups.get(index));
@@ -85,7 +85,7 @@
     }
 }
 
-/// Reads a number as its digits; `None` if the bytes are too short.
+/// Decodes a number to decimal digits; `None` if the bytes are too short.
 pub(super) fn read_numeric(bytes: &[u8]) -> Option<String> {
     let fields: Vec<u16> = bytes
         .chunks_exact(2)
--- a/testkit/fakes/src/database/value/range.rs
+++ b/testkit/fakes/src/database/value/range.rs
@@ -4,7 +4,7 @@
 use crate::database::error::{SqlError, SqlState};
 
 impl Value {
-    /// The same value; an error if it is an integer that the type does not hold.
+    /// Returns the value unchanged; an error if it is an integer outside the range of the type.
     pub(super) fn check_range(self, target: Type) -> Result<Self, SqlError> {
         let Self::Int(number) = self else {
             return Ok(self);
--- a/testkit/fakes/src/database/value/tests.rs
+++ b/testkit/fakes/src/database/value/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn values_round_trip_through_text_and_binary_forms_and_invalid_text_is_rejected() {
-    for (kind, text) in [
+    for (data_type, text) in [
         (Type::BOOL, "t"),
         (Type::INT2, "-7"),
         (Type::INT4, "2147483647"),
@@ -23,21 +23,21 @@
         (Type::INT4.array(), "{1,NULL,3}"),
         (Type::TEXT.array(), "{\"a b\",\"c,\\\"d\",e}"),
     ] {
-        let value = Value::read_text(kind, text)
+        let value = Value::read_text(data_type, text)
             .unwrap_or_else(|error| panic!("{text}: {}", error.message));
-        assert_eq!(value.text(kind), text);
-        let back = Value::read_binary(kind, &value.binary(kind))
+        assert_eq!(value.text(data_type), text);
+        let decoded = Value::read_binary(data_type, &value.binary(data_type))
             .unwrap_or_else(|error| panic!("{text}: {}", error.message));
-        assert_eq!(back, value, "{text}");
+        assert_eq!(decoded, value, "{text}");
     }
-    for (kind, text, code) in [
+    for (data_type, text, code) in [
         (Type::INT4, "x", "22P02"),
         (Type::INT2, "40000", "22003"),
         (Type::UUID, "12", "22P02"),
         (Type::DATE, "yesterday", "22P02"),
     ] {
         assert_eq!(
-            Value::read_text(kind, text).map_err(|error| error.state.0),
+            Value::read_text(data_type, text).map_err(|error| error.state.0),
             Err(code),
             "{text}"
         );
--- a/testkit/fakes/src/database/value/text.rs
+++ b/testkit/fakes/src/database/value/text.rs
@@ -1,4 +1,4 @@
-//! The text form of values.
+//! The text format of values.
 
 use std::fmt::Write as _;
 
@@ -8,13 +8,13 @@
 use super::{Type, Value, epoch};
 use crate::database::error::{SqlError, SqlState};
 
-/// How the text form of bytea begins, before the hexadecimal digits.
+/// The prefix of a `bytea` in hex format.
 const HEX_PREFIX: &str = "\\x";
 
-/// The length of the text form of a date, `2000-01-01`.
+/// The length of a date in text format, such as `2000-01-01`.
 const DATE_LENGTH: usize = 10;
 
-/// The error for a text that is not the text form of a value of this type.
+/// The error for a text that is not a value of this type in text format.
 pub(super) fn invalid_text(data_type: Type, text: &str) -> SqlError {
     SqlError::new(
         SqlState::INVALID_TEXT_REPRESENTATION,
@@ -26,7 +26,7 @@
 }
 
 impl Value {
-    /// Reads a value of a type from its text form.
+    /// Parses a value from the text format of a type.
     pub fn read_text(data_type: Type, text: &str) -> Result<Self, SqlError> {
         let invalid = || invalid_text(data_type, text);
         if let Some(element_type) = data_type.element() {
@@ -56,7 +56,7 @@
         read.ok_or_else(invalid)
     }
 
-    /// Its text form as a value of a type.
+    /// Formats the value in the text format of a type; NULL as an empty string.
     pub fn text(&self, data_type: Type) -> String {
         match self {
             Self::Null => String::new(),
@@ -82,7 +82,7 @@
     }
 }
 
-/// Reads a NUMERIC: digits are kept as they are, a number with an exponent goes through a double.
+/// Parses a `numeric`. Digits are kept unchanged; a number with an exponent is converted by way of `f64`.
 fn read_numeric(text: &str) -> Option<Value> {
     let digits = text.strip_prefix(['-', '+']).unwrap_or(text);
     let is_plain = !digits.is_empty()
@@ -112,14 +112,14 @@
     Some(Value::Uuid(bytes))
 }
 
-/// Reads a date; what follows it is ignored.
+/// Parses a date; any text after the date is ignored.
 fn read_date(text: &str) -> Option<Value> {
     let day: NaiveDate = text.get(..DATE_LENGTH)?.parse().ok()?;
     let days = (day - epoch().date()).num_days();
     i32::try_from(days).ok().map(Value::Date)
 }
 
-/// Reads a timestamp, with or without a time zone, as microseconds since the epoch.
+/// Parses a timestamp, with or without a time zone, to microseconds since the [`epoch`].
 fn read_timestamp(text: &str) -> Option<i64> {
     let text = text.replace('T', " ");
     let zoned_formats = ["%Y-%m-%d %H:%M:%S%.f%#z", "%Y-%m-%d %H:%M:%S%.f %#z"];
@@ -138,7 +138,7 @@
     (instant - epoch()).num_microseconds()
 }
 
-/// Reads a date as its first instant.
+/// Parses a date to the timestamp of its midnight.
 fn read_midnight(text: &str) -> Option<NaiveDateTime> {
     let day = NaiveDate::parse_from_str(text, "%Y-%m-%d").ok()?;
     day.and_hms_opt(0, 0, 0)
@@ -146,7 +146,7 @@
 
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "a float4 is written with single precision"
+    reason = "a float4 has single precision"
 )]
 fn write_float(number: f64, data_type: Type) -> String {
     if data_type == Type::FLOAT4 {
@@ -185,7 +185,7 @@
     day.map(|day| day.to_string()).unwrap_or_default()
 }
 
-/// Writes a timestamp in UTC, without trailing zeros of its fraction.
+/// Formats a timestamp in UTC, without trailing zeros in the fractional seconds.
 fn write_timestamp(microseconds: i64, data_type: Type) -> String {
     let instant = epoch()
         .checked_add_signed(TimeDelta::microseconds(microseconds))
@@ -213,7 +213,7 @@
     format!("{{{}}}", written.collect::<Vec<_>>().join(","))
 }
 
-/// Writes jsonb as servers do: with a space after each comma and colon.
+/// Formats `jsonb` as PostgreSQL does, with a space after each comma and colon.
 fn write_jsonb(json: &serde_json::Value) -> String {
     match json {
         serde_json::Value::Object(members) => {
@@ -234,7 +234,7 @@
 fn to_hex(bytes: &[u8]) -> String {
     let mut hex = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
-        // Writing to a string can't fail.
+        // Writing to a String cannot fail.
         let _ = write!(hex, "{byte:02x}");
     }
     hex
--- a/testkit/fakes/src/database/value/types.rs
+++ b/testkit/fakes/src/database/value/types.rs
@@ -1,71 +1,72 @@
-//! Types, by their numbers in the catalogue.
+//! Data types, identified by their OIDs.
 
-/// A type, by its number (OID) in the catalogue.
+/// A data type, identified by its OID in the system catalogue `pg_type`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Type(pub u32);
 
 impl Type {
-    /// bool.
+    /// `bool`.
     pub const BOOL: Self = Self(16);
-    /// bytea.
+    /// `bytea`.
     pub const BYTEA: Self = Self(17);
-    /// name.
+    /// `name`.
     pub const NAME: Self = Self(19);
-    /// int8.
+    /// `int8`.
     pub const INT8: Self = Self(20);
-    /// int2.
+    /// `int2`.
     pub const INT2: Self = Self(21);
-    /// int4.
+    /// `int4`.
     pub const INT4: Self = Self(23);
-    /// text.
+    /// `text`.
     pub const TEXT: Self = Self(25);
-    /// oid.
+    /// `oid`.
     pub const OID: Self = Self(26);
-    /// json.
+    /// `json`.
     pub const JSON: Self = Self(114);
-    /// float4.
+    /// `float4`.
     pub const FLOAT4: Self = Self(700);
-    /// float8.
+    /// `float8`.
     pub const FLOAT8: Self = Self(701);
-    /// varchar.
+    /// `varchar`.
     pub const VARCHAR: Self = Self(1043);
-    /// date.
+    /// `date`.
     pub const DATE: Self = Self(1082);
-    /// timestamp without a time zone.
+    /// `timestamp` (without time zone).
     pub const TIMESTAMP: Self = Self(1114);
-    /// timestamp with a time zone.
+    /// `timestamptz` (timestamp with time zone).
     pub const TIMESTAMPTZ: Self = Self(1184);
-    /// numeric.
+    /// `numeric`.
     pub const NUMERIC: Self = Self(1700);
-    /// void.
+    /// `void`.
     pub const VOID: Self = Self(2278);
-    /// uuid.
+    /// `uuid`.
     pub const UUID: Self = Self(2950);
-    /// jsonb.
+    /// `jsonb`.
     pub const JSONB: Self = Self(3802);
 
-    /// An array of texts, which stands for arrays of types that have no array type here.
+    /// `text[]`, which also replaces the array type of types that are not in [`TYPES`].
     const TEXT_ARRAY: Self = Self(1009);
 
-    /// The type of an array of these.
+    /// The type of arrays of this type.
     pub fn array(self) -> Self {
-        self.entry().map_or(Self::TEXT_ARRAY, |entry| entry.array)
+        self.entry()
+            .map_or(Self::TEXT_ARRAY, |entry| entry.array_type)
     }
 
-    /// The type of an array's elements; `None` if this is not an array type.
+    /// The element type of an array type; `None` if this is not an array type.
     pub fn element(self) -> Option<Self> {
-        let entry = TYPES.iter().find(|entry| entry.array == self);
-        entry.map(|entry| entry.element)
+        let entry = TYPES.iter().find(|entry| entry.array_type == self);
+        entry.map(|entry| entry.data_type)
     }
 
-    /// The type that SQL names, by any of its names.
+    /// Looks up a type by its name or any alias in SQL, with or without a type modifier; `None` for an unknown name.
     pub fn named(name: &str) -> Option<Self> {
         let name = name.to_ascii_lowercase();
         if let Some(element) = name.strip_suffix("[]") {
             return Self::named(element).map(Self::array);
         }
         let without_modifier = name.split('(').next().unwrap_or_default().trim();
-        let catalogue_name = match without_modifier {
+        let pg_type_name = match without_modifier {
             "bigint" | "bigserial" => "int8",
             "int" | "integer" | "serial" => "int4",
             "smallint" => "int2",
@@ -80,11 +81,11 @@
             "regclass" | "regtype" => "text",
             other => other,
         };
-        let entry = TYPES.iter().find(|entry| entry.name == catalogue_name);
-        entry.map(|entry| entry.element)
+        let entry = TYPES.iter().find(|entry| entry.name == pg_type_name);
+        entry.map(|entry| entry.data_type)
     }
 
-    /// The name that error messages use; `array` for a type that is not in the table.
+    /// The name of the type in error messages; `array` for a type that is not in [`TYPES`].
     pub(super) fn display_name(self) -> &'static str {
         match self.entry().map_or("array", |entry| entry.name) {
             "int8" => "bigint",
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The length of its values in bytes as in `RowDescription`; -1 if it varies.
+    /// The size of values of the type in bytes, as in `RowDescription`; -1 for variable-length types.
     pub fn length(self) -> i16 {
         match self {
             Self::BOOL => 1,
@@ -110,27 +111,27 @@
     }
 
     fn entry(self) -> Option<&'static TypeEntry> {
-        TYPES.iter().find(|entry| entry.element == self)
+        TYPES.iter().find(|entry| entry.data_type == self)
     }
 }
 
-/// A type, the type of arrays of it, and its name in the catalogue.
+/// A type, the type of arrays of that type, and its name in `pg_type`.
 #[derive(Debug)]
 pub(crate) struct TypeEntry {
-    pub(crate) element: Type,
-    pub(crate) array: Type,
+    pub(crate) data_type: Type,
+    pub(crate) array_type: Type,
     pub(crate) name: &'static str,
 }
 
-const fn entry(element: Type, array: u32, name: &'static str) -> TypeEntry {
+const fn entry(data_type: Type, array_type_oid: u32, name: &'static str) -> TypeEntry {
     TypeEntry {
-        element,
-        array: Type(array),
+        data_type,
+        array_type: Type(array_type_oid),
         name,
     }
 }
 
-/// All types that have arrays.
+/// All types that have an array type.
 pub(crate) static TYPES: [TypeEntry; 18] = [
     entry(Type::BOOL, 1000, "bool"),
     entry(Type::BYTEA, 1001, "bytea"),
