--- a/testkit/fakes/src/database/describe.rs
+++ b/testkit/fakes/src/database/describe.rs
@@ -1,4 +1,4 @@
-//! Describes statements before they run: the types of their parameters, and the columns of their results.
+//! Describes statements before they are executed: the types of their parameters and the columns of their results.
 
 use std::sync::Mutex;
 
@@ -11,7 +11,7 @@
 use super::error::SqlError;
 use super::expression::{FunctionCall, ParameterTypes, infer, resolve_type, unsupported};
 use super::references::{
-    RowSource, assigned_column, delete_table, insert_positions, insert_table, is_default,
+    RowSource, assigned_column, delete_table, insert_positions, insert_table, is_default_keyword,
     single_table, table_columns, with_excluded,
 };
 use super::result::ResultColumn;
@@ -19,7 +19,7 @@
 use super::sync::lock;
 use super::value::Type;
 
-/// The name of a result column that has none of its own.
+/// PostgreSQL's name for a result column whose expression implies no name.
 const UNNAMED_COLUMN: &str = "?column?";
 
 /// A statement's parameters and result columns.
@@ -29,23 +29,24 @@
     pub(super) columns: Vec<ResultColumn>,
 }
 
-/// Describes a statement. `given` are the parameter types that the client specified; type 0 leaves one open.
+/// Describes a statement. `specified` are the parameter types in the Parse message or PREPARE; type 0 leaves the type
+/// of a parameter unspecified.
 pub(super) fn describe(
     statement: &Statement,
-    given: &[Type],
+    specified: &[Type],
     store: &Mutex<Store>,
     context: &dyn ExecutionContext,
 ) -> Result<StatementDescription, SqlError> {
-    let specified = given
+    let parameter_types = specified
         .iter()
         .map(|data_type| (data_type.0 != 0).then_some(*data_type));
     let store = lock(store);
     let mut describer = Describer {
         store: &store,
         context,
-        parameters: ParameterTypes(specified.collect()),
+        parameters: ParameterTypes(parameter_types.collect()),
     };
-    let columns = describer.statement(statement)?;
+    let columns = describer.describe_statement(statement)?;
     let parameters = describer.parameters.0.iter();
     Ok(StatementDescription {
         parameters: parameters
@@ -55,7 +56,7 @@
     })
 }
 
-/// The columns of a query's result. Records what the query says of its parameters.
+/// The result columns of a query. `parameters` are the parameter types known in advance.
 pub(super) fn query_columns(
     query: &Query,
     store: &Store,
@@ -67,10 +68,11 @@
         context,
         parameters,
     };
-    describer.query(query)
+    describer.describe_query(query)
 }
 
-/// The columns of a projection (a select list or RETURNING) over these columns.
+/// The result columns of a projection (a select list or RETURNING list) over `columns`. The inferred types of
+/// parameters are added to `parameters`.
 pub(super) fn projection_columns(
     items: &[SelectItem],
     columns: &[Column],
@@ -87,7 +89,7 @@
             }
         };
         let data_type = infer(expr, columns, None, parameters)?.unwrap_or(Type::TEXT);
-        // A parameter that nothing else determines is a text.
+        // A parameter whose type is not determined elsewhere is a text.
         infer(expr, columns, Some(Type::TEXT), parameters)?;
         let name = alias.unwrap_or_else(|| default_column_name(expr));
         result.push(ResultColumn { name, data_type });
@@ -99,7 +101,7 @@
     ResultColumn::new(column.name.clone(), column.data_type)
 }
 
-/// The name that a result column has without an alias.
+/// The name of a result column without an alias.
 fn default_column_name(expr: &Expr) -> String {
     match expr {
         Expr::Identifier(ident) => ident.value.clone(),
@@ -123,7 +125,7 @@
     }
 }
 
-/// Walks a statement and collects what it says of its parameters.
+/// Describes one statement, and collects the types of its parameters.
 struct Describer<'a> {
     store: &'a Store,
     context: &'a dyn ExecutionContext,
@@ -131,10 +133,10 @@
 }
 
 impl Describer<'_> {
-    fn statement(&mut self, statement: &Statement) -> Result<Vec<ResultColumn>, SqlError> {
+    fn describe_statement(&mut self, statement: &Statement) -> Result<Vec<ResultColumn>, SqlError> {
         match statement {
-            Statement::Query(query) => self.query(query),
-            Statement::Insert(insert) => self.insert(insert),
+            Statement::Query(query) => self.describe_query(query),
+            Statement::Insert(insert) => self.describe_insert(insert),
             Statement::Update {
                 table,
                 assignments,
@@ -143,14 +145,14 @@
                 ..
             } => {
                 let columns = self.updated_columns(table)?;
-                self.assignments(assignments, &columns, &columns)?;
-                self.condition(selection.as_ref(), &columns)?;
-                self.projection(returning.as_deref().unwrap_or_default(), &columns)
+                self.infer_assignments(assignments, &columns, &columns)?;
+                self.infer_condition(selection.as_ref(), &columns)?;
+                self.describe_projection(returning.as_deref().unwrap_or_default(), &columns)
             }
             Statement::Delete(delete) => {
                 let columns = self.columns_of(&delete_table(&delete.from)?)?;
-                self.condition(delete.selection.as_ref(), &columns)?;
-                self.projection(delete.returning.as_deref().unwrap_or_default(), &columns)
+                self.infer_condition(delete.selection.as_ref(), &columns)?;
+                self.describe_projection(delete.returning.as_deref().unwrap_or_default(), &columns)
             }
             Statement::ShowVariable { variable } => {
                 let identifiers: Vec<String> =
@@ -166,32 +168,34 @@
         self.columns_of(&single_table(table)?)
     }
 
-    /// The columns of the table that a statement names.
+    /// The columns of a table, by its name in a statement.
     fn columns_of(&self, name: &str) -> Result<Vec<Column>, SqlError> {
         table_columns(&self.context.resolve_table(self.store, name)?, self.store)
     }
 
-    fn insert(&mut self, insert: &Insert) -> Result<Vec<ResultColumn>, SqlError> {
+    fn describe_insert(&mut self, insert: &Insert) -> Result<Vec<ResultColumn>, SqlError> {
         let columns = self.columns_of(&insert_table(insert)?)?;
         let positions = insert_positions(insert, &columns)?;
         if let Some(source) = &insert.source {
             match &*source.body {
-                SetExpr::Values(values) => self.inserted_values(values, &positions, &columns)?,
+                SetExpr::Values(values) => {
+                    self.infer_inserted_values(values, &positions, &columns)?;
+                }
                 _ => {
-                    self.query(source)?;
+                    self.describe_query(source)?;
                 }
             }
         }
         if let Some(OnInsert::OnConflict(conflict)) = &insert.on
             && let OnConflictAction::DoUpdate(update) = &conflict.action
         {
-            let both = with_excluded(&columns);
-            self.assignments(&update.assignments, &columns, &both)?;
+            let scope = with_excluded(&columns);
+            self.infer_assignments(&update.assignments, &columns, &scope)?;
         }
-        self.projection(insert.returning.as_deref().unwrap_or_default(), &columns)
+        self.describe_projection(insert.returning.as_deref().unwrap_or_default(), &columns)
     }
 
-    fn inserted_values(
+    fn infer_inserted_values(
         &mut self,
         values: &Values,
         positions: &[usize],
@@ -199,7 +203,7 @@
     ) -> Result<(), SqlError> {
         for row in &values.rows {
             for (expr, position) in row.iter().zip(positions) {
-                if !is_default(expr) {
+                if !is_default_keyword(expr) {
                     self.infer(expr, &[], Some(columns[*position].data_type))?;
                 }
             }
@@ -207,8 +211,8 @@
         Ok(())
     }
 
-    /// Assignments to `columns`, whose expressions may refer to `scope`.
-    fn assignments(
+    /// Infers the expressions of assignments to `columns`; the expressions may refer to the columns of `scope`.
+    fn infer_assignments(
         &mut self,
         assignments: &[Assignment],
         columns: &[Column],
@@ -222,15 +226,15 @@
         Ok(())
     }
 
-    fn query(&mut self, query: &Query) -> Result<Vec<ResultColumn>, SqlError> {
+    fn describe_query(&mut self, query: &Query) -> Result<Vec<ResultColumn>, SqlError> {
         match &*query.body {
-            SetExpr::Select(select) => self.select(query, select),
-            SetExpr::Values(values) => self.values(values),
+            SetExpr::Select(select) => self.describe_select(query, select),
+            SetExpr::Values(values) => self.describe_values(values),
             other => Err(unsupported(other)),
         }
     }
 
-    fn values(&mut self, values: &Values) -> Result<Vec<ResultColumn>, SqlError> {
+    fn describe_values(&mut self, values: &Values) -> Result<Vec<ResultColumn>, SqlError> {
         let first = values.rows.first().map(Vec::as_slice).unwrap_or_default();
         let mut columns = Vec::new();
         for (position, expr) in first.iter().enumerate() {
@@ -243,7 +247,11 @@
         Ok(columns)
     }
 
-    fn select(&mut self, query: &Query, select: &Select) -> Result<Vec<ResultColumn>, SqlError> {
+    fn describe_select(
+        &mut self,
+        query: &Query,
+        select: &Select,
+    ) -> Result<Vec<ResultColumn>, SqlError> {
         let columns = match RowSource::parse(&select.from)? {
             RowSource::None => Vec::new(),
             RowSource::Table(name) => self.columns_of(&name)?,
@@ -254,8 +262,8 @@
                 vec![series.column()]
             }
         };
-        self.condition(select.selection.as_ref(), &columns)?;
-        let result = self.projection(&select.projection, &columns)?;
+        self.infer_condition(select.selection.as_ref(), &columns)?;
+        let result = self.describe_projection(&select.projection, &columns)?;
         if let Some(LimitClause::LimitOffset { limit, offset, .. }) = &query.limit_clause {
             let offset = offset.as_ref().map(|offset| &offset.value);
             for count in limit.iter().chain(offset) {
@@ -265,14 +273,18 @@
         Ok(result)
     }
 
-    fn condition(&mut self, condition: Option<&Expr>, columns: &[Column]) -> Result<(), SqlError> {
+    fn infer_condition(
+        &mut self,
+        condition: Option<&Expr>,
+        columns: &[Column],
+    ) -> Result<(), SqlError> {
         if let Some(condition) = condition {
             self.infer(condition, columns, Some(Type::BOOL))?;
         }
         Ok(())
     }
 
-    fn projection(
+    fn describe_projection(
         &mut self,
         items: &[SelectItem],
         columns: &[Column],
@@ -284,8 +296,8 @@
         &mut self,
         expr: &Expr,
         columns: &[Column],
-        wanted: Option<Type>,
+        expected: Option<Type>,
     ) -> Result<Option<Type>, SqlError> {
-        infer(expr, columns, wanted, &mut self.parameters)
+        infer(expr, columns, expected, &mut self.parameters)
     }
 }
--- a/testkit/fakes/src/database/executor.rs
+++ b/testkit/fakes/src/database/executor.rs
@@ -1,4 +1,4 @@
-//! Executes the statements that read and change tables.
+//! Executes queries, data-modifying statements and DDL on the tables of a [`Store`].
 
 mod aggregate;
 mod create_table;
@@ -24,15 +24,16 @@
 use super::sync::lock;
 use super::value::{Type, Value};
 
-/// Executes statements in one transaction, with the values of their parameters.
+/// Executes statements in one transaction.
 pub(super) struct Executor<'a> {
     pub(super) store: &'a Mutex<Store>,
     pub(super) transaction: &'a mut Transaction,
+    /// The values of the statement's parameters.
     pub(super) values: &'a [Value],
     pub(super) context: &'a dyn ExecutionContext,
 }
 
-/// The tables and assignments of an UPDATE.
+/// The clauses of an UPDATE.
 struct Update<'s> {
     table: &'s TableWithJoins,
     assignments: &'s [Assignment],
@@ -41,8 +42,8 @@
 }
 
 impl Executor<'_> {
-    /// Executes a statement. Where another transaction has to end first, the error is
-    /// [`ExecutionError::BlockedBy`], and what was changed so far is the caller's to undo.
+    /// Executes a statement. After an error, including [`ExecutionError::BlockedBy`], the caller must undo the changes
+    /// that the statement has made so far.
     pub(super) fn execute(
         &mut self,
         statement: &Statement,
@@ -79,10 +80,10 @@
             .resolve_table(&store, &single_table(update.table)?)?;
         let columns = table_columns(&name, &store)?;
         let rows = self.matching_rows(&store, &name, &columns, update.selection)?;
-        let mut result = self.change_result(update.returning, &columns, "UPDATE")?;
+        let mut result = self.empty_change_result(update.returning, &columns, "UPDATE")?;
         for row in rows {
             let scope = self.scope(&columns, &row.values);
-            let new = assign(update.assignments, &columns, &scope, row.values.clone())?;
+            let new = apply_assignments(update.assignments, &columns, &scope, row.values.clone())?;
             self.replace_row(&mut store, &name, row.id, new.clone())?;
             self.record_change(update.returning, &columns, &new, &mut result)?;
         }
@@ -97,7 +98,7 @@
         let columns = table_columns(&name, &store)?;
         let rows = self.matching_rows(&store, &name, &columns, delete.selection.as_ref())?;
         let returning = delete.returning.as_deref();
-        let mut result = self.change_result(returning, &columns, "DELETE")?;
+        let mut result = self.empty_change_result(returning, &columns, "DELETE")?;
         for row in rows {
             store.delete(self.transaction, &name, row.id)?;
             self.record_change(returning, &columns, &row.values, &mut result)?;
@@ -159,7 +160,7 @@
         Some(self.transaction.id)
     }
 
-    /// The visible rows of a table for which a condition is true; all without one.
+    /// The visible rows of a table for which `condition` is true; all visible rows if `condition` is `None`.
     fn matching_rows(
         &self,
         store: &Store,
@@ -167,7 +168,7 @@
         columns: &[Column],
         condition: Option<&Expr>,
     ) -> Result<Vec<StoredRow>, SqlError> {
-        let key = self.wanted_key(store, table, columns, condition)?;
+        let key = self.unique_key_in_condition(store, table, columns, condition)?;
         let mut matching = Vec::new();
         for row in store.visible_rows(table, self.transaction_id(), key.as_ref())? {
             if self.row_matches(columns, row.values, condition)? {
@@ -189,8 +190,8 @@
         }
     }
 
-    /// The value of the unique column, if the condition is that it equals one: such a row is found by the index.
-    fn wanted_key(
+    /// The key to look up in the index, if the condition has the form `unique_column = expression`.
+    fn unique_key_in_condition(
         &self,
         store: &Store,
         table: &str,
@@ -209,8 +210,8 @@
             return Ok(None);
         };
         let column = &columns[unique.column];
-        let names_column = matches!(&**left, Expr::Identifier(ident) if ident.value.eq_ignore_ascii_case(&column.name));
-        if !names_column {
+        let is_unique = matches!(&**left, Expr::Identifier(ident) if ident.value.eq_ignore_ascii_case(&column.name));
+        if !is_unique {
             return Ok(None);
         }
         match self.rowless_scope().value(right) {
@@ -219,8 +220,8 @@
         }
     }
 
-    /// The result of a statement that changes rows, before it has changed any.
-    fn change_result(
+    /// The result of a data-modifying statement that has not changed any rows yet.
+    fn empty_change_result(
         &self,
         returning: Option<&[SelectItem]>,
         columns: &[Column],
@@ -234,7 +235,7 @@
         })
     }
 
-    /// Counts a changed row, and adds what RETURNING asks of it.
+    /// Counts a changed row, and adds its RETURNING values to the result.
     fn record_change(
         &self,
         returning: Option<&[SelectItem]>,
@@ -271,6 +272,7 @@
         Ok(values)
     }
 
+    /// Updates a row as PostgreSQL does: deletes the row version and inserts a new one.
     fn replace_row(
         &mut self,
         store: &mut Store,
@@ -284,8 +286,8 @@
     }
 }
 
-/// A row of `columns` after assignments, whose expressions are evaluated in `scope`.
-fn assign(
+/// Applies assignments to a row of `columns`; their expressions are evaluated in `scope`.
+fn apply_assignments(
     assignments: &[Assignment],
     columns: &[Column],
     scope: &EvaluationScope<'_>,
--- a/testkit/fakes/src/database/executor/aggregate.rs
+++ b/testkit/fakes/src/database/executor/aggregate.rs
@@ -1,4 +1,4 @@
-//! Aggregate functions over all rows of a query: count, sum, min and max.
+//! The aggregate functions `count`, `sum`, `min` and `max`, over all rows of a query (no GROUP BY).
 
 use std::cmp::Ordering;
 
@@ -10,7 +10,7 @@
 use crate::database::storage::{Column, StoredRow};
 use crate::database::value::Value;
 
-/// Whether an item of a select list is an aggregate function, perhaps under a cast.
+/// Whether an item of a select list is a call of an aggregate function, or a cast of one.
 pub(super) fn is_aggregate(item: &SelectItem) -> bool {
     let call = item_expression(item).and_then(FunctionCall::parse);
     call.is_some_and(|call| matches!(call.name.as_str(), "count" | "sum" | "max" | "min"))
@@ -28,7 +28,7 @@
 }
 
 impl Executor<'_> {
-    /// The one row of a select list of aggregate functions.
+    /// The single row that a select list of aggregate functions returns.
     pub(super) fn aggregate(
         &self,
         items: &[SelectItem],
@@ -99,10 +99,11 @@
     Value::Int(numbers.sum())
 }
 
-/// The value that compares so with all others, the first of equals; NULL if there are no values.
-fn extreme(values: Vec<Value>, wanted: Ordering) -> Value {
+/// The largest value for [`Ordering::Greater`], the smallest for [`Ordering::Less`]; the first of several equal ones.
+/// NULL if there are no values.
+fn extreme(values: Vec<Value>, ordering: Ordering) -> Value {
     let best = values.into_iter().reduce(|best, candidate| {
-        if candidate.compare(&best) == Some(wanted) {
+        if candidate.compare(&best) == Some(ordering) {
             candidate
         } else {
             best
--- a/testkit/fakes/src/database/executor/create_table.rs
+++ b/testkit/fakes/src/database/executor/create_table.rs
@@ -44,13 +44,13 @@
         {
             let position = column_position(&column.to_string(), &table.columns)?;
             table.columns[position].not_null = true;
-            table.unique = Some(primary_key(create, position));
+            table.unique = Some(primary_key_constraint(create, position));
         }
     }
     Ok(table)
 }
 
-/// Adds a column, and the constraint on it if it is unique.
+/// Adds a column to the table, with its UNIQUE or PRIMARY KEY constraint if the definition has one.
 fn define_column(
     create: &CreateTable,
     definition: &ColumnDef,
@@ -73,7 +73,7 @@
                 is_primary: true, ..
             } => {
                 column.not_null = true;
-                table.unique = Some(primary_key(create, position));
+                table.unique = Some(primary_key_constraint(create, position));
             }
             ColumnOption::Unique { .. } => {
                 table.unique = Some(UniqueConstraint {
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-fn primary_key(create: &CreateTable, column: usize) -> UniqueConstraint {
+fn primary_key_constraint(create: &CreateTable, column: usize) -> UniqueConstraint {
     UniqueConstraint {
         column,
         name: format!("{}_pkey", create.name),
--- a/testkit/fakes/src/database/executor/insert.rs
+++ b/testkit/fakes/src/database/executor/insert.rs
@@ -1,39 +1,40 @@
-//! New rows: INSERT and COPY FROM.
+//! INSERT and COPY FROM.
 
 use sqlparser::ast::{Assignment, Expr, Insert, OnConflictAction, OnInsert, SetExpr, Values};
 
-use super::{Executor, assign};
+use super::{Executor, apply_assignments};
 use crate::database::error::{SqlError, SqlState};
 use crate::database::references::{
-    column_position, insert_positions, insert_table, is_default, table_columns, with_excluded,
+    column_position, insert_positions, insert_table, is_default_keyword, table_columns,
+    with_excluded,
 };
 use crate::database::result::StatementResult;
 use crate::database::storage::{Column, DuplicateKey, ExecutionError, RowView, Store};
 use crate::database::sync::lock;
 use crate::database::value::Value;
 
-/// How COPY's text format writes NULL.
+/// NULL in COPY's text format.
 const COPY_NULL: &str = "\\N";
 
-/// The line that ends the data of a COPY.
+/// The line that marks the end of data in COPY's text format.
 const COPY_END: &str = "\\.";
 
-/// The table that rows are inserted into.
-struct Target {
-    /// Its stored name.
+/// The table and columns that rows are inserted into.
+struct InsertTarget {
+    /// The table's stored name.
     table: String,
     columns: Vec<Column>,
-    /// The positions of the columns that values are given for.
+    /// The positions of the target columns in `columns`, in the order in which the statement gives their values.
     positions: Vec<usize>,
 }
 
-/// A value for the column at a position; `None` for its default.
+/// A value for the column at a position; `None` for the column's default.
 struct GivenValue {
     position: usize,
     value: Option<Value>,
 }
 
-/// The values that an INSERT gives for a row, in the order of [`Target::positions`]; `None` for DEFAULT.
+/// The values that an INSERT gives for a row, in the order of [`InsertTarget::positions`]; `None` for DEFAULT.
 type GivenRow = Vec<Option<Value>>;
 
 impl Executor<'_> {
@@ -42,14 +43,14 @@
         let rows = self.given_rows(insert)?;
         let mut store = lock(self.store);
         let returning = insert.returning.as_deref();
-        let mut result = self.change_result(returning, &target.columns, "INSERT")?;
+        let mut result = self.empty_change_result(returning, &target.columns, "INSERT")?;
         let duplicate_key = match &insert.on {
             Some(OnInsert::OnConflict(_)) => DuplicateKey::Skip,
             _ => DuplicateKey::Fail,
         };
         for given in rows {
             check_value_count(insert, &target, given.len())?;
-            let row = self.complete_row(&mut store, &target, positioned(&target, given))?;
+            let row = self.complete_row(&mut store, &target, with_positions(&target, given))?;
             let is_inserted =
                 store.insert(self.transaction, &target.table, row.clone(), duplicate_key)?;
             let changed = if is_inserted {
@@ -66,19 +67,19 @@
         Ok(result)
     }
 
-    fn insert_target(&self, insert: &Insert) -> Result<Target, SqlError> {
+    fn insert_target(&self, insert: &Insert) -> Result<InsertTarget, SqlError> {
         let store = lock(self.store);
         let table = self.context.resolve_table(&store, &insert_table(insert)?)?;
         let columns = table_columns(&table, &store)?;
         let positions = insert_positions(insert, &columns)?;
-        Ok(Target {
+        Ok(InsertTarget {
             table,
             columns,
             positions,
         })
     }
 
-    /// The rows of an INSERT's VALUES or query; one empty row for DEFAULT VALUES.
+    /// The rows of the VALUES list or query of an INSERT; one row without values for DEFAULT VALUES.
     fn given_rows(&mut self, insert: &Insert) -> Result<Vec<GivenRow>, ExecutionError> {
         let Some(source) = &insert.source else {
             return Ok(vec![Vec::new()]);
@@ -103,19 +104,19 @@
     }
 
     fn given_value(&self, expr: &Expr) -> Result<Option<Value>, SqlError> {
-        if is_default(expr) {
+        if is_default_keyword(expr) {
             Ok(None)
         } else {
             self.rowless_scope().value(expr).map(Some)
         }
     }
 
-    /// ON CONFLICT DO UPDATE: changes the row that has the key of `rejected`. Returns the row as it is then, or `None`
-    /// if this transaction can't see it.
+    /// Executes ON CONFLICT DO UPDATE on the existing row that has the unique key of `rejected`. Returns the updated
+    /// row, or `None` if the existing row is not visible to this transaction.
     fn update_conflicting(
         &mut self,
         store: &mut Store,
-        target: &Target,
+        target: &InsertTarget,
         rejected: Vec<Value>,
         assignments: &[Assignment],
     ) -> Result<Option<Vec<Value>>, ExecutionError> {
@@ -133,16 +134,16 @@
         let scope_columns = with_excluded(&target.columns);
         let scope_values = [existing.values.clone(), rejected].concat();
         let scope = self.scope(&scope_columns, &scope_values);
-        let updated = assign(assignments, &target.columns, &scope, existing.values)?;
+        let updated = apply_assignments(assignments, &target.columns, &scope, existing.values)?;
         self.replace_row(store, &target.table, existing.id, updated.clone())?;
         Ok(Some(updated))
     }
 
-    /// A full row of the given values, with defaults for the other columns.
+    /// A row of all columns: the given values, and defaults for the other columns.
     fn complete_row(
         &self,
         store: &mut Store,
-        target: &Target,
+        target: &InsertTarget,
         given: Vec<GivenValue>,
     ) -> Result<Vec<Value>, SqlError> {
         let mut row = vec![None; target.columns.len()];
@@ -180,7 +181,7 @@
         value.cast(column.data_type)
     }
 
-    /// Inserts the rows of a COPY FROM in text format. Returns how many.
+    /// Inserts the rows of a COPY FROM in text format. Returns the number of rows.
     pub(crate) fn copy_in(
         &mut self,
         table: &str,
@@ -191,7 +192,7 @@
         let target = self.copy_target(&store, table, columns)?;
         let mut count = 0;
         for line in text.lines().take_while(|line| *line != COPY_END) {
-            let given = copied_values(&target, line)?;
+            let given = parse_copy_line(&target, line)?;
             let row = self.complete_row(&mut store, &target, given)?;
             store.insert(self.transaction, &target.table, row, DuplicateKey::Fail)?;
             count += 1;
@@ -204,7 +205,7 @@
         store: &Store,
         table: &str,
         columns: &[String],
-    ) -> Result<Target, SqlError> {
+    ) -> Result<InsertTarget, SqlError> {
         let stored_name = self.context.resolve_table(store, table)?;
         let table_columns = table_columns(&stored_name, store)?;
         let positions = if columns.is_empty() {
@@ -215,7 +216,7 @@
                 .map(|name| column_position(name, &table_columns));
             positions.collect::<Result<_, _>>()?
         };
-        Ok(Target {
+        Ok(InsertTarget {
             table: stored_name,
             columns: table_columns,
             positions,
@@ -223,7 +224,7 @@
     }
 }
 
-/// The assignments of ON CONFLICT DO UPDATE.
+/// The assignments of ON CONFLICT DO UPDATE; `None` if the statement has no such clause.
 fn conflict_assignments(insert: &Insert) -> Option<&[Assignment]> {
     let Some(OnInsert::OnConflict(conflict)) = &insert.on else {
         return None;
@@ -234,7 +235,7 @@
     }
 }
 
-fn positioned(target: &Target, given: GivenRow) -> Vec<GivenValue> {
+fn with_positions(target: &InsertTarget, given: GivenRow) -> Vec<GivenValue> {
     let positions = target.positions.iter().copied();
     positions
         .zip(given)
@@ -242,15 +243,19 @@
         .collect()
 }
 
-fn check_value_count(insert: &Insert, target: &Target, count: usize) -> Result<(), SqlError> {
-    let wanted = target.positions.len();
-    if count > wanted {
+fn check_value_count(
+    insert: &Insert,
+    target: &InsertTarget,
+    value_count: usize,
+) -> Result<(), SqlError> {
+    let column_count = target.positions.len();
+    if value_count > column_count {
         return Err(SqlError::new(
             SqlState::SYNTAX_ERROR,
             "INSERT has more expressions than target columns",
         ));
     }
-    if !insert.columns.is_empty() && count < wanted && count > 0 {
+    if !insert.columns.is_empty() && value_count < column_count && value_count > 0 {
         return Err(SqlError::new(
             SqlState::SYNTAX_ERROR,
             "INSERT has more target columns than expressions",
@@ -259,8 +264,8 @@
     Ok(())
 }
 
-/// The values of one line of COPY's text format: fields separated by tabs.
-fn copied_values(target: &Target, line: &str) -> Result<Vec<GivenValue>, SqlError> {
+/// Parses one line of COPY's text format: fields separated by tabs.
+fn parse_copy_line(target: &InsertTarget, line: &str) -> Result<Vec<GivenValue>, SqlError> {
     let fields: Vec<&str> = line.split('\t').collect();
     if fields.len() != target.positions.len() {
         let message = if fields.len() < target.positions.len() {
@@ -275,7 +280,10 @@
         let value = if field == COPY_NULL {
             Value::Null
         } else {
-            Value::read_text(target.columns[*position].data_type, &unescape(field))?
+            Value::read_text(
+                target.columns[*position].data_type,
+                &unescape_copy_field(field),
+            )?
         };
         given.push(GivenValue {
             position: *position,
@@ -285,8 +293,8 @@
     Ok(given)
 }
 
-/// A field of COPY's text format without its backslash escapes.
-fn unescape(field: &str) -> String {
+/// Decodes the backslash escapes of a field in COPY's text format.
+fn unescape_copy_field(field: &str) -> String {
     let mut text = String::with_capacity(field.len());
     let mut characters = field.chars();
     while let Some(character) = characters.next() {
--- a/testkit/fakes/src/database/executor/select.rs
+++ b/testkit/fakes/src/database/executor/select.rs
@@ -17,7 +17,7 @@
 use crate::database::sync::lock;
 use crate::database::value::{Type, Value};
 
-/// The id of rows that are not stored in a table.
+/// The row id of rows that are not stored in a table.
 const NO_ROW_ID: u64 = 0;
 
 /// The rows of a FROM clause that satisfy the WHERE clause.
@@ -33,7 +33,7 @@
     last: i64,
 }
 
-/// A row with the values that it is ordered by.
+/// A row with the values of its ORDER BY expressions.
 struct SortedRow {
     keys: Vec<Value>,
     row: StoredRow,
@@ -81,7 +81,7 @@
             }
             RowSource::Series(series) => {
                 let range = self.series_range(&series)?;
-                if let Some(constant) = self.constant_series(query, select, range) {
+                if let Some(constant) = self.constant_series_result(query, select, range) {
                     result.rows = constant.rows;
                     result.extra_copies = constant.extra_copies;
                     return Ok(result);
@@ -96,7 +96,7 @@
             return Ok(result);
         }
         let ordered = self.sort_rows(query, &source.columns, source.rows)?;
-        for row in self.limit(query, ordered)? {
+        for row in self.apply_limit(query, ordered)? {
             let projected = self.project(&select.projection, &source.columns, &row.values)?;
             result.rows.push(projected);
         }
@@ -112,15 +112,15 @@
         let [Value::Int(first), Value::Int(last)] = arguments[..] else {
             return Err(SqlError::new(
                 SqlState::UNDEFINED_FUNCTION,
-                "generate_series takes two integers here",
+                "the fake PostgreSQL server supports generate_series only with two integer arguments",
             ));
         };
         Ok(SeriesRange { first, last })
     }
 
-    /// The result of a query whose rows are all the same, for it does not use the number of the series; `None` if they
-    /// may differ. The row is evaluated once: such queries return large results.
-    fn constant_series(
+    /// The result of a query on `generate_series` that does not use the series' column, so that all its rows are equal;
+    /// `None` if the rows may differ. Such queries return large results, so the row is evaluated and stored only once.
+    fn constant_series_result(
         &self,
         query: &Query,
         select: &Select,
@@ -163,7 +163,8 @@
         Ok(SourceRows { columns, rows })
     }
 
-    /// The rows of a table that satisfy the WHERE clause, locked if the query asks for that.
+    /// The rows of a table that satisfy the WHERE clause, locked if the query has a locking clause (FOR UPDATE, FOR
+    /// SHARE).
     fn table_rows(
         &mut self,
         query: &Query,
@@ -175,7 +176,7 @@
         let columns = table_columns(&table, &store)?;
         let rows = self.matching_rows(&store, &table, &columns, select.selection.as_ref())?;
         if !query.locks.is_empty() {
-            // A row lock is an update that changes nothing.
+            // A row lock is implemented as an update to the same values.
             for row in &rows {
                 self.replace_row(&mut store, &table, row.id, row.values.clone())?;
             }
@@ -183,7 +184,7 @@
         Ok(SourceRows { columns, rows })
     }
 
-    /// The rows in the order that ORDER BY asks for; rows that are equal in it stay in the order of their ids.
+    /// Sorts the rows by ORDER BY; rows with equal sort keys stay in the order of their ids.
     fn sort_rows(
         &self,
         query: &Query,
@@ -218,30 +219,30 @@
         row: &StoredRow,
     ) -> Result<Value, SqlError> {
         match &term.expr {
-            // An order by position always uses the first column here.
+            // ORDER BY with a column number: any number sorts by the first column.
             Expr::Value(_) => Ok(row.values.first().cloned().unwrap_or(Value::Null)),
             expr => self.scope(columns, &row.values).value(expr),
         }
     }
 
-    /// The rows that LIMIT and OFFSET leave.
-    fn limit(&self, query: &Query, rows: Vec<StoredRow>) -> Result<Vec<StoredRow>, SqlError> {
+    /// Applies LIMIT and OFFSET.
+    fn apply_limit(&self, query: &Query, rows: Vec<StoredRow>) -> Result<Vec<StoredRow>, SqlError> {
         let Some(LimitClause::LimitOffset { limit, offset, .. }) = &query.limit_clause else {
             return Ok(rows);
         };
         let skipped = match offset {
-            Some(offset) => self.row_count(&offset.value)?,
+            Some(offset) => self.evaluate_row_count(&offset.value)?,
             None => 0,
         };
         let max_rows = match limit {
-            Some(limit) => self.row_count(limit)?,
+            Some(limit) => self.evaluate_row_count(limit)?,
             None => usize::MAX,
         };
         Ok(rows.into_iter().skip(skipped).take(max_rows).collect())
     }
 
-    /// The count of a LIMIT or OFFSET; NULL means no bound.
-    fn row_count(&self, expr: &Expr) -> Result<usize, SqlError> {
+    /// The row count of a LIMIT or OFFSET clause; `usize::MAX` for NULL, and 0 for a negative count.
+    fn evaluate_row_count(&self, expr: &Expr) -> Result<usize, SqlError> {
         match self.rowless_scope().value(expr)?.cast(Type::INT8)? {
             Value::Int(count) => Ok(usize::try_from(count).unwrap_or(0)),
             _ => Ok(usize::MAX),
@@ -249,7 +250,7 @@
     }
 }
 
-/// The source of a SELECT without FROM.
+/// The source rows of a SELECT without FROM.
 fn single_empty_row() -> SourceRows {
     SourceRows {
         columns: Vec::new(),
@@ -276,7 +277,7 @@
     left.row.id.cmp(&right.row.id)
 }
 
-/// The order of two sort keys; NULL is larger than all other values.
+/// The ascending order of two sort keys; NULL sorts after all other values.
 fn compare_keys(left: &Value, right: &Value) -> Ordering {
     left.compare(right)
         .unwrap_or_else(|| (*left == Value::Null).cmp(&(*right == Value::Null)))
--- a/testkit/fakes/src/database/expression.rs
+++ b/testkit/fakes/src/database/expression.rs
@@ -17,7 +17,7 @@
 pub(super) use evaluation::EvaluationScope;
 pub(super) use inference::{ParameterTypes, infer};
 
-/// A column that an expression names, and its position in the row.
+/// A column that an expression refers to, and its position in the row.
 struct ColumnReference<'a> {
     position: usize,
     column: &'a Column,
@@ -30,7 +30,7 @@
 }
 
 impl<'a> FunctionCall<'a> {
-    /// The call that an expression is, if it is one.
+    /// The function call, or `None` if the expression is not a function call.
     pub(super) fn parse(expr: &'a Expr) -> Option<Self> {
         let Expr::Function(function) = expr else {
             return None;
@@ -44,7 +44,7 @@
     }
 }
 
-/// The arguments that are plain expressions: not named ones, and not `*`.
+/// The arguments in positional notation; named arguments and `*` are left out.
 pub(super) fn positional_arguments(arguments: &[FunctionArg]) -> Vec<&Expr> {
     let expressions = arguments.iter().filter_map(|argument| match argument {
         FunctionArg::Unnamed(FunctionArgExpr::Expr(expr)) => Some(expr),
@@ -54,14 +54,14 @@
 }
 
 /// The error for SQL that this server does not implement.
-pub(super) fn unsupported(what: &impl std::fmt::Display) -> SqlError {
+pub(super) fn unsupported(syntax: &impl std::fmt::Display) -> SqlError {
     SqlError::new(
         SqlState::FEATURE_NOT_SUPPORTED,
-        format!("not spoken by the stand-in: {what}"),
+        format!("not supported by the fake PostgreSQL server: {syntax}"),
     )
 }
 
-/// The type that SQL names; an error if the server does not have it.
+/// The type that a type name in SQL refers to; an error if the server does not have the type.
 pub(super) fn resolve_type(data_type: &DataType) -> Result<Type, SqlError> {
     let name = data_type.to_string();
     Type::named(&name).ok_or_else(|| {
@@ -72,7 +72,7 @@
     })
 }
 
-/// The zero-based position of the parameter (`$1` is 0) that an expression is, if it is one.
+/// The zero-based position of a parameter (0 for `$1`); `None` if the expression is not a parameter.
 fn parameter_position(expr: &Expr) -> Option<usize> {
     let Expr::Value(value) = expr else {
         return None;
@@ -84,14 +84,15 @@
     number.checked_sub(1)
 }
 
-/// The column that an expression names, if it is a name; an error if there is no such column.
+/// The column that an expression refers to; `None` if the expression is not a column reference, and an error if the
+/// column does not exist.
 fn column_reference<'a>(
     expr: &Expr,
     columns: &'a [Column],
 ) -> Result<Option<ColumnReference<'a>>, SqlError> {
     let name = match expr {
         Expr::Identifier(ident) => ident.value.clone(),
-        // The columns of the row that INSERT .. ON CONFLICT did not insert follow the table's own.
+        // In ON CONFLICT DO UPDATE, `columns` also holds the columns of the special table `excluded`.
         Expr::CompoundIdentifier(parts) if parts[0].value.eq_ignore_ascii_case("excluded") => {
             format!("excluded.{}", parts[parts.len() - 1].value)
         }
@@ -113,7 +114,7 @@
     }))
 }
 
-/// Whether an operator compares two values by their order.
+/// Whether an operator is a comparison operator.
 fn is_comparison(operator: &BinaryOperator) -> bool {
     matches!(
         operator,
--- a/testkit/fakes/src/database/expression/arithmetic.rs
+++ b/testkit/fakes/src/database/expression/arithmetic.rs
@@ -1,4 +1,4 @@
-//! Operators on truth values, texts and numbers.
+//! Logical operators, string concatenation and arithmetic.
 
 use sqlparser::ast::BinaryOperator;
 
@@ -29,7 +29,7 @@
     Value::Text(left.text(Type::TEXT) + &right.text(Type::TEXT))
 }
 
-/// The negative of a number; `None` if the value is not one.
+/// The negated number; `None` if the value is not a number.
 pub(super) fn negate(value: Value) -> Option<Value> {
     match value {
         Value::Int(number) => Some(Value::Int(-number)),
@@ -51,7 +51,7 @@
     }
 }
 
-/// A literal without a type counts as an integer in arithmetic.
+/// An operand of an arithmetic operator; a string literal is read as an integer.
 fn to_number(value: Value) -> Result<Value, SqlError> {
     match value {
         Value::Text(text) => Value::read_text(Type::INT8, &text),
@@ -76,7 +76,7 @@
         .ok_or_else(|| SqlError::new(SqlState::NUMERIC_VALUE_OUT_OF_RANGE, "bigint out of range"))
 }
 
-/// Arithmetic in double precision; the result is a NUMERIC if both operands are exact.
+/// Arithmetic in double precision; the result is NUMERIC if both operands are exact numbers (integer or NUMERIC).
 fn float_arithmetic(
     left: Value,
     operator: &BinaryOperator,
--- a/testkit/fakes/src/database/expression/comparison.rs
+++ b/testkit/fakes/src/database/expression/comparison.rs
@@ -12,8 +12,8 @@
     operator: &BinaryOperator,
     right: &Value,
 ) -> Result<Value, SqlError> {
-    let typed_left = with_type_of(left, right)?;
-    let typed_right = with_type_of(right, left)?;
+    let typed_left = read_as_type_of(left, right)?;
+    let typed_right = read_as_type_of(right, left)?;
     let Some(order) = typed_left.compare(&typed_right) else {
         return Ok(Value::Null);
     };
@@ -28,16 +28,16 @@
     }))
 }
 
-/// A text literal has no type of its own: it takes the type of the value that it is compared with.
-fn with_type_of(value: &Value, other: &Value) -> Result<Value, SqlError> {
-    match (value, own_type(other)) {
+/// The value, where a text value is read as the type of `other`, as PostgreSQL does with a literal of unknown type.
+fn read_as_type_of(value: &Value, other: &Value) -> Result<Value, SqlError> {
+    match (value, type_of(other)) {
         (Value::Text(text), Some(other_type)) => Value::read_text(other_type, text),
         _ => Ok(value.clone()),
     }
 }
 
-/// The type that a value shows by itself; `None` for texts, arrays and NULL.
-fn own_type(value: &Value) -> Option<Type> {
+/// The type of a value; `None` for texts, arrays and NULL.
+fn type_of(value: &Value) -> Option<Type> {
     match value {
         Value::Int(_) => Some(Type::INT8),
         Value::Float(_) => Some(Type::FLOAT8),
@@ -51,7 +51,7 @@
     }
 }
 
-/// LIKE, where `%` stands for any text and `_` for any character.
+/// Whether a text matches a LIKE pattern, in which `%` matches any sequence of characters and `_` any one character.
 pub(super) fn matches_like(text: &str, pattern: &str) -> bool {
     let mut pattern_characters = pattern.chars();
     match pattern_characters.next() {
@@ -62,11 +62,11 @@
                 .any(|(start, _)| matches_like(&text[start..], remaining_pattern))
                 || matches_like("", remaining_pattern)
         }
-        Some(wanted) => {
+        Some(expected) => {
             let mut characters = text.chars();
             let first_matches = characters
                 .next()
-                .is_some_and(|first| wanted == '_' || wanted == first);
+                .is_some_and(|first| expected == '_' || expected == first);
             first_matches && matches_like(characters.as_str(), pattern_characters.as_str())
         }
     }
--- a/testkit/fakes/src/database/expression/evaluation.rs
+++ b/testkit/fakes/src/database/expression/evaluation.rs
@@ -1,4 +1,4 @@
-//! Evaluation: the value of an expression for one row.
+//! Evaluates an expression for one row.
 
 use sqlparser::ast::{BinaryOperator, CaseWhen, Expr, UnaryOperator, Value as Literal};
 
@@ -12,7 +12,7 @@
 use crate::database::storage::Column;
 use crate::database::value::{Type, Value};
 
-/// What the names, parameters and functions of an expression refer to.
+/// Resolves the column references, parameters and function calls of an expression.
 pub(crate) struct EvaluationScope<'a> {
     pub(crate) columns: &'a [Column],
     /// The row's values, in the order of `columns`.
@@ -23,20 +23,20 @@
 }
 
 impl EvaluationScope<'_> {
-    /// The value of an expression, of the type that [`super::infer`] gives it where it has one.
+    /// Evaluates an expression.
     pub(crate) fn value(&self, expr: &Expr) -> Result<Value, SqlError> {
         if let Some(position) = parameter_position(expr) {
-            return self.parameter(position);
+            return self.parameter_value(position);
         }
         if let Some(call) = FunctionCall::parse(expr) {
-            return self.call(call);
+            return self.evaluate_call(call);
         }
         if let Some(reference) = column_reference(expr, self.columns)? {
             let value = self.row.get(reference.position);
             return Ok(value.cloned().unwrap_or(Value::Null));
         }
         match expr {
-            Expr::Value(value) => literal(&value.value),
+            Expr::Value(value) => literal_value(&value.value),
             Expr::Cast {
                 expr: inner,
                 data_type,
@@ -47,8 +47,8 @@
                 Value::read_text(resolve_type(&typed.data_type)?, &text)
             }
             Expr::Nested(inner) => self.value(inner),
-            Expr::UnaryOp { op, expr: operand } => self.unary(*op, operand),
-            Expr::BinaryOp { left, op, right } => self.binary(left, op, right),
+            Expr::UnaryOp { op, expr: operand } => self.evaluate_unary(*op, operand),
+            Expr::BinaryOp { left, op, right } => self.evaluate_binary(left, op, right),
             Expr::Array(array) => {
                 let elements = array.elem.iter().map(|element| self.value(element));
                 elements.collect::<Result<_, _>>().map(Value::Array)
@@ -58,17 +58,17 @@
                 conditions,
                 else_result,
                 ..
-            } => self.case(conditions, else_result.as_deref()),
-            other => self.test(other),
+            } => self.evaluate_case(conditions, else_result.as_deref()),
+            other => self.evaluate_predicate(other),
         }
     }
 
-    /// Whether an expression is true for the row; NULL is not.
+    /// Whether an expression is true for the row; false if the expression is NULL.
     pub(crate) fn is_true(&self, expr: &Expr) -> Result<bool, SqlError> {
         Ok(self.value(expr)? == Value::Bool(true))
     }
 
-    fn parameter(&self, position: usize) -> Result<Value, SqlError> {
+    fn parameter_value(&self, position: usize) -> Result<Value, SqlError> {
         self.values.get(position).cloned().ok_or_else(|| {
             SqlError::new(
                 SqlState::UNDEFINED_PARAMETER,
@@ -77,7 +77,7 @@
         })
     }
 
-    fn call(&self, call: FunctionCall<'_>) -> Result<Value, SqlError> {
+    fn evaluate_call(&self, call: FunctionCall<'_>) -> Result<Value, SqlError> {
         let arguments = call
             .arguments
             .into_iter()
@@ -86,7 +86,7 @@
         self.context.call(&call.name, &arguments)
     }
 
-    fn unary(&self, op: UnaryOperator, operand: &Expr) -> Result<Value, SqlError> {
+    fn evaluate_unary(&self, op: UnaryOperator, operand: &Expr) -> Result<Value, SqlError> {
         match (op, self.value(operand)?) {
             (_, Value::Null) => Ok(Value::Null),
             (UnaryOperator::Not, Value::Bool(truth)) => Ok(Value::Bool(!truth)),
@@ -96,7 +96,12 @@
         }
     }
 
-    fn binary(&self, left: &Expr, op: &BinaryOperator, right: &Expr) -> Result<Value, SqlError> {
+    fn evaluate_binary(
+        &self,
+        left: &Expr,
+        op: &BinaryOperator,
+        right: &Expr,
+    ) -> Result<Value, SqlError> {
         let left = self.value(left)?;
         let right = self.value(right)?;
         if is_comparison(op) {
@@ -111,7 +116,11 @@
         }
     }
 
-    fn case(&self, branches: &[CaseWhen], else_result: Option<&Expr>) -> Result<Value, SqlError> {
+    fn evaluate_case(
+        &self,
+        branches: &[CaseWhen],
+        else_result: Option<&Expr>,
+    ) -> Result<Value, SqlError> {
         for branch in branches {
             if self.is_true(&branch.condition)? {
                 return self.value(&branch.result);
@@ -123,8 +132,8 @@
         }
     }
 
-    /// The tests that have a truth value: IS NULL, IN, BETWEEN, LIKE, ANY.
-    fn test(&self, expr: &Expr) -> Result<Value, SqlError> {
+    /// Evaluates IS NULL, IS TRUE, IS FALSE, IN, BETWEEN, LIKE and ANY.
+    fn evaluate_predicate(&self, expr: &Expr) -> Result<Value, SqlError> {
         match expr {
             Expr::IsNull(operand) => Ok(Value::Bool(self.value(operand)? == Value::Null)),
             Expr::IsNotNull(operand) => Ok(Value::Bool(self.value(operand)? != Value::Null)),
@@ -135,9 +144,9 @@
                 list,
                 negated,
             } => {
-                let wanted = self.value(operand)?;
+                let operand = self.value(operand)?;
                 let candidates = list.iter().map(|item| self.value(item));
-                let found = any_matches(&wanted, &BinaryOperator::Eq, candidates)?;
+                let found = any_matches(&operand, &BinaryOperator::Eq, candidates)?;
                 Ok(Value::Bool(found != *negated))
             }
             Expr::Between {
@@ -166,11 +175,11 @@
                 right,
                 ..
             } => {
-                let wanted = self.value(left)?;
+                let operand = self.value(left)?;
                 let Value::Array(elements) = self.value(right)? else {
                     return Ok(Value::Null);
                 };
-                let found = any_matches(&wanted, compare_op, elements.into_iter().map(Ok))?;
+                let found = any_matches(&operand, compare_op, elements.into_iter().map(Ok))?;
                 Ok(Value::Bool(found))
             }
             other => Err(unsupported(other)),
@@ -185,21 +194,22 @@
     }
 }
 
-/// Whether a comparison holds with one of the candidates. All are evaluated, so that an error in any is reported.
+/// Whether the comparison of `operand` with any of the candidates is true. All candidates are evaluated, so that an
+/// error in any of them is reported.
 fn any_matches(
-    wanted: &Value,
+    operand: &Value,
     operator: &BinaryOperator,
     candidates: impl Iterator<Item = Result<Value, SqlError>>,
 ) -> Result<bool, SqlError> {
     let mut found = false;
     for candidate in candidates {
-        found |= compare(wanted, operator, &candidate?)? == Value::Bool(true);
+        found |= compare(operand, operator, &candidate?)? == Value::Bool(true);
     }
     Ok(found)
 }
 
-/// The value of a literal; of a number with a fraction or beyond 64 bits, a NUMERIC.
-fn literal(literal: &Literal) -> Result<Value, SqlError> {
+/// The value of a literal; a number with a fraction, or outside the range of a 64-bit integer, is a NUMERIC.
+fn literal_value(literal: &Literal) -> Result<Value, SqlError> {
     match literal {
         Literal::Number(number, _) => match number.parse() {
             Ok(integer) => Ok(Value::Int(integer)),
--- a/testkit/fakes/src/database/expression/inference.rs
+++ b/testkit/fakes/src/database/expression/inference.rs
@@ -1,4 +1,4 @@
-//! Type inference: the type of an expression before any value is known, and the types that its parameters must have.
+//! Type inference: the types of an expression and of its parameters, before any values are known.
 
 use sqlparser::ast::{BinaryOperator, CaseWhen, Expr, UnaryOperator, Value as Literal};
 
@@ -9,12 +9,13 @@
 use crate::database::storage::Column;
 use crate::database::value::Type;
 
-/// The types of a statement's parameters, by position; `None` while nothing determines one.
+/// The types of a statement's parameters, by position; `None` for a type that has not been determined.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ParameterTypes(pub(crate) Vec<Option<Type>>);
 
 impl ParameterTypes {
-    /// Records the type of a parameter, unless an earlier use has determined it. Returns the type that holds.
+    /// Records the type of a parameter, unless an earlier use has already determined its type. Returns the recorded
+    /// type.
     fn record(&mut self, position: usize, parameter_type: Option<Type>) -> Option<Type> {
         if self.0.len() <= position {
             self.0.resize(position + 1, None);
@@ -24,31 +25,31 @@
     }
 }
 
-/// The type of an expression over these columns, `None` if nothing determines it. `wanted` is the type that its
-/// surroundings ask for; it decides the types of parameters, which are recorded.
+/// Infers the type of an expression that may refer to `columns`; `None` if the type cannot be determined. `expected` is
+/// the type that the context of the expression calls for. The inferred types of parameters are added to `parameters`.
 pub(crate) fn infer(
     expr: &Expr,
     columns: &[Column],
-    wanted: Option<Type>,
+    expected: Option<Type>,
     parameters: &mut ParameterTypes,
 ) -> Result<Option<Type>, SqlError> {
     Inference {
         columns,
         parameters,
     }
-    .infer(expr, wanted)
+    .infer(expr, expected)
 }
 
-/// The columns that names refer to, and what is known of the parameters so far.
+/// The columns that an expression may refer to, and the parameter types determined so far.
 struct Inference<'a> {
     columns: &'a [Column],
     parameters: &'a mut ParameterTypes,
 }
 
 impl Inference<'_> {
-    fn infer(&mut self, expr: &Expr, wanted: Option<Type>) -> Result<Option<Type>, SqlError> {
+    fn infer(&mut self, expr: &Expr, expected: Option<Type>) -> Result<Option<Type>, SqlError> {
         if let Some(position) = parameter_position(expr) {
-            return Ok(self.parameters.record(position, wanted));
+            return Ok(self.parameters.record(position, expected));
         }
         if let Some(call) = FunctionCall::parse(expr) {
             return self.infer_call(&call).map(Some);
@@ -68,46 +69,47 @@
                 Ok(Some(target))
             }
             Expr::TypedString(typed) => resolve_type(&typed.data_type).map(Some),
-            Expr::Nested(inner) => self.infer(inner, wanted),
+            Expr::Nested(inner) => self.infer(inner, expected),
             Expr::UnaryOp {
                 op: UnaryOperator::Not,
                 expr: operand,
-            } => self.infer_predicate(&[operand], Some(Type::BOOL)),
-            Expr::UnaryOp { expr: operand, .. } => self.infer(operand, wanted),
-            Expr::BinaryOp { left, op, right } => self.infer_binary(left, op, right, wanted),
-            Expr::Array(array) => self.infer_array(&array.elem, wanted),
+            } => self.infer_predicate_operands(&[operand], Some(Type::BOOL)),
+            Expr::UnaryOp { expr: operand, .. } => self.infer(operand, expected),
+            Expr::BinaryOp { left, op, right } => self.infer_binary(left, op, right, expected),
+            Expr::Array(array) => self.infer_array(&array.elem, expected),
             Expr::Case {
                 conditions,
                 else_result,
                 ..
-            } => self.infer_case(conditions, else_result.as_deref(), wanted),
-            other => self.infer_test(other),
+            } => self.infer_case(conditions, else_result.as_deref(), expected),
+            other => self.infer_predicate(other),
         }
     }
 
-    /// The type of a function's result; its arguments get the types of its signature.
+    /// Infers the result type of a function call. Parameters among the arguments get the types of the function's
+    /// signature.
     fn infer_call(&mut self, call: &FunctionCall<'_>) -> Result<Type, SqlError> {
         let signature = signature(&call.name);
-        let mut first_known = None;
+        let mut first_type = None;
         for (position, argument) in call.arguments.iter().enumerate() {
-            let wanted = signature.arguments.get(position).copied();
-            let argument_type = self.infer(argument, wanted)?;
-            first_known = first_known.or(argument_type);
+            let expected = signature.arguments.get(position).copied();
+            let argument_type = self.infer(argument, expected)?;
+            first_type = first_type.or(argument_type);
         }
-        Ok(match (call.name.as_str(), first_known) {
+        Ok(match (call.name.as_str(), first_type) {
             ("max" | "min" | "coalesce" | "abs" | "greatest" | "least", Some(first)) => first,
             ("generate_series", Some(Type::INT8)) => Type::INT8,
             _ => signature.result,
         })
     }
 
-    /// The tests that have a truth value: IS NULL, IN, BETWEEN, LIKE, ANY.
-    fn infer_test(&mut self, expr: &Expr) -> Result<Option<Type>, SqlError> {
+    /// Infers the operand types of IS NULL, IS TRUE, IS FALSE, IN, BETWEEN, LIKE and ANY, whose own type is boolean.
+    fn infer_predicate(&mut self, expr: &Expr) -> Result<Option<Type>, SqlError> {
         match expr {
             Expr::IsNull(operand)
             | Expr::IsNotNull(operand)
             | Expr::IsTrue(operand)
-            | Expr::IsFalse(operand) => self.infer_predicate(&[operand], None),
+            | Expr::IsFalse(operand) => self.infer_predicate_operands(&[operand], None),
             Expr::InList {
                 expr: operand,
                 list,
@@ -115,7 +117,7 @@
             } => {
                 let operand_type = self.infer(operand, None)?;
                 let items: Vec<&Expr> = list.iter().collect();
-                self.infer_predicate(&items, operand_type)
+                self.infer_predicate_operands(&items, operand_type)
             }
             Expr::Between {
                 expr: operand,
@@ -124,29 +126,29 @@
                 ..
             } => {
                 let operand_type = self.infer(operand, None)?;
-                self.infer_predicate(&[low, high], operand_type)
+                self.infer_predicate_operands(&[low, high], operand_type)
             }
             Expr::Like {
                 expr: operand,
                 pattern,
                 ..
-            } => self.infer_predicate(&[operand, pattern], Some(Type::TEXT)),
+            } => self.infer_predicate_operands(&[operand, pattern], Some(Type::TEXT)),
             Expr::AnyOp { left, right, .. } => {
                 let operand_type = self.infer(left, None)?;
-                self.infer_predicate(&[right], operand_type.map(Type::array))
+                self.infer_predicate_operands(&[right], operand_type.map(Type::array))
             }
             other => Err(unsupported(other)),
         }
     }
 
-    /// Infers operands that should all have one type; the result is a truth value.
-    fn infer_predicate(
+    /// Infers the operands of a predicate, all of the `expected` type. Returns the type of the predicate, boolean.
+    fn infer_predicate_operands(
         &mut self,
         operands: &[&Expr],
-        wanted: Option<Type>,
+        expected: Option<Type>,
     ) -> Result<Option<Type>, SqlError> {
         for operand in operands {
-            self.infer(operand, wanted)?;
+            self.infer(operand, expected)?;
         }
         Ok(Some(Type::BOOL))
     }
@@ -156,7 +158,7 @@
         left: &Expr,
         operator: &BinaryOperator,
         right: &Expr,
-        wanted: Option<Type>,
+        expected: Option<Type>,
     ) -> Result<Option<Type>, SqlError> {
         let operand_type = match operator {
             BinaryOperator::And | BinaryOperator::Or => Some(Type::BOOL),
@@ -166,7 +168,7 @@
         let mut left_type = self.infer(left, operand_type)?;
         let right_type = self.infer(right, operand_type.or(left_type))?;
         if left_type.is_none() {
-            // A parameter on the left has the type of what it is combined with.
+            // A parameter on the left takes the type of the right operand.
             left_type = self.infer(left, right_type)?;
         }
         if is_comparison(operator) || operand_type == Some(Type::BOOL) {
@@ -177,16 +179,16 @@
         }
         Ok(match (left_type, right_type) {
             (Some(left_type), Some(right_type)) => Some(wider(left_type, right_type)),
-            (left_type, right_type) => left_type.or(right_type).or(wanted),
+            (left_type, right_type) => left_type.or(right_type).or(expected),
         })
     }
 
     fn infer_array(
         &mut self,
         elements: &[Expr],
-        wanted: Option<Type>,
+        expected: Option<Type>,
     ) -> Result<Option<Type>, SqlError> {
-        let mut element_type = wanted.and_then(Type::element);
+        let mut element_type = expected.and_then(Type::element);
         for element in elements {
             element_type = self.infer(element, element_type)?.or(element_type);
         }
@@ -197,9 +199,9 @@
         &mut self,
         branches: &[CaseWhen],
         else_result: Option<&Expr>,
-        wanted: Option<Type>,
+        expected: Option<Type>,
     ) -> Result<Option<Type>, SqlError> {
-        let mut result_type = wanted;
+        let mut result_type = expected;
         for branch in branches {
             self.infer(&branch.condition, Some(Type::BOOL))?;
             result_type = self.infer(&branch.result, result_type)?.or(result_type);
@@ -211,7 +213,7 @@
     }
 }
 
-/// The type that a literal has by itself; a quoted string has none.
+/// The type of a literal; `None` for a string literal and NULL.
 fn literal_type(literal: &Literal) -> Option<Type> {
     match literal {
         Literal::Number(number, _) if number.contains(['.', 'e', 'E']) => Some(Type::NUMERIC),
@@ -222,13 +224,13 @@
     }
 }
 
-/// The type of a function's result, and of its arguments.
+/// The result type and argument types of a function.
 struct Signature {
     result: Type,
     arguments: &'static [Type],
 }
 
-/// The signature of a function; of an unknown one, that of a function of two texts.
+/// The signature of a function; a function that is not listed takes two texts and returns text.
 fn signature(name: &str) -> Signature {
     let (result, arguments): (Type, &'static [Type]) = match name {
         "count" | "sum" | "txid_current" => (Type::INT8, &[]),
@@ -260,7 +262,7 @@
     Signature { result, arguments }
 }
 
-/// The one of two numeric types that holds the values of both.
+/// The wider of two numeric types.
 fn wider(left: Type, right: Type) -> Type {
     if numeric_rank(right) > numeric_rank(left) {
         right
@@ -269,7 +271,7 @@
     }
 }
 
-/// The order of numeric types by their range; 0 for all others.
+/// The rank of a numeric type, wider types higher; 0 for other types.
 fn numeric_rank(numeric_type: Type) -> u8 {
     match numeric_type {
         Type::INT2 => 1,
--- a/testkit/fakes/src/database/parse.rs
+++ b/testkit/fakes/src/database/parse.rs
@@ -1,4 +1,4 @@
-//! Parses SQL text into statements.
+//! Parses SQL text into statements, and rewrites the commands that sqlparser does not accept.
 
 use sqlparser::ast::Statement;
 use sqlparser::dialect::PostgreSqlDialect;
@@ -7,10 +7,11 @@
 
 use super::error::{SqlError, SqlState};
 
-/// Commands that the parser takes only in texts of their own.
+/// Commands that [`parse_statements`] recognises only if they are the whole text. A text that contains one of them
+/// among other statements is split first.
 const SPECIAL_COMMANDS: [&str; 3] = ["RESET ", "CLOSE ALL", "UNLISTEN *"];
 
-/// The statement of a text that holds one at most; an error for several.
+/// Parses a text that holds at most one statement; an error for several statements.
 pub(super) fn parse_single_statement(sql: &str) -> Result<Option<Statement>, SqlError> {
     let mut statements = parse_statements(sql)?;
     if statements.len() > 1 {
@@ -22,12 +23,12 @@
     Ok(statements.pop())
 }
 
-/// All statements of a text.
+/// Parses all statements of a text.
 pub(super) fn parse_statements(sql: &str) -> Result<Vec<Statement>, SqlError> {
     let command = sql.trim().trim_end_matches(';').trim();
     let upper = command.to_ascii_uppercase();
     if let Some(name) = upper.strip_prefix("RESET ") {
-        // The parser has no RESET.
+        // sqlparser does not parse RESET.
         return parse(&reset_as_set(command, name));
     }
     if SPECIAL_COMMANDS
@@ -49,7 +50,7 @@
     }
 }
 
-/// A RESET command as the SET that does the same. `upper_name` is the setting's name in upper case.
+/// Rewrites a RESET command as the equivalent SET command. `upper_name` is the parameter's name in upper case.
 fn reset_as_set(command: &str, upper_name: &str) -> String {
     if upper_name.trim() == "ALL" {
         "SET all TO DEFAULT".to_owned()
@@ -58,7 +59,7 @@
     }
 }
 
-/// The texts of a text's statements.
+/// Splits a text into its statements at the semicolons.
 fn split_statements(sql: &str) -> Vec<String> {
     let Ok(tokens) = Tokenizer::new(&PostgreSqlDialect {}, sql).tokenize() else {
         return vec![sql.to_owned()];
@@ -78,7 +79,7 @@
 fn parse(sql: &str) -> Result<Vec<Statement>, SqlError> {
     let command = sql.trim_start().get(..4);
     let is_copy = command.is_some_and(|command| command.eq_ignore_ascii_case("copy"));
-    // The parser wants a semicolon after COPY, because data might follow it.
+    // sqlparser requires a semicolon after COPY, because COPY data may follow.
     let text = if is_copy && !sql.contains(';') {
         format!("{sql};")
     } else {
--- a/testkit/fakes/src/database/prepared.rs
+++ b/testkit/fakes/src/database/prepared.rs
@@ -1,4 +1,4 @@
-//! Prepared statements, and portals (cursors) over their results.
+//! Prepared statements, and the portals (cursors) that execute them.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,17 +8,17 @@
 use super::result::{ResultColumn, StatementResult};
 use super::value::{Type, Value};
 
-/// A statement that is prepared.
+/// A prepared statement.
 #[derive(Debug)]
 pub(super) struct PreparedStatement {
     pub(super) sql: String,
-    /// `None` for an empty text.
+    /// `None` for an empty query string.
     pub(super) statement: Option<Statement>,
     pub(super) parameters: Vec<Type>,
     pub(super) columns: Vec<ResultColumn>,
 }
 
-/// The rows of a result that were not fetched yet.
+/// A result with the rows that have not been fetched yet.
 #[derive(Clone)]
 pub(super) struct PendingRows {
     /// The result without its rows.
@@ -27,7 +27,7 @@
 }
 
 impl PendingRows {
-    /// All rows of a result.
+    /// A result of which no rows have been fetched.
     pub(super) fn all(result: StatementResult) -> Self {
         let rows = result.expand_rows();
         Self {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// None of the rows of a result, for all were fetched.
+    /// A result of which all rows have been fetched.
     pub(super) fn none(result: StatementResult) -> Self {
         Self {
             result: StatementResult {
@@ -49,15 +49,15 @@
     }
 }
 
-/// A portal or cursor: a prepared statement with the values of its parameters, and what is left of its result.
+/// A portal or cursor: a prepared statement with its parameter values, and the rows that have not been fetched yet.
 #[derive(Clone)]
 pub(super) struct Portal {
     pub(super) statement: Arc<PreparedStatement>,
     pub(super) values: Vec<Value>,
-    /// The formats of the result's columns, as in Bind.
+    /// The result-column format codes of the Bind message.
     pub(super) result_formats: Vec<u16>,
-    /// `None` until it is executed.
+    /// `None` until the portal is executed.
     pub(super) pending: Option<PendingRows>,
-    /// It was executed and returns no rows: it can't be executed again.
+    /// Whether a statement that returns no rows has been executed; the portal cannot be executed again.
     pub(super) is_finished: bool,
 }
--- a/testkit/fakes/src/database/references.rs
+++ b/testkit/fakes/src/database/references.rs
@@ -9,25 +9,25 @@
 use super::storage::{Column, Store};
 use super::value::Type;
 
-/// Where a SELECT takes its rows from.
+/// The row source of a SELECT.
 pub(super) enum RowSource<'a> {
-    /// No FROM: one row without columns.
+    /// No FROM clause: one row without columns.
     None,
-    /// A table, by the name in the statement.
+    /// A table, by its name in the statement.
     Table(String),
-    /// `generate_series`.
+    /// A call of `generate_series`.
     Series(Series<'a>),
 }
 
 /// A call of `generate_series` in a FROM clause.
 pub(super) struct Series<'a> {
     pub(super) arguments: Vec<&'a Expr>,
-    /// The name of its one column.
+    /// The name of the single result column: the alias, or `generate_series`.
     column_name: String,
 }
 
 impl Series<'_> {
-    /// Its one column.
+    /// The single result column.
     pub(super) fn column(&self) -> Column {
         Column {
             name: self.column_name.clone(),
@@ -40,7 +40,7 @@
 }
 
 impl<'a> RowSource<'a> {
-    /// The source that a FROM clause names; an error for joins and subqueries.
+    /// Parses a FROM clause; an error for joins, subqueries and several tables.
     pub(super) fn parse(from: &'a [TableWithJoins]) -> Result<Self, SqlError> {
         let Some(first) = from.first() else {
             return Ok(Self::None);
@@ -72,7 +72,7 @@
 }
 
 /// Whether an expression is the keyword DEFAULT.
-pub(super) fn is_default(expr: &Expr) -> bool {
+pub(super) fn is_default_keyword(expr: &Expr) -> bool {
     matches!(expr, Expr::Identifier(ident) if ident.value.eq_ignore_ascii_case("default"))
 }
 
@@ -81,7 +81,8 @@
     Ok(store.table(name)?.columns.clone())
 }
 
-/// A table's columns, followed by those of the row that INSERT .. ON CONFLICT did not insert.
+/// A table's columns, followed by the columns of the special table `excluded` (the row proposed for insertion) of ON
+/// CONFLICT DO UPDATE.
 pub(super) fn with_excluded(columns: &[Column]) -> Vec<Column> {
     let excluded = columns.iter().map(|column| Column {
         name: format!("excluded.{}", column.name),
@@ -90,7 +91,7 @@
     columns.iter().cloned().chain(excluded).collect()
 }
 
-/// The table that an INSERT names.
+/// The name of the target table of an INSERT.
 pub(super) fn insert_table(insert: &Insert) -> Result<String, SqlError> {
     match &insert.table {
         TableObject::TableName(name) => Ok(name.to_string()),
@@ -98,7 +99,7 @@
     }
 }
 
-/// The table that an UPDATE names.
+/// The name of the only table of an UPDATE or DELETE; an error for a join.
 pub(super) fn single_table(table: &TableWithJoins) -> Result<String, SqlError> {
     match &table.relation {
         TableFactor::Table { name, .. } if table.joins.is_empty() => Ok(name.to_string()),
@@ -106,16 +107,19 @@
     }
 }
 
-/// The table that a DELETE names.
+/// The name of the target table of a DELETE.
 pub(super) fn delete_table(from: &FromTable) -> Result<String, SqlError> {
     let (FromTable::WithFromKeyword(tables) | FromTable::WithoutKeyword(tables)) = from;
     match tables.first() {
         Some(table) => single_table(table),
-        None => Err(SqlError::new(SqlState::SYNTAX_ERROR, "no table")),
+        None => Err(SqlError::new(
+            SqlState::SYNTAX_ERROR,
+            "DELETE without a table",
+        )),
     }
 }
 
-/// The position of the column that an assignment sets.
+/// The position of the target column of an assignment.
 pub(super) fn assigned_column(
     target: &AssignmentTarget,
     columns: &[Column],
@@ -126,7 +130,7 @@
     column_position(&name.to_string(), columns)
 }
 
-/// The position of a column; its name may be quoted.
+/// The position of a column; `name` may be in double quotes.
 pub(super) fn column_position(name: &str, columns: &[Column]) -> Result<usize, SqlError> {
     let name = name.trim_matches('"');
     let position = columns
@@ -140,7 +144,7 @@
     })
 }
 
-/// The positions of the columns that an INSERT gives values for.
+/// The positions of the target columns of an INSERT; all columns if the statement lists none.
 pub(super) fn insert_positions(
     insert: &Insert,
     columns: &[Column],
--- a/testkit/fakes/src/database/result.rs
+++ b/testkit/fakes/src/database/result.rs
@@ -20,17 +20,17 @@
     }
 }
 
-/// The rows that a statement returns, and how its completion is reported.
+/// The rows that a statement returns, and the data for its command tag.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StatementResult {
     /// Empty for a statement that returns no rows.
     pub(super) columns: Vec<ResultColumn>,
     pub(super) rows: Vec<Vec<Value>>,
-    /// Each row is returned this many times more, so that a large uniform result takes no memory.
+    /// How many more times each row is returned; a large result of equal rows is stored as one row.
     pub(super) extra_copies: u64,
-    /// The first word or words of the command tag in `CommandComplete`.
+    /// The command tag in `CommandComplete`, without the row count.
     pub(super) command_tag: &'static str,
-    /// Rows that the statement changed.
+    /// The number of rows that the statement inserted, updated or deleted.
     pub(super) affected_rows: u64,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// All rows, each as often as it is returned.
+    /// All rows, with the extra copies.
     pub(super) fn expand_rows(&self) -> VecDeque<Vec<Value>> {
         let copies = usize::try_from(self.extra_copies).unwrap_or(0) + 1;
         self.rows
