--- a/adapters/postgres/tests/common/mod.rs
+++ b/adapters/postgres/tests/common/mod.rs
@@ -65,7 +65,7 @@
 
 impl Node {
     pub async fn start(databases: &[&Database], change: impl Fn(&mut Config)) -> Self {
-        let servers: Vec<SocketAddr> = databases.iter().map(|database| database.at).collect();
+        let servers: Vec<SocketAddr> = databases.iter().map(|database| database.address).collect();
         Self::start_with(&servers, Clock::system(), change).await
     }
 
@@ -195,7 +195,10 @@
 
 /// Runs SQL at a fake database, past the node.
 pub async fn execute_directly(database: &Database, sql: &str) {
-    let address = format!("host=127.0.0.1 port={} user=x dbname=x", database.at.port());
+    let address = format!(
+        "host=127.0.0.1 port={} user=x dbname=x",
+        database.address.port()
+    );
     let config: tokio_postgres::Config = address.parse().expect("an address");
     let client = open(&config).await.expect("the fake");
     client.batch_execute(sql).await.expect("executed");
--- a/adapters/postgres/tests/phases.rs
+++ b/adapters/postgres/tests/phases.rs
@@ -77,7 +77,7 @@
         let database = database();
         let virtual_clock = VirtualClock::at(0);
         let clock = Clock::from_virtual(virtual_clock.clone());
-        let node = Node::start_with(&[database.at], clock, |_| {}).await;
+        let node = Node::start_with(&[database.address], clock, |_| {}).await;
         let mut config = node.driver("ann", "secret", "ops");
         let (client, connection) = config
             .dbname("badgerpost")
@@ -175,7 +175,7 @@
     test(async {
         let database = database();
         let delay = Duration::from_millis(1500);
-        let server = slow_proxy(database.at, delay, false).await;
+        let server = slow_proxy(database.address, delay, false).await;
         let node = Node::start_with(&[server], Clock::system(), |_| {}).await;
         let socket = TcpStream::connect(node.at).await.expect("it listens");
         tokio::time::sleep(ADMISSION_TIMEOUT - Duration::from_secs(1)).await;
@@ -208,7 +208,7 @@
     test(async {
         let database = database();
         let delay = Duration::from_millis(500);
-        let server = slow_proxy(database.at, delay, true).await;
+        let server = slow_proxy(database.address, delay, true).await;
         let node = Node::start_with(&[server], Clock::system(), |config| {
             config.max_unauthenticated_clients = 2;
         })
--- a/adapters/postgres/tests/server_loss.rs
+++ b/adapters/postgres/tests/server_loss.rs
@@ -94,7 +94,7 @@
             let at = format!("{statement} {fault:?}");
             assert_eq!(error.code().map(SqlState::code), Some(code), "{at}");
             assert_eq!(fixture.database.rows("t").len(), rows, "{at}");
-            fixture.database.revive();
+            fixture.database.restart();
             until_served(&fixture.client).await;
         }
     });
@@ -121,13 +121,13 @@
                 .batch_execute("select 42")
                 .await
                 .expect("served by the other");
-            one.revive();
+            one.restart();
             if one.statements() > 0 {
                 break;
             }
         }
         let rest = node.connect().await;
-        one.revive();
+        one.restart();
         one.inject_fault("select 43", InjectedFault::CrashBeforeExecution);
         two.inject_fault("select 43", InjectedFault::CrashBeforeExecution);
         let error = rest
@@ -170,7 +170,7 @@
         };
         database.inject_fault(statement, fault);
         tokio::time::sleep(Duration::from_millis(random.between(5, 30))).await;
-        databases.iter().for_each(Database::revive);
+        databases.iter().for_each(Database::restart);
         kills += 1;
     }
     kills
--- a/adapters/postgres/tests/sessions.rs
+++ b/adapters/postgres/tests/sessions.rs
@@ -102,7 +102,11 @@
         for task in tasks {
             task.await.expect("each client sees its own");
         }
-        assert!(database.open() <= 10, "{} connections", database.open());
+        assert!(
+            database.open_connections() <= 10,
+            "{} connections",
+            database.open_connections()
+        );
     });
 }
 
@@ -213,7 +217,7 @@
         );
         console.batch_execute("PAUSE").await.expect("paused");
         // Its connections are closed, for a restart; the database hears of it a moment later.
-        while database.open() > 0 {
+        while database.open_connections() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         let waits = client.batch_execute("select 2");
--- a/adapters/postgres/tests/transactions.rs
+++ b/adapters/postgres/tests/transactions.rs
@@ -145,7 +145,7 @@
             let (served, _) = task.await.expect("it ends");
             served.expect("served, after a wait");
         }
-        assert!(database.open() <= 2);
+        assert!(database.open_connections() <= 2);
         // 300 ms each on two connections: of thirty, those that would have to wait past the deadline of 5 s are many
         // fewer than those behind twice as many.
         let mut tasks = Vec::new();
--- a/core/postgres-session/tests/reference.rs
+++ b/core/postgres-session/tests/reference.rs
@@ -14,7 +14,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use badgerpost_fakes::database::{Backend, Database, Offline};
+use badgerpost_fakes::database::{Backend, Database, OfflineDatabase};
 use badgerpost_postgres_session::frame::{DecodeResult, Frame, FrameDecoder};
 use badgerpost_postgres_session::server_messages::TransactionStatus;
 use badgerpost_postgres_session::session::{Action, Event, ServerState, Session};
@@ -202,9 +202,9 @@
 }
 
 fn send(backend: &mut Backend, frame: &Frame) -> Vec<u8> {
-    let ended = backend.take(frame.tag, &frame.body);
+    let ended = backend.handle_message(frame.tag, &frame.body);
     assert!(ended.is_ok(), "the server ends its connection at {frame:?}");
-    backend.take_out()
+    backend.take_output()
 }
 
 fn decode_from_server(bytes: &[u8]) -> Vec<DecodeResult> {
@@ -309,7 +309,7 @@
     }
 }
 
-fn create(offline: &Offline) -> Backend {
+fn create(offline: &OfflineDatabase) -> Backend {
     let mut backend = Database::backend(offline);
     for sql in [
         "CREATE TABLE t (id int, v text)",
@@ -330,7 +330,7 @@
 }
 
 /// A session in front of three connections to this database.
-fn create_pooled(database: &Offline) -> Pooled {
+fn create_pooled(database: &OfflineDatabase) -> Pooled {
     let greeting = greeting();
     let settings = ClientSettings::new(&BTreeMap::new(), &greeting).expect("good settings");
     let links = (0..3).map(|_| {
@@ -384,7 +384,7 @@
     for step in steps.iter().chain(&end) {
         // The one known difference: in a failed transaction a server describes a statement that returns no rows; the
         // session can't, where it was prepared on another connection, and answers 25P02 as for all others.
-        if direct.status() == b'E' && matches!(step, Step::DescribeStatement(_)) {
+        if direct.transaction_status() == b'E' && matches!(step, Step::DescribeStatement(_)) {
             continue;
         }
         for message in copy_end(direct).into_iter().chain(step.frames()) {
@@ -396,8 +396,8 @@
 }
 
 fn run(steps: &[Step]) -> Result<(), TestCaseError> {
-    let direct_database = Offline::default();
-    let pooled_database = Offline::default();
+    let direct_database = OfflineDatabase::default();
+    let pooled_database = OfflineDatabase::default();
     let mut direct = create(&direct_database);
     create(&pooled_database);
     let mut pooled = create_pooled(&pooled_database);
--- a/testkit/fakes/src/database.rs
+++ b/testkit/fakes/src/database.rs
@@ -62,7 +62,7 @@
 /// A fake database server on a loopback port.
 pub struct Database {
     /// Its address.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     server: Arc<ServerState>,
 }
 
@@ -70,19 +70,19 @@
     /// Starts a server on a free port.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let at = listener.local_addr()?;
+        let address = listener.local_addr()?;
         let server = Arc::new(ServerState::new());
         let listening = server.clone();
         thread::spawn(move || accept_connections(&listening, &listener));
-        Ok(Self { at, server })
+        Ok(Self { address, server })
     }
 
     /// A connection without a socket, that is logged in: messages in, bytes out. `store` may serve several.
-    pub fn backend(store: &Offline) -> Backend {
+    pub fn backend(store: &OfflineDatabase) -> Backend {
         let id = store.0.next_connection();
         let mut backend = Backend::new(store.0.clone(), id);
         backend.write_login_complete();
-        backend.take_out();
+        backend.take_output();
         backend
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Accepts connections again after a crash.
-    pub fn revive(&self) {
+    pub fn restart(&self) {
         self.server.is_up.store(true, Ordering::SeqCst);
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Transactions begun so far, those of single statements included.
-    pub fn begun(&self) -> u64 {
+    pub fn transactions_begun(&self) -> u64 {
         self.server.transaction_count.load(Ordering::SeqCst)
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// Connections that are open now.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         lock(&self.server.connections).len()
     }
 
@@ -196,15 +196,15 @@
 }
 
 /// A database without sockets, for tests of programs that speak the protocol themselves.
-pub struct Offline(Arc<ServerState>);
+pub struct OfflineDatabase(Arc<ServerState>);
 
-impl Default for Offline {
+impl Default for OfflineDatabase {
     fn default() -> Self {
         Self(Arc::new(ServerState::new()))
     }
 }
 
-impl Offline {
+impl OfflineDatabase {
     /// The committed rows of a table.
     pub fn rows(&self, table: &str) -> Vec<Vec<Value>> {
         committed_rows(&self.0, table)
--- a/testkit/fakes/src/database/connection.rs
+++ b/testkit/fakes/src/database/connection.rs
@@ -251,8 +251,8 @@
         loop {
             let message = self.reader.read_message()?;
             self.server.wait_while_paused();
-            let handled = self.backend.take(message.tag, &message.body);
-            if self.backend.wants_out() || handled.is_err() {
+            let handled = self.backend.handle_message(message.tag, &message.body);
+            if self.backend.needs_flush() || handled.is_err() {
                 self.send_output()?;
             }
             if handled.is_err() {
@@ -262,6 +262,6 @@
     }
 
     fn send_output(&mut self) -> io::Result<()> {
-        self.stream.write_all(&self.backend.take_out())
+        self.stream.write_all(&self.backend.take_output())
     }
 }
--- a/testkit/fakes/src/database/protocol.rs
+++ b/testkit/fakes/src/database/protocol.rs
@@ -74,14 +74,14 @@
     }
 
     /// Takes the output written so far.
-    pub fn take_out(&mut self) -> Vec<u8> {
+    pub fn take_output(&mut self) -> Vec<u8> {
         self.flush_requested = false;
         std::mem::take(&mut self.output)
     }
 
     /// The transaction status as in `ReadyForQuery`.
-    pub fn status(&self) -> u8 {
-        self.session.status()
+    pub fn transaction_status(&self) -> u8 {
+        self.session.transaction_status()
     }
 
     /// Whether the client is to send the data of a COPY.
@@ -90,12 +90,12 @@
     }
 
     /// Whether the output has to go out before the next message is read.
-    pub fn wants_out(&self) -> bool {
+    pub fn needs_flush(&self) -> bool {
         self.flush_requested || self.output.len() > MAX_BUFFERED_OUTPUT
     }
 
     /// Handles one message of the client's: its type byte and its body.
-    pub fn take(&mut self, tag: u8, body: &[u8]) -> Result<(), ConnectionClosed> {
+    pub fn handle_message(&mut self, tag: u8, body: &[u8]) -> Result<(), ConnectionClosed> {
         if self.copy_in_progress.is_some() {
             return self.copy_message(tag, body);
         }
@@ -252,7 +252,7 @@
     fn write_ready_for_query(&mut self) {
         self.write_changed_settings();
         self.write_notifications();
-        let status = self.session.status();
+        let status = self.session.transaction_status();
         self.write_message(b'Z', &[status]);
         self.flush_requested = true;
     }
--- a/testkit/fakes/src/database/session/transaction.rs
+++ b/testkit/fakes/src/database/session/transaction.rs
@@ -27,7 +27,7 @@
 
 impl Session {
     /// The transaction status as in `ReadyForQuery`.
-    pub(crate) fn status(&self) -> u8 {
+    pub(crate) fn transaction_status(&self) -> u8 {
         match (self.in_transaction_block, self.transaction_failed) {
             (false, _) => STATUS_IDLE,
             (true, false) => STATUS_IN_BLOCK,
--- a/testkit/scenarios/src/commands/up_postgres.rs
+++ b/testkit/scenarios/src/commands/up_postgres.rs
@@ -23,7 +23,7 @@
     let databases: Vec<String> = environment
         .databases()
         .iter()
-        .map(|database| database.at.to_string())
+        .map(|database| database.address.to_string())
         .collect();
     let description = json!({
         "scene": "postgres",
--- a/testkit/scenarios/src/postgres/environment.rs
+++ b/testkit/scenarios/src/postgres/environment.rs
@@ -135,7 +135,7 @@
     databases
         .iter()
         .enumerate()
-        .map(|(index, database)| target(&format!("db{index}"), database.at, state(index)))
+        .map(|(index, database)| target(&format!("db{index}"), database.address, state(index)))
         .collect()
 }
 
@@ -189,7 +189,7 @@
 
 fn database_parameters(database: &Database) -> ConnectionParameters {
     ConnectionParameters {
-        port: database.at.port(),
+        port: database.address.port(),
         user: NODE_USER.to_owned(),
         password: NODE_PASSWORD.to_owned(),
         database: DATABASE_NAME.to_owned(),
--- a/testkit/scenarios/src/postgres/faults.rs
+++ b/testkit/scenarios/src/postgres/faults.rs
@@ -85,7 +85,7 @@
             kills.set(kills.get() + 1);
             tokio::time::sleep(Duration::from_millis(settings.down_ms)).await;
             database.clear_fault();
-            database.revive();
+            database.restart();
         } else {
             // No matching statement arrived.
             database.clear_fault();
@@ -134,10 +134,10 @@
         let index = random.between(0, databases.len() as u64 - 1) as usize;
         publish_draining(discovery, databases, Some(index));
         tokio::time::sleep(DRAIN_GRACE).await;
-        let begun = databases[index].begun();
+        let begun = databases[index].transactions_begun();
         let remaining = Duration::from_millis(settings.for_ms).saturating_sub(DRAIN_GRACE);
         tokio::time::sleep(remaining).await;
-        let late = databases[index].begun() - begun;
+        let late = databases[index].transactions_begun() - begun;
         publish_draining(discovery, databases, None);
         let counted = counts.get();
         counts.set(DrainCounts {
--- a/testkit/scenarios/src/postgres/measure/failover.rs
+++ b/testkit/scenarios/src/postgres/measure/failover.rs
@@ -42,7 +42,7 @@
 
     fn clear(self, environment: &mut PgEnvironment, database: usize) {
         match self {
-            Self::Kill => environment.databases()[database].revive(),
+            Self::Kill => environment.databases()[database].restart(),
             Self::Drain => environment.set_draining(None),
         }
     }
--- a/testkit/scenarios/src/postgres/run.rs
+++ b/testkit/scenarios/src/postgres/run.rs
@@ -74,7 +74,7 @@
     stop(faults).await;
     for database in environment.databases() {
         database.pause(false);
-        database.revive();
+        database.restart();
     }
     // Transactions still open at a database end by themselves: with the node go all its connections.
     let crash = environment.crash();
@@ -150,7 +150,10 @@
 
 async fn await_closed_connections(databases: &[Database]) {
     let started = Instant::now();
-    while databases.iter().any(|database| database.open() > 0) && started.elapsed() < CLOSE_TIMEOUT
+    while databases
+        .iter()
+        .any(|database| database.open_connections() > 0)
+        && started.elapsed() < CLOSE_TIMEOUT
     {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
