--- a/testkit/fakes/src/database.rs
+++ b/testkit/fakes/src/database.rs
@@ -1,20 +1,21 @@
-//! A fake PostgreSQL server: the protocol, transactions, a subset of SQL over tables in memory, and injected faults. It
-//! serves each connection on a thread of its own.
+//! A fake PostgreSQL server: the frontend/backend protocol, transactions, a subset of SQL over in-memory tables, and
+//! fault injection. Each connection is served by its own thread.
 //!
-//! It speaks: CREATE/DROP/TRUNCATE TABLE, INSERT, SELECT from one table or generate_series, UPDATE, DELETE, RETURNING,
-//! ON CONFLICT, BEGIN to ROLLBACK with savepoints, SET, SHOW, RESET, DISCARD, PREPARE, cursors, COPY in text, LISTEN and
-//! NOTIFY, advisory locks, pg_sleep and the functions that drivers call first. No joins, no subqueries, no GROUP BY.
+//! Supported: CREATE/DROP/TRUNCATE TABLE, INSERT, SELECT from one table or generate_series, UPDATE, DELETE, RETURNING,
+//! ON CONFLICT, transaction blocks with savepoints, SET, SHOW, RESET, DISCARD, PREPARE, cursors, COPY in text format,
+//! LISTEN and NOTIFY, advisory locks, pg_sleep and the functions that drivers call when they connect. Joins, subqueries
+//! and GROUP BY are not supported.
 //!
-//! Its modules, from the socket down; each uses only those below it:
+//! Modules, from the socket down; each module uses only the modules below it:
 //!
 //! ```text
-//! connection       the socket: start-up, login, messages
-//! protocol         messages in, bytes out
+//! connection       socket I/O: start-up, authentication, message framing
+//! protocol         message handling without a socket
 //! session          settings, transaction, prepared statements, portals
-//! executor         statements on tables      catalogue   drivers' queries of system tables
+//! executor         execution on tables       catalogue   drivers' queries on system catalogues
 //! describe         parameters and columns    parse       SQL text to statements
-//! expression       type inference, values    references  tables and columns that statements name
-//! server_state     what connections share    settings, prepared, result, context
+//! expression       type inference, values    references  tables and columns in a statement
+//! server_state     state of all connections  settings, prepared, result, context
 //! storage          tables, transactions
 //! value, error, faults, connection_id, sync
 //! ```
@@ -56,37 +57,37 @@
 use sync::lock;
 pub use value::{Type, Value};
 
-/// The stack of a connection's thread, in bytes.
-const CONNECTION_STACK_SIZE: usize = 512 * 1024;
+const CONNECTION_STACK_BYTES: usize = 512 * 1024;
 
-/// A fake database server on a loopback port.
+/// A fake PostgreSQL server that listens on a loopback port.
 pub struct Database {
-    /// Its address.
+    /// The address on which the server accepts connections.
     pub address: SocketAddr,
     server: Arc<ServerState>,
 }
 
 impl Database {
-    /// Starts a server on a free port.
+    /// Starts a server on a free loopback port.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let server = Arc::new(ServerState::new());
-        let listening = server.clone();
-        thread::spawn(move || accept_connections(&listening, &listener));
+        let accepting_server = server.clone();
+        thread::spawn(move || accept_connections(&accepting_server, &listener));
         Ok(Self { address, server })
     }
 
-    /// A connection without a socket, that is logged in: messages in, bytes out. `store` may serve several.
-    pub fn backend(store: &OfflineDatabase) -> Backend {
-        let id = store.0.next_connection();
-        let mut backend = Backend::new(store.0.clone(), id);
+    /// Opens an authenticated connection without a socket. Connections to the same `database` share its tables.
+    pub fn backend(database: &OfflineDatabase) -> Backend {
+        let id = database.0.next_connection_id();
+        let mut backend = Backend::new(database.0.clone(), id);
         backend.write_login_complete();
         backend.take_output();
         backend
     }
 
-    /// Crashes the server: all connections are closed, and new ones too, until it is revived. What is committed stays.
+    /// Crashes the server: closes all connections, and closes new ones at once until [`Self::restart`]. Committed data
+    /// is kept.
     pub fn kill(&self) {
         self.server.crash();
     }
@@ -96,95 +97,95 @@
         self.server.is_up.store(true, Ordering::SeqCst);
     }
 
-    /// While paused, it accepts connections and messages and answers none.
+    /// Pauses or resumes the server. A paused server accepts connections but responds to no message.
     pub fn pause(&self, paused: bool) {
         self.server.is_paused.store(paused, Ordering::SeqCst);
         self.server.notify_transaction_ended();
     }
 
-    /// Injects a fault, once, at the next statement that contains this text.
+    /// Injects a fault into the next statement, or COPY data message, that contains `text`. Replaces any earlier fault.
     pub fn inject_fault(&self, text: &str, fault: InjectedFault) {
         self.server.arm_fault(text, fault);
     }
 
-    /// Removes the injected fault.
+    /// Removes the injected fault if no statement has triggered it yet.
     pub fn clear_fault(&self) {
         self.server.disarm_fault();
     }
 
-    /// Lets this user log in with a password; from then on, only such users may.
+    /// Adds a user with a password. Once a user is set, clients have to authenticate as one of the users set.
     pub fn set_user(&self, name: &str, password: &str) {
         let verifier = Verifier::from_password(password, format!("salt of {name}").as_bytes());
         lock(&self.server.users).insert(name.to_owned(), verifier);
     }
 
-    /// Sets the version that later connections are sent.
+    /// Sets the `server_version` that is reported to later connections.
     pub fn set_version(&self, version: &str) {
         version.clone_into(&mut lock(&self.server.version));
     }
 
-    /// Sets how many connections may be open at once; more are rejected.
+    /// Sets how many connections may be open at once; further logins are rejected. Unlimited by default.
     pub fn set_max_connections(&self, max: u64) {
         self.server.max_connections.store(max, Ordering::SeqCst);
     }
 
-    /// The committed rows of a table.
+    /// The committed rows of a table; empty if the table does not exist.
     pub fn rows(&self, table: &str) -> Vec<Vec<Value>> {
         committed_rows(&self.server, table)
     }
 
-    /// Whether it accepts connections.
+    /// Whether the server accepts connections: `false` from [`Self::kill`] to [`Self::restart`].
     pub fn is_up(&self) -> bool {
         self.server.is_up()
     }
 
-    /// Transactions begun so far, those of single statements included.
+    /// Transactions begun since the start, including implicit ones.
     pub fn transactions_begun(&self) -> u64 {
         self.server.transaction_count.load(Ordering::SeqCst)
     }
 
-    /// Connections accepted so far.
+    /// Connections accepted since the start.
     pub fn connections(&self) -> u64 {
         self.server.connection_count.load(Ordering::SeqCst)
     }
 
-    /// Connections that have logged in so far.
+    /// Successful logins since the start.
     pub fn logins(&self) -> u64 {
         self.server.login_count.load(Ordering::SeqCst)
     }
 
-    /// Connections that are open now.
+    /// Connections open now.
     pub fn open_connections(&self) -> usize {
         lock(&self.server.connections).len()
     }
 
-    /// Statements begun so far.
+    /// Statements whose execution began since the start.
     pub fn statements(&self) -> u64 {
         self.server.statement_count.load(Ordering::SeqCst)
     }
 
-    /// Transactions committed so far that had changed something.
+    /// Transactions with changes that were committed since the start.
     pub fn commits(&self) -> u64 {
         lock(&self.server.store).committed_writes
     }
 
-    /// Cancel requests received so far.
+    /// `CancelRequest` messages received since the start.
     pub fn cancels(&self) -> u32 {
         self.server.cancel_count.load(Ordering::SeqCst)
     }
 }
 
-/// Serves each connection on a thread of its own.
+/// Accepts connections and serves each on its own thread.
 fn accept_connections(server: &Arc<ServerState>, listener: &TcpListener) {
     for stream in listener.incoming().flatten() {
         let server = server.clone();
         let serve = move || {
-            let id = server.next_connection();
-            // An error of its socket ends a connection as its end does.
+            let id = server.next_connection_id();
+            // A socket error ends the connection like an orderly close.
             let _ = connection::serve(&server, stream, id);
         };
         let _ = thread::Builder::new()
-            .stack_size(CONNECTION_STACK_SIZE)
+            .stack_size(CONNECTION_STACK_BYTES)
             .spawn(serve);
     }
 }
@@ -195,7 +196,7 @@
     rows.into_iter().map(|row| row.values.to_vec()).collect()
 }
 
-/// A database without sockets, for tests of programs that speak the protocol themselves.
+/// A fake PostgreSQL server without sockets, for tests that pass protocol messages directly to [`Backend`]s.
 pub struct OfflineDatabase(Arc<ServerState>);
 
 impl Default for OfflineDatabase {
@@ -205,7 +206,7 @@
 }
 
 impl OfflineDatabase {
-    /// The committed rows of a table.
+    /// The committed rows of a table; empty if the table does not exist.
     pub fn rows(&self, table: &str) -> Vec<Vec<Value>> {
         committed_rows(&self.0, table)
     }
--- a/testkit/fakes/src/database/advisory_locks.rs
+++ b/testkit/fakes/src/database/advisory_locks.rs
@@ -1,44 +1,44 @@
-//! Advisory locks: locks on numbers that the application chooses.
+//! Session-level advisory locks, identified by application-defined keys.
 
 use std::collections::BTreeMap;
 
 use super::connection_id::ConnectionId;
 
-/// A lock that a session holds.
+/// An advisory lock held by a session.
 struct AdvisoryLock {
     owner: ConnectionId,
-    /// How often the owner has taken it; it has to be released as often.
-    count: u32,
+    /// How many times the owner has acquired the lock; the lock is free after as many releases.
+    acquisition_count: u32,
 }
 
-/// The advisory locks that sessions hold.
+/// All advisory locks held on a server.
 #[derive(Default)]
 pub(super) struct AdvisoryLocks {
-    /// By the numbers that name the lock, as text.
+    /// By the key arguments as text, separated by commas.
     locks: BTreeMap<String, AdvisoryLock>,
 }
 
 impl AdvisoryLocks {
-    /// Takes a lock, unless another session holds it. Returns whether it was taken.
+    /// Acquires a lock unless another session holds it. Returns whether the lock was acquired.
     pub(super) fn try_acquire(&mut self, key: &str, owner: ConnectionId) -> bool {
-        let lock = self
-            .locks
-            .entry(key.to_owned())
-            .or_insert(AdvisoryLock { owner, count: 0 });
+        let lock = self.locks.entry(key.to_owned()).or_insert(AdvisoryLock {
+            owner,
+            acquisition_count: 0,
+        });
         let is_owner = lock.owner == owner;
         if is_owner {
-            lock.count += 1;
+            lock.acquisition_count += 1;
         }
         is_owner
     }
 
-    /// Releases a lock once. Returns whether the session held it.
+    /// Releases a lock once. Returns whether the session held the lock.
     pub(super) fn release(&mut self, key: &str, owner: ConnectionId) -> bool {
         let Some(lock) = self.locks.get_mut(key).filter(|lock| lock.owner == owner) else {
             return false;
         };
-        lock.count -= 1;
-        if lock.count == 0 {
+        lock.acquisition_count -= 1;
+        if lock.acquisition_count == 0 {
             self.locks.remove(key);
         }
         true
--- a/testkit/fakes/src/database/connection.rs
+++ b/testkit/fakes/src/database/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection on its socket: start-up, login, and messages until it ends.
+//! Serves one client connection on its socket: start-up, authentication, then messages until the connection ends.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -9,25 +9,24 @@
 
 use super::connection_id::ConnectionId;
 use super::error::{SqlError, SqlState};
-use super::protocol::{Backend, SEVERITY_FATAL, StartupParameters, read_parameters};
+use super::protocol::{Backend, SEVERITY_FATAL, StartupParameters, read_startup_parameters};
 use super::server_state::{Connection, ServerState};
 use super::sync::lock;
 
-/// A longer message ends its connection.
-const MAX_MESSAGE_LENGTH: usize = 8 * 1024 * 1024;
+/// A longer message ends the connection.
+const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// How many bytes are read from the socket at once.
-const READ_LENGTH: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Codes that stand in place of the protocol version in the first message.
+/// Request codes in the place of the protocol version in the first message.
 const SSL_REQUEST: u32 = 80_877_103;
-const GSS_REQUEST: u32 = 80_877_104;
+const GSSENC_REQUEST: u32 = 80_877_104;
 const CANCEL_REQUEST: u32 = 80_877_102;
 
-/// The length and code at the head of a start-up message, in bytes.
-const STARTUP_HEAD_LENGTH: usize = 8;
+/// The length and the protocol version at the start of a `StartupMessage`.
+const STARTUP_HEADER_BYTES: usize = 8;
 
-/// The kinds of authentication messages.
+/// The authentication request codes.
 const AUTHENTICATION_SASL: u32 = 10;
 const AUTHENTICATION_SASL_CONTINUE: u32 = 11;
 const AUTHENTICATION_SASL_FINAL: u32 = 12;
@@ -59,79 +58,78 @@
         return Ok(());
     }
     let result = client.run();
-    // Whatever ended the connection, what it has not committed is rolled back.
+    // Also after an error, so that uncommitted changes are rolled back.
     client.backend.session.close();
     server.disconnect(id);
     result
 }
 
-/// Reads messages from a socket, several at a time.
+/// A buffered reader of protocol messages.
 struct SocketReader {
     stream: TcpStream,
     bytes: Vec<u8>,
-    /// How many of the bytes were taken.
+    /// The number of bytes at the start of `bytes` that were already returned.
     read_position: usize,
 }
 
-/// A message of the client's.
+/// A message from the client.
 struct ClientMessage {
-    tag: u8,
+    message_type: u8,
     body: Vec<u8>,
 }
 
 impl SocketReader {
-    /// Takes bytes, waiting until they have come.
-    fn read(&mut self, length: usize) -> io::Result<&[u8]> {
-        if length > MAX_MESSAGE_LENGTH {
+    /// Returns the next `length` bytes. Blocks until all are received.
+    fn read_bytes(&mut self, length: usize) -> io::Result<&[u8]> {
+        if length > MAX_MESSAGE_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
         while self.bytes.len() - self.read_position < length {
             self.bytes.drain(..self.read_position);
             self.read_position = 0;
-            let mut piece = [0; READ_LENGTH];
-            let read = self.stream.read(&mut piece)?;
+            let mut chunk = [0; READ_BUFFER_BYTES];
+            let read = self.stream.read(&mut chunk)?;
             if read == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            self.bytes.extend_from_slice(&piece[..read]);
+            self.bytes.extend_from_slice(&chunk[..read]);
         }
         self.read_position += length;
         Ok(&self.bytes[self.read_position - length..self.read_position])
     }
 
     fn read_u32(&mut self) -> io::Result<u32> {
-        self.read(4)
+        self.read_bytes(4)
             .map(|bytes| u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]))
     }
 
     fn read_message(&mut self) -> io::Result<ClientMessage> {
-        let tag = self.read(1)?[0];
+        let message_type = self.read_bytes(1)?[0];
         let length = self.read_u32()? as usize;
-        let body = self.read(length.saturating_sub(4))?.to_vec();
-        Ok(ClientMessage { tag, body })
+        let body = self.read_bytes(length.saturating_sub(4))?.to_vec();
+        Ok(ClientMessage { message_type, body })
     }
 }
 
-/// What a client asks for with its first message.
+/// What a client requests with the first message.
 enum Startup {
-    /// A session with these parameters.
+    /// A session with these start-up parameters.
     Session(StartupParameters),
-    /// To cancel a statement of another connection; that is done.
+    /// The cancellation of a statement of another connection, already carried out.
     Cancel,
 }
 
 /// Why a client was not logged in.
 #[derive(Debug, thiserror::Error)]
 enum LoginError {
-    /// The connection is broken.
+    /// The socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The client receives this error, and the connection ends.
+    /// The error is sent to the client, and the connection ends.
     #[error(transparent)]
     Rejected(#[from] SqlError),
 }
 
-/// A client's connection.
 struct ClientConnection {
     server: Arc<ServerState>,
     backend: Backend,
@@ -164,22 +162,22 @@
             let length = self.reader.read_u32()? as usize;
             let code = self.reader.read_u32()?;
             match code {
-                SSL_REQUEST | GSS_REQUEST => self.stream.write_all(b"N")?,
+                SSL_REQUEST | GSSENC_REQUEST => self.stream.write_all(b"N")?,
                 CANCEL_REQUEST => {
-                    self.cancel_other()?;
+                    self.handle_cancel_request()?;
                     return Ok(Startup::Cancel);
                 }
                 _ => {
-                    let body_length = length.saturating_sub(STARTUP_HEAD_LENGTH);
-                    let body = self.reader.read(body_length)?;
-                    return Ok(Startup::Session(read_parameters(body)));
+                    let body_length = length.saturating_sub(STARTUP_HEADER_BYTES);
+                    let body = self.reader.read_bytes(body_length)?;
+                    return Ok(Startup::Session(read_startup_parameters(body)));
                 }
             }
         }
     }
 
-    /// Cancels the statement of the connection whose process id and secret key follow.
-    fn cancel_other(&mut self) -> io::Result<()> {
+    /// Reads the process id and secret key of a `CancelRequest`, and cancels the current statement of that connection.
+    fn handle_cancel_request(&mut self) -> io::Result<()> {
         let id = ConnectionId(u64::from(self.reader.read_u32()?));
         let secret_key = self.reader.read_u32()?;
         self.server.cancel_count.fetch_add(1, Ordering::SeqCst);
@@ -192,7 +190,7 @@
         Ok(())
     }
 
-    /// Logs the client in and starts its session.
+    /// Authenticates the client and applies the start-up parameters to its session.
     fn open_session(&mut self, parameters: &StartupParameters) -> Result<(), LoginError> {
         let user = parameters.get("user").cloned().unwrap_or_default();
         let needs_password = !lock(&self.server.users).is_empty();
@@ -207,21 +205,21 @@
         if open_connections > self.server.max_connections.load(Ordering::SeqCst) {
             return Err(SqlError::too_many_connections().into());
         }
-        self.backend.session.start(parameters)?;
+        self.backend.session.apply_startup_parameters(parameters)?;
         Ok(())
     }
 
-    /// The SCRAM exchange by which a client shows that it knows its password. Returns whether it does.
+    /// Authenticates a client by SCRAM. Returns whether the client proved knowledge of the password.
     fn authenticate(&mut self, user: &str) -> io::Result<bool> {
-        let known = lock(&self.server.users).get(user).cloned();
-        let verifier = known.unwrap_or_else(|| Verifier::unknown(b"a stand-in", user));
+        let known_verifier = lock(&self.server.users).get(user).cloned();
+        let verifier = known_verifier.unwrap_or_else(|| Verifier::unknown(b"a stand-in", user));
         let mechanisms = [scram::MECHANISM.as_bytes(), b"\0\0"].concat();
         self.write_authentication(AUTHENTICATION_SASL, &mechanisms);
         self.send_output()?;
         let first = self.reader.read_message()?.body;
         let name_end = first.iter().position(|byte| *byte == 0).unwrap_or(0);
         let mechanism = String::from_utf8_lossy(&first[..name_end]).into_owned();
-        // The response follows the end of the name and its own length.
+        // The mechanism's name ends with a zero byte; the response follows its own 4-byte length.
         let response = first.get(name_end + 5..).unwrap_or_default();
         let connection_count = self.server.connection_count.load(Ordering::SeqCst);
         let nonce = format!("stand-in-{connection_count}");
@@ -242,8 +240,8 @@
         Ok(true)
     }
 
-    fn write_authentication(&mut self, kind: u32, data: &[u8]) {
-        let body = [&kind.to_be_bytes(), data].concat();
+    fn write_authentication(&mut self, request_code: u32, data: &[u8]) {
+        let body = [&request_code.to_be_bytes(), data].concat();
         self.backend.write_message(b'R', &body);
     }
 
@@ -251,7 +249,9 @@
         loop {
             let message = self.reader.read_message()?;
             self.server.wait_while_paused();
-            let handled = self.backend.handle_message(message.tag, &message.body);
+            let handled = self
+                .backend
+                .handle_message(message.message_type, &message.body);
             if self.backend.needs_flush() || handled.is_err() {
                 self.send_output()?;
             }
--- a/testkit/fakes/src/database/context.rs
+++ b/testkit/fakes/src/database/context.rs
@@ -1,20 +1,20 @@
-//! What the execution of a statement needs of the session that it runs in.
+//! The interface of a session that statement execution depends on.
 
 use super::error::SqlError;
 use super::storage::Store;
 use super::value::Value;
 
-/// Functions, names and settings as one session sees them.
+/// Functions, table name resolution and settings of a session.
 pub(super) trait ExecutionContext {
-    /// Calls a function by its name in lower case.
+    /// Calls a function by its lower-case name.
     fn call(&self, name: &str, arguments: &[Value]) -> Result<Value, SqlError>;
 
-    /// The stored name of the table that a statement names, found by the session's search path.
+    /// Resolves a table name by the session's search path. Returns the name under which the table is stored.
     fn resolve_table(&self, store: &Store, name: &str) -> Result<String, SqlError>;
 
-    /// The stored name of a table that a statement is about to create.
+    /// The name under which a new table is to be stored.
     fn new_table_name(&self, name: &str, temporary: bool) -> String;
 
-    /// A setting's name in its usual spelling.
+    /// The name of a setting in PostgreSQL's spelling.
     fn canonical_setting_name(&self, name: &str) -> String;
 }
--- a/testkit/fakes/src/database/faults.rs
+++ b/testkit/fakes/src/database/faults.rs
@@ -1,14 +1,15 @@
-//! Faults that a test can inject.
+//! Faults that tests inject.
 
-/// What goes wrong at the statement that a fault is injected for.
+/// A fault that occurs at a statement chosen by the test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     /// The server crashes before it executes the statement.
     CrashBeforeExecution,
-    /// The server executes the statement and crashes before it answers.
+    /// The server crashes after it has executed the statement and, outside a transaction block, committed it, but
+    /// before it responds.
     CrashAfterExecution,
-    /// The statement is never answered.
+    /// The server never responds to the statement.
     Hang,
-    /// The statement is rejected, as by a server whose connections are all taken.
+    /// The server rejects the statement with `too_many_connections`.
     Reject,
 }
--- a/testkit/fakes/src/database/protocol.rs
+++ b/testkit/fakes/src/database/protocol.rs
@@ -1,4 +1,5 @@
-//! The server side of the protocol on one connection, without its socket: messages in, bytes out.
+//! The server side of the frontend/backend protocol on one connection, without the socket: handles messages and
+//! produces output bytes.
 //!
 //! Source: PostgreSQL documentation, chapter "Frontend/Backend Protocol", "Message Flow" and "Message Formats".
 
@@ -24,41 +25,41 @@
 use copy::CopyIn;
 use reader::MessageReader;
 
-pub(super) use reader::read_parameters;
+pub(super) use reader::read_startup_parameters;
 
-/// Output beyond this many bytes goes out before the next message is read.
-const MAX_BUFFERED_OUTPUT: usize = 64 * 1024;
+/// More buffered output than this is sent before the next message is read.
+const MAX_BUFFERED_OUTPUT_BYTES: usize = 64 * 1024;
 
-/// The severity of an error after which the connection goes on.
+/// The severity of an error after which the connection stays open.
 const SEVERITY_ERROR: &str = "ERROR";
 
 /// The severity of an error that ends the connection.
 pub(super) const SEVERITY_FATAL: &str = "FATAL";
 
-/// The connection ends with this message.
+/// Returned for the message at which the server closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the connection is closed")]
 pub struct ConnectionClosed;
 
-/// Why a message was not carried out.
+/// Why handling a message failed.
 #[derive(Debug, thiserror::Error)]
 enum MessageError {
-    /// The client receives an error; the connection goes on.
+    /// The error is sent to the client; the connection stays open.
     #[error(transparent)]
     Rejected(#[from] SqlError),
-    /// The connection ends without another word to the client.
+    /// The connection is closed without an error message.
     #[error(transparent)]
     ConnectionClosed(#[from] ConnectionClosed),
 }
 
-/// One connection's server side, without its socket.
+/// The server side of one connection, without the socket.
 pub struct Backend {
     pub(super) session: Session,
     output: Vec<u8>,
-    /// After an error in the extended protocol, messages are skipped up to the next Sync.
+    /// Set after an error in the extended query protocol: messages are ignored up to the next Sync.
     skip_until_sync: bool,
     copy_in_progress: Option<CopyIn>,
-    /// The output goes out before the next message is read.
+    /// Set when the output has to be sent before the next message is read.
     flush_requested: bool,
 }
 
@@ -73,56 +74,62 @@
         }
     }
 
-    /// Takes the output written so far.
+    /// Removes and returns the buffered output.
     pub fn take_output(&mut self) -> Vec<u8> {
         self.flush_requested = false;
         std::mem::take(&mut self.output)
     }
 
-    /// The transaction status as in `ReadyForQuery`.
+    /// The transaction status byte of `ReadyForQuery`.
     pub fn transaction_status(&self) -> u8 {
         self.session.transaction_status()
     }
 
-    /// Whether the client is to send the data of a COPY.
+    /// Whether a COPY FROM STDIN is in progress and the server expects copy data.
     pub fn is_copying(&self) -> bool {
         self.copy_in_progress.is_some()
     }
 
-    /// Whether the output has to go out before the next message is read.
+    /// Whether the buffered output has to be sent before the next message is read.
     pub fn needs_flush(&self) -> bool {
-        self.flush_requested || self.output.len() > MAX_BUFFERED_OUTPUT
+        self.flush_requested || self.output.len() > MAX_BUFFERED_OUTPUT_BYTES
     }
 
-    /// Handles one message of the client's: its type byte and its body.
-    pub fn handle_message(&mut self, tag: u8, body: &[u8]) -> Result<(), ConnectionClosed> {
+    /// Handles one message from the client. `body` excludes the message's type byte and length.
+    pub fn handle_message(
+        &mut self,
+        message_type: u8,
+        body: &[u8],
+    ) -> Result<(), ConnectionClosed> {
         if self.copy_in_progress.is_some() {
-            return self.copy_message(tag, body);
+            return self.handle_copy_message(message_type, body);
         }
-        if self.skip_until_sync && !matches!(tag, b'S' | b'X') {
+        if self.skip_until_sync && !matches!(message_type, b'S' | b'X') {
             return Ok(());
         }
         let mut body = MessageReader::new(body);
-        match tag {
-            b'Q' => self.simple_query(&body.string()?),
+        match message_type {
+            b'Q' => self.handle_simple_query(&body.string()?),
             b'S' => {
-                self.sync();
+                self.handle_sync();
                 Ok(())
             }
             b'H' => {
                 self.flush_requested = true;
                 Ok(())
             }
-            // The rest of a COPY that has failed.
+            // Sent by the client before it noticed that the COPY had failed.
             b'd' | b'c' | b'f' => Ok(()),
             b'X' => Err(ConnectionClosed),
             b'F' => {
                 self.reject_function_call();
                 Ok(())
             }
-            b'P' | b'B' | b'D' | b'E' | b'C' => self.extended_message(tag, &mut body),
+            b'P' | b'B' | b'D' | b'E' | b'C' => {
+                self.handle_extended_query_message(message_type, &mut body)
+            }
             _ => {
-                let message = format!("invalid frontend message type {tag}");
+                let message = format!("invalid frontend message type {message_type}");
                 let error = SqlError::new(SqlState::PROTOCOL_VIOLATION, message);
                 self.write_error(SEVERITY_FATAL, &error);
                 Err(ConnectionClosed)
@@ -130,18 +137,18 @@
         }
     }
 
-    /// Handles a message of the extended protocol. After an error, messages are skipped up to the next Sync.
-    fn extended_message(
+    /// Handles a message of the extended query protocol. After an error, messages are ignored up to the next Sync.
+    fn handle_extended_query_message(
         &mut self,
-        tag: u8,
+        message_type: u8,
         body: &mut MessageReader<'_>,
     ) -> Result<(), ConnectionClosed> {
-        let handled = match tag {
-            b'P' => self.parse_message(body),
-            b'B' => self.bind_message(body),
-            b'D' => self.describe_message(body),
-            b'E' => self.execute_message(body),
-            _ => self.close_message(body),
+        let handled = match message_type {
+            b'P' => self.handle_parse(body),
+            b'B' => self.handle_bind(body),
+            b'D' => self.handle_describe(body),
+            b'E' => self.handle_execute(body),
+            _ => self.handle_close(body),
         };
         match handled {
             Ok(()) => Ok(()),
@@ -156,7 +163,7 @@
         }
     }
 
-    fn sync(&mut self) {
+    fn handle_sync(&mut self) {
         self.skip_until_sync = false;
         if let Err(error) = self.session.end_implicit_transaction() {
             self.write_error(SEVERITY_ERROR, &error);
@@ -167,14 +174,14 @@
     fn reject_function_call(&mut self) {
         let error = SqlError::new(
             SqlState::FEATURE_NOT_SUPPORTED,
-            "function calls are not spoken by the stand-in",
+            "the fake PostgreSQL server does not support FunctionCall messages",
         );
         self.write_error(SEVERITY_ERROR, &error);
         self.session.fail_transaction();
         self.write_ready_for_query();
     }
 
-    /// Executes a statement, or lets the fault happen that is armed for it.
+    /// Executes a statement, with the fault armed for it, if any.
     fn execute_statement(
         &mut self,
         statement: &Statement,
@@ -211,15 +218,15 @@
         }
     }
 
-    /// Writes a message: its type byte, its length and its body.
-    pub(super) fn write_message(&mut self, tag: u8, body: &[u8]) {
+    /// Appends a message to the output: type byte, length, body.
+    pub(super) fn write_message(&mut self, message_type: u8, body: &[u8]) {
         let length = u32::try_from(body.len() + 4).unwrap_or(u32::MAX);
-        self.output.push(tag);
+        self.output.push(message_type);
         self.output.extend_from_slice(&length.to_be_bytes());
         self.output.extend_from_slice(body);
     }
 
-    /// Writes what follows a successful login, up to the first `ReadyForQuery`.
+    /// Writes the messages that complete a login, from `AuthenticationOk` to `ReadyForQuery`.
     pub(super) fn write_login_complete(&mut self) {
         let id = self.session.connection_id;
         self.write_message(b'R', &0_u32.to_be_bytes());
@@ -248,7 +255,7 @@
         }
     }
 
-    /// Writes `ReadyForQuery`, preceded by changed settings and notifications.
+    /// Writes changed settings (`ParameterStatus`), pending notifications and `ReadyForQuery`.
     fn write_ready_for_query(&mut self) {
         self.write_changed_settings();
         self.write_notifications();
@@ -267,5 +274,5 @@
     }
 }
 
-/// The parameters of a start-up message, by name.
+/// The parameters of a `StartupMessage`, by name.
 pub(super) type StartupParameters = BTreeMap<String, String>;
--- a/testkit/fakes/src/database/protocol/copy.rs
+++ b/testkit/fakes/src/database/protocol/copy.rs
@@ -1,4 +1,4 @@
-//! COPY in both directions, in its text format.
+//! COPY FROM STDIN and COPY TO STDOUT in text format.
 //!
 //! Source: PostgreSQL documentation, "COPY Operations" and the text format of COPY.
 
@@ -12,35 +12,36 @@
 use crate::database::result::{ResultColumn, StatementResult};
 use crate::database::value::Value;
 
-/// The protocol by which a statement came.
+/// The query protocol of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueryProtocol {
-    /// A Query message: it is complete when the COPY is.
+    /// A Query message: `ReadyForQuery` follows at the end of the COPY.
     Simple,
-    /// Parse, Bind and Execute: a Sync follows.
+    /// Parse, Bind and Execute: the client sends a Sync.
     Extended,
 }
 
-/// How far a COPY has come.
+/// The progress of a COPY after its statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CopyProgress {
-    /// All is done.
+    /// The COPY is complete.
     Complete,
-    /// The client is to send the data.
+    /// The server expects copy data from the client.
     AwaitsData,
 }
 
-/// A COPY FROM whose data the client sends.
+/// A COPY FROM STDIN in progress.
 pub(super) struct CopyIn {
     table: String,
     columns: Vec<String>,
+    /// The copy data received so far.
     data: Vec<u8>,
     protocol: QueryProtocol,
 }
 
 impl Backend {
     /// Executes a COPY TO, or begins a COPY FROM.
-    pub(super) fn copy(
+    pub(super) fn execute_copy(
         &mut self,
         source: &CopySource,
         to: bool,
@@ -61,14 +62,14 @@
         else {
             return Err(SqlError::new(
                 SqlState::FEATURE_NOT_SUPPORTED,
-                "COPY is from standard input only here",
+                "the fake PostgreSQL server supports COPY FROM STDIN only",
             ));
         };
         self.begin_copy_in(table_name, columns, protocol)?;
         Ok(CopyProgress::AwaitsData)
     }
 
-    /// COPY TO: writes the rows of a table or query.
+    /// COPY TO: writes the rows of a table or query as copy data.
     fn copy_out(&mut self, source: &CopySource) -> Result<(), SqlError> {
         let Some(statement) = parse_single_statement(&copied_query(source))? else {
             return Ok(());
@@ -95,7 +96,7 @@
         self.write_message(b'C', format!("COPY {count}\0").as_bytes());
     }
 
-    /// COPY FROM: asks the client for the data. Fails before that if the table does not exist.
+    /// COPY FROM: requests copy data from the client. Fails if the table does not exist.
     fn begin_copy_in(
         &mut self,
         table_name: &ObjectName,
@@ -126,26 +127,30 @@
         Ok(())
     }
 
-    /// Writes a `CopyInResponse` or `CopyOutResponse`: text format for all columns.
-    fn write_copy_response(&mut self, tag: u8, columns: usize) {
+    /// Writes a `CopyInResponse` or `CopyOutResponse` with text format for all columns.
+    fn write_copy_response(&mut self, message_type: u8, columns: usize) {
         let mut body = vec![0];
         body.extend_from_slice(&u16::try_from(columns).unwrap_or(0).to_be_bytes());
         body.extend(std::iter::repeat_n(0, columns * 2));
-        self.write_message(tag, &body);
+        self.write_message(message_type, &body);
     }
 
-    /// Handles a message during a COPY FROM.
-    pub(super) fn copy_message(&mut self, tag: u8, body: &[u8]) -> Result<(), ConnectionClosed> {
-        match tag {
-            b'd' => self.copy_data(body),
-            // Ignored, for clients that send them before they notice that a COPY has begun.
+    /// Handles a message from the client during a COPY FROM.
+    pub(super) fn handle_copy_message(
+        &mut self,
+        message_type: u8,
+        body: &[u8],
+    ) -> Result<(), ConnectionClosed> {
+        match message_type {
+            b'd' => self.handle_copy_data(body),
+            // Flush and Sync are ignored: a client may send them before it notices that a COPY has begun.
             b'H' | b'S' => Ok(()),
-            _ => self.end_copy_in(tag, body),
+            _ => self.end_copy_in(message_type, body),
         }
     }
 
-    /// Collects data, or lets the fault happen that is armed for it.
-    fn copy_data(&mut self, data: &[u8]) -> Result<(), ConnectionClosed> {
+    /// Appends copy data, or crashes if a crash fault is armed for this data.
+    fn handle_copy_data(&mut self, data: &[u8]) -> Result<(), ConnectionClosed> {
         if let Some(copy_in) = &mut self.copy_in_progress {
             copy_in.data.extend_from_slice(data);
         }
@@ -159,13 +164,13 @@
         }
     }
 
-    /// Ends a COPY FROM: by `CopyDone` or `CopyFail`; any other message is an error.
-    fn end_copy_in(&mut self, tag: u8, body: &[u8]) -> Result<(), ConnectionClosed> {
+    /// Ends a COPY FROM at `CopyDone` or `CopyFail`; any other message makes the COPY fail.
+    fn end_copy_in(&mut self, message_type: u8, body: &[u8]) -> Result<(), ConnectionClosed> {
         let Some(copy_in) = self.copy_in_progress.take() else {
             return Ok(());
         };
         let is_simple = copy_in.protocol == QueryProtocol::Simple;
-        match self.finish_copy_in(&copy_in, tag, body) {
+        match self.finish_copy_in(&copy_in, message_type, body) {
             Ok(()) => {}
             Err(MessageError::ConnectionClosed(closed)) => return Err(closed),
             Err(MessageError::Rejected(error)) => {
@@ -183,10 +188,10 @@
     fn finish_copy_in(
         &mut self,
         copy_in: &CopyIn,
-        tag: u8,
+        message_type: u8,
         body: &[u8],
     ) -> Result<(), MessageError> {
-        match tag {
+        match message_type {
             b'c' => {
                 let data = String::from_utf8_lossy(&copy_in.data);
                 let count = self
@@ -217,7 +222,7 @@
     }
 }
 
-/// The query whose rows a COPY TO writes.
+/// The text of the query whose rows a COPY TO writes.
 fn copied_query(source: &CopySource) -> String {
     match source {
         CopySource::Query(query) => query.to_string(),
@@ -235,7 +240,7 @@
     }
 }
 
-/// A row as a line of COPY's text format.
+/// Formats a row as a line of COPY's text format.
 fn copy_line(row: &[Value], columns: &[ResultColumn]) -> String {
     let values = row.iter().zip(columns);
     let fields: Vec<String> = values
@@ -247,7 +252,7 @@
     format!("{}\n", fields.join("\t"))
 }
 
-/// A text with the backslash escapes of COPY's text format.
+/// Escapes a field for COPY's text format.
 fn escape(text: &str) -> String {
     text.replace('\\', "\\\\")
         .replace('\t', "\\t")
--- a/testkit/fakes/src/database/protocol/extended.rs
+++ b/testkit/fakes/src/database/protocol/extended.rs
@@ -14,8 +14,8 @@
 use crate::database::session::ends_transaction;
 use crate::database::value::{Type, Value};
 
-/// The kind byte of a prepared statement in Describe and Close.
-const KIND_STATEMENT: u8 = b'S';
+/// The byte in Describe and Close that selects a prepared statement rather than a portal.
+const TARGET_STATEMENT: u8 = b'S';
 
 /// The fields of a Bind message.
 struct Bind<'a> {
@@ -43,7 +43,7 @@
         })
     }
 
-    /// The values of the parameters, whose types the statement knows.
+    /// Decodes the parameter values by the parameter types of the statement.
     fn values(&self, statement: &PreparedStatement) -> Result<Vec<Value>, SqlError> {
         let parameters = self.parameters.iter().zip(&statement.parameters);
         let values = parameters
@@ -62,7 +62,7 @@
 }
 
 impl Backend {
-    pub(super) fn parse_message(
+    pub(super) fn handle_parse(
         &mut self,
         body: &mut MessageReader<'_>,
     ) -> Result<(), MessageError> {
@@ -98,10 +98,7 @@
         })
     }
 
-    pub(super) fn bind_message(
-        &mut self,
-        body: &mut MessageReader<'_>,
-    ) -> Result<(), MessageError> {
+    pub(super) fn handle_bind(&mut self, body: &mut MessageReader<'_>) -> Result<(), MessageError> {
         let bind = Bind::read(body)?;
         let statement = self.prepared_statement(&bind.statement)?;
         let ends_transaction = statement.statement.as_ref().is_some_and(ends_transaction);
@@ -126,11 +123,11 @@
     }
 
     fn check_bind(&self, bind: &Bind<'_>, statement: &PreparedStatement) -> Result<(), SqlError> {
-        let given = bind.parameters.len();
+        let supplied = bind.parameters.len();
         let required = statement.parameters.len();
-        if given != required {
+        if supplied != required {
             let message = format!(
-                "bind message supplies {given} parameters, but prepared statement \"{}\" requires {required}",
+                "bind message supplies {supplied} parameters, but prepared statement \"{}\" requires {required}",
                 bind.statement
             );
             return Err(SqlError::new(SqlState::PROTOCOL_VIOLATION, message));
@@ -144,13 +141,13 @@
         Ok(())
     }
 
-    pub(super) fn describe_message(
+    pub(super) fn handle_describe(
         &mut self,
         body: &mut MessageReader<'_>,
     ) -> Result<(), MessageError> {
-        let kind = body.u8()?;
+        let target = body.u8()?;
         let name = body.string()?;
-        if kind == KIND_STATEMENT {
+        if target == TARGET_STATEMENT {
             let statement = self.prepared_statement(&name)?;
             if self.session.transaction_failed && !statement.columns.is_empty() {
                 return Err(SqlError::failed_transaction().into());
@@ -192,7 +189,7 @@
         }
     }
 
-    pub(super) fn execute_message(
+    pub(super) fn handle_execute(
         &mut self,
         body: &mut MessageReader<'_>,
     ) -> Result<(), MessageError> {
@@ -219,7 +216,7 @@
             source, to, target, ..
         } = statement
         {
-            self.copy(source, *to, target, QueryProtocol::Extended)?;
+            self.execute_copy(source, *to, target, QueryProtocol::Extended)?;
             return Ok(());
         }
         let pending = match portal.pending {
@@ -238,7 +235,7 @@
         Ok(())
     }
 
-    /// Writes all rows of a result that a portal has just produced.
+    /// Writes all rows and the completion of a portal executed without a row limit.
     fn finish_portal(&mut self, name: &str, result: StatementResult, formats: &[u16]) {
         let count = self.write_rows(&result, formats);
         self.write_command_complete(&result, count);
@@ -249,12 +246,12 @@
             });
         }
         if is_begin {
-            // A server keeps the portal of a BEGIN, but no client asks for it again.
+            // PostgreSQL keeps the portal of a BEGIN, but no client executes that portal again.
             self.session.portals.remove(name);
         }
     }
 
-    /// Writes the next rows of a portal; all that are left without a limit.
+    /// Writes the next rows of a portal: up to `row_limit`, or all remaining rows if `None`.
     fn fetch_from_portal(
         &mut self,
         name: &str,
@@ -276,20 +273,20 @@
         self.update_portal(name, |portal| portal.pending = Some(pending));
     }
 
-    /// Changes a portal, if it is still open.
+    /// Updates a portal, if open.
     fn update_portal(&mut self, name: &str, update: impl FnOnce(&mut Portal)) {
         if let Some(portal) = self.session.portals.get_mut(name) {
             update(portal);
         }
     }
 
-    pub(super) fn close_message(
+    pub(super) fn handle_close(
         &mut self,
         body: &mut MessageReader<'_>,
     ) -> Result<(), MessageError> {
-        let kind = body.u8()?;
+        let target = body.u8()?;
         let name = body.string()?;
-        if kind == KIND_STATEMENT {
+        if target == TARGET_STATEMENT {
             self.session.prepared.remove(&name);
         } else {
             self.session.portals.remove(&name);
--- a/testkit/fakes/src/database/protocol/reader.rs
+++ b/testkit/fakes/src/database/protocol/reader.rs
@@ -1,10 +1,10 @@
-//! Reads the fields of a message's body.
+//! Decodes the fields of a message body.
 
 use super::{ConnectionClosed, StartupParameters};
 
-/// The part of a body that was not read yet. Each read takes a field from its front; a body that is too short ends the
-/// connection.
+/// Reads fields from the start of a message body. A body that is too short closes the connection.
 pub(super) struct MessageReader<'a> {
+    /// The bytes that were not read yet.
     remaining: &'a [u8],
 }
 
@@ -13,7 +13,7 @@
         Self { remaining: body }
     }
 
-    /// A text that ends with a zero byte.
+    /// Reads a string terminated by a zero byte.
     pub(super) fn string(&mut self) -> Result<String, ConnectionClosed> {
         let end = self.remaining.iter().position(|byte| *byte == 0);
         let end = end.ok_or(ConnectionClosed)?;
@@ -34,13 +34,13 @@
         self.array().map(u32::from_be_bytes)
     }
 
-    /// A list of 16-bit numbers, preceded by their count.
+    /// Reads an array of 16-bit integers, preceded by the number of elements.
     pub(super) fn u16_array(&mut self) -> Result<Vec<u16>, ConnectionClosed> {
         let count = self.u16()?;
         (0..count).map(|_| self.u16()).collect()
     }
 
-    /// Bytes preceded by their length; `None` for the length -1, which stands for NULL.
+    /// Reads bytes preceded by their length; `None` for a negative length, which encodes NULL.
     pub(super) fn nullable_bytes(&mut self) -> Result<Option<&'a [u8]>, ConnectionClosed> {
         let length = i32::from_be_bytes(self.array()?);
         let Ok(length) = usize::try_from(length) else {
@@ -61,8 +61,8 @@
     }
 }
 
-/// The parameters in the body of a start-up message.
-pub(crate) fn read_parameters(body: &[u8]) -> StartupParameters {
+/// Reads the parameters of a `StartupMessage`. `body` starts after the protocol version.
+pub(crate) fn read_startup_parameters(body: &[u8]) -> StartupParameters {
     let mut body = MessageReader::new(body);
     let mut parameters = StartupParameters::new();
     while let (Ok(name), Ok(value)) = (body.string(), body.string()) {
--- a/testkit/fakes/src/database/protocol/rows.rs
+++ b/testkit/fakes/src/database/protocol/rows.rs
@@ -1,50 +1,52 @@
-//! Writes results: the description of the columns, the rows, the completion.
+//! Writes results: `RowDescription`, `DataRow` and `CommandComplete`.
 
 use super::Backend;
 use crate::database::result::{ResultColumn, StatementResult};
 use crate::database::value::{Type, Value};
 
-/// Output beyond this many bytes goes out while a result is written.
-const MAX_BUFFERED_ROWS: usize = 256 * 1024;
+/// More buffered output than this is sent while a result is still being written.
+const MAX_BUFFERED_ROW_BYTES: usize = 256 * 1024;
 
-/// The text format of a value, the default.
+/// The code of the text format, the default.
 const TEXT_FORMAT: u16 = 0;
 
-/// The binary format of a value.
+/// The code of the binary format.
 pub(super) const BINARY_FORMAT: u16 = 1;
 
-/// The length that stands for NULL.
+/// The length that encodes NULL.
 const NULL_LENGTH: i32 = -1;
 
-/// The format of the column or parameter at a position: one format stands for all, none for text.
+/// The format code of the column or parameter at a position. A single code applies to all positions; without any code,
+/// the format is text.
 pub(super) fn column_format(formats: &[u16], position: usize) -> u16 {
     let format = formats.get(position).or(formats.first());
     format.copied().unwrap_or(TEXT_FORMAT)
 }
 
-/// A count of columns as messages have it.
-fn column_count(count: usize) -> [u8; 2] {
+/// Encodes a number of columns as a 16-bit integer.
+fn encode_column_count(count: usize) -> [u8; 2] {
     u16::try_from(count).unwrap_or(0).to_be_bytes()
 }
 
 impl Backend {
     /// Writes a `RowDescription`.
     pub(super) fn write_row_description(&mut self, columns: &[ResultColumn], formats: &[u16]) {
-        let mut body = column_count(columns.len()).to_vec();
+        let mut body = encode_column_count(columns.len()).to_vec();
         for (position, column) in columns.iter().enumerate() {
             body.extend_from_slice(column.name.as_bytes());
-            // The end of the name; no table, and no position in one.
+            // The terminator of the name; 0 for the table's OID and for the column's attribute number.
             body.extend_from_slice(&[0, 0, 0, 0, 0, 0, 0]);
             body.extend_from_slice(&column.data_type.0.to_be_bytes());
             body.extend_from_slice(&column.data_type.length().to_be_bytes());
-            // No type modifier.
+            // Type modifier -1: none.
             body.extend_from_slice(&[0xff, 0xff, 0xff, 0xff]);
             body.extend_from_slice(&column_format(formats, position).to_be_bytes());
         }
         self.write_message(b'T', &body);
     }
 
-    /// Writes the rows of a result. Returns how many; of a result without rows, how many rows the statement changed.
+    /// Writes the rows of a result. Returns the number of rows written, or the number of affected rows for a statement
+    /// that returns none.
     pub(super) fn write_rows(&mut self, result: &StatementResult, formats: &[u16]) -> u64 {
         if result.columns.is_empty() {
             return result.affected_rows;
@@ -54,7 +56,7 @@
             for _ in 0..=result.extra_copies {
                 self.write_row(row, &result.columns, formats);
                 count += 1;
-                if !self.send_large_output() {
+                if !self.flush_large_output() {
                     return count;
                 }
             }
@@ -62,20 +64,20 @@
         count
     }
 
-    /// Sends the output of a large result while it is made. Returns false once the client has gone.
-    fn send_large_output(&mut self) -> bool {
-        if self.output.len() <= MAX_BUFFERED_ROWS {
+    /// Sends the output if it exceeds [`MAX_BUFFERED_ROW_BYTES`]. Returns `false` if that fails.
+    fn flush_large_output(&mut self) -> bool {
+        if self.output.len() <= MAX_BUFFERED_ROW_BYTES {
             return true;
         }
         let output = std::mem::take(&mut self.output);
         self.session
             .server
-            .write(self.session.connection_id, &output)
+            .write_to(self.session.connection_id, &output)
     }
 
     /// Writes a `DataRow`.
     pub(super) fn write_row(&mut self, row: &[Value], columns: &[ResultColumn], formats: &[u16]) {
-        let mut body = column_count(row.len()).to_vec();
+        let mut body = encode_column_count(row.len()).to_vec();
         for (position, value) in row.iter().enumerate() {
             if *value == Value::Null {
                 body.extend_from_slice(&NULL_LENGTH.to_be_bytes());
@@ -91,7 +93,7 @@
         self.write_message(b'D', &body);
     }
 
-    /// Writes a `CommandComplete` for a result of which `count` rows were returned or changed.
+    /// Writes a `CommandComplete`; `count` is the number of rows returned or affected.
     pub(super) fn write_command_complete(&mut self, result: &StatementResult, count: u64) {
         let tag = match result.command_tag {
             "INSERT" => format!("INSERT 0 {}", result.affected_rows.max(count)),
@@ -102,9 +104,9 @@
     }
 }
 
-/// A value as a column of this type in this format.
+/// Encodes a value for a column of this type and format.
 fn encode(value: &Value, data_type: Type, format: u16) -> Vec<u8> {
-    // A literal without a type has that of its column.
+    // Converts values whose type differs from the column's, such as untyped literals.
     let cast = value.clone().cast(data_type);
     let value = cast.unwrap_or_else(|_| value.clone());
     if format == BINARY_FORMAT {
--- a/testkit/fakes/src/database/protocol/simple.rs
+++ b/testkit/fakes/src/database/protocol/simple.rs
@@ -1,4 +1,4 @@
-//! The simple query protocol: all statements of one text.
+//! The simple query protocol: executes all statements of a query string.
 
 use sqlparser::ast::Statement;
 
@@ -8,21 +8,21 @@
 use crate::database::error::SqlError;
 use crate::database::parse::parse_statements;
 
-/// What happens after a statement of a text.
-enum Progress {
-    /// The next statement is executed.
-    Next,
-    /// The client sends the data of a COPY; the statements after it are not executed.
-    AwaitsCopyData,
+/// What follows a statement of a query string.
+enum NextStep {
+    /// The next statement is executed, or the query ends.
+    Continue,
+    /// The server waits for copy data; the statements after the COPY are not executed.
+    AwaitCopyData,
 }
 
 impl Backend {
-    /// Executes the statements of a Query message; an error ends it.
-    pub(super) fn simple_query(&mut self, sql: &str) -> Result<(), ConnectionClosed> {
+    /// Handles a Query message. An error skips the remaining statements.
+    pub(super) fn handle_simple_query(&mut self, sql: &str) -> Result<(), ConnectionClosed> {
         self.session.prepared.remove("");
-        match self.execute_text(sql) {
-            Ok(Progress::AwaitsCopyData) => {}
-            Ok(Progress::Next) => self.write_ready_for_query(),
+        match self.execute_query_string(sql) {
+            Ok(NextStep::AwaitCopyData) => {}
+            Ok(NextStep::Continue) => self.write_ready_for_query(),
             Err(MessageError::ConnectionClosed(closed)) => return Err(closed),
             Err(MessageError::Rejected(error)) => {
                 self.write_error(SEVERITY_ERROR, &error);
@@ -33,35 +33,35 @@
         Ok(())
     }
 
-    fn execute_text(&mut self, sql: &str) -> Result<Progress, MessageError> {
-        let statements = parse_text(sql)?;
+    fn execute_query_string(&mut self, sql: &str) -> Result<NextStep, MessageError> {
+        let statements = parse_query_string(sql)?;
         if statements.is_empty() {
             self.write_message(b'I', b"");
         }
         let last = statements.len().saturating_sub(1);
         for (position, statement) in statements.iter().enumerate() {
-            let progress = self.execute_simple(statement, sql, position == last)?;
-            if matches!(progress, Progress::AwaitsCopyData) {
-                return Ok(progress);
+            let next_step = self.execute_simple_statement(statement, sql, position == last)?;
+            if matches!(next_step, NextStep::AwaitCopyData) {
+                return Ok(next_step);
             }
         }
         self.session.end_implicit_transaction()?;
-        Ok(Progress::Next)
+        Ok(NextStep::Continue)
     }
 
-    fn execute_simple(
+    fn execute_simple_statement(
         &mut self,
         statement: &Statement,
         sql: &str,
         is_last: bool,
-    ) -> Result<Progress, MessageError> {
+    ) -> Result<NextStep, MessageError> {
         if let Statement::Copy {
             source, to, target, ..
         } = statement
         {
-            return match self.copy(source, *to, target, QueryProtocol::Simple)? {
-                CopyProgress::AwaitsData => Ok(Progress::AwaitsCopyData),
-                CopyProgress::Complete => Ok(Progress::Next),
+            return match self.execute_copy(source, *to, target, QueryProtocol::Simple)? {
+                CopyProgress::AwaitsData => Ok(NextStep::AwaitCopyData),
+                CopyProgress::Complete => Ok(NextStep::Continue),
             };
         }
         let result = self.execute_statement(statement, &[], sql)?;
@@ -71,16 +71,16 @@
         let count = self.write_rows(&result, &[]);
         self.write_command_complete(&result, count);
         if is_last {
-            // The statements of one text are one transaction.
+            // Outside a transaction block, all statements of a query string form one transaction.
             self.session.end_implicit_transaction()?;
         }
-        Ok(Progress::Next)
+        Ok(NextStep::Continue)
     }
 }
 
-fn parse_text(sql: &str) -> Result<Vec<Statement>, SqlError> {
+fn parse_query_string(sql: &str) -> Result<Vec<Statement>, SqlError> {
     if CatalogueQuery::recognize(sql).is_some() {
-        // Stands for the query, which the parser need not know.
+        // A placeholder: the parser may not support the query, and `execute_statement` answers it by its text.
         parse_statements("SELECT 1")
     } else {
         parse_statements(sql)
--- a/testkit/fakes/src/database/server_state.rs
+++ b/testkit/fakes/src/database/server_state.rs
@@ -1,4 +1,4 @@
-//! What all connections of a server share: tables, locks, notifications, users, counters and injected faults.
+//! The state that all connections of a server share: tables, locks, notifications, users, counters and faults.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::Write;
@@ -15,53 +15,52 @@
 use super::storage::Store;
 use super::sync::lock;
 
-/// How often a connection that waits checks whether it may go on.
+/// The interval at which a blocked connection checks whether the server is down or no longer paused.
 pub(super) const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Notifications that wait for one connection, at most; later ones are dropped.
+/// The maximum number of undelivered notifications per connection; further notifications are dropped.
 const MAX_PENDING_NOTIFICATIONS: usize = 1000;
 
 /// An open connection.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
-    /// Set to cancel the statement that it executes.
+    /// Set to cancel the current statement of the connection.
     pub(super) cancel_requested: Arc<AtomicBool>,
 }
 
-/// A notification that waits for its connection to be idle.
+/// A notification that is not yet delivered to a listening connection.
 pub(super) struct Notification {
     pub(super) sender: ConnectionId,
     pub(super) channel: String,
     pub(super) payload: String,
 }
 
-/// A fault that happens once, at the next statement that contains the text.
+/// A fault that the next statement containing `text` triggers once.
 struct ArmedFault {
     text: String,
     fault: InjectedFault,
 }
 
-/// The state of a server.
 pub(super) struct ServerState {
     pub(super) store: Mutex<Store>,
     pub(super) connections: Mutex<BTreeMap<ConnectionId, Connection>>,
     pub(super) advisory_locks: Mutex<AdvisoryLocks>,
     notifications: Mutex<BTreeMap<ConnectionId, VecDeque<Notification>>>,
     pub(super) version: Mutex<String>,
-    /// Who may log in, by SCRAM; anybody while it is empty.
+    /// The SCRAM verifiers of users by name. While empty, any client may log in without authentication.
     pub(super) users: Mutex<BTreeMap<String, Verifier>>,
     pub(super) is_up: AtomicBool,
-    /// It accepts connections and answers none.
+    /// Whether the server accepts connections but handles no messages.
     pub(super) is_paused: AtomicBool,
     pub(super) max_connections: AtomicU64,
-    /// Connections accepted so far.
+    /// Connections accepted since the start.
     pub(super) connection_count: AtomicU64,
     pub(super) login_count: AtomicU64,
     pub(super) statement_count: AtomicU64,
     pub(super) transaction_count: AtomicU64,
     pub(super) cancel_count: AtomicU32,
     fault: Mutex<Option<ArmedFault>>,
-    /// Signalled when a transaction ends.
+    /// Signalled when a transaction ends, a statement is cancelled, the server is paused or resumed, or it crashes.
     transaction_ended: Condvar,
     transaction_ended_lock: Mutex<()>,
 }
@@ -89,27 +88,27 @@
         }
     }
 
-    /// Counts a new connection. Returns its number.
-    pub(super) fn next_connection(&self) -> ConnectionId {
+    /// Counts a new connection and returns its id.
+    pub(super) fn next_connection_id(&self) -> ConnectionId {
         ConnectionId(self.connection_count.fetch_add(1, Ordering::SeqCst) + 1)
     }
 
-    /// Whether it accepts connections and commits.
+    /// Whether the server accepts connections and commits.
     pub(super) fn is_up(&self) -> bool {
         self.is_up.load(Ordering::SeqCst)
     }
 
-    /// Closes a connection's socket, if it is open.
+    /// Closes a connection's socket, if open, and removes the connection.
     pub(super) fn disconnect(&self, id: ConnectionId) {
         if let Some(connection) = lock(&self.connections).remove(&id) {
             let _ = connection.stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Goes down: nothing is committed any more, and all connections are closed.
+    /// Takes the server down: prevents further commits and closes all connections.
     pub(super) fn crash(&self) {
         {
-            // Commits hold the same lock: none is under way.
+            // Commits hold the same lock, so that none is in progress here.
             let _store = lock(&self.store);
             self.is_up.store(false, Ordering::SeqCst);
         }
@@ -120,7 +119,7 @@
         self.notify_transaction_ended();
     }
 
-    /// Arms a fault, in place of any earlier one.
+    /// Arms a fault. Replaces an earlier armed fault.
     pub(super) fn arm_fault(&self, text: &str, fault: InjectedFault) {
         *lock(&self.fault) = Some(ArmedFault {
             text: text.to_owned(),
@@ -128,12 +127,12 @@
         });
     }
 
-    /// Disarms the fault.
+    /// Disarms the armed fault, if any.
     pub(super) fn disarm_fault(&self) {
         *lock(&self.fault) = None;
     }
 
-    /// The fault that is to happen at this statement, if any; it is disarmed.
+    /// Disarms and returns the armed fault if `sql` contains the fault's text.
     pub(super) fn take_fault(&self, sql: &str) -> Option<InjectedFault> {
         let mut slot = lock(&self.fault);
         let matching = slot.take_if(|armed| sql.contains(armed.text.as_str()));
@@ -154,14 +153,14 @@
         }
     }
 
-    /// Blocks until a transaction ends, `timeout` at the longest.
+    /// Blocks until a transaction ends, but no longer than `timeout`.
     pub(super) fn wait_for_transaction_end(&self, timeout: Duration) {
         let guard = lock(&self.transaction_ended_lock);
         let waited = self.transaction_ended.wait_timeout(guard, timeout);
         drop(waited.unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Wakes all connections that wait for a transaction to end.
+    /// Wakes all connections that are blocked in [`Self::wait_for_transaction_end`].
     pub(super) fn notify_transaction_ended(&self) {
         self.transaction_ended.notify_all();
     }
@@ -182,7 +181,7 @@
         }
     }
 
-    /// The notifications that wait for a connection on the channels that it listens to; all others are dropped.
+    /// Removes a connection's queued notifications and returns those on the given channels; the rest are dropped.
     pub(super) fn take_notifications(
         &self,
         receiver: ConnectionId,
@@ -197,8 +196,8 @@
             .collect()
     }
 
-    /// Writes to a connection's socket at once. Returns whether that succeeded.
-    pub(super) fn write(&self, id: ConnectionId, bytes: &[u8]) -> bool {
+    /// Writes directly to a connection's socket. Returns `false` if the connection is closed or the write fails.
+    pub(super) fn write_to(&self, id: ConnectionId, bytes: &[u8]) -> bool {
         let stream = lock(&self.connections)
             .get(&id)
             .and_then(|connection| connection.stream.try_clone().ok());
--- a/testkit/fakes/src/database/session.rs
+++ b/testkit/fakes/src/database/session.rs
@@ -1,4 +1,4 @@
-//! A connection's session: its settings, transaction, prepared statements and portals.
+//! A session: the settings, transaction, prepared statements and portals of one connection.
 
 mod control;
 mod cursors;
@@ -28,37 +28,37 @@
 use super::sync::lock;
 use super::value::{Type, Value};
 
-/// How often a statement that waits checks whether it is cancelled.
+/// The interval at which a blocked statement checks for cancellation and timeout.
 const CANCEL_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The savepoint before each statement, by which a failed statement is undone.
+/// The name of the internal savepoint that is set before each statement and undoes a failed statement.
 const STATEMENT_SAVEPOINT: &str = "";
 
-/// A connection's session.
 pub(super) struct Session {
     pub(super) server: Arc<ServerState>,
     pub(super) connection_id: ConnectionId,
-    /// Set by another connection to cancel the statement that is executed.
+    /// Set by a cancel request to cancel the current statement.
     pub(super) cancel_requested: Arc<AtomicBool>,
     user: String,
     database: String,
     settings: RefCell<Settings>,
-    /// The settings after the client's start-up parameters, to which RESET returns.
+    /// The settings with the client's start-up parameters applied; RESET restores these values.
     startup_settings: Settings,
-    /// The settings to which a rollback returns.
+    /// The settings that a rollback restores; `None` outside a transaction.
     settings_before_transaction: Option<Settings>,
-    /// The earlier values of settings that hold until the transaction ends.
-    replaced_by_local: RefCell<Vec<Setting>>,
-    /// The values that the client was last sent.
+    /// The earlier values of settings changed for this transaction only, in the order of the changes.
+    settings_to_restore_at_commit: RefCell<Vec<Setting>>,
+    /// The last value reported to the client, by setting name.
     reported_settings: BTreeMap<String, String>,
     transaction: Option<Transaction>,
-    /// The transaction was begun by BEGIN.
+    /// Whether the transaction was begun explicitly, by BEGIN.
     in_transaction_block: bool,
+    /// Whether the transaction block is aborted: only COMMIT and ROLLBACK are accepted.
     pub(super) transaction_failed: bool,
     is_read_only: bool,
     pub(super) prepared: BTreeMap<String, Arc<PreparedStatement>>,
     pub(super) portals: BTreeMap<String, Portal>,
-    /// Cursors that outlive their transaction.
+    /// Cursors declared WITH HOLD, which stay open after their transaction.
     holdable_cursors: BTreeMap<String, Portal>,
     pub(super) listening_channels: Vec<String>,
     statement_started: Instant,
@@ -76,7 +76,7 @@
             startup_settings: settings.clone(),
             settings: RefCell::new(settings),
             settings_before_transaction: None,
-            replaced_by_local: RefCell::default(),
+            settings_to_restore_at_commit: RefCell::default(),
             reported_settings: BTreeMap::new(),
             transaction: None,
             in_transaction_block: false,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Ends with the connection: what is not committed is rolled back, locks and temporary tables are released.
+    /// Rolls back the open transaction, drops the session's temporary tables and releases its advisory locks.
     pub(super) fn close(&mut self) {
         self.rollback();
         lock(&self.server.store).drop_temporary_tables(&self.temporary_table_prefix());
@@ -102,16 +102,17 @@
         format!("pg_temp_{}.", self.connection_id.0)
     }
 
-    /// Prepares a statement. `given` are the parameter types that the client specified.
+    /// Prepares a statement. `parameter_types` are the parameter types that the client specified, possibly fewer than
+    /// the statement has parameters.
     pub(super) fn prepare(
         &mut self,
         sql: &str,
-        given: &[Type],
+        parameter_types: &[Type],
     ) -> Result<PreparedStatement, SqlError> {
         if let Some(query) = CatalogueQuery::recognize(sql).filter(|_| !self.transaction_failed) {
             return Ok(PreparedStatement {
                 sql: sql.to_owned(),
-                // Stands for the query, which the parser need not know.
+                // A placeholder: the parser may not support the query, and `execute_statement` answers it by its text.
                 statement: parse_single_statement("SELECT 1")?,
                 parameters: query.parameters,
                 columns: query.columns,
@@ -121,10 +122,10 @@
         let description = match &statement {
             Some(statement) => {
                 self.check_not_failed(statement)?;
-                describe(statement, given, &self.server.store, &*self)?
+                describe(statement, parameter_types, &self.server.store, &*self)?
             }
             None => StatementDescription {
-                parameters: given.to_vec(),
+                parameters: parameter_types.to_vec(),
                 columns: Vec::new(),
             },
         };
@@ -136,7 +137,7 @@
         })
     }
 
-    /// Executes a statement. Waits where another transaction has to end first.
+    /// Executes a statement. Blocks while a conflicting transaction is active.
     pub(super) fn execute(
         &mut self,
         statement: &Statement,
@@ -146,7 +147,7 @@
         self.statement_started = Instant::now();
         self.cancel_requested.store(false, Ordering::SeqCst);
         self.check_not_failed(statement)?;
-        if let Some(result) = self.control(statement)? {
+        if let Some(result) = self.execute_session_statement(statement)? {
             return Ok(result);
         }
         self.begin_if_needed();
@@ -160,7 +161,7 @@
         result
     }
 
-    /// Executes a statement on tables so that it changes nothing if it fails.
+    /// Executes a statement on tables and undoes its changes if it fails.
     fn execute_atomically(
         &self,
         statement: &Statement,
@@ -178,7 +179,7 @@
         result
     }
 
-    /// Executes a statement again whenever a transaction that it was blocked by has ended.
+    /// Executes a statement; whenever another transaction blocks it, waits for that transaction to end and retries.
     fn execute_until_unblocked(
         &self,
         statement: &Statement,
@@ -204,7 +205,8 @@
         }
     }
 
-    /// Inserts the rows of a COPY FROM in text format. Returns how many.
+    /// Inserts the rows of a COPY FROM in text format. Returns the number of rows. A conflict with another transaction
+    /// fails at once.
     pub(super) fn copy_in(
         &mut self,
         table: &str,
@@ -228,12 +230,12 @@
             ExecutionError::Failed(error) => error,
             ExecutionError::BlockedBy(_) => SqlError::new(
                 SqlState::DEADLOCK_DETECTED,
-                "another transaction has the same key",
+                "COPY conflicts with a key of an active transaction, and the fake server does not wait for its end",
             ),
         })
     }
 
-    /// Rejects all statements but COMMIT and ROLLBACK in a transaction block that has failed.
+    /// Rejects all statements except COMMIT and ROLLBACK in an aborted transaction block.
     fn check_not_failed(&self, statement: &Statement) -> Result<(), SqlError> {
         if self.transaction_failed && !ends_transaction(statement) {
             return Err(SqlError::failed_transaction());
@@ -254,7 +256,7 @@
         ))
     }
 
-    /// Waits while a condition holds. Fails if the statement is cancelled or timed out, or if the server goes down.
+    /// Blocks while `condition` holds. Fails if the statement is cancelled or times out, or if the server goes down.
     fn wait_while(&self, condition: impl Fn() -> bool) -> Result<(), SqlError> {
         let timeout = self.statement_timeout();
         while condition() {
@@ -278,7 +280,7 @@
         Ok(())
     }
 
-    /// The setting `statement_timeout`; `None` for 0, which means no limit.
+    /// The setting `statement_timeout`; `None` if it is 0, which disables the timeout.
     fn statement_timeout(&self) -> Option<Duration> {
         let setting = self.setting("statement_timeout").ok()?;
         let milliseconds: u64 = setting.parse().ok()?;
@@ -286,7 +288,7 @@
     }
 }
 
-/// Whether a statement is a COMMIT or ROLLBACK.
+/// Whether a statement is COMMIT, ROLLBACK or ROLLBACK TO SAVEPOINT.
 pub(super) fn ends_transaction(statement: &Statement) -> bool {
     matches!(
         statement,
--- a/testkit/fakes/src/database/session/control.rs
+++ b/testkit/fakes/src/database/session/control.rs
@@ -1,4 +1,4 @@
-//! Statements that concern the session rather than tables.
+//! Statements on the session rather than on tables: transaction control, settings, PREPARE, cursors, notifications.
 
 use std::sync::Arc;
 
@@ -11,8 +11,8 @@
 use crate::database::sync::lock;
 
 impl Session {
-    /// Executes a statement on the session or its transaction; `None` if it is not one.
-    pub(super) fn control(
+    /// Executes a statement on the session or its transaction; `None` if it is a statement on tables.
+    pub(super) fn execute_session_statement(
         &mut self,
         statement: &Statement,
     ) -> Result<Option<StatementResult>, SqlError> {
@@ -56,7 +56,7 @@
         result.map(Some)
     }
 
-    /// DISCARD ALL; the other forms of DISCARD do nothing.
+    /// DISCARD ALL; all other forms of DISCARD have no effect.
     fn discard(&mut self, object: DiscardObject) -> Result<StatementResult, SqlError> {
         if object == DiscardObject::ALL {
             if self.in_transaction_block {
@@ -75,7 +75,6 @@
         Ok(StatementResult::command("DISCARD ALL"))
     }
 
-    /// DEALLOCATE.
     fn deallocate(&mut self, name: &Ident) -> Result<StatementResult, SqlError> {
         if name.value.eq_ignore_ascii_case("all") && name.quote_style.is_none() {
             self.prepared
@@ -88,23 +87,21 @@
         Ok(StatementResult::command("DEALLOCATE"))
     }
 
-    /// PREPARE.
     fn prepare_statement(
         &mut self,
         name: &Ident,
         data_types: &[DataType],
         statement: &Statement,
     ) -> Result<StatementResult, SqlError> {
-        let given = data_types
+        let parameter_types = data_types
             .iter()
             .map(resolve_type)
             .collect::<Result<Vec<_>, _>>()?;
-        let prepared = self.prepare(&statement.to_string(), &given)?;
+        let prepared = self.prepare(&statement.to_string(), &parameter_types)?;
         self.prepared.insert(name.value.clone(), Arc::new(prepared));
         Ok(StatementResult::command("PREPARE"))
     }
 
-    /// EXECUTE.
     fn execute_prepared(
         &mut self,
         name: &str,
@@ -137,9 +134,9 @@
     }
 
     fn unlisten(&mut self, channel: &Ident) -> StatementResult {
-        let all_channels = channel.value == "*";
+        let is_wildcard = channel.value == "*";
         self.listening_channels
-            .retain(|listening| !all_channels && *listening != channel.value);
+            .retain(|listening| !is_wildcard && *listening != channel.value);
         StatementResult::command("UNLISTEN")
     }
 
--- a/testkit/fakes/src/database/session/cursors.rs
+++ b/testkit/fakes/src/database/session/cursors.rs
@@ -1,4 +1,4 @@
-//! Cursors in SQL: DECLARE, FETCH and CLOSE.
+//! SQL cursors: DECLARE, FETCH and CLOSE.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::database::result::StatementResult;
 
 impl Session {
-    /// DECLARE CURSOR; `None` for any other DECLARE.
+    /// DECLARE CURSOR; `None` if the statement declares no cursor with a query.
     pub(super) fn declare_cursor(
         &mut self,
         declarations: &[Declare],
@@ -31,11 +31,10 @@
         } else {
             &mut self.portals
         };
-        cursors.insert(name.value.clone(), executed_cursor(result));
+        cursors.insert(name.value.clone(), cursor_over(result));
         Ok(Some(StatementResult::command("DECLARE CURSOR")))
     }
 
-    /// FETCH.
     pub(super) fn fetch(
         &mut self,
         name: &str,
@@ -57,7 +56,6 @@
         })
     }
 
-    /// CLOSE.
     pub(super) fn close_cursor(
         &mut self,
         cursor: &CloseCursor,
@@ -79,8 +77,8 @@
     }
 }
 
-/// A cursor over a result, none of whose rows were fetched.
-fn executed_cursor(result: StatementResult) -> Portal {
+/// A cursor positioned before the first row of a result.
+fn cursor_over(result: StatementResult) -> Portal {
     let statement = PreparedStatement {
         sql: String::new(),
         statement: None,
@@ -96,7 +94,7 @@
     }
 }
 
-/// The rows that a FETCH asks for at most.
+/// The maximum number of rows that a FETCH returns.
 fn fetch_count(direction: &FetchDirection) -> usize {
     match direction {
         FetchDirection::Count { limit } | FetchDirection::Forward { limit: Some(limit) } => {
--- a/testkit/fakes/src/database/session/functions.rs
+++ b/testkit/fakes/src/database/session/functions.rs
@@ -1,4 +1,4 @@
-//! The functions that statements may call, and how the session finds tables by their names.
+//! SQL functions, and table name resolution by the search path.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -9,21 +9,21 @@
 use crate::database::sync::lock;
 use crate::database::value::{Type, Value};
 
-/// The longest sleep of `pg_sleep`, in seconds.
+/// Longer `pg_sleep` calls are shortened to this.
 const MAX_SLEEP_SECONDS: f64 = 600.0;
 
-/// The most copies that `repeat` makes.
+/// Larger counts of `repeat` are reduced to this.
 const MAX_REPEAT_COUNT: f64 = 1e7;
 
-/// Microseconds from the Unix epoch to 2000-01-01, the epoch of timestamps.
-const TIMESTAMP_EPOCH_MICROSECONDS: i64 = 946_684_800_000_000;
+/// The time from the Unix epoch to 2000-01-01, the epoch of PostgreSQL timestamps.
+const POSTGRES_EPOCH_UNIX_MICROSECONDS: i64 = 946_684_800_000_000;
 
-/// The schema whose tables are stored under their bare names.
+/// The schema whose tables are stored without a schema prefix.
 const PUBLIC_SCHEMA: &str = "public";
 
 impl ExecutionContext for Session {
     fn call(&self, name: &str, arguments: &[Value]) -> Result<Value, SqlError> {
-        if let Some(result) = self.call_lock_function(name, arguments)? {
+        if let Some(result) = self.call_advisory_lock_function(name, arguments)? {
             return Ok(result);
         }
         if let Some(result) = self.call_session_function(name, arguments)? {
@@ -76,7 +76,7 @@
 }
 
 impl Session {
-    /// The schemas in which names without one are looked up.
+    /// The schemas that unqualified table names are looked up in. `$user` is left out.
     fn search_path(&self) -> Vec<String> {
         let path = self.setting("search_path").unwrap_or_default();
         path.split(',')
@@ -85,8 +85,8 @@
             .collect()
     }
 
-    /// Calls a function on advisory locks; `None` if it is not one.
-    fn call_lock_function(
+    /// Calls an advisory lock function; `None` if `name` is no such function.
+    fn call_advisory_lock_function(
         &self,
         name: &str,
         arguments: &[Value],
@@ -115,7 +115,7 @@
         Ok(Some(result))
     }
 
-    /// Calls a function on the session, its settings or the clock; `None` if it is not one.
+    /// Calls a function of the session, its settings or the clock; `None` if `name` is no such function.
     fn call_session_function(
         &self,
         name: &str,
@@ -156,7 +156,7 @@
         Ok(Some(result))
     }
 
-    /// `pg_sleep`: waits from the start of the statement, not of the call.
+    /// `pg_sleep`. The time is counted from the start of the statement, not from the call.
     fn sleep(&self, seconds: f64) -> Result<Value, SqlError> {
         let duration = Duration::from_secs_f64(seconds.clamp(0.0, MAX_SLEEP_SECONDS));
         let until = self.statement_started + duration;
@@ -164,14 +164,14 @@
         Ok(void())
     }
 
-    /// A UUID that no other call gets: the time in nanoseconds, and the connection.
+    /// A unique UUID made of the current time in nanoseconds and the connection's number.
     fn generate_uuid(&self) -> Value {
-        let unique = since_unix_epoch().as_nanos() ^ (u128::from(self.connection_id.0) << 96);
+        let unique = time_since_unix_epoch().as_nanos() ^ (u128::from(self.connection_id.0) << 96);
         Value::Uuid(unique.to_be_bytes())
     }
 }
 
-/// Calls a function that depends on its arguments only; `None` if there is no such function.
+/// Calls a function whose result depends on its arguments only; `None` if `name` is no such function.
 fn call_pure_function(name: &str, arguments: &[Value]) -> Option<Value> {
     let result = match name {
         "random" => Value::Float(0.5),
@@ -212,23 +212,23 @@
     Value::Text(text(value).repeat(count))
 }
 
-/// The value of a function that returns void.
+/// The result of a function that returns `void`: an empty text.
 fn void() -> Value {
     Value::Text(String::new())
 }
 
 fn now() -> Value {
-    let unix_microseconds = i64::try_from(since_unix_epoch().as_micros()).unwrap_or(0);
-    Value::Timestamp(unix_microseconds - TIMESTAMP_EPOCH_MICROSECONDS)
+    let unix_microseconds = i64::try_from(time_since_unix_epoch().as_micros()).unwrap_or(0);
+    Value::Timestamp(unix_microseconds - POSTGRES_EPOCH_UNIX_MICROSECONDS)
 }
 
-fn since_unix_epoch() -> Duration {
+fn time_since_unix_epoch() -> Duration {
     SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default()
 }
 
-/// The name under which a table of a schema is stored.
+/// The name under which the store keeps a table of a schema.
 fn stored_name(schema: &str, table: &str) -> String {
     if schema == PUBLIC_SCHEMA {
         table.to_owned()
@@ -241,7 +241,7 @@
     value.text(Type::TEXT)
 }
 
-/// An argument as a number, if it is one.
+/// Converts an argument to a number; `None` if it is absent or not numeric.
 fn number(argument: Option<&Value>) -> Option<f64> {
     match argument? {
         Value::Int(integer) => Some(*integer as f64),
--- a/testkit/fakes/src/database/session/session_settings.rs
+++ b/testkit/fakes/src/database/session/session_settings.rs
@@ -1,4 +1,4 @@
-//! Settings in a session: start-up parameters, SET, RESET and SHOW.
+//! The settings of a session: start-up parameters, SET, RESET and SHOW.
 
 use std::collections::BTreeMap;
 
@@ -12,8 +12,11 @@
 use crate::database::value::{Type, Value};
 
 impl Session {
-    /// Takes the client's start-up parameters.
-    pub(crate) fn start(&mut self, parameters: &BTreeMap<String, String>) -> Result<(), SqlError> {
+    /// Applies the client's start-up parameters. The resulting settings are those that RESET restores.
+    pub(crate) fn apply_startup_parameters(
+        &mut self,
+        parameters: &BTreeMap<String, String>,
+    ) -> Result<(), SqlError> {
         self.user = parameters.get("user").cloned().unwrap_or_default();
         let database = parameters.get("database").unwrap_or(&self.user);
         self.database = database.clone();
@@ -21,7 +24,7 @@
         for (name, value) in parameters {
             match name.as_str() {
                 "user" | "database" => {}
-                "options" => self.set_options(value)?,
+                "options" => self.apply_options(value)?,
                 name if name.starts_with("_pq_.") => {}
                 name => self.set(name, value)?,
             }
@@ -30,8 +33,8 @@
         Ok(())
     }
 
-    /// Takes the start-up parameter `options`: settings as `-c name=value`.
-    fn set_options(&self, options: &str) -> Result<(), SqlError> {
+    /// Applies the start-up parameter `options`, which sets settings by `-c name=value`.
+    fn apply_options(&self, options: &str) -> Result<(), SqlError> {
         let options = options.split("-c").map(str::trim);
         for option in options.filter(|option| !option.is_empty()) {
             let (name, value) = option.split_once('=').unwrap_or((option, ""));
@@ -40,7 +43,8 @@
         Ok(())
     }
 
-    /// The settings that have changed since the client was last sent them; they count as sent.
+    /// The reported settings whose values differ from those last reported to the client. They are then considered
+    /// reported.
     pub(crate) fn take_changed_settings(&mut self) -> Vec<Setting> {
         let mut changed = self.settings.borrow().reported();
         changed.retain(|setting| self.reported_settings.get(&setting.name) != Some(&setting.value));
@@ -51,30 +55,29 @@
         changed
     }
 
-    /// The value of a setting.
     pub(super) fn setting(&self, name: &str) -> Result<String, SqlError> {
         self.settings.borrow().value(name)
     }
 
-    /// Sets a setting for the rest of the session.
     pub(super) fn set(&self, name: &str, value: &str) -> Result<(), SqlError> {
         self.settings.borrow_mut().set(name, value)
     }
 
-    /// Remembers a setting's value, to be restored when the transaction ends.
-    pub(super) fn save_for_transaction(&self, name: &str) {
+    /// Saves the value of a setting, to be restored when the transaction ends.
+    pub(super) fn save_until_transaction_end(&self, name: &str) {
         let value = self.setting(name).unwrap_or_default();
-        self.replaced_by_local.borrow_mut().push(Setting {
-            name: name.to_owned(),
-            value,
-        });
+        self.settings_to_restore_at_commit
+            .borrow_mut()
+            .push(Setting {
+                name: name.to_owned(),
+                value,
+            });
     }
 
     pub(super) fn reset_all(&self) {
         self.settings.replace(self.startup_settings.clone());
     }
 
-    /// SHOW.
     pub(super) fn show(&self, variable: &[Ident]) -> Result<StatementResult, SqlError> {
         let identifiers: Vec<&str> = variable.iter().map(|ident| ident.value.as_str()).collect();
         let name = match identifiers[..] {
@@ -128,7 +131,7 @@
         Ok(StatementResult::command("SET"))
     }
 
-    /// SET of one setting; with DEFAULT it is a RESET.
+    /// SET of one setting. The value DEFAULT resets the setting, or all settings for the name ALL.
     fn assign_setting(
         &self,
         name: &str,
@@ -149,7 +152,7 @@
             return Ok(StatementResult::command("RESET"));
         }
         if is_local {
-            self.save_for_transaction(name);
+            self.save_until_transaction_end(name);
         }
         self.set(name, &texts.join(", "))?;
         Ok(StatementResult::command("SET"))
@@ -167,7 +170,7 @@
     }
 }
 
-/// A setting's value without its quotes.
+/// The text of a setting's value without surrounding quotes.
 fn unquoted(expr: &Expr) -> String {
     expr.to_string().trim_matches('\'').replace("''", "'")
 }
--- a/testkit/fakes/src/database/session/transaction.rs
+++ b/testkit/fakes/src/database/session/transaction.rs
@@ -1,4 +1,4 @@
-//! The session's transaction.
+//! Transaction control. States of a session, and the events that lead from one to another:
 //!
 //! ```text
 //!         statement             BEGIN               error
@@ -18,15 +18,15 @@
 use crate::database::storage::Transaction;
 use crate::database::sync::lock;
 
-/// The status byte of `ReadyForQuery` outside a transaction block.
+/// The transaction status in `ReadyForQuery` outside a transaction block.
 const STATUS_IDLE: u8 = b'I';
-/// The status byte in a transaction block.
+/// The transaction status in a transaction block.
 const STATUS_IN_BLOCK: u8 = b'T';
-/// The status byte in a transaction block that has failed.
+/// The transaction status in an aborted transaction block.
 const STATUS_FAILED_BLOCK: u8 = b'E';
 
 impl Session {
-    /// The transaction status as in `ReadyForQuery`.
+    /// The transaction status byte of `ReadyForQuery`.
     pub(crate) fn transaction_status(&self) -> u8 {
         match (self.in_transaction_block, self.transaction_failed) {
             (false, _) => STATUS_IDLE,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Begins a transaction for a statement, unless one is open.
+    /// Begins an implicit transaction if none is open.
     pub(crate) fn begin_if_needed(&mut self) {
         if self.transaction.is_some() {
             return;
@@ -48,14 +48,14 @@
             .is_ok_and(|value| value == "on");
     }
 
-    /// Commits the transaction, if one is open. Fails if the server has gone down.
+    /// Commits the open transaction, if any. Fails if the server is down.
     pub(super) fn commit(&mut self) -> Result<(), SqlError> {
         let Some(transaction) = self.take_transaction() else {
             return Ok(());
         };
         self.settings_before_transaction = None;
-        self.restore_local_settings();
-        // The server goes down under the same lock: after that, nothing is committed.
+        self.restore_replaced_settings();
+        // A crash sets `is_up` under the same lock, so that nothing is committed after the crash.
         let mut store = lock(&self.server.store);
         if !self.server.is_up() {
             store.rollback(transaction);
@@ -67,12 +67,12 @@
         Ok(())
     }
 
-    /// Rolls the transaction back, if one is open; settings return to what they were before it.
+    /// Rolls back the open transaction, if any, together with the settings changed in it.
     pub(super) fn rollback(&mut self) {
         let Some(transaction) = self.take_transaction() else {
             return;
         };
-        self.replaced_by_local.borrow_mut().clear();
+        self.settings_to_restore_at_commit.borrow_mut().clear();
         if let Some(settings) = self.settings_before_transaction.take() {
             self.settings.replace(settings);
         }
@@ -80,7 +80,7 @@
         self.server.notify_transaction_ended();
     }
 
-    /// Leaves the transaction block and closes its portals. Returns the transaction that is to be ended.
+    /// Leaves the transaction block and closes all portals. Returns the open transaction, for the caller to end.
     fn take_transaction(&mut self) -> Option<Transaction> {
         self.in_transaction_block = false;
         self.transaction_failed = false;
@@ -88,14 +88,19 @@
         self.transaction.take()
     }
 
-    fn restore_local_settings(&self) {
+    fn restore_replaced_settings(&self) {
         let mut settings = self.settings.borrow_mut();
-        for replaced in self.replaced_by_local.borrow_mut().drain(..).rev() {
+        for replaced in self
+            .settings_to_restore_at_commit
+            .borrow_mut()
+            .drain(..)
+            .rev()
+        {
             settings.restore(&replaced.name, replaced.value);
         }
     }
 
-    /// Commits the transaction of a statement outside a block.
+    /// Commits the implicit transaction; does nothing in a transaction block.
     pub(crate) fn end_implicit_transaction(&mut self) -> Result<(), SqlError> {
         if self.in_transaction_block {
             Ok(())
@@ -104,7 +109,7 @@
         }
     }
 
-    /// After an error: a transaction block fails, any other transaction is rolled back.
+    /// Handles an error: marks a transaction block as aborted, rolls back an implicit transaction.
     pub(crate) fn fail_transaction(&mut self) {
         if self.in_transaction_block {
             self.transaction_failed = true;
@@ -113,7 +118,7 @@
         }
     }
 
-    /// BEGIN; in a transaction block it does nothing.
+    /// BEGIN. Has no effect in a transaction block.
     pub(super) fn start_transaction(&mut self, modes: &[TransactionMode]) -> StatementResult {
         if !self.in_transaction_block {
             self.begin_if_needed();
@@ -123,7 +128,7 @@
         StatementResult::command("BEGIN")
     }
 
-    /// COMMIT; of a failed transaction it is a rollback.
+    /// COMMIT. Rolls back if the transaction block is aborted.
     pub(super) fn commit_statement(&mut self, chain: bool) -> Result<StatementResult, SqlError> {
         let has_failed = self.transaction_failed;
         if has_failed {
@@ -141,7 +146,6 @@
         }))
     }
 
-    /// ROLLBACK.
     pub(super) fn rollback_statement(&mut self, chain: bool) -> StatementResult {
         self.rollback();
         if chain {
@@ -150,13 +154,12 @@
         StatementResult::command("ROLLBACK")
     }
 
-    /// AND CHAIN: begins the next transaction block.
+    /// AND CHAIN: begins a new transaction block.
     fn chain_transaction(&mut self) {
         self.begin_if_needed();
         self.in_transaction_block = true;
     }
 
-    /// ROLLBACK TO SAVEPOINT.
     pub(super) fn rollback_to_savepoint(
         &mut self,
         name: &str,
@@ -169,7 +172,6 @@
         Ok(StatementResult::command("ROLLBACK"))
     }
 
-    /// SAVEPOINT.
     pub(super) fn set_savepoint(&mut self, name: &str) -> Result<StatementResult, SqlError> {
         self.require_transaction_block("SAVEPOINT")?;
         if let Some(transaction) = &mut self.transaction {
@@ -178,7 +180,6 @@
         Ok(StatementResult::command("SAVEPOINT"))
     }
 
-    /// RELEASE SAVEPOINT.
     pub(super) fn release_savepoint(&mut self, name: &str) -> Result<StatementResult, SqlError> {
         self.require_transaction_block("RELEASE SAVEPOINT")?;
         if let Some(transaction) = &mut self.transaction {
@@ -187,7 +188,7 @@
         Ok(StatementResult::command("RELEASE"))
     }
 
-    /// Rejects a command outside a transaction block.
+    /// Fails outside a transaction block; `command` is named in the error.
     pub(super) fn require_transaction_block(&self, command: &str) -> Result<(), SqlError> {
         if self.in_transaction_block {
             return Ok(());
@@ -198,7 +199,7 @@
         ))
     }
 
-    /// The modes of BEGIN or SET TRANSACTION.
+    /// Applies the transaction modes of BEGIN or SET TRANSACTION.
     pub(super) fn set_transaction_modes(&mut self, modes: &[TransactionMode]) {
         for mode in modes {
             match mode {
@@ -206,7 +207,7 @@
                     self.is_read_only = *access == TransactionAccessMode::ReadOnly;
                 }
                 TransactionMode::IsolationLevel(level) => {
-                    self.save_for_transaction("transaction_isolation");
+                    self.save_until_transaction_end("transaction_isolation");
                     let level = level.to_string().to_lowercase();
                     let _ = self.set("transaction_isolation", &level);
                 }
--- a/testkit/fakes/src/database/settings.rs
+++ b/testkit/fakes/src/database/settings.rs
@@ -1,16 +1,16 @@
-//! The settings of a session: their names, initial values and accepted values.
+//! Configuration parameters (settings) of a session: names, initial values and accepted values.
 
 use std::collections::BTreeMap;
 
 use super::error::{SqlError, SqlState};
 use super::value::{Type, Value};
 
-/// A setting that the server knows.
+/// A setting that the server supports.
 struct SettingDefinition {
-    /// The name in its usual spelling.
+    /// The name in PostgreSQL's spelling.
     name: &'static str,
     initial_value: &'static str,
-    /// Whether changes are sent to the client in `ParameterStatus`.
+    /// Whether the value is reported to the client in `ParameterStatus`.
     is_reported: bool,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// All settings, in the order in which they are reported.
+/// The supported settings, in the order of `ParameterStatus` messages.
 const DEFINITIONS: [SettingDefinition; 24] = [
     reported("application_name", ""),
     reported("client_encoding", "UTF8"),
@@ -61,20 +61,20 @@
 /// The name and value of a setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Setting {
-    /// The name in its usual spelling.
+    /// The name in PostgreSQL's spelling.
     pub(super) name: String,
     pub(super) value: String,
 }
 
-/// The values of all settings of a session.
+/// All settings of a session.
 #[derive(Clone, Debug)]
 pub(super) struct Settings {
-    /// By the name in lower case.
+    /// By lower-case name.
     by_key: BTreeMap<String, Setting>,
 }
 
 impl Settings {
-    /// The initial values, for a server of this version.
+    /// The initial settings on a server of this version.
     pub(super) fn new(server_version: &str) -> Self {
         let mut by_key = BTreeMap::new();
         for definition in DEFINITIONS {
@@ -92,7 +92,6 @@
         Self { by_key }
     }
 
-    /// The value of a setting.
     pub(super) fn value(&self, name: &str) -> Result<String, SqlError> {
         self.by_key
             .get(&key(name))
@@ -100,13 +99,13 @@
             .ok_or_else(|| SqlError::unrecognized_setting(name))
     }
 
-    /// A setting's name in its usual spelling; an unknown name as it is.
+    /// The name of a setting in PostgreSQL's spelling; an unknown name is returned unchanged.
     pub(super) fn canonical_name(&self, name: &str) -> String {
         let known = self.by_key.get(&key(name));
         known.map_or_else(|| name.to_owned(), |setting| setting.name.clone())
     }
 
-    /// Sets a setting to a value in its normal form. A name with a dot in it makes a setting of its own.
+    /// Checks, normalizes and stores a value. An unknown name that contains a dot creates a custom setting.
     pub(super) fn set(&mut self, name: &str, value: &str) -> Result<(), SqlError> {
         let is_known = self.by_key.contains_key(&key(name));
         if !is_known && !name.contains('.') {
@@ -121,7 +120,7 @@
         Ok(())
     }
 
-    /// Sets a setting to its value in `defaults`; one that is not there is removed.
+    /// Resets a setting to its value in `defaults`; a setting absent from `defaults` is removed.
     pub(super) fn reset(&mut self, name: &str, defaults: &Self) {
         match defaults.by_key.get(&key(name)) {
             Some(default) => {
@@ -133,14 +132,14 @@
         }
     }
 
-    /// Gives a known setting an earlier value back, which is not checked again.
+    /// Restores an earlier value of a setting without checking the value again.
     pub(super) fn restore(&mut self, name: &str, value: String) {
         if let Some(setting) = self.by_key.get_mut(&key(name)) {
             setting.value = value;
         }
     }
 
-    /// The settings that are reported to clients, in the order of their reports.
+    /// The settings that are reported to clients, in the order of `ParameterStatus` messages.
     pub(super) fn reported(&self) -> Vec<Setting> {
         DEFINITIONS
             .iter()
@@ -151,12 +150,12 @@
     }
 }
 
-/// The key of a setting: names differ in more than case.
+/// The map key of a setting. Setting names are case-insensitive.
 fn key(name: &str) -> String {
     name.to_ascii_lowercase()
 }
 
-/// The normal form of a value for a setting; an error if the setting does not take it.
+/// Normalizes a value for a setting. Fails if the setting does not accept the value or cannot be changed.
 fn normalize(name: &str, value: &str) -> Result<String, SqlError> {
     let normalized = match name {
         "client_encoding" => normalize_encoding(value),
@@ -168,7 +167,7 @@
         "default_transaction_read_only"
         | "standard_conforming_strings"
         | "transaction_read_only"
-        | "jit" => normalize_switch(value),
+        | "jit" => normalize_boolean(value),
         "server_version" | "server_encoding" | "integer_datetimes" | "in_hot_standby"
         | "is_superuser" => {
             return Err(SqlError::new(
@@ -197,7 +196,7 @@
     Some(encoding.to_owned())
 }
 
-/// A date style is a format, an order of day and month, or both.
+/// Normalizes a date style: an output format, a field order, or both, separated by a comma.
 fn normalize_date_style(value: &str) -> Option<String> {
     let parameters: Vec<String> = value
         .split(',')
@@ -221,7 +220,7 @@
     Some(format!("{format}, {field_order}"))
 }
 
-/// A timeout in milliseconds, given in milliseconds (with or without `ms`) or seconds (`s`).
+/// Normalizes a timeout to milliseconds. Accepts a plain number (milliseconds), or one with the unit `ms` or `s`.
 fn normalize_timeout(value: &str) -> Option<String> {
     let number = value.trim_end_matches("ms").trim();
     let (digits, milliseconds_per_unit) = match number.strip_suffix('s') {
@@ -232,7 +231,7 @@
     Some((count * milliseconds_per_unit).to_string())
 }
 
-fn normalize_switch(value: &str) -> Option<String> {
+fn normalize_boolean(value: &str) -> Option<String> {
     match Value::read_text(Type::BOOL, value) {
         Ok(Value::Bool(true)) => Some("on".to_owned()),
         Ok(Value::Bool(false)) => Some("off".to_owned()),
