--- a/testkit/fakes/src/database.rs
+++ b/testkit/fakes/src/database.rs
@@ -92,7 +92,7 @@
         self.server.crash();
     }
 
-    /// Accepts connections again after a crash.
+    /// Accepts connections again after a crash. The counters and the committed data are kept.
     pub fn restart(&self) {
         self.server.is_up.store(true, Ordering::SeqCst);
     }
@@ -134,22 +134,23 @@
         committed_rows(&self.server, table)
     }
 
-    /// Whether the server accepts connections: `false` from [`Self::kill`] to [`Self::restart`].
+    /// Whether the server accepts connections: `false` from a crash, by [`Self::kill`] or an injected fault, until
+    /// [`Self::restart`].
     pub fn is_up(&self) -> bool {
         self.server.is_up()
     }
 
-    /// Transactions begun since the start, including implicit ones.
+    /// Transactions begun since [`Self::start`], including implicit ones.
     pub fn transactions_begun(&self) -> u64 {
         self.server.transaction_count.load(Ordering::SeqCst)
     }
 
-    /// Connections accepted since the start.
+    /// Connections accepted since [`Self::start`].
     pub fn connections(&self) -> u64 {
         self.server.connection_count.load(Ordering::SeqCst)
     }
 
-    /// Successful logins since the start.
+    /// Successful logins since [`Self::start`].
     pub fn logins(&self) -> u64 {
         self.server.login_count.load(Ordering::SeqCst)
     }
@@ -159,17 +160,17 @@
         lock(&self.server.connections).len()
     }
 
-    /// Statements whose execution began since the start.
+    /// Statements whose execution began since [`Self::start`].
     pub fn statements(&self) -> u64 {
         self.server.statement_count.load(Ordering::SeqCst)
     }
 
-    /// Transactions with changes that were committed since the start.
+    /// Transactions with changes that were committed since [`Self::start`].
     pub fn commits(&self) -> u64 {
         lock(&self.server.store).committed_writes
     }
 
-    /// `CancelRequest` messages received since the start.
+    /// `CancelRequest` messages received since [`Self::start`].
     pub fn cancels(&self) -> u32 {
         self.server.cancel_count.load(Ordering::SeqCst)
     }
--- a/testkit/fakes/src/database/advisory_locks.rs
+++ b/testkit/fakes/src/database/advisory_locks.rs
@@ -1,4 +1,4 @@
-//! Session-level advisory locks, identified by application-defined keys.
+//! Advisory locks, identified by application-defined keys and held by a session until released.
 
 use std::collections::BTreeMap;
 
--- a/testkit/fakes/src/database/faults.rs
+++ b/testkit/fakes/src/database/faults.rs
@@ -1,6 +1,7 @@
 //! Faults that tests inject.
 
-/// A fault that occurs at a statement chosen by the test.
+/// A fault that occurs at a statement chosen by the test. In COPY data, either crash fault crashes the server at once,
+/// and the other faults have no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     /// The server crashes before it executes the statement.
--- a/testkit/fakes/src/database/protocol.rs
+++ b/testkit/fakes/src/database/protocol.rs
@@ -181,7 +181,7 @@
         self.write_ready_for_query();
     }
 
-    /// Executes a statement, with the fault armed for it, if any.
+    /// Executes a statement and triggers the fault armed for it, if any.
     fn execute_statement(
         &mut self,
         statement: &Statement,
--- a/testkit/fakes/src/database/protocol/copy.rs
+++ b/testkit/fakes/src/database/protocol/copy.rs
@@ -62,7 +62,7 @@
         else {
             return Err(SqlError::new(
                 SqlState::FEATURE_NOT_SUPPORTED,
-                "the fake PostgreSQL server supports COPY FROM STDIN only",
+                "the fake PostgreSQL server supports COPY FROM only with STDIN",
             ));
         };
         self.begin_copy_in(table_name, columns, protocol)?;
--- a/testkit/fakes/src/database/protocol/simple.rs
+++ b/testkit/fakes/src/database/protocol/simple.rs
@@ -80,7 +80,7 @@
 
 fn parse_query_string(sql: &str) -> Result<Vec<Statement>, SqlError> {
     if CatalogueQuery::recognize(sql).is_some() {
-        // A placeholder: the parser may not support the query, and `execute_statement` answers it by its text.
+        // A placeholder: the parser may not support the query, which `execute_statement` recognizes by its text.
         parse_statements("SELECT 1")
     } else {
         parse_statements(sql)
--- a/testkit/fakes/src/database/server_state.rs
+++ b/testkit/fakes/src/database/server_state.rs
@@ -28,7 +28,7 @@
     pub(super) cancel_requested: Arc<AtomicBool>,
 }
 
-/// A notification that is not yet delivered to a listening connection.
+/// A notification that is not yet delivered to the receiving connection.
 pub(super) struct Notification {
     pub(super) sender: ConnectionId,
     pub(super) channel: String,
@@ -53,7 +53,7 @@
     /// Whether the server accepts connections but handles no messages.
     pub(super) is_paused: AtomicBool,
     pub(super) max_connections: AtomicU64,
-    /// Connections accepted since the start.
+    /// Connections accepted since the server was created.
     pub(super) connection_count: AtomicU64,
     pub(super) login_count: AtomicU64,
     pub(super) statement_count: AtomicU64,
--- a/testkit/fakes/src/database/session.rs
+++ b/testkit/fakes/src/database/session.rs
@@ -53,7 +53,7 @@
     transaction: Option<Transaction>,
     /// Whether the transaction was begun explicitly, by BEGIN.
     in_transaction_block: bool,
-    /// Whether the transaction block is aborted: only COMMIT and ROLLBACK are accepted.
+    /// Whether the transaction block has failed: only COMMIT, ROLLBACK and ROLLBACK TO SAVEPOINT are accepted.
     pub(super) transaction_failed: bool,
     is_read_only: bool,
     pub(super) prepared: BTreeMap<String, Arc<PreparedStatement>>,
@@ -102,8 +102,8 @@
         format!("pg_temp_{}.", self.connection_id.0)
     }
 
-    /// Prepares a statement. `parameter_types` are the parameter types that the client specified, possibly fewer than
-    /// the statement has parameters.
+    /// Prepares a statement. `parameter_types` are the types that the client specified, possibly for the first
+    /// parameters only; type 0 leaves a type unspecified.
     pub(super) fn prepare(
         &mut self,
         sql: &str,
@@ -112,7 +112,7 @@
         if let Some(query) = CatalogueQuery::recognize(sql).filter(|_| !self.transaction_failed) {
             return Ok(PreparedStatement {
                 sql: sql.to_owned(),
-                // A placeholder: the parser may not support the query, and `execute_statement` answers it by its text.
+                // A placeholder: the parser may not support the query, which `execute_statement` recognizes by text.
                 statement: parse_single_statement("SELECT 1")?,
                 parameters: query.parameters,
                 columns: query.columns,
@@ -235,7 +235,7 @@
         })
     }
 
-    /// Rejects all statements except COMMIT and ROLLBACK in an aborted transaction block.
+    /// In a failed transaction block, rejects all statements except COMMIT, ROLLBACK and ROLLBACK TO SAVEPOINT.
     fn check_not_failed(&self, statement: &Statement) -> Result<(), SqlError> {
         if self.transaction_failed && !ends_transaction(statement) {
             return Err(SqlError::failed_transaction());
--- a/testkit/fakes/src/database/session/transaction.rs
+++ b/testkit/fakes/src/database/session/transaction.rs
@@ -22,7 +22,7 @@
 const STATUS_IDLE: u8 = b'I';
 /// The transaction status in a transaction block.
 const STATUS_IN_BLOCK: u8 = b'T';
-/// The transaction status in an aborted transaction block.
+/// The transaction status in a failed transaction block.
 const STATUS_FAILED_BLOCK: u8 = b'E';
 
 impl Session {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Handles an error: marks a transaction block as aborted, rolls back an implicit transaction.
+    /// Handles an error: marks a transaction block as failed, rolls back an implicit transaction.
     pub(crate) fn fail_transaction(&mut self) {
         if self.in_transaction_block {
             self.transaction_failed = true;
@@ -128,7 +128,7 @@
         StatementResult::command("BEGIN")
     }
 
-    /// COMMIT. Rolls back if the transaction block is aborted.
+    /// COMMIT. Rolls back a failed transaction block.
     pub(super) fn commit_statement(&mut self, chain: bool) -> Result<StatementResult, SqlError> {
         let has_failed = self.transaction_failed;
         if has_failed {
