--- a/adapters/postgres/tests/common/mod.rs
+++ b/adapters/postgres/tests/common/mod.rs
@@ -65,7 +65,7 @@
 
 impl Node {
     pub async fn start(databases: &[&Database], configure: impl Fn(&mut Config)) -> Self {
-        let servers: Vec<SocketAddr> = databases.iter().map(|database| database.at).collect();
+        let servers: Vec<SocketAddr> = databases.iter().map(|database| database.address).collect();
         Self::start_with(&servers, Clock::system(), configure).await
     }
 
@@ -202,7 +202,10 @@
 
 /// Runs SQL on a fake database, bypassing the node.
 pub async fn execute_directly(database: &Database, sql: &str) {
-    let address = format!("host=127.0.0.1 port={} user=x dbname=x", database.at.port());
+    let address = format!(
+        "host=127.0.0.1 port={} user=x dbname=x",
+        database.address.port()
+    );
     let config: tokio_postgres::Config = address.parse().expect("an address");
     let client = connect_with(&config)
         .await
--- a/adapters/postgres/tests/phases.rs
+++ b/adapters/postgres/tests/phases.rs
@@ -77,7 +77,7 @@
         let database = start_database();
         let virtual_clock = VirtualClock::at(0);
         let clock = Clock::from_virtual(virtual_clock.clone());
-        let node = Node::start_with(&[database.at], clock, |_| {}).await;
+        let node = Node::start_with(&[database.address], clock, |_| {}).await;
         let mut config = node.driver_config("ann", "secret", "ops");
         let (client, connection) = config
             .dbname("badgerpost")
@@ -179,7 +179,7 @@
     run_test(async {
         let database = start_database();
         let delay = Duration::from_millis(1500);
-        let server = slow_proxy(database.at, delay, false).await;
+        let server = slow_proxy(database.address, delay, false).await;
         let node = Node::start_with(&[server], Clock::system(), |_| {}).await;
         let socket = TcpStream::connect(node.address)
             .await
@@ -216,7 +216,7 @@
     run_test(async {
         let database = start_database();
         let delay = Duration::from_millis(500);
-        let server = slow_proxy(database.at, delay, true).await;
+        let server = slow_proxy(database.address, delay, true).await;
         let node = Node::start_with(&[server], Clock::system(), |config| {
             config.max_unauthenticated_clients = 2;
         })
--- a/adapters/postgres/tests/server_loss.rs
+++ b/adapters/postgres/tests/server_loss.rs
@@ -95,7 +95,7 @@
             let at = format!("{statement} {fault:?}");
             assert_eq!(error.code().map(SqlState::code), Some(code), "{at}");
             assert_eq!(fixture.database.rows("t").len(), rows, "{at}");
-            fixture.database.revive();
+            fixture.database.restart();
             wait_until_served(&fixture.client).await;
         }
     });
@@ -122,13 +122,13 @@
                 .batch_execute("select 42")
                 .await
                 .expect("served by the other server");
-            one.revive();
+            one.restart();
             if one.statements() > 0 {
                 break;
             }
         }
         let rest = node.connect().await;
-        one.revive();
+        one.restart();
         one.inject_fault("select 43", InjectedFault::CrashBeforeExecution);
         two.inject_fault("select 43", InjectedFault::CrashBeforeExecution);
         let error = rest
@@ -171,7 +171,7 @@
         };
         database.inject_fault(statement, fault);
         tokio::time::sleep(Duration::from_millis(random.between(5, 30))).await;
-        databases.iter().for_each(Database::revive);
+        databases.iter().for_each(Database::restart);
         crashes += 1;
     }
     crashes
--- a/adapters/postgres/tests/transactions.rs
+++ b/adapters/postgres/tests/transactions.rs
@@ -144,7 +144,7 @@
             let (served, _) = task.await.expect("the task does not panic");
             served.expect("served, after a wait");
         }
-        assert!(database.open() <= 2);
+        assert!(database.open_connections() <= 2);
         // At 300 ms on two connections, about 33 transactions can be served within the deadline of 5 s.
         let mut tasks = Vec::new();
         for _ in 0..70 {
