--- a/adapters/postgres/src/config/balancer_settings.rs
+++ b/adapters/postgres/src/config/balancer_settings.rs
@@ -1,7 +1,7 @@
 //! The balancer's settings for a PostgreSQL fleet, made of the section `[postgres]` in the words of the settings
 //! object.
 
-use badgerpost_settings::Site;
+use badgerpost_settings::NodeSettings;
 use serde_json::{Value, json};
 
 use super::{Class, Config};
@@ -18,7 +18,7 @@
     ///
     /// # Errors
     /// [`ConfigError`] if a class or the servers are missing, or the balancer can't work with the values.
-    pub fn site(&self) -> Result<Site, ConfigError> {
+    pub fn site(&self) -> Result<NodeSettings, ConfigError> {
         if self.class.is_empty() || (self.server.is_empty() && self.discovery.is_none()) {
             return Err(ConfigError::NoClassOrServer);
         }
--- a/daemon/src/config/platform.rs
+++ b/daemon/src/config/platform.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use badgerpost_http::endpoint_list::EndpointList;
-use badgerpost_settings::Site;
+use badgerpost_settings::NodeSettings;
 use serde::Deserialize;
 
 use super::error::ConfigError;
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// The settings object can't be read, or the balancer can't work with it.
-    pub fn site(&self) -> Result<Site, ConfigError> {
+    pub fn site(&self) -> Result<NodeSettings, ConfigError> {
         let site = badgerpost_settings::read(&self.settings)?;
         site.settings.validate()?;
         Ok(site)
--- a/daemon/src/node/startup.rs
+++ b/daemon/src/node/startup.rs
@@ -14,7 +14,7 @@
 use badgerpost_http::server::{self, ServerHandle, ServerLimits};
 use badgerpost_http::upstream::HttpTransport;
 use badgerpost_http::{Http, HttpEngine};
-use badgerpost_settings::Site;
+use badgerpost_settings::NodeSettings;
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
@@ -86,7 +86,7 @@
     }
 
     /// Starts the engine of the HTTP fleet and its connection pool.
-    pub fn start_engine(&mut self, site: Site) -> Result<HttpEngine, NodeError> {
+    pub fn start_engine(&mut self, site: NodeSettings) -> Result<HttpEngine, NodeError> {
         let transport = HttpTransport::new(
             site.connections,
             self.clock.clone(),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -16,4 +16,4 @@
 pub use name_table::NameTable;
 pub use object_reader::{ObjectError, ObjectReader};
 pub use read::read;
-pub use site::{ConnectionSettings, Site};
+pub use site::{ConnectionSettings, NodeSettings};
--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 use crate::name_table::{SettingsNames, id_of_position};
-use crate::{ConnectionSettings, NameTable, ObjectError, ObjectReader, Site};
+use crate::{ConnectionSettings, NameTable, NodeSettings, ObjectError, ObjectReader};
 
 /// Priority weight of a class without `importance`.
 const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
@@ -42,13 +42,13 @@
 /// # Errors
 ///
 /// An error names the object and the key that is missing or of the wrong type.
-pub fn read(config: &Value) -> Result<Site, ObjectError> {
+pub fn read(config: &Value) -> Result<NodeSettings, ObjectError> {
     let root = ObjectReader::new(SETTINGS, config)?;
     let lists = Lists::read(&root)?;
     let sections = Sections::read(&root)?;
     let settings = read_balancer_settings(&root, &lists, &sections)?;
     let machine_kinds = read_machine_kinds(&root)?;
-    Ok(Site {
+    Ok(NodeSettings {
         settings,
         names: lists.into_name_table(machine_kinds),
         connections: read_connections(&sections.limits)?,
--- a/settings/src/site.rs
+++ b/settings/src/site.rs
@@ -5,7 +5,7 @@
 use crate::NameTable;
 
 /// All that is read from the settings object.
-pub struct Site {
+pub struct NodeSettings {
     /// The balancer's settings. Times are in nanoseconds, rates in requests a second.
     pub settings: Settings,
     /// The names behind the ids in `settings`.
--- a/settings/tests/read_settings.rs
+++ b/settings/tests/read_settings.rs
@@ -10,12 +10,12 @@
 mod common;
 
 use badgerpost_balancer::{DedupScope, Discovery, Idempotency, Settings, WeightSource, ZoneId};
-use badgerpost_settings::Site;
+use badgerpost_settings::NodeSettings;
 use common::{complete, minimal, with};
 use serde_json::{Value, json};
 
 /// Reads settings that must be accepted.
-fn read(settings: &Value) -> Site {
+fn read(settings: &Value) -> NodeSettings {
     badgerpost_settings::read(settings).expect("settings")
 }
 
--- a/testkit/scenarios/src/process.rs
+++ b/testkit/scenarios/src/process.rs
@@ -238,19 +238,24 @@
         let Some(control) = &mut self.control else {
             return Ok(None);
         };
-        let line = ControllerMessage::Step { now, bytes, ended }.to_string();
+        let line = ControllerMessage::Step {
+            now,
+            bytes_sent: bytes,
+            connections_ended: ended,
+        }
+        .to_string();
         if control.get_mut().write_all(line.as_bytes()).is_err() {
             return Ok(None);
         }
         match self.hear()? {
             Some(NodeMessage::Idle {
-                next,
-                written,
-                ended,
+                next_timer_at,
+                bytes_written,
+                connections_ended,
                 ..
             }) => {
-                self.next = next;
-                Ok(Some((written, ended)))
+                self.next = next_timer_at;
+                Ok(Some((bytes_written, connections_ended)))
             }
             Some(NodeMessage::Hello { .. }) | None => Ok(None),
         }
--- a/virtual-clock/src/control.rs
+++ b/virtual-clock/src/control.rs
@@ -32,10 +32,10 @@
     )]
     NotLoopback(SocketAddr),
     /// The connection failed or broke.
-    #[error("the rehearsal at {at}: {source}")]
+    #[error("the rehearsal at {controller}: {source}")]
     Socket {
         /// The controller's address.
-        at: SocketAddr,
+        controller: SocketAddr,
         /// The operating system's error.
         source: io::Error,
     },
@@ -43,10 +43,10 @@
     #[error("the rehearsal at {0} is over")]
     Closed(SocketAddr),
     /// The controller has sent a line that is not a message.
-    #[error("the rehearsal at {at}: {source}")]
+    #[error("the rehearsal at {controller}: {source}")]
     Malformed {
         /// The controller's address.
-        at: SocketAddr,
+        controller: SocketAddr,
         /// The line.
         source: MalformedLine,
     },
@@ -73,10 +73,7 @@
             stream.set_nodelay(true)?;
             Ok(stream)
         };
-        let stream = connect().map_err(|source| ControlError::Socket {
-            at: controller,
-            source,
-        })?;
+        let stream = connect().map_err(|source| ControlError::Socket { controller, source })?;
         Ok(Self {
             controller,
             reader: BufReader::new(stream),
@@ -97,7 +94,7 @@
         match result {
             Ok(0) => Err(ControlError::Closed(self.controller)),
             Ok(_) => line.parse().map_err(|source| ControlError::Malformed {
-                at: self.controller,
+                controller: self.controller,
                 source,
             }),
             Err(source) => Err(self.socket_error(source)),
@@ -106,7 +103,7 @@
 
     fn socket_error(&self, source: io::Error) -> ControlError {
         ControlError::Socket {
-            at: self.controller,
+            controller: self.controller,
             source,
         }
     }
@@ -141,21 +138,26 @@
         // Ends that the controller has seen and that never came here: of connections that this node never read from.
         let mut unseen_ends = 0;
         loop {
-            let ControllerMessage::Step { now, bytes, ended } = self.receive()?;
+            let ControllerMessage::Step {
+                now,
+                bytes_sent,
+                connections_ended,
+            } = self.receive()?;
             let read_before = activity::snapshot().bytes_read;
             virtual_clock.advance(now);
             run_until_idle(
-                read_before.saturating_add(bytes),
-                ended.saturating_sub(unseen_ends),
+                read_before.saturating_add(bytes_sent),
+                connections_ended.saturating_sub(unseen_ends),
             )
             .await;
             let after = activity::snapshot();
-            unseen_ends = unseen_ends.max(ended.saturating_sub(after.connections_ended));
+            unseen_ends =
+                unseen_ends.max(connections_ended.saturating_sub(after.connections_ended));
             self.send(&NodeMessage::Idle {
-                next: virtual_clock.next_deadline(),
-                read: after.bytes_read - before.bytes_read,
-                written: after.bytes_written - before.bytes_written,
-                ended: after.connections_ended + unseen_ends,
+                next_timer_at: virtual_clock.next_deadline(),
+                bytes_read: after.bytes_read - before.bytes_read,
+                bytes_written: after.bytes_written - before.bytes_written,
+                connections_ended: after.connections_ended + unseen_ends,
             })?;
             before = after;
         }
--- a/virtual-clock/src/control/tests.rs
+++ b/virtual-clock/src/control/tests.rs
@@ -6,77 +6,79 @@
 
 use super::*;
 
-/// The kit's side, by hand.
-fn line(reader: &mut BufReader<TcpStream>) -> NodeMessage {
+/// Reads the node's next message on the controller's end of the connection.
+fn read_message(reader: &mut BufReader<TcpStream>) -> NodeMessage {
     let mut text = String::new();
     reader.read_line(&mut text).expect("a line");
     text.parse().expect("a node's line")
 }
 
-/// A node on a thread of its own, with a stepped clock at 100, whose one task this is; and the kit's end of its
-/// control connection, behind its first line.
-fn node<F: Future<Output = ()> + 'static>(
+/// Starts a node on its own thread. The node has a virtual clock at 100 and runs the one task that `task` returns.
+/// Returns the thread, which ends with the text of the node's error, and the controller's end of the control
+/// connection, from which the node's first message has been read.
+fn start_node<F: Future<Output = ()> + 'static>(
     task: impl FnOnce(Clock) -> F + Send + 'static,
 ) -> (JoinHandle<String>, BufReader<TcpStream>) {
-    let kit = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = kit.local_addr().unwrap();
+    let controller = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = controller.local_addr().unwrap();
     let node = std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .unwrap();
-        let steps = VirtualClock::at(100);
-        let clock = Clock::from_virtual(steps.clone());
+        let virtual_clock = VirtualClock::at(100);
+        let clock = Clock::from_virtual(virtual_clock.clone());
         LocalSet::new().block_on(&runtime, async move {
             spawn(task(clock));
-            ControlConnection::connect(at)
+            ControlConnection::connect(address)
                 .unwrap()
-                .follow("n0", at, steps)
+                .follow("n0", address, virtual_clock)
                 .await
                 .to_string()
         })
     });
-    let (stream, _) = kit.accept().unwrap();
+    let (stream, _) = controller.accept().unwrap();
     let mut reader = BufReader::new(stream);
     assert_eq!(
-        line(&mut reader),
+        read_message(&mut reader),
         NodeMessage::Hello {
             name: "n0".to_owned(),
-            listen: at
+            listen: address
         }
     );
     (node, reader)
 }
 
-fn step(reader: &mut BufReader<TcpStream>, now: u64, ended: u64) -> NodeMessage {
+/// Sends a step and returns the node's reply.
+fn step(reader: &mut BufReader<TcpStream>, now: u64, connections_ended: u64) -> NodeMessage {
     let text = ControllerMessage::Step {
         now,
-        bytes: 0,
-        ended,
+        bytes_sent: 0,
+        connections_ended,
     }
     .to_string();
     reader.get_mut().write_all(text.as_bytes()).unwrap();
-    line(reader)
+    read_message(reader)
 }
 
-/// A node whose one task waits twice. Time passes by steps only, a step runs everything that is ready, and
-/// the end of the connection is the end of the rehearsal.
+/// Guards against timers that fire outside a step, tasks that are not run to their end within a step, and a node that
+/// outlives its controller.
 #[test]
-fn a_node_runs_by_steps_and_ends_with_them() {
-    let (node, mut reader) = node(|tasks| async move {
-        tasks.sleep_until(200).await;
-        // Started by what has just run, it belongs to the same step.
-        let inner = tasks.clone();
-        let inner = spawn(async move { inner.sleep_until(300).await });
+fn time_advances_by_steps_only_and_the_node_stops_when_the_controller_disconnects() {
+    let (node, mut reader) = start_node(|clock| async move {
+        clock.sleep_until(200).await;
+        // A task that is spawned within a step is run within the same step.
+        let inner_clock = clock.clone();
+        let inner = spawn(async move { inner_clock.sleep_until(300).await });
         activity::record_bytes_written(7);
         let _ = inner.await;
         activity::record_bytes_written(5);
     });
-    let idle = |next, written| NodeMessage::Idle {
-        next,
-        read: 0,
-        written,
-        ended: 0,
+    let idle = |next_timer_at, bytes_written| NodeMessage::Idle {
+        next_timer_at,
+        bytes_read: 0,
+        bytes_written,
+        connections_ended: 0,
     };
     assert_eq!(step(&mut reader, 150, 0), idle(Some(200), 0));
     assert_eq!(step(&mut reader, 250, 0), idle(Some(300), 7));
@@ -86,11 +88,11 @@
     assert!(node.join().unwrap().ends_with("is over"));
 }
 
-/// The system may be late with a connection, or with the end of one: a step lasts until it has come, and what never
-/// comes is waited for once.
+/// The operating system may deliver a connection, or the end of one, late. Guards against a step that ends before the
+/// delivery, and against repeated waits for an end that the node never sees.
 #[test]
-fn a_step_lasts_until_what_is_under_way_has_come() {
-    let (node, mut reader) = node(|clock| async move {
+fn a_step_waits_for_connections_and_ends_in_transit_and_waits_once_for_unseen_ends() {
+    let (node, mut reader) = start_node(|clock| async move {
         clock.sleep_until(200).await;
         let late = || tokio::time::sleep(Duration::from_millis(5));
         activity::track_connecting(late()).await;
@@ -100,15 +102,15 @@
         late().await;
         connection.mark_ended();
     });
-    let idle = |next, written, ended| NodeMessage::Idle {
-        next,
-        read: 0,
-        written,
-        ended,
+    let idle = |next_timer_at, bytes_written, connections_ended| NodeMessage::Idle {
+        next_timer_at,
+        bytes_read: 0,
+        bytes_written,
+        connections_ended,
     };
     assert_eq!(step(&mut reader, 200, 0), idle(Some(300), 3, 0));
     assert_eq!(step(&mut reader, 300, 1), idle(None, 0, 1));
-    // One that the node never looked at: waited for in vain, and then taken as seen.
+    // The node never sees the second end: the step waits for the maximum number of checks, then counts the end as seen.
     assert_eq!(step(&mut reader, 400, 2), idle(None, 0, 2));
     let began = std::time::Instant::now();
     assert_eq!(step(&mut reader, 500, 2), idle(None, 0, 2));
@@ -121,9 +123,9 @@
 }
 
 #[test]
-fn a_clock_is_given_into_no_other_hands() {
-    let far = SocketAddr::from(([192, 0, 2, 1], 9));
+fn a_controller_outside_loopback_is_rejected() {
+    let outside = SocketAddr::from(([192, 0, 2, 1], 9));
     assert!(
-        matches!(ControlConnection::connect(far), Err(ControlError::NotLoopback(at)) if at == far)
+        matches!(ControlConnection::connect(outside), Err(ControlError::NotLoopback(address)) if address == outside)
     );
 }
--- a/virtual-clock/src/protocol.rs
+++ b/virtual-clock/src/protocol.rs
@@ -28,9 +28,9 @@
         /// The time.
         now: Nanos,
         /// Bytes newly written to the node's sockets.
-        bytes: u64,
+        bytes_sent: u64,
         /// Connections with the controller that have ended since the node's start, from whichever side.
-        ended: u64,
+        connections_ended: u64,
     },
 }
 
@@ -47,13 +47,13 @@
     /// A step is done: nothing is ready any more.
     Idle {
         /// When the node's next timer is due.
-        next: Option<Nanos>,
+        next_timer_at: Option<Nanos>,
         /// Bytes that it has read from its sockets in this step.
-        read: u64,
+        bytes_read: u64,
         /// Bytes that it has written to them.
-        written: u64,
+        bytes_written: u64,
         /// Connections with the controller that have ended since its start, from whichever side.
-        ended: u64,
+        connections_ended: u64,
     },
 }
 
@@ -64,8 +64,12 @@
 
 impl fmt::Display for ControllerMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self::Step { now, bytes, ended } = self;
-        writeln!(f, "step {now} {bytes} {ended}")
+        let Self::Step {
+            now,
+            bytes_sent,
+            connections_ended,
+        } = self;
+        writeln!(f, "step {now} {bytes_sent} {connections_ended}")
     }
 }
 
@@ -74,19 +78,20 @@
         match self {
             Self::Hello { name, listen } => writeln!(f, "hello {PROTOCOL_VERSION} {name} {listen}"),
             Self::Idle {
-                next: Some(next),
-                read,
-                written,
-                ended,
-            } => {
-                writeln!(f, "idle {next} {read} {written} {ended}")
-            }
+                next_timer_at: Some(next),
+                bytes_read,
+                bytes_written,
+                connections_ended,
+            } => writeln!(
+                f,
+                "idle {next} {bytes_read} {bytes_written} {connections_ended}"
+            ),
             Self::Idle {
-                next: None,
-                read,
-                written,
-                ended,
-            } => writeln!(f, "idle - {read} {written} {ended}"),
+                next_timer_at: None,
+                bytes_read,
+                bytes_written,
+                connections_ended,
+            } => writeln!(f, "idle - {bytes_read} {bytes_written} {connections_ended}"),
         }
     }
 }
@@ -106,13 +111,13 @@
 
     fn from_str(line: &str) -> Result<Self, MalformedLine> {
         let parse = || {
-            let ["step", now, bytes, ended] = split_fields(line)? else {
+            let ["step", now, bytes_sent, connections_ended] = split_fields(line)? else {
                 return None;
             };
             Some(Self::Step {
                 now: now.parse().ok()?,
-                bytes: bytes.parse().ok()?,
-                ended: ended.parse().ok()?,
+                bytes_sent: bytes_sent.parse().ok()?,
+                connections_ended: connections_ended.parse().ok()?,
             })
         };
         parse().ok_or_else(|| MalformedLine(line.to_owned()))
@@ -134,16 +139,16 @@
                 _ => None,
             },
             "idle" => {
-                let [_, next, read, written, ended] = split_fields(line)?;
+                let [_, next, bytes_read, bytes_written, connections_ended] = split_fields(line)?;
                 Some(Self::Idle {
-                    next: if next == "-" {
+                    next_timer_at: if next == "-" {
                         None
                     } else {
                         Some(next.parse().ok()?)
                     },
-                    read: read.parse().ok()?,
-                    written: written.parse().ok()?,
-                    ended: ended.parse().ok()?,
+                    bytes_read: bytes_read.parse().ok()?,
+                    bytes_written: bytes_written.parse().ok()?,
+                    connections_ended: connections_ended.parse().ok()?,
                 })
             }
             _ => None,
--- a/virtual-clock/src/protocol/tests.rs
+++ b/virtual-clock/src/protocol/tests.rs
@@ -4,8 +4,8 @@
 fn lines_are_read_as_they_are_written() {
     let step = ControllerMessage::Step {
         now: 17,
-        bytes: 3,
-        ended: 2,
+        bytes_sent: 3,
+        connections_ended: 2,
     };
     assert_eq!(step.to_string().parse(), Ok(step));
     let listen = SocketAddr::from(([127, 0, 0, 1], 9));
@@ -15,16 +15,16 @@
             listen,
         },
         NodeMessage::Idle {
-            next: Some(5),
-            read: 1,
-            written: u64::MAX,
-            ended: 7,
+            next_timer_at: Some(5),
+            bytes_read: 1,
+            bytes_written: u64::MAX,
+            connections_ended: 7,
         },
         NodeMessage::Idle {
-            next: None,
-            read: 0,
-            written: 0,
-            ended: 0,
+            next_timer_at: None,
+            bytes_read: 0,
+            bytes_written: 0,
+            connections_ended: 0,
         },
     ] {
         assert_eq!(line.to_string().parse(), Ok(line));
