--- a/daemon/src/background_tasks.rs
+++ b/daemon/src/background_tasks.rs
@@ -1,5 +1,5 @@
-//! The tasks that run beside the servers for as long as the node does. None of them is expected to panic; one that does
-//! is logged, and the others go on.
+//! The tasks that run beside the servers until the process ends. A task that panics is logged; the other tasks keep
+//! running.
 
 use std::convert::Infallible;
 use std::future::{Future, poll_fn};
@@ -9,7 +9,7 @@
 use badgerpost_engine::spawn;
 use tokio::task::{JoinError, JoinHandle};
 
-/// The background tasks of a node.
+/// The running background tasks of a node.
 #[derive(Default)]
 pub struct BackgroundTasks {
     running: Vec<BackgroundTask>,
@@ -21,14 +21,14 @@
 }
 
 impl BackgroundTasks {
-    /// Starts a task. Its name is for the log.
+    /// Starts a task. `name` identifies the task in the log.
     pub fn spawn(&mut self, name: &'static str, task: impl Future<Output = ()> + 'static) {
         let handle = spawn(task);
         self.running.push(BackgroundTask { name, handle });
     }
 
-    /// Logs the tasks' ends as they come. Never returns.
-    pub async fn watch(&mut self) -> Infallible {
+    /// Logs the end of each task. Never returns.
+    pub async fn log_ends(&mut self) -> Infallible {
         poll_fn(|cx| {
             self.running.retain_mut(|task| task.poll(cx).is_pending());
             Poll::Pending
@@ -38,7 +38,7 @@
 }
 
 impl BackgroundTask {
-    /// Whether the task has ended. Its end is logged.
+    /// Polls the task's handle, and logs the end of the task.
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         Pin::new(&mut self.handle)
             .poll(cx)
@@ -46,11 +46,11 @@
     }
 }
 
-/// Logs the end of a task.
+/// Logs how a task has ended.
 pub fn log_end(task: &'static str, result: &Result<(), JoinError>) {
     match result {
         Ok(()) => tracing::debug!(task, "task ended"),
-        Err(error) => tracing::error!(task, %error, "task panicked"),
+        Err(error) => tracing::error!(task, %error, "task panicked; the other tasks keep running"),
     }
 }
 
--- a/daemon/src/background_tasks/tests.rs
+++ b/daemon/src/background_tasks/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-/// Runs a future as the node's main one, beside its tasks.
+/// Runs `main` on a runtime on which it can spawn background tasks.
 fn run<F: Future>(main: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
@@ -14,12 +14,12 @@
 }
 
 #[test]
-fn a_task_that_panics_leaves_the_others_running_and_its_end_is_seen() {
+fn a_panicked_task_is_removed_and_the_other_tasks_keep_running() {
     run(async {
         let mut tasks = BackgroundTasks::default();
         let turns = Rc::new(Cell::new(0));
         let counter = turns.clone();
-        tasks.spawn("panics", async { panic!("as this test wants") });
+        tasks.spawn("panics", async { panic!("expected by the test") });
         tasks.spawn("counts", async move {
             loop {
                 counter.set(counter.get() + 1);
@@ -33,7 +33,7 @@
         };
         tokio::select! {
             () = waited => {}
-            never = tasks.watch() => match never {},
+            never = tasks.log_ends() => match never {},
         }
         let running: Vec<_> = tasks.running.iter().map(|task| task.name).collect();
         assert_eq!(running, ["counts"]);
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration of a node: the platform's file, in JSON under `EDGE_CONFIG`, and the operators' own file, in TOML
-//! under `--config`, which switches on what is off by default.
+//! The configuration of a node. The platform's file is JSON; `EDGE_CONFIG` or `--edge-config` names it. The operators'
+//! file is TOML; `--config` names it, and it enables optional features.
 
 mod error;
 mod loopback;
@@ -18,20 +18,20 @@
 use loopback::check_loopback;
 use summary::{operator_summary, platform_summary};
 
-/// Both files, checked.
+/// The validated content of both configuration files.
 pub struct Config {
-    /// The platform's.
+    /// The content of the platform's file.
     pub platform: PlatformConfig,
-    /// The operators'; its defaults where no file is given.
+    /// The content of the operators' file, or the defaults if no file is given.
     pub operator: OperatorConfig,
 }
 
 impl Config {
-    /// Reads and checks both files.
+    /// Reads and validates both files.
     ///
     /// # Errors
     ///
-    /// The first thing found that keeps the node from starting.
+    /// The first problem found in either file.
     pub fn read(platform: &Path, operator: Option<&Path>) -> Result<Self, ConfigError> {
         let config = Self {
             platform: PlatformConfig::read(platform)?,
@@ -41,9 +41,9 @@
         Ok(config)
     }
 
-    /// Checks what the files' types alone don't.
+    /// Validates values and combinations of values that deserialization accepts.
     fn check(&self) -> Result<(), ConfigError> {
-        let site = self.platform.site()?;
+        let node_settings = self.platform.node_settings()?;
         self.platform.seed()?;
         self.platform.connection_limits()?;
         if let Some(postgres) = &self.operator.postgres {
@@ -52,9 +52,9 @@
         if let Some(peers) = &self.operator.peers {
             let monitors_zones = self.operator.monitors_zones();
             peers.check(
-                site.gossip_allowed,
+                node_settings.gossip_allowed,
                 monitors_zones,
-                site.settings.zone_count,
+                node_settings.settings.zone_count,
             )?;
         }
         if self.operator.virtual_clock.is_some() {
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// What would run with this configuration, in lines for people.
+    /// Human-readable lines about the features that are enabled, for `badgerpost check`.
     pub fn summary(&self) -> Vec<String> {
         let mut lines = platform_summary(&self.platform);
         lines.extend(operator_summary(&self.operator));
--- a/daemon/src/config/loopback.rs
+++ b/daemon/src/config/loopback.rs
@@ -1,4 +1,5 @@
-//! The check that a node with a virtual clock reaches nothing outside this machine.
+//! Checks that a node with a virtual clock is configured with loopback addresses only, so that it reaches nothing outside
+//! this machine.
 
 use std::net::SocketAddr;
 
@@ -8,14 +9,14 @@
 use super::operator::OperatorConfig;
 use super::platform::PlatformConfig;
 
-/// An address in the configuration, with what it is of.
+/// A description for error messages, and the address that it describes.
 type NamedAddress = (String, SocketAddr);
 
-/// Checks that all addresses of both files are loopback addresses.
+/// Checks that all addresses in both files are loopback addresses.
 ///
 /// # Errors
 ///
-/// The first address that is not.
+/// The first address outside this machine.
 pub(super) fn check_loopback(
     platform: &PlatformConfig,
     operator: &OperatorConfig,
@@ -32,7 +33,7 @@
 }
 
 fn platform_addresses(platform: &PlatformConfig) -> impl Iterator<Item = NamedAddress> {
-    let listener = ("the listener".to_owned(), platform.listen);
+    let listener = ("the HTTP listener".to_owned(), platform.listen);
     let discovery = ("discovery".to_owned(), platform.discovery);
     let console = platform
         .console
@@ -50,22 +51,24 @@
 
 fn known_endpoint_addresses(platform: &PlatformConfig) -> impl Iterator<Item = NamedAddress> {
     platform
-        .known
+        .known_endpoints
         .iter()
         .flat_map(EndpointList::endpoints)
-        .map(|(name, address)| (format!("the known server {name}"), address))
+        .map(|(name, address)| (format!("the known endpoint {name}"), address))
 }
 
 fn postgres_addresses(operator: &OperatorConfig) -> impl Iterator<Item = NamedAddress> {
     operator.postgres.iter().flat_map(|postgres| {
-        let servers = postgres
-            .server
-            .iter()
-            .map(|server| (format!("the server {}", server.name), server.address));
+        let servers = postgres.server.iter().map(|server| {
+            (
+                format!("the PostgreSQL server {}", server.name),
+                server.address,
+            )
+        });
         let listener = ("the PostgreSQL listener".to_owned(), postgres.listen);
         let discovery = postgres
             .discovery
-            .map(|address| ("the list of PostgreSQL servers".to_owned(), address));
+            .map(|address| ("discovery of PostgreSQL servers".to_owned(), address));
         servers.chain([listener]).chain(discovery)
     })
 }
--- a/daemon/src/config/operator.rs
+++ b/daemon/src/config/operator.rs
@@ -1,17 +1,17 @@
-//! The operators' own file. Everything in it is off by default.
+//! The operators' configuration file, which enables optional features.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
-/// What the operators switch on.
+/// The content of the operators' file. An absent section leaves its feature disabled.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorConfig {
-    /// How the node logs.
+    /// Logging to standard error.
     #[serde(default)]
     pub log: LogConfig,
-    /// A clock that a test controls.
+    /// The virtual clock. The system's clock is used if absent.
     #[serde(rename = "rehearsal")]
     pub virtual_clock: Option<VirtualClockConfig>,
     /// Zone monitoring.
@@ -23,25 +23,25 @@
 }
 
 impl OperatorConfig {
-    /// Whether zone monitoring is on.
+    /// Whether zone monitoring is enabled.
     pub fn monitors_zones(&self) -> bool {
-        self.zones.is_some_and(|zones| zones.watch)
+        self.zones.is_some_and(|zones| zones.is_enabled)
     }
 }
 
-/// Zone monitoring: `docs/operators/zones.md`.
+/// The section `[zones]`, described in `docs/operators/zones.md`.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ZoneMonitoringConfig {
-    /// Whether it is on.
-    watch: bool,
+    #[serde(rename = "watch")]
+    is_enabled: bool,
 }
 
-/// How the node logs to standard error.
+/// The section `[log]`.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogConfig {
-    /// The format of a line.
+    /// The format of the lines on standard error.
     #[serde(default)]
     pub format: LogFormat,
 }
@@ -50,19 +50,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people: time, level, target, message, fields.
+    /// Plain text: time, level, target, message, fields.
     #[default]
     Text,
-    /// One JSON object a line: `timestamp` (RFC 3339), `level`, `target`, and `fields` with the `message` among them.
+    /// One JSON object per line: `timestamp` (RFC 3339), `level`, `target`, and `fields` with the `message` among them.
     Json,
 }
 
-/// A clock that a test controls. Never for service.
+/// The section `[rehearsal]`: a virtual clock that a test controls. Not for production use.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VirtualClockConfig {
-    /// Where the test's controller waits for the node, on a loopback address.
-    pub control: SocketAddr,
-    /// The clock's first time: Unix time in nanoseconds.
+    /// The loopback address at which the test's controller listens.
+    #[serde(rename = "control")]
+    pub controller: SocketAddr,
+    /// The clock's initial Unix time, in nanoseconds.
     pub start_ns: u64,
 }
--- a/daemon/src/config/platform.rs
+++ b/daemon/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's file.
+//! The platform's configuration file.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,69 +9,71 @@
 
 use super::error::ConfigError;
 
-/// The fewest descriptors that a node works with.
-const MIN_DESCRIPTORS: usize = 32;
-/// Descriptors that the node itself needs, whatever clients do: ten for standard streams, the event loop, signals and
-/// the listener, eight for calls to discovery that are made beside each other, one for a client that waits to be
-/// admitted, one for a file.
+/// Minimum of `limits.sockets`.
+pub(super) const MIN_DESCRIPTORS: usize = 32;
+/// Descriptors reserved for purposes other than client and backend connections: ten for standard streams, the event loop,
+/// signals and the listener, eight for concurrent calls to discovery, one for a client that waits for admission, one for a
+/// file.
 const RESERVED_DESCRIPTORS: usize = 20;
-/// Descriptors for the operators' console and the socket handover.
+/// Additional descriptors reserved for the operators' console and the socket handover.
 const RESERVED_CONSOLE_DESCRIPTORS: usize = 24;
-/// Memory where the platform's file does not say, in MiB: that of a node on the platform's scored days.
+/// The memory limit if the platform's file has no `limits.memory_mb`.
 const DEFAULT_MEMORY_MIB: usize = 192;
-/// Of the memory, the part for buffered bodies: one in so many. The rest is for the buffers of connections, of which
-/// there may be as many as descriptors, and for the node's own state.
+/// The memory limit divided by this is available for buffered bodies. The rest is for connection buffers and for the
+/// node's own state.
 const BODY_BUFFER_DIVISOR: usize = 4;
 const MIB: usize = 1024 * 1024;
 
-/// The platform's configuration of a node.
+/// The content of the platform's file.
 #[derive(Deserialize)]
 pub struct PlatformConfig {
-    /// The node's name.
+    /// The node's name in log lines and in gossip.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which the node listens for HTTP clients.
     pub listen: SocketAddr,
-    /// Where service discovery listens.
+    /// The address of service discovery.
     pub discovery: SocketAddr,
-    /// Where the operators' console listens, if there is one; `$EDGE_CONSOLE` where the file does not say.
+    /// The address at which the operators' console listens. `$EDGE_CONSOLE` if absent from the file; no console if neither
+    /// is set.
     pub console: Option<SocketAddr>,
-    /// Seed of all random draws, in hexadecimal.
+    /// The seed of all random number generators, in hexadecimal.
     seed: String,
     limits: ResourceLimits,
-    /// The endpoint list as the node last had it.
-    pub known: Option<EndpointList>,
+    /// The endpoint list with which the node starts, until discovery answers.
+    #[serde(rename = "known")]
+    pub known_endpoints: Option<EndpointList>,
     settings: serde_json::Value,
 }
 
-/// What the node may use of its machine.
+/// Resources of the machine that the node may use.
 #[derive(Deserialize)]
 struct ResourceLimits {
-    /// Descriptors.
-    sockets: usize,
-    /// Memory, in MiB.
-    #[serde(default = "default_memory_mib")]
-    memory_mb: usize,
+    /// File descriptors.
+    #[serde(rename = "sockets")]
+    descriptors: usize,
+    #[serde(rename = "memory_mb", default = "default_memory_mib")]
+    memory_mib: usize,
 }
 
 fn default_memory_mib() -> usize {
     DEFAULT_MEMORY_MIB
 }
 
-/// The most connections of each kind.
+/// Maximum numbers of concurrent connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// With clients.
+    /// Maximum number of client connections.
     pub clients: usize,
-    /// With backends.
+    /// Maximum number of backend connections.
     pub backends: usize,
 }
 
 impl PlatformConfig {
-    /// Reads the file.
+    /// Reads the file, and `$EDGE_CONSOLE` if the file has no console address.
     ///
     /// # Errors
     ///
-    /// The file can't be read or parsed, or `$EDGE_CONSOLE` is needed and not an address.
+    /// The file can't be read or parsed, or `$EDGE_CONSOLE` is not an address.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let path = path.to_owned();
         let text = match std::fs::read(&path) {
@@ -86,48 +88,49 @@
         Ok(config)
     }
 
-    /// The settings, checked for use by the balancer.
+    /// Reads and validates the settings object.
     ///
     /// # Errors
     ///
-    /// The settings object can't be read, or the balancer can't work with it.
-    pub fn site(&self) -> Result<NodeSettings, ConfigError> {
-        let site = badgerpost_settings::read(&self.settings)?;
-        site.settings.validate()?;
-        Ok(site)
+    /// The settings object is malformed, or the balancer rejects a value.
+    pub fn node_settings(&self) -> Result<NodeSettings, ConfigError> {
+        let node_settings = badgerpost_settings::read(&self.settings)?;
+        node_settings.settings.validate()?;
+        Ok(node_settings)
     }
 
-    /// The seed of all random draws.
+    /// The seed of all random number generators.
     ///
     /// # Errors
     ///
-    /// It is not a hexadecimal number.
+    /// The seed is not a hexadecimal number of at most 64 bits.
     pub fn seed(&self) -> Result<u64, ConfigError> {
         u64::from_str_radix(&self.seed, 16).map_err(|_| ConfigError::Seed(self.seed.clone()))
     }
 
-    /// Bytes for bodies that are buffered.
+    /// The memory available for buffered bodies, in bytes.
     pub fn body_buffer_bytes(&self) -> usize {
         self.limits
-            .memory_mb
+            .memory_mib
             .saturating_mul(MIB / BODY_BUFFER_DIVISOR)
     }
 
-    /// Connections with clients and with backends: a half and three eighths of all descriptors, and less where that
-    /// would not leave the node its own. Connections with backends exceed their limit by an eighth while old ones end.
+    /// Divides the descriptors between client connections (at most 1/2) and backend connections (at most 3/8), after the
+    /// reserved ones are set aside. Backend connections may exceed their limit by 1/8 while old connections close.
     ///
     /// # Errors
     ///
-    /// There are too few descriptors.
+    /// The platform grants fewer than the minimum number of descriptors.
     pub fn connection_limits(&self) -> Result<ConnectionLimits, ConfigError> {
-        let descriptors = self.limits.sockets;
+        let descriptors = self.limits.descriptors;
         if descriptors < MIN_DESCRIPTORS {
             return Err(ConfigError::TooFewDescriptors(descriptors));
         }
         let reserved =
             RESERVED_DESCRIPTORS + self.console.map_or(0, |_| RESERVED_CONSOLE_DESCRIPTORS);
         let available = descriptors.saturating_sub(reserved);
-        // Halves, eighths and that eighth of the backends', in sixty-fourths: 32 + 24 + 3.
+        // In 64ths of all descriptors: 32 for clients, 24 for backends, and 3 (1/8 of 24) for backend connections that are
+        // closing; 59 in total.
         Ok(ConnectionLimits {
             clients: (descriptors / 2).min(available * 32 / 59).max(1),
             backends: (descriptors * 3 / 8).min(available * 24 / 59).max(1),
@@ -135,7 +138,7 @@
     }
 }
 
-/// The console's address by `$EDGE_CONSOLE`; none where that is not set or empty.
+/// The console's address from `$EDGE_CONSOLE`, or `None` if the variable is unset or empty.
 fn console_from_environment() -> Result<Option<SocketAddr>, ConfigError> {
     match std::env::var("EDGE_CONSOLE") {
         Ok(address) if !address.is_empty() => match address.parse() {
--- a/daemon/src/descriptor_quota.rs
+++ b/daemon/src/descriptor_quota.rs
@@ -1,22 +1,23 @@
-//! This process's quota of the node's descriptors: all of them, or half while another version runs beside it.
+//! This process's share of the node's file descriptors: all of them, or half while another version of the node runs on
+//! the same machine.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use crate::config::ConnectionLimits;
 
-/// The most connections of each kind that this process may have at the moment. Clones share it.
+/// The current connection limits of this process. Clones share the limits.
 #[derive(Clone)]
 pub struct DescriptorQuota {
     limits: ConnectionLimits,
-    /// Connections with clients.
+    /// Maximum number of client connections.
     pub clients: Rc<Cell<usize>>,
-    /// Connections with backends.
+    /// Maximum number of backend connections.
     pub backends: Rc<Cell<usize>>,
 }
 
 impl DescriptorQuota {
-    /// All that the node may have.
+    /// A quota of all descriptors of the node.
     pub fn new(limits: ConnectionLimits) -> Self {
         Self {
             limits,
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Sets whether another process has the other half.
+    /// Halves the limits, or restores the full ones.
     pub fn set_halved(&self, is_halved: bool) {
         let divisor = if is_halved { 2 } else { 1 };
         self.clients.set(self.limits.clients / divisor);
--- a/daemon/src/handover.rs
+++ b/daemon/src/handover.rs
@@ -1,7 +1,7 @@
-//! Handover of the listening socket between the versions of a node, over a Unix socket in `$TMPDIR` that they share.
-//! Runs the state machines of `badgerpost-socket-handover`; nothing is decided here.
+//! Handover of the listening socket from a running version of a node to the next one, over a Unix socket in the shared
+//! directory `$TMPDIR`. The state machines in `badgerpost-socket-handover` make the decisions; this module does the I/O.
 //!
-//! No failure here keeps a node from starting: it is logged, and the process listens beside the other one.
+//! A failed handover is logged, and the new process opens a listening socket of its own at the same address.
 
 mod connection;
 mod context;
@@ -19,33 +19,34 @@
 use context::HandoverContext;
 pub use successor::ReceivedListener;
 
-/// The handover between the versions of a node that listen at one address.
+/// The handover between the versions of a node that listen at the same address.
 pub struct Handover(Rc<HandoverContext>);
 
 impl Handover {
-    /// The handover between processes that listen at this address; none without a folder that they share.
+    /// The handover of the socket at `listen`, or `None` if `$TMPDIR` is unset or the port is chosen by the system.
     pub fn new(listen: SocketAddr, quota: DescriptorQuota, clock: Clock) -> Option<Self> {
-        // A port that the system chooses is nobody else's.
+        // Two processes never get the same port from the system.
         if listen.port() == 0 {
             return None;
         }
-        let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
+        let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
         let name = format!("badgerpost-{}-{}.handover", listen.ip(), listen.port());
         Some(Self(Rc::new(HandoverContext {
-            path: PathBuf::from(folder).join(name),
+            path: PathBuf::from(directory).join(name),
             listen,
             quota,
             clock,
         })))
     }
 
-    /// Requests the listening socket of the version that runs already, if there is one.
+    /// Requests the listening socket of the running version. `None` if no version runs or the request fails.
     pub async fn request_listener(&self) -> Option<ReceivedListener> {
         self.0.request_listener().await
     }
 
-    /// Goes on after the start: tells the predecessor that this process serves, waits for its end, and hands `listener`
-    /// on to successors. Returns only if these can't connect.
+    /// Runs the handover after the node has started: reports to the predecessor that this process serves, waits for the
+    /// predecessor's end, and sends `listener` to successors. Returns only if the Unix socket for successors can't be
+    /// opened.
     pub async fn run(
         self,
         listener: TcpListener,
--- a/daemon/src/handover/connection.rs
+++ b/daemon/src/handover/connection.rs
@@ -1,4 +1,5 @@
-//! A connection between two versions of a node: messages, one to a line, and a socket beside one of them.
+//! A connection between two versions of a node. Each message is one line; one message carries the listening socket as a
+//! file descriptor (`SCM_RIGHTS`).
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -13,12 +14,12 @@
 use tokio::io::Interest;
 use tokio::net::UnixStream;
 
-/// A connection to the other version.
+/// A connection to another version of the node.
 pub(super) struct HandoverConnection {
     stream: UnixStream,
-    /// Bytes received that are no complete line yet.
+    /// Received bytes that are not parsed yet.
     received: Vec<u8>,
-    /// The descriptor received last.
+    /// The file descriptor received most recently.
     received_descriptor: Option<OwnedFd>,
 }
 
@@ -31,7 +32,8 @@
         }
     }
 
-    /// Waits for the next message, or the connection's end. A socket counts only if it listens at `listen`.
+    /// Waits for the next message or the end of the connection. A received descriptor is accepted only if it is a socket
+    /// that listens at `listen`.
     pub(super) async fn next_event(&mut self, listen: SocketAddr) -> Event {
         loop {
             if let Some(line) = self.take_line() {
@@ -47,7 +49,7 @@
         }
     }
 
-    /// The next complete line, without its end.
+    /// Removes the next complete line from the buffer and returns it without the line feed.
     fn take_line(&mut self) -> Option<Vec<u8>> {
         let end = self.received.iter().position(|byte| *byte == b'\n')?;
         let mut line: Vec<u8> = self.received.drain(..=end).collect();
@@ -91,7 +93,7 @@
                 )?;
                 for rights in control.drain() {
                     if let RecvAncillaryMessage::ScmRights(descriptors) = rights {
-                        // The last one counts; others are closed here.
+                        // Only the last descriptor is kept; the others are closed.
                         *received_descriptor = descriptors.last();
                     }
                 }
@@ -102,11 +104,11 @@
         Ok(read)
     }
 
-    /// Sends a message, with a socket beside it if one is given.
+    /// Sends a message, together with the listening socket if one is given.
     ///
     /// # Errors
     ///
-    /// The connection has broken.
+    /// The system call failed, or sent only a part of the message.
     pub(super) async fn send(
         &self,
         message: &Message,
@@ -128,7 +130,7 @@
                 Ok(sendmsg(self.stream.as_fd(), &slices, &mut control, flags)?)
             })
             .await?;
-        // A line is far shorter than any socket's buffer.
+        // Partial writes are not continued: a message is much shorter than the socket's send buffer.
         if sent == line.len() {
             Ok(())
         } else {
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Whether the descriptor received last is a socket that listens at this address.
+    /// Whether the descriptor received most recently is a socket that listens at `listen`.
     fn has_listener_at(&self, listen: SocketAddr) -> bool {
         let Some(descriptor) = &self.received_descriptor else {
             return false;
@@ -148,7 +150,7 @@
         is_listening && address == Some(listen)
     }
 
-    /// Takes the descriptor received last, which [`next_event`](Self::next_event) has checked.
+    /// Takes the descriptor received most recently, which [`next_event`](Self::next_event) has checked.
     pub(super) fn take_listener(&mut self) -> Option<TcpListener> {
         self.received_descriptor.take().map(TcpListener::from)
     }
--- a/daemon/src/handover/context.rs
+++ b/daemon/src/handover/context.rs
@@ -1,4 +1,4 @@
-//! What both sides of the handover have in common.
+//! State and actions common to both sides of the handover.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -10,29 +10,29 @@
 use super::connection::HandoverConnection;
 use crate::descriptor_quota::DescriptorQuota;
 
-/// The whole exchange takes a few wake-ups of either process; past this the new one listens by itself. It has to serve
-/// within 6 s.
+/// Time limit of the whole exchange, after which the new process opens a listening socket of its own. The new process has
+/// to serve within 6 s of its start.
 pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the versions of a node that listen at one address have in common.
+/// The addresses, quota and clock that both sides of the handover use.
 pub(super) struct HandoverContext {
-    /// The Unix socket of the version that started last.
+    /// Path of the Unix socket, which the version that started last has opened.
     pub(super) path: PathBuf,
-    /// Where all of them listen for clients.
+    /// The address at which all versions listen for clients.
     pub(super) listen: SocketAddr,
     pub(super) quota: DescriptorQuota,
     pub(super) clock: Clock,
 }
 
 impl HandoverContext {
-    /// Waits until an exchange that begins now has to be over, and what had arrived by then is handled.
-    pub(super) async fn exchange_timed_out(&self) {
+    /// Waits until an exchange that begins now has timed out. Messages that arrived before the timeout are handled first.
+    pub(super) async fn wait_for_exchange_timeout(&self) {
         let ends_at = self.clock.now().saturating_add(nanos(EXCHANGE_TIMEOUT));
         self.clock.wait_for_deadline(ends_at).await;
     }
 
-    /// Carries out what either state machine asks for, as far as it is the same for both. A failure to send is logged
-    /// only: the next read from the connection shows that it has broken.
+    /// Performs the actions that are the same on both sides; the callers perform the others. A failed send is only logged:
+    /// the next read from the connection reports its end.
     pub(super) async fn perform(
         &self,
         action: Action,
@@ -52,7 +52,7 @@
             | Action::Close => Ok(()),
         };
         if let Err(error) = result {
-            tracing::info!(%error, "handover connection failed");
+            tracing::info!(%error, "sending on the handover connection failed");
         }
     }
 }
--- a/daemon/src/handover/predecessor.rs
+++ b/daemon/src/handover/predecessor.rs
@@ -1,4 +1,4 @@
-//! The side of the running process, which hands its socket on.
+//! The running version's side of the handover, which sends its listening socket.
 
 use std::net::TcpListener;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use super::connection::HandoverConnection;
 use super::context::HandoverContext;
 
-/// Wait before the next accept after one failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl HandoverContext {
     /// Opens the Unix socket to which successors connect.
     pub(super) fn open_unix_listener(&self) -> Option<UnixListener> {
-        // What is there is of a version that has ended, or that knows of this one already.
+        // Another version's socket at this path is obsolete: that version has ended, or has exchanged messages with this
+        // process already.
         let _ = std::fs::remove_file(&self.path);
         match UnixListener::bind(&self.path) {
             Ok(unix_listener) => Some(unix_listener),
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Hands `listener` on to successors, one after the other: a second one beside the first listens by itself. Never
-    /// returns.
+    /// Sends `listener` to successors, one at a time: a second successor during the first one's life opens a listening
+    /// socket of its own. Never returns.
     pub(super) async fn accept_successors(
         &self,
         mut unix_listener: UnixListener,
@@ -43,7 +43,7 @@
                     let connection = HandoverConnection::new(stream);
                     let has_sent_listener =
                         self.serve_successor(connection, listener, lifecycle).await;
-                    // One that had opened its own Unix socket and died has left nobody behind it.
+                    // A successor that has replaced the Unix socket and then ended leaves a path that nobody serves.
                     if has_sent_listener
                         && UnixStream::connect(&self.path).await.is_err()
                         && let Some(reopened) = self.open_unix_listener()
@@ -52,14 +52,14 @@
                     }
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "accepting a successor failed");
+                    tracing::warn!(%error, "accepting a successor's connection failed; retrying");
                     self.clock.sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Serves one successor until it has ended. Returns whether the socket was sent to it.
+    /// Serves one successor until the connection ends. Returns whether the listening socket was sent to the successor.
     async fn serve_successor(
         &self,
         mut connection: HandoverConnection,
@@ -67,7 +67,7 @@
         lifecycle: &LifecycleHandle,
     ) -> bool {
         let mut predecessor = Predecessor::new(self.listen);
-        let mut timeout = std::pin::pin!(self.exchange_timed_out());
+        let mut timeout = std::pin::pin!(self.wait_for_exchange_timeout());
         let mut has_timed_out = false;
         let mut has_sent_listener = false;
         loop {
--- a/daemon/src/handover/successor.rs
+++ b/daemon/src/handover/successor.rs
@@ -1,4 +1,4 @@
-//! The side of the process that was started last.
+//! The new version's side of the handover, which receives the listening socket.
 
 use std::io;
 use std::net::TcpListener;
@@ -9,21 +9,22 @@
 use super::connection::HandoverConnection;
 use super::context::{EXCHANGE_TIMEOUT, HandoverContext};
 
-/// A listening socket from the predecessor, and the connection that shows when the predecessor has ended.
+/// A listening socket received from the predecessor, and the connection whose end signals that the predecessor has
+/// ended.
 pub struct ReceivedListener {
-    /// The socket.
+    /// The received socket, bound to the address at which both versions listen for clients.
     pub listener: TcpListener,
     connection: HandoverConnection,
     successor: Successor,
 }
 
-/// What came of asking a predecessor.
+/// The progress of a request for the predecessor's listening socket.
 enum Exchange {
-    /// The next event is awaited.
+    /// The exchange needs another event.
     Continues,
-    /// The predecessor has sent its socket.
+    /// The predecessor has sent its listening socket.
     Received(TcpListener),
-    /// There is no socket to be had.
+    /// This process has to open a listening socket of its own.
     Failed,
 }
 
@@ -32,7 +33,7 @@
     pub(super) async fn request_listener(&self) -> Option<ReceivedListener> {
         let mut connection = HandoverConnection::new(self.connect().await?);
         let mut successor = Successor::new(self.listen);
-        let mut timeout = std::pin::pin!(self.exchange_timed_out());
+        let mut timeout = std::pin::pin!(self.wait_for_exchange_timeout());
         let mut event = Event::Connected;
         loop {
             match self.advance(&mut successor, event, &mut connection).await {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Connects to the predecessor. Without one, there usually is no socket at the path.
+    /// Connects to the predecessor. Not found means that no predecessor runs, and is not logged.
     async fn connect(&self) -> Option<UnixStream> {
         let connecting = UnixStream::connect(&self.path);
         match self.clock.timeout(EXCHANGE_TIMEOUT, connecting).await {
@@ -63,14 +64,14 @@
             Ok(Err(error)) if error.kind() == io::ErrorKind::NotFound => None,
             Ok(Err(error)) => {
                 let path = self.path.display();
-                tracing::info!(%path, %error, "connecting to a predecessor failed");
+                tracing::info!(%path, %error, "connecting to a predecessor failed; opening a new listening socket");
                 None
             }
             Err(_) => None,
         }
     }
 
-    /// Passes an event to the state machine and carries out its actions.
+    /// Passes an event to the state machine and performs the resulting actions.
     async fn advance(
         &self,
         successor: &mut Successor,
@@ -99,7 +100,7 @@
         Exchange::Continues
     }
 
-    /// Tells the predecessor that this process serves, and returns once the predecessor has ended.
+    /// Reports to the predecessor that this process serves, and returns when the predecessor has ended.
     pub(super) async fn await_predecessor_end(&self, received: ReceivedListener) {
         let ReceivedListener {
             mut connection,
--- a/daemon/src/listening.rs
+++ b/daemon/src/listening.rs
@@ -1,5 +1,5 @@
-//! Opens listeners. Where the system is short of what a socket needs, the call is retried for a while: a node that does
-//! not start is worse than one that starts late.
+//! Opens listening sockets. Calls that fail for lack of system resources are retried for a limited time, so that a brief
+//! shortage delays the node's start and does not prevent it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,13 +9,12 @@
 use rustix::io::Errno;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// The most connections that wait to be accepted.
+/// Maximum number of established connections in the accept queue.
 const ACCEPT_BACKLOG: u32 = 1024;
-/// A start that takes longer has failed: nodes are to be ready within seconds.
+/// Time limit of the retries: a node has to be ready within seconds of its start.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(4);
-/// Interval between two calls.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Errors that pass: the system, or the process, is short of something, or a call was interrupted.
+/// Errors that are retried: exhausted descriptors, buffers or memory, and interrupted calls.
 const TRANSIENT_ERRORS: [Errno; 5] = [
     Errno::MFILE,
     Errno::NFILE,
@@ -24,20 +23,20 @@
     Errno::INTR,
 ];
 
-/// Calls `open` until it succeeds or fails for good.
+/// Calls `open` until it succeeds, fails with a permanent error, or [`RETRY_TIMEOUT`] has passed.
 ///
 /// # Errors
 ///
-/// An error that does not pass, or the last one that might have.
+/// The first permanent error, or the last transient error before the timeout.
 pub async fn retry_transient<T>(
     clock: &Clock,
     mut open: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let give_up_at = clock.now().saturating_add(nanos(RETRY_TIMEOUT));
+    let retries_end_at = clock.now().saturating_add(nanos(RETRY_TIMEOUT));
     loop {
         match open() {
-            Err(error) if is_transient(&error) && clock.now() < give_up_at => {
-                tracing::warn!(%error, "opening a listener failed; it is retried");
+            Err(error) if is_transient(&error) && clock.now() < retries_end_at => {
+                tracing::warn!(%error, "opening a listening socket failed with a transient error; retrying");
             }
             result => return result,
         }
@@ -51,7 +50,8 @@
         .any(|errno| error.raw_os_error() == Some(errno.raw_os_error()))
 }
 
-/// Listens at an address. `shares_port` permits other processes of this user to listen there as well.
+/// Opens a TCP listener at `address`. `shares_port` permits other processes of the same user to listen at that address
+/// too (`SO_REUSEPORT`).
 ///
 /// # Errors
 ///
@@ -70,7 +70,7 @@
     } else {
         TcpSocket::new_v6()
     }?;
-    // A restart must not wait until the system has forgotten the connections of the process before.
+    // Permits a restart while connections of the previous process are in the TIME-WAIT state.
     socket.set_reuseaddr(true)?;
     if shares_port {
         socket.set_reuseport(true)?;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! badgerpost, a load-balancing node: the decisions of `badgerpost_balancer` on real sockets. This file is the command
-//! line; `config.rs` reads the configuration, `node.rs` wires the parts and runs them.
+//! badgerpost, a load-balancing node that applies the decisions of `badgerpost_balancer` to TCP connections. This file is
+//! the command line; `config.rs` reads the configuration, and `node.rs` starts and runs the node.
 
 mod background_tasks;
 mod config;
@@ -17,15 +17,15 @@
 
 use config::{Config, LogFormat};
 
-/// A load-balancing node: takes requests, sends each to a server of its choice, and gives exactly one final
-/// answer to each within the client's time.
+/// A load-balancing node: forwards each request to a server and sends the client exactly one final response within
+/// the deadline of the request's class.
 #[derive(Parser)]
 #[command(name = "badgerpost", version, after_help = EXAMPLES)]
 struct Arguments {
-    /// The platform's configuration of this node, in JSON
+    /// The platform's configuration of this node (JSON)
     #[arg(long, env = "EDGE_CONFIG", value_name = "FILE", global = true)]
     edge_config: Option<PathBuf>,
-    /// The operators' own configuration, in TOML: switches on what is off by default
+    /// The operators' configuration (TOML), which enables optional features
     #[arg(long, value_name = "FILE", global = true)]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -34,7 +34,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check both configurations and say what would run; exit code 0 only if they can be used
+    /// Validate both configurations and print the enabled features; exit code 0 only if both are valid
     Check,
 }
 
@@ -43,20 +43,21 @@
   EDGE_CONFIG=config.json badgerpost --config deploy/badgerpost.toml
   badgerpost check --edge-config config.json --config deploy/badgerpost.toml
 
-Signals: SIGTERM and SIGINT end the node when all it has taken is answered; SIGHUP reads EDGE_CONFIG anew.";
+Signals: SIGTERM and SIGINT stop the node after it has answered the requests that it has accepted; SIGHUP reloads
+the file that EDGE_CONFIG names.";
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let Some(platform_file) = arguments.edge_config else {
         eprintln!(
-            "badgerpost: no configuration: EDGE_CONFIG is not set and --edge-config is not given\n"
+            "badgerpost: no platform configuration: EDGE_CONFIG is not set and --edge-config is not given\n"
         );
         eprintln!("{}", Arguments::command().render_help());
         return ExitCode::from(2);
     };
     let config = match Config::read(&platform_file, arguments.config.as_deref()) {
         Ok(config) => config,
-        Err(error) => return failed(&error),
+        Err(error) => return report_failure(&error),
     };
     if let Some(Command::Check) = arguments.command {
         for line in config.summary() {
@@ -64,20 +65,20 @@
         }
         return ExitCode::SUCCESS;
     }
-    let log = match log_to_standard_error(config.operator.log.format) {
+    let log = match start_logging(config.operator.log.format) {
         Ok(log) => log,
-        Err(error) => return failed(&error),
+        Err(error) => return report_failure(&error),
     };
     let result = node::run(config, platform_file);
     log.flush();
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => failed(&error),
+        Err(error) => report_failure(&error),
     }
 }
 
-/// Begins to log. The lines so far are written once the returned output is flushed.
-fn log_to_standard_error(format: LogFormat) -> io::Result<LogOutput> {
+/// Starts logging to standard error. The returned output has to be flushed before the process exits.
+fn start_logging(format: LogFormat) -> io::Result<LogOutput> {
     let output = LogOutput::start(io::stderr(), |lines| {
         tracing::warn!(lines, "log lines were lost");
     })?;
@@ -93,8 +94,8 @@
     Ok(output)
 }
 
-fn failed(error: &dyn std::error::Error) -> ExitCode {
-    // Where this can't be written either, the exit code says it.
+fn report_failure(error: &dyn std::error::Error) -> ExitCode {
+    // If standard error is closed, only the exit code reports the failure.
     let _ = writeln!(io::stderr(), "badgerpost: {error}");
     ExitCode::FAILURE
 }
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: built from its configuration in named steps, run until it is asked to stop, and shut down.
+//! A node: started from its configuration, run until a stop signal, and shut down.
 
 mod client_listener;
 mod console;
@@ -22,13 +22,13 @@
 pub use error::NodeError;
 use shutdown::{Shutdown, StopSignals};
 use startup::Startup;
-use virtual_clock_control::{VirtualClockControl, controller_gone};
+use virtual_clock_control::{VirtualClockControl, wait_for_controller_end};
 
-/// Runs a node until it is asked to stop. `platform_file` is read again at each SIGHUP.
+/// Runs a node until SIGTERM or SIGINT. `platform_file` is read again at each SIGHUP.
 ///
 /// # Errors
 ///
-/// The node can't start, or its virtual clock's controller has gone.
+/// The node can't start, or the controller of the virtual clock has disconnected.
 pub fn run(config: Config, platform_file: PathBuf) -> Result<(), NodeError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -38,7 +38,7 @@
     })
 }
 
-/// A node all of whose parts run.
+/// A running node.
 struct Node {
     name: String,
     listen: SocketAddr,
@@ -49,14 +49,14 @@
 }
 
 impl Node {
-    /// Starts all parts. The order of the tasks' starts is that of their first turns on the serving thread.
+    /// Starts all parts of the node. Tasks are first polled in the order in which they are started.
     async fn start(config: Config, platform_file: PathBuf) -> Result<Self, NodeError> {
-        // Before anything else: until it is handled, SIGHUP ends the process.
+        // Must come first: without a handler, SIGHUP terminates the process.
         let reload_signal = signal(SignalKind::hangup())?;
-        let site = config.platform.site()?;
-        let mut startup = Startup::parse(config, &site.settings)?;
-        let engine = startup.start_engine(site)?;
-        let endpoint_watcher = startup.endpoint_watcher(&engine);
+        let node_settings = config.platform.node_settings()?;
+        let mut startup = Startup::prepare(config, &node_settings.settings)?;
+        let engine = startup.start_engine(node_settings)?;
+        let endpoint_watcher = startup.create_endpoint_watcher(&engine);
         let stop_signals = StopSignals::register()?;
         let client_listener = startup.take_over_or_bind().await?;
         let listen = client_listener.address;
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Runs until the process is asked to stop and has shut down.
+    /// Runs until a stop signal, and then shuts the node down.
     async fn run(self) -> Result<(), NodeError> {
         let Self {
             name,
@@ -86,17 +86,17 @@
             mut background_tasks,
         } = self;
         let lifetime = async {
-            stop_signals.received().await;
+            stop_signals.wait().await;
             tracing::info!(node = name, "stopping");
             shutdown.run().await;
         };
         let controller = virtual_clock.map(|control| control.follow(name.clone(), listen));
-        // Not awaited here: this future is polled at every turn of the serving thread, and would poll all tasks' handles.
-        spawn_local(async move { background_tasks.watch().await });
+        // A task of its own: this future is polled at every turn of the serving thread, and would poll all tasks' handles.
+        spawn_local(async move { background_tasks.log_ends().await });
         tokio::select! {
             biased;
             () = lifetime => Ok(()),
-            error = controller_gone(controller) => Err(error.into()),
+            error = wait_for_controller_end(controller) => Err(error.into()),
         }
     }
 }
--- a/daemon/src/node/client_listener.rs
+++ b/daemon/src/node/client_listener.rs
@@ -1,4 +1,4 @@
-//! The listener for HTTP clients: taken over from the version that runs already, or opened.
+//! The listener for HTTP clients, taken over from a running version of the node or newly opened.
 
 use std::net::SocketAddr;
 
@@ -14,15 +14,15 @@
 
 /// The listener for HTTP clients.
 pub struct ClientListener {
-    /// The listener.
+    /// The non-blocking socket.
     pub listener: TcpListener,
-    /// Where it listens.
+    /// The listener's bound address, with the actual port if port 0 was configured.
     pub address: SocketAddr,
-    /// Present where versions of the node hand the listener over.
+    /// Present if the listener can be handed over to a later version of the node.
     pub handover: Option<ListenerHandover>,
 }
 
-/// What the handover needs once the node has started.
+/// The handover of the listener, to be run once the node has started.
 pub struct ListenerHandover {
     handover: Handover,
     listener: std::net::TcpListener,
@@ -30,7 +30,7 @@
 }
 
 impl ListenerHandover {
-    /// Hands the listener on to later versions. Returns only where these can't connect to this one.
+    /// Hands the listener over to later versions. Returns only if the Unix socket for successors can't be opened.
     pub async fn run(self, lifecycle: LifecycleHandle) {
         self.handover
             .run(self.listener, self.received, lifecycle)
@@ -39,8 +39,8 @@
 }
 
 impl ClientListener {
-    /// Takes the listener over from a running version, or opens one. Only with a console do operators start the next
-    /// version beside a running one, at the same address; by the handover no connection in the socket's queue is lost.
+    /// Takes over the listener of a running version, or opens a new one. The handover preserves the connections in the
+    /// accept queue. It is attempted only with a console: without one, two versions never run at the same address.
     pub async fn take_over_or_bind(
         platform: &PlatformConfig,
         quota: &DescriptorQuota,
--- a/daemon/src/node/console.rs
+++ b/daemon/src/node/console.rs
@@ -1,4 +1,4 @@
-//! Wires the operators' console, which runs on a thread of its own, to the node.
+//! Connects the operators' console, which runs on its own thread, to the node.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -13,17 +13,16 @@
 use crate::background_tasks::BackgroundTasks;
 use crate::listening::retry_transient;
 
-/// The console reports the node as ready once it has an endpoint list, or this long after its start: with discovery
-/// down the node serves by the list that it had before.
+/// The console reports the node as ready once the node has an endpoint list, or after this time: while discovery is down,
+/// the node serves with the endpoint list from its configuration.
 const READY_TIMEOUT: Duration = Duration::from_secs(1);
-/// Interval at which the node's readiness is checked.
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Interval at which the metrics' backend counts are updated.
+/// Interval at which the backend counts in the metrics are updated.
 const BACKEND_COUNT_INTERVAL: Duration = Duration::from_millis(200);
-/// The most zone overrides that wait for the serving thread, which takes them at once.
+/// Capacity of the queue of zone overrides from the console's thread to the serving thread.
 const MAX_QUEUED_OVERRIDES: usize = 16;
 
-/// Opens the console and starts the tasks that it needs on the serving thread.
+/// Opens the console and starts its tasks on the serving thread.
 pub async fn start_console(
     address: SocketAddr,
     lifecycle: &LifecycleHandle,
@@ -64,7 +63,7 @@
     }
 }
 
-/// Publishes that the node is ready, and then keeps the metrics' backend counts up to date. Never returns.
+/// Sets `is_ready` once the node is ready, and then updates the backend counts in the metrics. Never returns.
 async fn update_console(engine: HttpEngine, is_ready: Arc<AtomicBool>) {
     let clock = engine.clock().clone();
     let has_endpoint_list = async {
--- a/daemon/src/node/lifecycle_timers.rs
+++ b/daemon/src/node/lifecycle_timers.rs
@@ -1,10 +1,10 @@
-//! Runs the timers of the node's lifecycle, which itself reads no clock.
+//! Runs the timers of the node's lifecycle, a state machine without a clock.
 
 use badgerpost_admin::LifecycleHandle;
 use badgerpost_engine::Clock;
 use badgerpost_lifecycle::Event;
 
-/// Delivers [`Event::TimerFired`] for the timer that the lifecycle requested last. Never returns.
+/// Delivers [`Event::TimerFired`] for the timer that the lifecycle requested most recently. Never returns.
 pub async fn run_lifecycle_timers(lifecycle: LifecycleHandle, clock: Clock) {
     let mut requests = lifecycle.timer_request();
     loop {
@@ -13,7 +13,7 @@
             let _ = requests.changed().await;
             continue;
         };
-        // A later request replaces this one.
+        // A new request replaces the current timer.
         tokio::select! {
             biased;
             Ok(()) = requests.changed() => {}
--- a/daemon/src/node/postgres.rs
+++ b/daemon/src/node/postgres.rs
@@ -1,4 +1,4 @@
-//! Wires the PostgreSQL adapter: a fleet with an engine of its own.
+//! Starts the PostgreSQL adapter, which has its own engine and backends.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -19,8 +19,8 @@
 use crate::config::ConfigError;
 use crate::listening::listen;
 
-/// Opens the listener and starts the background tasks. Returns the server, which runs until `stopping` is true and its
-/// sessions have ended.
+/// Opens the listener and starts the background tasks. Returns the server's future, which completes when `stopping` is
+/// true and all sessions have ended.
 pub async fn start_postgres(
     config: Config,
     seed: u64,
@@ -28,13 +28,19 @@
     stopping: watch::Receiver<bool>,
     tasks: &mut BackgroundTasks,
 ) -> Result<impl Future<Output = ()> + use<>, NodeError> {
-    let site = config.site().map_err(ConfigError::from)?;
+    let node_settings = config.site().map_err(ConfigError::from)?;
     let users = config.read_users().map_err(ConfigError::from)?;
-    let pool = open_pool(&config, clock)?;
+    let pool = create_pool(&config, clock)?;
     let transport = Rc::new(PostgresTransport(pool.clone()));
-    let engine = PostgresEngine::new(site.settings, site.names, seed, clock.clone(), transport)
-        .map_err(ConfigError::from)?;
-    // Where there is discovery, it has the whole list.
+    let engine = PostgresEngine::new(
+        node_settings.settings,
+        node_settings.names,
+        seed,
+        clock.clone(),
+        transport,
+    )
+    .map_err(ConfigError::from)?;
+    // With discovery, the complete list comes from discovery, and the configured servers are an addition.
     let update = if config.discovery.is_some() {
         EndpointUpdate::Delta
     } else {
@@ -59,8 +65,8 @@
     Ok(server.run(listener, stopping))
 }
 
-/// The pool of connections to the servers, empty as yet.
-fn open_pool(config: &Config, clock: &Clock) -> Result<Rc<Pool>, ConfigError> {
+/// Creates an empty pool of connections to the servers.
+fn create_pool(config: &Config, clock: &Clock) -> Result<Rc<Pool>, ConfigError> {
     let logins = config.read_logins()?;
     let tls = config.server_tls.as_ref();
     let tls = tls.map(ServerTls::connector).transpose()?;
--- a/daemon/src/node/reload.rs
+++ b/daemon/src/node/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the platform's file at SIGHUP. Only discovery's address takes effect; all else counts from the next start.
+//! Reloads the platform's file at SIGHUP. Only a new address of discovery takes effect; other changes need a restart.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 
 use crate::config::{ConfigError, PlatformConfig};
 
-/// Reads the file at each signal and publishes discovery's address. A file that can't be used changes nothing.
+/// Reads the file at each signal and publishes the address of discovery. An invalid file is logged and ignored.
 pub async fn reload_on_signal(
     mut signal: Signal,
     discovery_address: watch::Sender<SocketAddr>,
@@ -26,9 +26,9 @@
     }
 }
 
-/// Discovery's address in a file whose settings can be used.
+/// Reads the address of discovery from a platform file with valid settings.
 fn read_discovery_address(platform_file: &Path) -> Result<SocketAddr, ConfigError> {
     let config = PlatformConfig::read(platform_file)?;
-    config.site()?;
+    config.node_settings()?;
     Ok(config.discovery)
 }
--- a/daemon/src/node/shutdown.rs
+++ b/daemon/src/node/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a node: the signals that ask for it, and the order in which its parts stop.
+//! Shutdown of a node: the stop signals, and the order in which the node's parts stop.
 
 use std::cell::Cell;
 use std::io;
@@ -15,22 +15,22 @@
 
 use crate::background_tasks::log_end;
 
-/// The last response to what comes after the signal has left this long after the longest deadline, counted from the
-/// signal: SIGKILL comes 0.7 s after it at the soonest, by the platform's protocol.
+/// Requests that arrive after the stop signal are answered within the longest deadline plus this time, counted from the
+/// signal. The platform sends SIGKILL 0.7 s after that deadline at the earliest.
 const LAST_RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// A longer deadline counts as this one there.
+/// Longer deadlines count as this value in the time limit for the last response.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// The longest that transactions in progress are waited for.
+/// Maximum wait for PostgreSQL transactions in progress.
 const TRANSACTION_END_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The signals that ask a node to stop.
+/// The stop signals: SIGTERM and SIGINT.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl StopSignals {
-    /// Handles SIGTERM and SIGINT from now on.
+    /// Installs the handlers of SIGTERM and SIGINT.
     pub fn register() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -39,7 +39,7 @@
     }
 
     /// Waits for either signal.
-    pub async fn received(&mut self) {
+    pub async fn wait(&mut self) {
         tokio::select! {
             biased;
             _ = self.terminate.recv() => {}
@@ -48,28 +48,28 @@
     }
 }
 
-/// Ends a running node.
+/// The parts of a running node that the shutdown stops or waits for.
 pub struct Shutdown {
-    /// The node's clock.
+    /// The clock of all timeouts.
     pub clock: Clock,
-    /// Its lifecycle, which the HTTP server follows.
+    /// The node's lifecycle, which controls the HTTP server.
     pub lifecycle: LifecycleHandle,
-    /// Set to true as the node stops, for parts that don't follow the lifecycle.
+    /// Set to true when the node stops, for the parts that the lifecycle does not control.
     pub stopping: watch::Sender<bool>,
-    /// When the last response has to have left; none until the node stops.
+    /// The time by which the last response must be sent. `None` until the node stops.
     pub respond_by: Rc<Cell<Option<Nanos>>>,
-    /// The longest that a client of any class waits.
+    /// The longest deadline of all request classes.
     pub longest_deadline: Duration,
-    /// The HTTP server.
+    /// Task of the HTTP server.
     pub http_server: JoinHandle<()>,
-    /// The PostgreSQL server, if there is one.
+    /// Task of the PostgreSQL server, if enabled.
     pub postgres_server: Option<JoinHandle<()>>,
 }
 
 impl Shutdown {
-    /// Stops accepting clients, and waits until requests and transactions in progress have ended or their time is over.
+    /// Stops accepting clients, and waits until requests and transactions in progress have ended or timed out.
     pub async fn run(self) {
-        // What comes until then is answered by then, also where no backend answers this node.
+        // Requests that arrive before `respond_by` get a response by then, even if no backend responds.
         let grace = self.longest_deadline.min(MAX_COUNTED_DEADLINE) + LAST_RESPONSE_GRACE;
         let respond_by = self.clock.now().saturating_add(nanos(grace));
         self.respond_by.set(Some(respond_by));
@@ -77,18 +77,18 @@
         self.stopping.send_replace(true);
         let mut stage = self.lifecycle.stage();
         let _ = stage.wait_for(|stage| *stage == Stage::Closed).await;
-        // Every request taken has had its response by then; connections that are still open have none on them.
+        // All accepted requests have been answered; the remaining open connections have no request in progress.
         let timeout = self.longest_deadline;
         wait_for_end(&self.clock, timeout, "HTTP server", self.http_server).await;
         if let Some(server) = self.postgres_server {
-            // Transactions in progress end by their deadlines; a session that idles in one is ended then too.
+            // Transactions in progress end by their deadlines; sessions that are idle in a transaction are closed then.
             let timeout = TRANSACTION_END_TIMEOUT;
             wait_for_end(&self.clock, timeout, "PostgreSQL server", server).await;
         }
     }
 }
 
-/// Waits for a server's end, for `timeout` at most.
+/// Waits until a server has ended, but no longer than `timeout`.
 async fn wait_for_end(
     clock: &Clock,
     timeout: Duration,
--- a/daemon/src/node/startup.rs
+++ b/daemon/src/node/startup.rs
@@ -1,4 +1,4 @@
-//! The steps of a node's start, and what they have in common.
+//! The steps of a node's start, and the state that the steps share.
 
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -31,33 +31,33 @@
 use crate::config::{Config, ConfigError, OperatorConfig, PlatformConfig};
 use crate::descriptor_quota::DescriptorQuota;
 
-/// The readiness check for HTTP clients succeeds once the node knows a backend, or this long after its start.
+/// The readiness check for HTTP clients succeeds once the node has a backend, or this long after the node's start.
 const READY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A node whose parts are being started.
+/// The state shared by the steps of a node's start.
 pub struct Startup {
     /// The platform's configuration.
     pub platform: PlatformConfig,
     operator: OperatorConfig,
-    /// The number of the node's zone.
+    /// Id of the node's zone.
     zone: u8,
-    /// How many nodes the fleet has.
+    /// Number of nodes in the fleet.
     node_count: u32,
     seed: u64,
     quota: DescriptorQuota,
     memory_budget: MemoryBudget,
     clock: Clock,
-    /// Present if a test controls the clock.
+    /// The connection to the controller of the virtual clock. `None` with the system's clock.
     pub virtual_clock: Option<VirtualClockControl>,
     lifecycle: LifecycleHandle,
     stopping: watch::Sender<bool>,
-    /// The tasks started so far.
+    /// The background tasks started by previous steps.
     pub background_tasks: BackgroundTasks,
 }
 
 impl Startup {
-    /// Takes what the steps need from the configuration, and connects to the controller of a virtual clock.
-    pub fn parse(config: Config, settings: &Settings) -> Result<Self, NodeError> {
+    /// Creates the shared state from the configuration. Connects to the controller of a virtual clock, if there is one.
+    pub fn prepare(config: Config, settings: &Settings) -> Result<Self, NodeError> {
         let Config { platform, operator } = config;
         let seed = platform.seed()?;
         let quota = DescriptorQuota::new(platform.connection_limits()?);
@@ -85,10 +85,10 @@
         })
     }
 
-    /// Starts the engine of the HTTP fleet and its connection pool.
-    pub fn start_engine(&mut self, site: NodeSettings) -> Result<HttpEngine, NodeError> {
+    /// Starts the engine for HTTP and the pool of connections to HTTP backends.
+    pub fn start_engine(&mut self, node_settings: NodeSettings) -> Result<HttpEngine, NodeError> {
         let transport = HttpTransport::new(
-            site.connections,
+            node_settings.connections,
             self.clock.clone(),
             self.quota.backends.clone(),
             self.memory_budget.clone(),
@@ -98,8 +98,8 @@
             HttpTransport::sweep(transport.pool()),
         );
         let engine = HttpEngine::new(
-            site.settings,
-            site.names,
+            node_settings.settings,
+            node_settings.names,
             self.seed,
             self.clock.clone(),
             Rc::new(transport),
@@ -111,13 +111,18 @@
         Ok(engine)
     }
 
-    /// The client of service discovery. The engine starts with the endpoint list that the platform knows.
-    pub fn endpoint_watcher(&mut self, engine: &HttpEngine) -> EndpointWatcher<Http> {
-        let known = self.platform.known.take();
-        EndpointWatcher::new(engine.clone(), self.platform.discovery, known, self.seed)
+    /// Creates the client of service discovery. The engine starts with the endpoint list from the configuration.
+    pub fn create_endpoint_watcher(&mut self, engine: &HttpEngine) -> EndpointWatcher<Http> {
+        let known_endpoints = self.platform.known_endpoints.take();
+        EndpointWatcher::new(
+            engine.clone(),
+            self.platform.discovery,
+            known_endpoints,
+            self.seed,
+        )
     }
 
-    /// Opens the listener for HTTP clients. Whoever started the process waits for the log line.
+    /// Takes over or opens the listener for HTTP clients. The logged line signals that the node accepts connections.
     pub async fn take_over_or_bind(&self) -> Result<ClientListener, NodeError> {
         let opened =
             ClientListener::take_over_or_bind(&self.platform, &self.quota, &self.clock).await?;
@@ -130,7 +135,7 @@
         Ok(opened)
     }
 
-    /// Starts the client of service discovery, and the reloads that may change discovery's address.
+    /// Starts the client of service discovery, and the task that reloads the address of discovery.
     pub fn start_discovery(
         &mut self,
         watcher: EndpointWatcher<Http>,
@@ -146,7 +151,7 @@
         );
     }
 
-    /// Starts the timers of the engine and of the lifecycle.
+    /// Starts the timers of the engine and the lifecycle.
     pub fn start_timers(&mut self, engine: &HttpEngine) {
         let timers = engine.clone();
         self.background_tasks.spawn("engine timers", async move {
@@ -158,7 +163,7 @@
         );
     }
 
-    /// Starts the operators' console, if there is one.
+    /// Starts the operators' console, if enabled.
     pub async fn start_console(&mut self, engine: &HttpEngine) -> Result<(), NodeError> {
         let Some(address) = self.platform.console else {
             return Ok(());
@@ -167,7 +172,7 @@
         start_console(address, &self.lifecycle, engine, tasks).await
     }
 
-    /// Starts gossip with the other nodes of the fleet, if it is on.
+    /// Starts gossip with the other nodes of the fleet, if enabled.
     pub async fn start_gossip(&mut self, engine: &HttpEngine) -> Result<(), NodeError> {
         let Some(peers) = &self.operator.peers else {
             return Ok(());
@@ -190,7 +195,8 @@
         Ok(())
     }
 
-    /// Starts the HTTP server, the handover of its listener and the PostgreSQL server. Returns what ends them.
+    /// Starts the HTTP server, the handover of the HTTP listener, and the PostgreSQL server. Returns the [`Shutdown`] that
+    /// stops the servers.
     pub async fn start_servers(
         &mut self,
         engine: HttpEngine,
@@ -230,7 +236,7 @@
         })
     }
 
-    /// Starts the PostgreSQL server, if it is on.
+    /// Starts the PostgreSQL server, if enabled.
     async fn start_postgres(&mut self) -> Result<Option<JoinHandle<()>>, NodeError> {
         let Some(config) = self.operator.postgres.take() else {
             return Ok(None);
--- a/daemon/src/node/virtual_clock_control.rs
+++ b/daemon/src/node/virtual_clock_control.rs
@@ -1,4 +1,4 @@
-//! The node's clock under the control of a test.
+//! The node's virtual clock and the connection to the test that controls the clock.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 
 use crate::config::VirtualClockConfig;
 
-/// A virtual clock, and the connection to the controller that moves it.
+/// A virtual clock, and the connection to the controller that advances it.
 pub struct VirtualClockControl {
     virtual_clock: Rc<VirtualClock>,
     control: ControlConnection,
@@ -20,36 +20,43 @@
     ///
     /// # Errors
     ///
-    /// The controller can't be reached, or is not on this machine.
+    /// The connection fails, or the controller's address is not a loopback address.
     pub fn connect(config: VirtualClockConfig) -> Result<Self, ControlError> {
-        let VirtualClockConfig { control, start_ns } = config;
-        tracing::warn!(%control, "STEPPED CLOCK in a rehearsal's hands; not for service");
+        let VirtualClockConfig {
+            controller,
+            start_ns,
+        } = config;
+        tracing::warn!(
+            control = %controller,
+            "the clock is virtual and controlled by a test; not for production use"
+        );
         Ok(Self {
             virtual_clock: VirtualClock::at(start_ns),
-            control: ControlConnection::connect(control)?,
+            control: ControlConnection::connect(controller)?,
         })
     }
 
-    /// The clock that the controller moves.
+    /// The virtual clock as the node's [`Clock`].
     pub fn clock(&self) -> Clock {
         Clock::from_virtual(self.virtual_clock.clone())
     }
 
-    /// Follows the controller's steps until it has gone. `node` and `listen` introduce the node to it.
+    /// Starts the task that runs the controller's steps until the connection ends. The node's first message to the
+    /// controller contains `node`, the node's name, and `listen`, the address for clients.
     pub fn follow(self, node: String, listen: SocketAddr) -> JoinHandle<ControlError> {
         let Self {
             virtual_clock,
             control,
         } = self;
-        // Not counted among the node's tasks: it waits for these to be idle.
+        // Not `badgerpost_engine::spawn`, which counts polls: this task waits until the counted tasks are idle.
         spawn_local(async move { control.follow(&node, listen, virtual_clock).await })
     }
 }
 
-/// Waits until the followed controller has gone. Never returns where there is none.
-pub async fn controller_gone(followed: Option<JoinHandle<ControlError>>) -> ControlError {
-    if let Some(followed) = followed
-        && let Ok(error) = followed.await
+/// Waits for the end of the task that runs the controller's steps. Never returns without such a task.
+pub async fn wait_for_controller_end(task: Option<JoinHandle<ControlError>>) -> ControlError {
+    if let Some(task) = task
+        && let Ok(error) = task.await
     {
         return error;
     }
--- a/daemon/tests/lifecycle.rs
+++ b/daemon/tests/lifecycle.rs
@@ -434,7 +434,9 @@
     assert!(good && said.contains("clock: the system's"), "{said}");
     let stepped = "[rehearsal]\ncontrol = \"127.0.0.1:9\"\nstart_ns = 1\n";
     let (good, said) = check(json!([]), stepped);
-    assert!(good && said.contains("STEPPED"), "{said}");
+    let virtual_clock =
+        "clock: virtual, controlled by a test at 127.0.0.1:9; not for production use\n";
+    assert!(good && said.contains(virtual_clock), "{said}");
     let (good, said) = check(json!([]), "\n[rehearsal]\ncontrl = 1\n");
     assert!(
         !good && said.contains("own.toml:3: contrl: unknown field `contrl`"),
