--- a/daemon/src/config/loopback.rs
+++ b/daemon/src/config/loopback.rs
@@ -1,5 +1,5 @@
-//! Checks that a node with a virtual clock is configured with loopback addresses only, so that it reaches nothing outside
-//! this machine.
+//! Checks that a node with a virtual clock is configured with loopback addresses only, so that it reaches nothing
+//! outside this machine.
 
 use std::net::SocketAddr;
 
--- a/daemon/src/config/platform.rs
+++ b/daemon/src/config/platform.rs
@@ -11,9 +11,9 @@
 
 /// Minimum of `limits.sockets`.
 pub(super) const MIN_DESCRIPTORS: usize = 32;
-/// Descriptors reserved for purposes other than client and backend connections: ten for standard streams, the event loop,
-/// signals and the listener, eight for concurrent calls to discovery, one for a client that waits for admission, one for a
-/// file.
+/// Descriptors reserved for purposes other than client and backend connections: ten for standard streams, the event
+/// loop, signals and the listener, eight for concurrent calls to discovery, one for a client that waits for admission,
+/// one for a file.
 const RESERVED_DESCRIPTORS: usize = 20;
 /// Additional descriptors reserved for the operators' console and the socket handover.
 const RESERVED_CONSOLE_DESCRIPTORS: usize = 24;
@@ -33,8 +33,8 @@
     pub listen: SocketAddr,
     /// The address of service discovery.
     pub discovery: SocketAddr,
-    /// The address at which the operators' console listens. `$EDGE_CONSOLE` if absent from the file; no console if neither
-    /// is set.
+    /// The address at which the operators' console listens. `$EDGE_CONSOLE` if absent from the file; no console if
+    /// neither is set.
     pub console: Option<SocketAddr>,
     /// The seed of all random number generators, in hexadecimal.
     seed: String,
@@ -115,8 +115,8 @@
             .saturating_mul(MIB / BODY_BUFFER_DIVISOR)
     }
 
-    /// Divides the descriptors between client connections (at most 1/2) and backend connections (at most 3/8), after the
-    /// reserved ones are set aside. Backend connections may exceed their limit by 1/8 while old connections close.
+    /// Divides the descriptors between client connections (at most 1/2) and backend connections (at most 3/8), after
+    /// the reserved ones are set aside. Backend connections may exceed their limit by 1/8 while old connections close.
     ///
     /// # Errors
     ///
@@ -129,8 +129,8 @@
         let reserved =
             RESERVED_DESCRIPTORS + self.console.map_or(0, |_| RESERVED_CONSOLE_DESCRIPTORS);
         let available = descriptors.saturating_sub(reserved);
-        // In 64ths of all descriptors: 32 for clients, 24 for backends, and 3 (1/8 of 24) for backend connections that are
-        // closing; 59 in total.
+        // In 64ths of all descriptors: 32 for clients, 24 for backends, and 3 (1/8 of 24) for backend connections that
+        // are closing; 59 in total.
         Ok(ConnectionLimits {
             clients: (descriptors / 2).min(available * 32 / 59).max(1),
             backends: (descriptors * 3 / 8).min(available * 24 / 59).max(1),
--- a/daemon/src/handover.rs
+++ b/daemon/src/handover.rs
@@ -1,5 +1,6 @@
 //! Handover of the listening socket from a running version of a node to the next one, over a Unix socket in the shared
-//! directory `$TMPDIR`. The state machines in `badgerpost-socket-handover` make the decisions; this module does the I/O.
+//! directory `$TMPDIR`. The state machines in `badgerpost-socket-handover` make the decisions; this module does the
+//! I/O.
 //!
 //! A failed handover is logged, and the new process opens a listening socket of its own at the same address.
 
--- a/daemon/src/handover/connection.rs
+++ b/daemon/src/handover/connection.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Waits for the next message or the end of the connection. A received descriptor is accepted only if it is a socket
-    /// that listens at `listen`.
+    /// Waits for the next message or the end of the connection. A received descriptor is accepted only if it is a
+    /// socket that listens at `listen`.
     pub(super) async fn next_event(&mut self, listen: SocketAddr) -> Event {
         loop {
             if let Some(line) = self.take_line() {
--- a/daemon/src/handover/context.rs
+++ b/daemon/src/handover/context.rs
@@ -10,8 +10,8 @@
 use super::connection::HandoverConnection;
 use crate::descriptor_quota::DescriptorQuota;
 
-/// Time limit of the whole exchange, after which the new process opens a listening socket of its own. The new process has
-/// to serve within 6 s of its start.
+/// Time limit of the whole exchange, after which the new process opens a listening socket of its own. The new process
+/// has to serve within 6 s of its start.
 pub(super) const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The addresses, quota and clock that both sides of the handover use.
@@ -25,14 +25,15 @@
 }
 
 impl HandoverContext {
-    /// Waits until an exchange that begins now has timed out. Messages that arrived before the timeout are handled first.
+    /// Waits until an exchange that begins now has timed out. Messages that arrived before the timeout are handled
+    /// first.
     pub(super) async fn wait_for_exchange_timeout(&self) {
         let ends_at = self.clock.now().saturating_add(nanos(EXCHANGE_TIMEOUT));
         self.clock.wait_for_deadline(ends_at).await;
     }
 
-    /// Performs the actions that are the same on both sides; the callers perform the others. A failed send is only logged:
-    /// the next read from the connection reports its end.
+    /// Performs the actions that are the same on both sides; the callers perform the others. A failed send is only
+    /// logged: the next read from the connection reports its end.
     pub(super) async fn perform(
         &self,
         action: Action,
--- a/daemon/src/handover/predecessor.rs
+++ b/daemon/src/handover/predecessor.rs
@@ -16,8 +16,8 @@
 impl HandoverContext {
     /// Opens the Unix socket to which successors connect.
     pub(super) fn open_unix_listener(&self) -> Option<UnixListener> {
-        // Another version's socket at this path is obsolete: that version has ended, or has exchanged messages with this
-        // process already.
+        // Another version's socket at this path is obsolete: that version has ended, or has exchanged messages with
+        // this process already.
         let _ = std::fs::remove_file(&self.path);
         match UnixListener::bind(&self.path) {
             Ok(unix_listener) => Some(unix_listener),
--- a/daemon/src/listening.rs
+++ b/daemon/src/listening.rs
@@ -1,5 +1,5 @@
-//! Opens listening sockets. Calls that fail for lack of system resources are retried for a limited time, so that a brief
-//! shortage delays the node's start and does not prevent it.
+//! Opens listening sockets. Calls that fail for lack of system resources are retried for a limited time, so that a
+//! brief shortage delays the node's start and does not prevent it.
 
 use std::io;
 use std::net::SocketAddr;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! badgerpost, a load-balancing node that applies the decisions of `badgerpost_balancer` to TCP connections. This file is
-//! the command line; `config.rs` reads the configuration, and `node.rs` starts and runs the node.
+//! badgerpost, a load-balancing node that applies the decisions of `badgerpost_balancer` to TCP connections. This file
+//! is the command line; `config.rs` reads the configuration, and `node.rs` starts and runs the node.
 
 mod background_tasks;
 mod config;
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -91,7 +91,8 @@
             shutdown.run().await;
         };
         let controller = virtual_clock.map(|control| control.follow(name.clone(), listen));
-        // A task of its own: this future is polled at every turn of the serving thread, and would poll all tasks' handles.
+        // A task of its own: this future is polled at every turn of the serving thread, and would poll all tasks'
+        // handles.
         spawn_local(async move { background_tasks.log_ends().await });
         tokio::select! {
             biased;
--- a/daemon/src/node/console.rs
+++ b/daemon/src/node/console.rs
@@ -13,8 +13,8 @@
 use crate::background_tasks::BackgroundTasks;
 use crate::listening::retry_transient;
 
-/// The console reports the node as ready once the node has an endpoint list, or after this time: while discovery is down,
-/// the node serves with the endpoint list from its configuration.
+/// The console reports the node as ready once the node has an endpoint list, or after this time: while discovery is
+/// down, the node serves with the endpoint list from its configuration.
 const READY_TIMEOUT: Duration = Duration::from_secs(1);
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval at which the backend counts in the metrics are updated.
--- a/daemon/src/node/postgres.rs
+++ b/daemon/src/node/postgres.rs
@@ -40,7 +40,7 @@
         transport,
     )
     .map_err(ConfigError::from)?;
-    // With discovery, the complete list comes from discovery, and the configured servers are an addition.
+    // With discovery, the complete endpoint list comes from discovery.
     let update = if config.discovery.is_some() {
         EndpointUpdate::Delta
     } else {
--- a/daemon/src/node/startup.rs
+++ b/daemon/src/node/startup.rs
@@ -195,8 +195,8 @@
         Ok(())
     }
 
-    /// Starts the HTTP server, the handover of the HTTP listener, and the PostgreSQL server. Returns the [`Shutdown`] that
-    /// stops the servers.
+    /// Starts the HTTP server, the handover of the HTTP listener, and the PostgreSQL server. Returns the [`Shutdown`]
+    /// that stops the servers.
     pub async fn start_servers(
         &mut self,
         engine: HttpEngine,
--- a/settings/src/file.rs
+++ b/settings/src/file.rs
@@ -1,4 +1,4 @@
-//! Reads files that people write, in TOML. An error names the file, the line and the key.
+//! Reads TOML files. Errors name the file, the line and the key.
 
 use std::io;
 use std::ops::Range;
@@ -6,37 +6,37 @@
 
 use serde::de::DeserializeOwned;
 
-/// Why a file can't be used.
+/// Why a TOML file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// It can't be read.
-    #[error("{}: {source}", path.display())]
+    /// The file can't be read.
+    #[error("{}: can't read the file: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The file's path.
         path: PathBuf,
         /// The operating system's error.
         source: io::Error,
     },
-    /// Its text is not TOML, or has a key or a value that is not permitted.
+    /// The file is not valid TOML, or has a key or value that is not permitted.
     #[error("{}:{line}: {}{problem}", path.display(), key_prefix(key.as_deref()))]
     Invalid {
-        /// The file.
+        /// The file's path, or the name of an embedded text.
         path: PathBuf,
-        /// The line, from 1.
+        /// The line number, starting at 1.
         line: usize,
-        /// The key on that line, if there is one.
+        /// The key on that line. `None` if the line has no `=`.
         key: Option<String>,
-        /// What is wrong.
+        /// What was found, and what is permitted.
         problem: String,
     },
 }
 
-/// The key and a colon, as they stand before a problem; nothing where there is no key.
+/// Formats the key as a prefix of the problem: `key: `, or nothing without a key.
 fn key_prefix(key: Option<&str>) -> String {
     key.map(|key| format!("{key}: ")).unwrap_or_default()
 }
 
-/// The text of a TOML file together with its path, so that errors can name the place.
+/// The text of a TOML file, and the path that errors name.
 pub struct Source {
     path: PathBuf,
     text: String,
@@ -55,7 +55,7 @@
         })
     }
 
-    /// A text that is built into the program; errors call it `name`.
+    /// A text that is embedded in the program. Errors show `name` as the path.
     #[must_use]
     pub fn embedded(name: &str, text: &str) -> Self {
         Self {
@@ -64,13 +64,13 @@
         }
     }
 
-    /// The text.
+    /// The whole text, unparsed.
     #[must_use]
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Parses the text. Keys that `T` does not know are errors if `T` denies them.
+    /// Parses the text. Unknown keys are errors if `T` has `deny_unknown_fields`.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, FileError> {
         toml::from_str(&self.text).map_err(|error| {
             let problem = error.message().replace('\n', "; ");
@@ -78,7 +78,7 @@
         })
     }
 
-    /// An error about the line on which `span`, in bytes of the text, starts.
+    /// Creates an error for the line on which `span`, a range of bytes of the text, starts.
     #[must_use]
     pub fn error_at(&self, span: Range<usize>, problem: impl Into<String>) -> FileError {
         let start = span.start.min(self.text.len());
@@ -95,7 +95,7 @@
     }
 }
 
-/// Reads and parses a file.
+/// Reads and parses the TOML file at `path`.
 pub fn read<T: DeserializeOwned>(path: &Path) -> Result<T, FileError> {
     Source::read(path)?.parse()
 }
--- a/settings/src/file/tests.rs
+++ b/settings/src/file/tests.rs
@@ -2,14 +2,14 @@
 
 #[derive(Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Wanted {
-    #[expect(dead_code, reason = "only errors are looked at")]
+struct Content {
+    #[expect(dead_code, reason = "the tests check errors only")]
     count: u32,
 }
 
 #[test]
-fn an_error_names_file_line_and_key() {
-    for (text, wanted) in [
+fn a_rejected_file_is_reported_with_path_line_and_key() {
+    for (text, expected) in [
         (
             "\n\ncuont = 3\n",
             "x.toml:3: cuont: unknown field `cuont`, expected `count`",
@@ -21,13 +21,16 @@
         ("count = 1\ncount = 2\n", "x.toml:2: count: duplicate key"),
     ] {
         let error = Source::embedded("x.toml", text)
-            .parse::<Wanted>()
+            .parse::<Content>()
             .expect_err(text)
             .to_string();
-        assert_eq!(error, wanted);
+        assert_eq!(error, expected);
     }
-    let none = read::<Wanted>(Path::new("no/such/file.toml"))
+    let error = read::<Content>(Path::new("no/such/file.toml"))
         .expect_err("no file")
         .to_string();
-    assert!(none.starts_with("no/such/file.toml: "), "{none}");
+    assert!(
+        error.starts_with("no/such/file.toml: can't read the file: "),
+        "{error}"
+    );
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads what operators configure: the platform's settings object (JSON) into the balancer's typed settings, and
-//! files in TOML with errors that name file, line and key.
+//! Reads the platform's settings object (JSON) into the balancer's typed settings, and reads operators' TOML files with
+//! errors that name the file, the line and the key.
 //!
-//! Every program that embeds `badgerpost-balancer` reads its settings here, so that all of them accept the same inputs
-//! and report the same errors.
+//! All programs that embed `badgerpost-balancer` use this package, so that they accept the same settings and report the
+//! same errors.
 
 pub mod file;
 mod name_hash;
--- a/settings/src/name_table.rs
+++ b/settings/src/name_table.rs
@@ -4,11 +4,11 @@
 
 use badgerpost_balancer::ZoneId;
 
-/// Most names of one sort, zones or machine kinds. Endpoint lists may bring new names for as long as a process runs;
-/// those beyond this many share the last id, so that the table stays bounded.
+/// Maximum number of zones, and of machine kinds. Endpoint lists may contain new names at any time; names beyond this
+/// number share the last id, which bounds the table's memory.
 const MAX_NAMES: usize = 1024;
 
-/// The names in a settings object, each list in the settings' order.
+/// The names in a settings object, in the order of the settings.
 pub(crate) struct SettingsNames {
     pub(crate) zones: Vec<String>,
     pub(crate) classes: Vec<String>,
@@ -16,19 +16,20 @@
     pub(crate) tenants: Vec<String>,
 }
 
-/// The ids that one node has given to the names of its zones, request classes, machine kinds and tenants.
+/// Maps the names of zones, request classes, machine kinds and tenants to ids. The ids are valid within one node only.
 ///
-/// An id is the position of its name: first those of the settings in their order, then new ones as they appear.
+/// The id of a name in the settings is the name's position there. New names get the following ids in the order in which
+/// they appear.
 pub struct NameTable {
     zones: Vec<String>,
-    /// A class that is named twice in the settings has the id of its last entry.
+    /// A class that is listed twice in the settings has the id of the last entry.
     classes: HashMap<String, u32>,
     machine_kinds: Vec<String>,
     tenants: Vec<String>,
 }
 
 impl NameTable {
-    /// A table of the names in the settings.
+    /// Creates a table of the names in the settings.
     pub(crate) fn new(names: SettingsNames) -> Self {
         Self {
             zones: names.zones,
@@ -38,24 +39,24 @@
         }
     }
 
-    /// A zone's name, or `None` for an id that was never given out.
+    /// The name of a zone, or `None` for an unassigned id.
     #[must_use]
     pub fn zone_name(&self, zone: ZoneId) -> Option<&str> {
         let position = usize::try_from(zone.0).ok()?;
         self.zones.get(position).map(String::as_str)
     }
 
-    /// A zone's id. A name that the settings do not list gets an id past those of the settings.
+    /// The id of a zone. An unknown name is added to the table.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         ZoneId(find_or_insert(&mut self.zones, name))
     }
 
-    /// A machine kind's id; a new name gets a new id.
+    /// The id of a machine kind. An unknown name is added to the table.
     pub fn kind(&mut self, name: &str) -> u32 {
         find_or_insert(&mut self.machine_kinds, name)
     }
 
-    /// A tenant's id, or `None` where the request has no tenant or one that the settings do not list.
+    /// The id of a tenant, or `None` if the request has no tenant or the settings do not list the tenant.
     #[must_use]
     pub fn tenant(&self, name: Option<&str>) -> Option<u32> {
         let name = name?;
@@ -71,14 +72,14 @@
         names.into_iter().map(|(name, _)| name.clone()).collect()
     }
 
-    /// A request class's id, or `None` where the settings do not list it.
+    /// The id of a request class, or `None` if the settings do not list the class.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<u32> {
         self.classes.get(name).copied()
     }
 }
 
-/// The id of a name, which is added if it is new and there are fewer than [`MAX_NAMES`].
+/// Returns the id of a name. An unknown name is added while there are fewer than [`MAX_NAMES`].
 fn find_or_insert(names: &mut Vec<String>, name: &str) -> u32 {
     if let Some(position) = names.iter().position(|known| known == name) {
         return id_of_position(position);
@@ -89,7 +90,7 @@
     id_of_position(names.len() - 1)
 }
 
-/// A position as an id. No list of names comes near the bound of `u32`.
+/// Converts a position in a list of names to an id.
 pub(crate) fn id_of_position(position: usize) -> u32 {
     u32::try_from(position).unwrap_or(u32::MAX)
 }
--- a/settings/src/name_table/tests.rs
+++ b/settings/src/name_table/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// A list that names ever new kinds must not grow a node.
+/// Guards against unbounded memory use by endpoint lists that keep adding names.
 #[test]
-fn names_past_the_bound_share_the_last_id() {
+fn names_beyond_the_maximum_share_the_last_id() {
     let mut names = vec!["first".to_owned()];
     let last = (0..5000)
         .map(|n| find_or_insert(&mut names, &n.to_string()))
--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -1,7 +1,7 @@
 //! Reads the settings object, section by section.
 //!
-//! Where several keys are wrong, the error names the first in the order in which they are read here. Operators' tools
-//! know the texts, and tests hold them with the order.
+//! If several keys are invalid, the error names the one that is read first. Operators' tools and tests match the error
+//! texts and depend on this order.
 
 use badgerpost_balancer::{
     ClassSettings, DedupScope, Discovery, Idempotency, Limits, Nanos, SafetyLimits, Settings,
@@ -12,36 +12,37 @@
 use crate::name_table::{SettingsNames, id_of_position};
 use crate::{ConnectionSettings, NameTable, NodeSettings, ObjectError, ObjectReader};
 
-/// Priority weight of a class without `importance`.
+/// Default of `importance` in a class.
 const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
-/// Value of a request over its tenant's quota, against one within it, where the settings have no `over-share-worth`.
+/// Default of `over-share-worth`: the value of a request over its tenant's quota, relative to a request within the
+/// quota.
 const DEFAULT_OVER_QUOTA_VALUE: f64 = 1.0;
-/// Nodes that share the backends where the settings have no `n-instances`.
+/// Default of `n-instances`: the number of nodes that share the backends.
 const DEFAULT_NODE_COUNT: u64 = 1;
-/// Shortest time between two timers where the settings have no `quantum-ns`: 1 ms.
+/// Default of `quantum-ns`, the minimum time between two timers: 1 ms.
 const DEFAULT_TIMER_RESOLUTION: Nanos = 1_000_000;
-/// Idle timeout of backend connections where the settings have no `conn-idle-ns`: 15 s.
+/// Default of `conn-idle-ns`, the idle timeout of backend connections: 15 s.
 const DEFAULT_IDLE_TIMEOUT: Nanos = 15_000_000_000;
-/// Connect timeout where the settings have no `connect-timeout-ns`: 250 ms.
+/// Default of `connect-timeout-ns`: 250 ms.
 const DEFAULT_CONNECT_TIMEOUT: Nanos = 250_000_000;
-/// The poll interval where the settings have no `ask-within-ns`: no bound.
+/// Default of `ask-within-ns`, the maximum poll interval: unbounded.
 const UNBOUNDED_POLL_INTERVAL: Nanos = Nanos::MAX;
 
-/// The name of the settings object in errors.
+/// Names the settings object in errors.
 const SETTINGS: &str = "settings";
-/// The name of the list of request classes in errors.
+/// Names the list of request classes in errors.
 const CLASSES: &str = "settings: classes";
-/// The name of the list of tenants in errors.
+/// Names the list of tenants in errors.
 const TENANTS: &str = "settings: projects";
 
 /// Reads a settings object.
 ///
-/// Unknown keys are ignored. Switches count as off, and the other optional keys that choose a mode as absent, where
-/// their value has another type. The result is well-formed but not yet checked for use: [`Settings::validate`] does that.
+/// Unknown keys are ignored. If a value has the wrong type, a boolean option counts as off, and an optional key that
+/// selects a mode counts as absent. The values are not checked for consistency: [`Settings::validate`] does that.
 ///
 /// # Errors
 ///
-/// An error names the object and the key that is missing or of the wrong type.
+/// A required key is missing, or a value has the wrong type. The error names the object and the key.
 pub fn read(config: &Value) -> Result<NodeSettings, ObjectError> {
     let root = ObjectReader::new(SETTINGS, config)?;
     let lists = Lists::read(&root)?;
@@ -56,7 +57,7 @@
     })
 }
 
-/// The lists whose entries the balancer knows by their positions.
+/// The lists whose entries have their positions as ids.
 struct Lists {
     zones: Vec<String>,
     local_zone: ZoneId,
@@ -87,7 +88,7 @@
     }
 }
 
-/// The objects within the settings object.
+/// The required objects nested in the settings object.
 struct Sections<'a> {
     limits: ObjectReader<'a>,
     rules: ObjectReader<'a>,
@@ -104,19 +105,18 @@
     }
 }
 
-/// A request class and its name.
 struct NamedClass {
     name: String,
     settings: ClassSettings,
 }
 
-/// A tenant with its quota over all nodes, in requests a second.
 struct Tenant {
     name: String,
+    /// Requests per second, summed over all nodes.
     quota: f64,
 }
 
-/// The position of this node's zone among `zones`.
+/// Reads the node's own zone, which must be one of `zones`.
 fn read_local_zone(root: &ObjectReader, zones: &[String]) -> Result<ZoneId, ObjectError> {
     let name = root.string("az")?;
     let position = zones
@@ -167,7 +167,7 @@
     }
 }
 
-/// The tenants; none where the settings have no `projects`.
+/// Reads the tenants. Empty if the settings have no `projects`.
 fn read_tenants(root: &ObjectReader) -> Result<Vec<Tenant>, ObjectError> {
     if !root.contains_key("projects") {
         return Ok(Vec::new());
@@ -183,7 +183,7 @@
     })
 }
 
-/// The names of the machine kinds; none where the settings have no `kinds`.
+/// Reads the names of the machine kinds. Empty if the settings have no `kinds`.
 fn read_machine_kinds(root: &ObjectReader) -> Result<Vec<String>, ObjectError> {
     if !root.contains_key("kinds") {
         return Ok(Vec::new());
@@ -196,14 +196,14 @@
     lists: &Lists,
     sections: &Sections,
 ) -> Result<Settings, ObjectError> {
-    // Read before the keys of the root object: tests hold the order in which wrong keys are named.
+    // Read before the keys of the root object, to keep the order in which invalid keys are reported.
     let max_retry_after = read_max_retry_after(&sections.limits)?;
     let local_zone = lists.local_zone;
     let zone_count = id_of_position(lists.zones.len());
     Ok(Settings {
         local_zone,
         zone_count,
-        node_count: saturate(root.unsigned_integer_or("n-instances", DEFAULT_NODE_COUNT)?),
+        node_count: saturate_to_u32(root.unsigned_integer_or("n-instances", DEFAULT_NODE_COUNT)?),
         classes: lists.classes.iter().map(|class| class.settings).collect(),
         tenant_quotas: lists.tenants.iter().map(|tenant| tenant.quota).collect(),
         over_quota_value: root.number_or("over-share-worth", DEFAULT_OVER_QUOTA_VALUE)?,
@@ -236,26 +236,26 @@
     }
 }
 
-/// Whether backends report their load in answers to health checks only.
+/// Whether backends send load reports only in responses to health checks.
 fn reports_by_health_check(root: &ObjectReader) -> bool {
     root.lenient_object("report")
         .and_then(|report| report.lenient_string("how"))
         == Some("pull")
 }
 
-/// Whether a backend that has lately served a key does less work for it.
+/// Whether a backend that has recently served a key does less work for further requests with that key.
 fn has_key_affinity(root: &ObjectReader) -> bool {
     root.lenient_object("family-info")
         .is_some_and(|family| family.is_true("warm-keys"))
 }
 
-/// Whether clients mark all of their retries.
+/// Whether clients mark all their retries.
 fn are_retries_marked(root: &ObjectReader) -> bool {
     root.lenient_object("callers")
         .is_some_and(|callers| callers.is_true("marks-retry"))
 }
 
-/// Longest `Retry-After` that clients honour, in nanoseconds; 0 where they honour none.
+/// Reads the longest `Retry-After` that clients honour, in nanoseconds. 0 if clients honour none.
 fn read_max_retry_after(limits: &ObjectReader) -> Result<Nanos, ObjectError> {
     if !limits.is_true("retry-after") {
         return Ok(0);
@@ -265,7 +265,7 @@
 
 fn read_limits(limits: &ObjectReader, max_retry_after: Nanos) -> Result<Limits, ObjectError> {
     Ok(Limits {
-        max_attempts: saturate(limits.unsigned_integer("attempts-cap")?),
+        max_attempts: saturate_to_u32(limits.unsigned_integer("attempts-cap")?),
         hedging: limits.is_true("second-copies"),
         health_checks: limits.is_true("probes"),
         cancellation: limits.is_true("may-cancel"),
@@ -293,7 +293,6 @@
     })
 }
 
-/// A number as `u32`; one that does not fit as the largest that does.
-fn saturate(number: u64) -> u32 {
+fn saturate_to_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/settings/src/site.rs
+++ b/settings/src/site.rs
@@ -1,26 +1,26 @@
-//! What the settings object says, typed.
+//! The typed content of the settings object.
 
 use badgerpost_balancer::{Nanos, Settings};
 
 use crate::NameTable;
 
-/// All that is read from the settings object.
+/// The content of the settings object of one node.
 pub struct NodeSettings {
-    /// The balancer's settings. Times are in nanoseconds, rates in requests a second.
+    /// The balancer's settings. Times are in nanoseconds, rates in requests per second.
     pub settings: Settings,
-    /// The names behind the ids in `settings`.
+    /// The names of the ids in `settings`.
     pub names: NameTable,
-    /// Timeouts of connections to backends.
+    /// Timeouts of backend connections.
     pub connections: ConnectionSettings,
-    /// Whether the platform permits nodes to exchange gossip; `false` where it does not say.
+    /// Whether the platform permits gossip between nodes. `false` if `policy-limits.peers` is absent.
     pub gossip_allowed: bool,
 }
 
-/// Timeouts of connections to backends. Only programs on real sockets need them.
+/// Timeouts of backend connections. Used only by programs that open network connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionSettings {
-    /// A backend closes a connection that has been idle for this long, or sooner. In nanoseconds.
+    /// Backends close connections that have been idle for this time, or earlier. In nanoseconds.
     pub idle_timeout: Nanos,
-    /// A connection that is not established after this long counts as failed. In nanoseconds.
+    /// A connection attempt that takes longer has failed. In nanoseconds.
     pub connect_timeout: Nanos,
 }
--- a/settings/tests/common/mod.rs
+++ b/settings/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-/// Settings with every key that `read` looks at.
+/// Settings with every key that `read` reads.
 pub fn complete() -> Value {
     json!({
         "az": "b", "zones": ["a", "b"], "kinds": ["small", "large"], "n-instances": 4,
@@ -26,7 +26,7 @@
     })
 }
 
-/// Only the keys that must be there.
+/// Settings with the required keys only.
 pub fn minimal() -> Value {
     json!({
         "az": "a", "zones": ["a"], "discovery": "pushed",
@@ -37,7 +37,7 @@
     })
 }
 
-/// `settings` with the value at a JSON pointer replaced, or set anew in its object.
+/// Returns `settings` with the value at a JSON pointer replaced, or added to the object.
 pub fn with(mut settings: Value, pointer: &str, value: Value) -> Value {
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
     let parent = settings.pointer_mut(parent).expect("a parent");
--- a/settings/tests/read_settings.rs
+++ b/settings/tests/read_settings.rs
@@ -1,4 +1,4 @@
-//! What `read` makes of the settings that it accepts.
+//! Valid settings: the resulting values, the defaults, and the lenient keys.
 
 #![allow(
     clippy::unwrap_used,
@@ -14,18 +14,18 @@
 use common::{complete, minimal, with};
 use serde_json::{Value, json};
 
-/// Reads settings that must be accepted.
+/// Reads valid settings.
 fn read(settings: &Value) -> NodeSettings {
     badgerpost_settings::read(settings).expect("settings")
 }
 
-/// The balancer's settings with the value at a JSON pointer of the complete settings replaced.
+/// Reads the complete settings with the value at a JSON pointer replaced, and returns the balancer's part.
 fn read_with(pointer: &str, value: Value) -> Settings {
     read(&with(complete(), pointer, value)).settings
 }
 
 #[test]
-fn keys_of_the_settings_object_reach_their_settings() {
+fn keys_of_the_settings_object_are_read_into_their_fields() {
     let settings = read(&complete()).settings;
     assert_eq!(
         (
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn keys_of_limits_and_rules_reach_their_settings() {
+fn keys_of_limits_and_rules_are_read_into_their_fields() {
     let site = read(&complete());
     let limits = &site.settings.limits;
     assert!(limits.hedging && limits.health_checks && limits.cancellation);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn keys_of_classes_reach_their_settings() {
+fn keys_of_classes_are_read_into_their_fields() {
     let settings = read(&complete()).settings;
     let read = &settings.classes[0];
     assert_eq!(
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn names_have_the_numbers_of_their_positions() {
+fn ids_of_names_are_their_positions_in_the_settings() {
     let mut names = read(&complete()).names;
     assert_eq!(
         (names.zone("a"), names.zone("b"), names.zone("new")),
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn null_counts_as_absent_where_there_is_a_default() {
+fn null_counts_as_absent_for_keys_with_a_default() {
     for pointer in [
         "/n-instances",
         "/over-share-worth",
@@ -232,19 +232,19 @@
 }
 
 #[test]
-fn the_longest_retry_after_is_not_read_where_retry_after_is_off() {
+fn the_maximum_retry_after_is_ignored_if_retry_after_is_off() {
     let off = with(complete(), "/policy-limits/retry-after", json!(false));
     let off = with(off, "/policy-limits/max-retry-after-ns", json!("x"));
     assert_eq!(read(&off).settings.limits.max_retry_after, 0);
 }
 
 #[test]
-fn an_empty_list_of_classes_is_left_to_validation() {
+fn an_empty_list_of_classes_is_read_without_an_error() {
     assert!(read_with("/classes", json!([])).classes.is_empty());
 }
 
 #[test]
-fn a_class_that_is_named_twice_has_the_position_of_the_last() {
+fn a_class_that_is_listed_twice_has_the_id_of_the_last_entry() {
     let twice = with(complete(), "/classes/2/name", json!("read"));
     assert_eq!(read(&twice).names.class("read"), Some(2));
 }
--- a/settings/tests/settings_errors.rs
+++ b/settings/tests/settings_errors.rs
@@ -1,4 +1,4 @@
-//! The exact text of each error of `read`, and which of several wrong keys it names.
+//! Invalid settings: the exact error texts, and which of several invalid keys an error names.
 
 #![allow(
     clippy::unwrap_used,
@@ -19,7 +19,7 @@
     }
 }
 
-/// Checks that each of these values, put at its JSON pointer, is an error of `object` about the pointer's last key.
+/// Checks that each value, set at its JSON pointer, causes an error that names `object` and the pointer's last key.
 fn assert_invalid(object: &str, values: &[(&str, Value)]) {
     for (pointer, value) in values {
         let key = pointer.rsplit('/').next().expect("a key");
@@ -29,8 +29,8 @@
 
 fn assert_names_key(object: &str, key: &str, pointer: &str, value: &Value) {
     let found = error(&with(complete(), pointer, value.clone()));
-    let wanted = format!("{object}: field {key} is missing or of the wrong type");
-    assert_eq!(found, wanted, "{pointer} = {value}");
+    let expected = format!("{object}: field {key} is missing or of the wrong type");
+    assert_eq!(found, expected, "{pointer} = {value}");
 }
 
 #[test]
@@ -123,12 +123,12 @@
 }
 
 #[test]
-fn a_local_zone_outside_the_zones_is_named() {
+fn a_local_zone_outside_the_list_of_zones_is_reported() {
     assert_names_key("settings", "az", "/zones", &json!([]));
 }
 
 #[test]
-fn error_texts_say_what_is_not_an_object() {
+fn a_value_that_is_not_an_object_is_reported_with_its_place() {
     assert_eq!(error(&json!([])), "settings: not an object");
     for (pointer, text) in [
         ("/classes/1", "settings: classes: not objects"),
@@ -138,9 +138,9 @@
     }
 }
 
-/// Where several keys are wrong the error names the first in this order.
+/// Guards against a change of the order in which keys are read, which would change the reported key.
 #[test]
-fn of_several_wrong_keys_the_same_one_is_named_first() {
+fn of_several_invalid_keys_the_first_in_reading_order_is_reported() {
     let pointers = [
         ("/zones", json!(["a", "b"])),
         ("/az", json!("b")),
@@ -176,14 +176,14 @@
     for (pointer, _) in &pointers {
         settings = with(settings, pointer, json!([[]]));
     }
-    for (pointer, right) in pointers {
+    for (pointer, valid) in pointers {
         let key = pointer.rsplit('/').next().expect("a key");
         let found = error(&settings);
         assert!(
             found.contains(&format!(": field {key} is missing")),
             "{pointer}: {found}"
         );
-        settings = with(settings, pointer, right);
+        settings = with(settings, pointer, valid);
     }
     assert!(badgerpost_settings::read(&settings).is_ok());
     settings = with(settings, "/policy-limits", json!([]));
--- a/time/src/lib.rs
+++ b/time/src/lib.rs
@@ -1,22 +1,22 @@
-//! The unit of time that all packages share, and conversions to it.
+//! The unit of time that all packages use, and conversions to that unit.
 
-/// Nanoseconds, for instants and durations alike.
+/// A number of nanoseconds: an instant or a duration.
 ///
-/// Names tell the two apart: those of instants end in `_at`, `since`, `until` or `now`, those of durations in
-/// `_duration`, `_period`, `_interval`, `_timeout`, `_age` and the like. Instants count from the Unix epoch on the clock
-/// of the node, unless their package says otherwise.
+/// Names of instants end in `_at`, `since`, `until` or `now`; names of durations end in `_duration`, `_period`,
+/// `_interval`, `_timeout`, `_age` or a similar word. Instants count from the Unix epoch on the node's clock, unless a
+/// package documents another origin.
 pub type Nanos = u64;
 
-/// One microsecond.
+/// One microsecond, in nanoseconds.
 pub const MICROSECOND: Nanos = 1000;
 
-/// One millisecond.
+/// One millisecond, in nanoseconds.
 pub const MILLISECOND: Nanos = 1000 * MICROSECOND;
 
-/// One second.
+/// One second, in nanoseconds.
 pub const SECOND: Nanos = 1000 * MILLISECOND;
 
-/// A number of nanoseconds computed in floating point, rounded down; saturates at 0 and `u64::MAX`.
+/// Converts a floating-point number of nanoseconds. Rounds down, and saturates at 0 and `u64::MAX`.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/virtual-clock/src/control.rs
+++ b/virtual-clock/src/control.rs
@@ -1,5 +1,5 @@
-//! The node's end of a control connection. It is read by blocking calls on the serving thread: until the controller has
-//! sent the next step, nothing may run.
+//! The node's end of a control connection. The serving thread reads the connection with blocking calls, because no task
+//! may run before the controller sends the next step.
 
 use std::convert::Infallible;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -12,54 +12,53 @@
 
 use crate::protocol::{ControllerMessage, MAX_LINE_LENGTH, MalformedLine, NodeMessage};
 
-/// Turns of the scheduler without a task's poll, each with a check of the sockets, after which a node is idle. One
-/// would do; the others are for what a check has brought while the turn was counted.
+/// A node is idle after this many consecutive turns of the scheduler without a polled task. Each turn checks the
+/// sockets for events; more than one turn is needed because a check may report an event after the tasks of its turn
+/// were polled.
 const IDLE_TURNS: u32 = 3;
-/// How often a step checks for bytes, and ends of connections, that were announced and have not arrived. The
-/// controller has sent them already, and they take microseconds, or longer on a machine with other work. Some never
-/// arrive, as nobody reads them: those behind a request that is still open. Checks are counted, not time: a process
-/// that did not run for a while has not checked.
+/// Maximum number of checks in a step for announced bytes and ends of connections that have not arrived. Some never
+/// arrive, because the node does not read them while an earlier request on the connection is in progress. The limit
+/// counts checks instead of time, so that a suspension of the process does not use it up.
 const MAX_ARRIVAL_CHECKS: u32 = 10_000;
-/// Wait between two of these checks.
 const ARRIVAL_CHECK_INTERVAL: Duration = Duration::from_micros(300);
 
-/// Why a node can't be stepped, or not any further.
+/// Why the controller can't be reached or the steps have ended.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// The controller's address is not one of this machine's own.
+    /// The controller's address is not a loopback address.
     #[error(
-        "rehearsal.control: {0} is not a loopback address; a clock is given into no other hands"
+        "rehearsal.control: {0} is not a loopback address; the clock's controller must run on this machine"
     )]
     NotLoopback(SocketAddr),
-    /// The connection failed or broke.
-    #[error("the rehearsal at {controller}: {source}")]
+    /// The connection to the controller could not be established, or has failed.
+    #[error("virtual clock: connection to the controller at {controller} failed: {source}")]
     Socket {
         /// The controller's address.
         controller: SocketAddr,
         /// The operating system's error.
         source: io::Error,
     },
-    /// The controller has closed the connection: the run is over.
-    #[error("the rehearsal at {0} is over")]
+    /// The controller has closed the connection, which ends the test.
+    #[error("virtual clock: the controller at {0} closed the connection")]
     Closed(SocketAddr),
-    /// The controller has sent a line that is not a message.
-    #[error("the rehearsal at {controller}: {source}")]
+    /// The controller has sent an invalid message.
+    #[error("virtual clock: the controller at {controller} sent an invalid message: {source}")]
     Malformed {
         /// The controller's address.
         controller: SocketAddr,
-        /// The line.
+        /// The parser's error, with the received line.
         source: MalformedLine,
     },
 }
 
-/// A control connection.
+/// The node's connection to the controller of its virtual clock.
 pub struct ControlConnection {
     controller: SocketAddr,
     reader: BufReader<TcpStream>,
 }
 
 impl ControlConnection {
-    /// Connects to the controller.
+    /// Connects to the controller. Blocks until the connection is established.
     ///
     /// # Errors
     ///
@@ -108,8 +107,8 @@
         }
     }
 
-    /// Follows the controller's steps until it closes the connection, or something fails. `name` and `listen` introduce
-    /// the node to it.
+    /// Runs the controller's steps until the controller closes the connection or an error occurs. `name`, the node's
+    /// name, and `listen`, the node's address for clients, are sent to the controller first.
     pub async fn follow(
         mut self,
         name: &str,
@@ -133,9 +132,10 @@
             name: name.to_owned(),
             listen,
         })?;
-        // What was done before the first step counts with it.
+        // The first report includes the bytes read and written before the first step.
         let mut before = activity::Activity::default();
-        // Ends that the controller has seen and that never came here: of connections that this node never read from.
+        // Ends that the controller has announced and this node has not detected, because the node never reads from
+        // those connections.
         let mut unseen_ends = 0;
         loop {
             let ControllerMessage::Step {
@@ -164,15 +164,15 @@
     }
 }
 
-/// Runs until no task is ready, no socket has news, no connection is being established, and this thread has read
-/// `min_read` bytes and seen `min_ended` connections end since it began, or has checked for these often enough. To be
-/// called on the thread's runtime, from a task that [`activity`] does not count.
-pub async fn run_until_idle(min_read: u64, min_ended: u64) {
+/// Runs the runtime's tasks until no task is ready, no connection is being established, and this thread has read at
+/// least `min_bytes_read` bytes and detected at least `min_connections_ended` ends of connections since its start.
+/// Gives up after [`MAX_ARRIVAL_CHECKS`] checks. Must be called from a task that [`activity`] does not count.
+pub async fn run_until_idle(min_bytes_read: u64, min_connections_ended: u64) {
     for _ in 0..MAX_ARRIVAL_CHECKS {
         run_ready_tasks().await;
         let counts = activity::snapshot();
-        if counts.bytes_read >= min_read
-            && counts.connections_ended >= min_ended
+        if counts.bytes_read >= min_bytes_read
+            && counts.connections_ended >= min_connections_ended
             && counts.connections_pending == 0
         {
             return;
@@ -182,7 +182,7 @@
     run_ready_tasks().await;
 }
 
-/// Yields until no task was polled in [`IDLE_TURNS`] turns of the scheduler.
+/// Yields until no task was polled in [`IDLE_TURNS`] consecutive turns of the scheduler.
 async fn run_ready_tasks() {
     let mut idle_turns = 0;
     while idle_turns < IDLE_TURNS {
--- a/virtual-clock/src/control/tests.rs
+++ b/virtual-clock/src/control/tests.rs
@@ -84,8 +84,12 @@
     assert_eq!(step(&mut reader, 250, 0), idle(Some(300), 7));
     assert_eq!(step(&mut reader, 250, 0), idle(Some(300), 0));
     assert_eq!(step(&mut reader, 300, 0), idle(None, 5));
+    let controller = reader.get_ref().local_addr().unwrap();
     drop(reader);
-    assert!(node.join().unwrap().ends_with("is over"));
+    assert_eq!(
+        node.join().unwrap(),
+        format!("virtual clock: the controller at {controller} closed the connection")
+    );
 }
 
 /// The operating system may deliver a connection, or the end of one, late. Guards against a step that ends before the
--- a/virtual-clock/src/lib.rs
+++ b/virtual-clock/src/lib.rs
@@ -1,10 +1,11 @@
-//! A node's clock under a test's control. The node connects to a controller, and from then on time passes for it only
-//! as the controller says: the controller writes the bytes of one event to the node's sockets, has the node run at a
-//! given time until nothing is ready, and is told when the node's next timer is due.
+//! Control of a node's virtual clock by a test. The node connects to the test's controller, and only the controller
+//! advances the clock. In each step the controller writes the bytes of one event to the node's sockets, then makes the
+//! node run at a given time until no task is ready, and receives the time of the node's next timer.
 //!
-//! What the controller has written is in the node's sockets before the step is requested: both go through the loopback
-//! device in order, and the step names how many bytes to wait for, in case they don't. The same holds for what the node
-//! has written when it reports that it is idle.
+//! The controller writes to the node's sockets before it sends the step message. The loopback device usually delivers
+//! both in this order; the step message contains the number of bytes written, so that the node can wait for late bytes.
+//! The same applies in the other direction: the node's idle message contains the number of bytes that the node has
+//! written.
 
 mod control;
 mod protocol;
--- a/virtual-clock/src/protocol.rs
+++ b/virtual-clock/src/protocol.rs
@@ -1,12 +1,12 @@
-//! The messages on a control connection: one line each, in ASCII, ended by a line feed. Times are Unix times in
-//! nanoseconds.
+//! The messages on a control connection. Each message is one line of ASCII text that ends with a line feed. Times are
+//! Unix times in nanoseconds.
 //!
 //! ```text
-//! node:       hello 2 n0 127.0.0.1:40123          its name and where it listens for clients; once, first
-//! controller: step 1700000000000000000 312 4      run at this time, with so many bytes newly written to its sockets,
-//!                                                 and so many connections ended since its start
-//! node:       idle 1700000000010000000 312 87 4   when its next timer is due, or "-"; bytes read and written in this
-//!                                                 step, and connections ended since its start, by its own count
+//! node:       hello 2 n0 127.0.0.1:40123          protocol version, node name, address for clients; the first message
+//! controller: step 1700000000000000000 312 4      current time, bytes written to the node's sockets since the previous
+//!                                                 step, connections ended since the node's start
+//! node:       idle 1700000000010000000 312 87 4   time of the next timer or "-", bytes read and written in this step,
+//!                                                 connections ended since the node's start as counted by the node
 //! ```
 
 use std::fmt;
@@ -15,51 +15,51 @@
 
 use badgerpost_balancer::Nanos;
 
-/// The protocol's version; a peer of another one is rejected.
+/// The version of the control protocol. A hello message with another version is invalid.
 pub const PROTOCOL_VERSION: u32 = 2;
-/// The most bytes of a line, its end included.
+/// Maximum length of a line in bytes, including the line feed.
 pub const MAX_LINE_LENGTH: usize = 512;
 
-/// A message of the controller.
+/// A message from the controller to the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControllerMessage {
-    /// Run at this time until nothing is ready.
+    /// Advances the clock and runs the node until no task is ready.
     Step {
-        /// The time.
+        /// The clock's new time.
         now: Nanos,
-        /// Bytes newly written to the node's sockets.
+        /// Bytes written to the node's sockets since the previous step.
         bytes_sent: u64,
-        /// Connections with the controller that have ended since the node's start, from whichever side.
+        /// Connections between node and controller that either side has closed since the node's start.
         connections_ended: u64,
     },
 }
 
-/// A message of the node.
+/// A message from the node to the controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeMessage {
-    /// The first line.
+    /// The first message of a connection.
     Hello {
-        /// The node's name.
+        /// The node's name, without spaces.
         name: String,
-        /// Where it listens for clients.
+        /// The address at which the node listens for clients.
         listen: SocketAddr,
     },
-    /// A step is done: nothing is ready any more.
+    /// Reports that a step has ended: no task is ready.
     Idle {
-        /// When the node's next timer is due.
+        /// The time of the node's next timer. `None` without a pending timer.
         next_timer_at: Option<Nanos>,
-        /// Bytes that it has read from its sockets in this step.
+        /// Bytes that the node has read from its sockets in this step.
         bytes_read: u64,
-        /// Bytes that it has written to them.
+        /// Bytes that the node has written to its sockets in this step.
         bytes_written: u64,
-        /// Connections with the controller that have ended since its start, from whichever side.
+        /// Connections between node and controller that either side has closed since the node's start.
         connections_ended: u64,
     },
 }
 
-/// A line that is not a message.
+/// A line that is not a valid message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a line of the control protocol, version {PROTOCOL_VERSION}: {0:?}")]
+#[error("invalid message for version {PROTOCOL_VERSION} of the control protocol: {0:?}")]
 pub struct MalformedLine(pub String);
 
 impl fmt::Display for ControllerMessage {
@@ -96,7 +96,7 @@
     }
 }
 
-/// The fields of a line, which must have exactly so many.
+/// Splits a line into its fields. `None` unless the line has exactly `N` fields.
 fn split_fields<const N: usize>(line: &str) -> Option<[&str; N]> {
     let mut remaining = line.trim_end().split(' ');
     let mut fields = [""; N];
--- a/virtual-clock/src/protocol/tests.rs
+++ b/virtual-clock/src/protocol/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn lines_are_read_as_they_are_written() {
+fn encoded_messages_are_decoded_unchanged() {
     let step = ControllerMessage::Step {
         now: 17,
         bytes_sent: 3,
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn other_lines_and_versions_are_turned_down() {
+fn malformed_lines_and_other_versions_are_rejected() {
     for line in [
         "",
         "step",
