--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -1,5 +1,6 @@
 //! The configuration of a node. The platform's file is JSON; `EDGE_CONFIG` or `--edge-config` names it. The operators'
-//! file is TOML; `--config` names it, and it enables optional features.
+//! file is TOML; `--config` names it. The operators' file enables
+//! optional features.
 
 mod error;
 mod loopback;
--- a/daemon/src/config/error.rs
+++ b/daemon/src/config/error.rs
@@ -38,7 +38,7 @@
     Seed(String),
     /// The number of file descriptors is below the minimum.
     #[error(
-        "configuration: limits.sockets: {0} file descriptors; at least {MIN_DESCRIPTORS} are required"
+        "configuration: limits.sockets: {0} is below the minimum of {MIN_DESCRIPTORS} file descriptors"
     )]
     TooFewDescriptors(usize),
     /// The settings object lacks a required key or has a value of the wrong type.
--- a/daemon/src/config/platform.rs
+++ b/daemon/src/config/platform.rs
@@ -48,7 +48,7 @@
 /// Resources of the machine that the node may use.
 #[derive(Deserialize)]
 struct ResourceLimits {
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     #[serde(rename = "sockets")]
     descriptors: usize,
     #[serde(rename = "memory_mb", default = "default_memory_mib")]
--- a/daemon/src/node/client_listener.rs
+++ b/daemon/src/node/client_listener.rs
@@ -40,7 +40,8 @@
 
 impl ClientListener {
     /// Takes over the listener of a running version, or opens a new one. The handover preserves the connections in the
-    /// accept queue. It is attempted only with a console: without one, two versions never run at the same address.
+    /// accept queue. A handover is attempted only with a console: without a console, operators don't start a second
+    /// version at the same address.
     pub async fn take_over_or_bind(
         platform: &PlatformConfig,
         quota: &DescriptorQuota,
--- a/virtual-clock/src/control.rs
+++ b/virtual-clock/src/control.rs
@@ -166,7 +166,7 @@
 
 /// Runs the runtime's tasks until no task is ready, no connection is being established, and this thread has read at
 /// least `min_bytes_read` bytes and detected at least `min_connections_ended` ends of connections since its start.
-/// Gives up after [`MAX_ARRIVAL_CHECKS`] checks. Must be called from a task that [`activity`] does not count.
+/// Gives up after `MAX_ARRIVAL_CHECKS` checks. Must be called from a task that [`activity`] does not count.
 pub async fn run_until_idle(min_bytes_read: u64, min_connections_ended: u64) {
     for _ in 0..MAX_ARRIVAL_CHECKS {
         run_ready_tasks().await;
