--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -1,6 +1,5 @@
 //! The configuration of a node. The platform's file is JSON; `EDGE_CONFIG` or `--edge-config` names it. The operators'
-//! file is TOML; `--config` names it. The operators' file enables
-//! optional features.
+//! file is TOML and enables optional features; `--config` names it.
 
 mod error;
 mod loopback;
