--- a/adapters/postgres/src/config/balancer_settings.rs
+++ b/adapters/postgres/src/config/balancer_settings.rs
@@ -1,6 +1,6 @@
 //! Builds the balancer's settings for PostgreSQL servers from the section `[postgres]`, as a settings object.
 
-use badgerpost_settings::Site;
+use badgerpost_settings::NodeSettings;
 use serde_json::{Value, json};
 
 use super::{Class, Config};
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     /// [`ConfigError`] if no class or no source of servers is configured, or a value is out of range.
-    pub fn site(&self) -> Result<Site, ConfigError> {
+    pub fn site(&self) -> Result<NodeSettings, ConfigError> {
         if self.class.is_empty() || (self.server.is_empty() && self.discovery.is_none()) {
             return Err(ConfigError::NoClassOrServer);
         }
--- a/daemon/tests/lifecycle.rs
+++ b/daemon/tests/lifecycle.rs
@@ -439,7 +439,9 @@
     );
     let stepped = "[rehearsal]\ncontrol = \"127.0.0.1:9\"\nstart_ns = 1\n";
     let (is_valid, output) = check(json!([]), stepped);
-    assert!(is_valid && output.contains("STEPPED"), "{output}");
+    let virtual_clock =
+        "clock: virtual, controlled by a test at 127.0.0.1:9; not for production use\n";
+    assert!(is_valid && output.contains(virtual_clock), "{output}");
     let (is_valid, output) = check(json!([]), "\n[rehearsal]\ncontrl = 1\n");
     assert!(
         !is_valid && output.contains("own.toml:3: contrl: unknown field `contrl`"),
