--- a/testkit/drivers/matrix.js
+++ b/testkit/drivers/matrix.js
@@ -1,5 +1,6 @@
-// Drivers of Node.js against the node and directly against a stand-in database: the same outcome in each cell?
-// Started by run.sh, which names the packages. Takes the line of JSON that `badgerpost-rehearse up postgres` prints.
+// Runs each test cell with Node.js drivers through the node and directly against a fake database, and compares the
+// outcomes. Started by run.sh, which installs the packages. The argument is the JSON line that
+// `badgerpost-rehearse up postgres` prints.
 const { Client, Pool, types } = require('pg');
 const copyFrom = require('pg-copy-streams').from;
 const copyTo = require('pg-copy-streams').to;
--- a/testkit/drivers/matrix.py
+++ b/testkit/drivers/matrix.py
@@ -1,7 +1,8 @@
 #!/usr/bin/env python3
-"""Drivers of Python against the node and directly against a stand-in database: the same outcome in each cell?
+"""Runs each test cell with Python drivers through the node and directly against a fake database, and compares outcomes.
 
-Started by run.sh, which names the packages. Reads the line of JSON that `badgerpost-rehearse up postgres` prints.
+Started by run.sh, which installs the packages. The argument is the JSON line that `badgerpost-rehearse up postgres`
+prints.
 """
 
 import asyncio
@@ -221,7 +222,7 @@
 
 
 async def a_wrong_argument(c):
-    # Turned down by the driver itself, after it has described the statement; then the transaction goes on.
+    # The driver rejects the argument after describing the statement; the transaction stays usable.
     tr = c.transaction()
     await tr.start()
     try:
@@ -253,7 +254,7 @@
 def outcome(cell, direct):
     try:
         return repr(cell(direct))
-    except Exception as e:  # whatever a driver says is an outcome
+    except Exception as e:  # errors of drivers are outcomes too
         return f"{type(e).__name__}: {e}".strip()
 
 
--- a/testkit/drivers/run.sh
+++ b/testkit/drivers/run.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Drivers of other languages against the node and directly against a stand-in database, cell by cell. Not in CI: it
-# wants the package registries. Packages: from PyPI psycopg[binary] 3, asyncpg, pg8000; from npm pg, pg-copy-streams,
-# postgres; psql where it is on the machine.
+# Runs PostgreSQL drivers of other languages through the node and directly against a fake database, and compares the
+# outcomes of each test cell. Not part of CI, since the packages come from package registries: psycopg[binary] 3,
+# asyncpg and pg8000 from PyPI; pg, pg-copy-streams and postgres from npm. Also runs psql if it is installed.
 #
-#   testkit/drivers/run.sh [FOLDER]     FOLDER keeps the packages (default: a new one under the system's temporary folder)
+#   testkit/drivers/run.sh [FOLDER]     packages are kept in FOLDER (default: a new temporary folder)
 set -euo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
 root=$here/../..
--- a/testkit/fakes/build.rs
+++ b/testkit/fakes/build.rs
@@ -1,4 +1,4 @@
-//! Builds the library of system faults, which tests preload into the processes under test.
+//! Builds the C library that injects system call faults; tests preload it into the processes under test.
 
 use std::env;
 use std::path::PathBuf;
@@ -17,11 +17,11 @@
         .status();
     match built {
         Ok(status) if status.success() => ExitCode::SUCCESS,
-        failed => report(&failed),
+        failed => report_failure(&failed),
     }
 }
 
-fn report(failed: &std::io::Result<ExitStatus>) -> ExitCode {
-    println!("cargo::error=the C compiler could not build {SOURCE}: {failed:?}");
+fn report_failure(result: &std::io::Result<ExitStatus>) -> ExitCode {
+    println!("cargo::error=the C compiler could not build {SOURCE}: {result:?}");
     ExitCode::FAILURE
 }
--- a/testkit/fakes/native/system_faults.c
+++ b/testkit/fakes/native/system_faults.c
@@ -1,14 +1,17 @@
 /*
- * Faults of system calls and a wall clock that steps, for a process under test. Preloaded by the dynamic linker
- * (LD_PRELOAD); `src/system_faults.rs` sets the environment that is read here.
+ * Injects system call faults and wall clock steps into a process under test. The dynamic linker preloads this library
+ * (LD_PRELOAD); `src/system_faults.rs` sets the environment variables that are read here:
  *
- *   BADGERPOST_FAULTS      "recv:short=50,send:EINTR=20": in so many of a thousand calls
- *   BADGERPOST_FAULT_SEED  drives the draws
- *   BADGERPOST_WALL_CLOCK  a file with the milliseconds by which the wall clock is ahead; read at each reading of it
- *   BADGERPOST_REQUEST_LOG a file to which each HTTP request is appended that passes a socket: "recv" or "send", the
- *                          nanoseconds of the monotonic clock as the call began and as the bytes passed, and its head
+ *   BADGERPOST_FAULTS      comma-separated faults, each as call:fault=permille, such as "recv:short=50,send:EINTR=20"
+ *   BADGERPOST_FAULT_SEED  the seed that determines which calls fail
+ *   BADGERPOST_WALL_CLOCK  a file that holds the wall clock's offset in milliseconds; read whenever the process reads
+ *                          the wall clock
+ *   BADGERPOST_REQUEST_LOG a file to which one line is appended for each HTTP request received or sent: "recv" or
+ *                          "send", the monotonic times in nanoseconds at which the call began and the request was
+ *                          logged, and the request's head
  *
- * Only TCP sockets over IP fail, and the naming of Unix sockets: the event loop's own are none of a peer's business.
+ * Faults are injected into calls on TCP sockets, `socket` calls for IPv4 and IPv6, `bind` calls on Unix sockets and
+ * `epoll_wait`; reads and writes of other descriptors, such as those that wake the event loop, never fail.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -26,23 +29,23 @@
 #include <time.h>
 #include <unistd.h>
 
-enum { SHORT = -1, HOLD = -2 };
+/* Kinds of faults that are not errors. */
+enum { SHORT = -1, DELAY = -2 };
 
-/* A short read or write moves this many bytes at most. */
-#define SHORT_BYTES 40
-/* A node may be held up for this long between reading its clock and writing. */
-#define HOLD_MS 150
-#define MOST_FAULTS 32
+/* The most bytes that a short read or write transfers. */
+#define MAX_SHORT_BYTES 40
+#define DELAY_MS 150
+#define MAX_FAULTS 32
 
 struct fault {
     char call[16];
-    int kind; /* an errno, or one of the above */
+    int kind; /* an errno value, SHORT or DELAY */
     unsigned permille;
 };
 
-static struct fault faults[MOST_FAULTS];
+static struct fault faults[MAX_FAULTS];
 static int fault_count;
-static atomic_ullong draws;
+static atomic_ullong draw_count;
 static unsigned long long seed;
 static const char *wall_clock_file;
 static const char *request_log_file;
@@ -52,7 +55,7 @@
     int value;
 } kinds[] = {
     {"short", SHORT},
-    {"hold", HOLD},
+    {"hold", DELAY},
     {"EINTR", EINTR},
     {"ECONNABORTED", ECONNABORTED},
     {"ENFILE", ENFILE},
@@ -67,39 +70,39 @@
     {"EIO", EIO},
 };
 
-static int kind_of(const char *name, size_t length)
+static int parse_kind(const char *name, size_t length)
 {
     for (size_t i = 0; i < sizeof kinds / sizeof kinds[0]; i++)
         if (strlen(kinds[i].name) == length && !memcmp(kinds[i].name, name, length))
             return kinds[i].value;
-    abort(); /* a test that asks for a fault that is not there tests nothing */
+    abort(); /* an unknown fault, without which the test must not run */
 }
 
 __attribute__((constructor)) static void read_environment(void)
 {
-    const char *text = getenv("BADGERPOST_FAULTS");
-    const char *number = getenv("BADGERPOST_FAULT_SEED");
-    seed = number ? strtoull(number, NULL, 10) : 1;
+    const char *entry = getenv("BADGERPOST_FAULTS");
+    const char *seed_text = getenv("BADGERPOST_FAULT_SEED");
+    seed = seed_text ? strtoull(seed_text, NULL, 10) : 1;
     wall_clock_file = getenv("BADGERPOST_WALL_CLOCK");
     request_log_file = getenv("BADGERPOST_REQUEST_LOG");
-    while (text && *text) {
-        const char *colon = strchr(text, ':');
+    while (entry && *entry) {
+        const char *colon = strchr(entry, ':');
         const char *equals = colon ? strchr(colon, '=') : NULL;
-        if (!equals || fault_count == MOST_FAULTS || colon - text >= (long)sizeof faults[0].call)
+        if (!equals || fault_count == MAX_FAULTS || colon - entry >= (long)sizeof faults[0].call)
             abort();
         struct fault *fault = &faults[fault_count++];
-        memcpy(fault->call, text, colon - text);
-        fault->kind = kind_of(colon + 1, equals - colon - 1);
+        memcpy(fault->call, entry, colon - entry);
+        fault->kind = parse_kind(colon + 1, equals - colon - 1);
         char *end;
         fault->permille = strtoul(equals + 1, &end, 10);
-        text = *end == ',' ? end + 1 : end;
+        entry = *end == ',' ? end + 1 : end;
     }
 }
 
-/* A number below 1000. SplitMix64 over a counter, so that threads may draw beside each other. */
-static unsigned draw(void)
+/* Draws a number below 1000: SplitMix64 over an atomic counter, which threads may use concurrently. */
+static unsigned draw_permille(void)
 {
-    uint64_t z = seed * 0xd1342543de82ef95ull + atomic_fetch_add(&draws, 1) * 0x9e3779b97f4a7c15ull;
+    uint64_t z = seed * 0xd1342543de82ef95ull + atomic_fetch_add(&draw_count, 1) * 0x9e3779b97f4a7c15ull;
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ull;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebull;
     return (z ^ (z >> 31)) % 1000;
@@ -116,16 +119,16 @@
     return (domain == AF_INET || domain == AF_INET6) && type == SOCK_STREAM;
 }
 
-/* What this call meets: 0, an errno or SHORT. A hold is over when this returns. */
-static int fault_of(const char *call)
+/* Draws the fault of one call: 0 for none, an errno value or SHORT. A delay has passed when this returns. */
+static int draw_fault(const char *call)
 {
     int found = 0;
     for (int i = 0; i < fault_count; i++) {
-        if (strcmp(faults[i].call, call) || draw() >= faults[i].permille)
+        if (strcmp(faults[i].call, call) || draw_permille() >= faults[i].permille)
             continue;
-        if (faults[i].kind == HOLD) {
-            struct timespec span = {0, HOLD_MS * 1000000L};
-            syscall(SYS_nanosleep, &span, NULL);
+        if (faults[i].kind == DELAY) {
+            struct timespec delay = {0, DELAY_MS * 1000000L};
+            syscall(SYS_nanosleep, &delay, NULL);
         } else if (!found) {
             found = faults[i].kind;
         }
@@ -133,32 +136,33 @@
     return found;
 }
 
-static int fails(int fault)
+/* Sets errno where the fault is an error. Returns whether it is one. */
+static int set_errno(int fault)
 {
     if (fault > 0)
         errno = fault;
     return fault > 0;
 }
 
-static size_t shortened(int fault, size_t length)
+static size_t limit_length(int fault, size_t length)
 {
-    return fault == SHORT && length > SHORT_BYTES ? SHORT_BYTES : length;
+    return fault == SHORT && length > MAX_SHORT_BYTES ? MAX_SHORT_BYTES : length;
 }
 
-static long long monotonic_nanoseconds(void)
+static long long monotonic_ns(void)
 {
     struct timespec now;
     syscall(SYS_clock_gettime, CLOCK_MONOTONIC, &now);
     return now.tv_sec * 1000000000LL + now.tv_nsec;
 }
 
-/* Appends a request's head on one line, if these bytes begin with one. */
-static void log_request(const char *call, long long began_at, const char *bytes, size_t length)
+/* Appends one line to the request log if these bytes start with the head of a GET or POST request. */
+static void log_request(const char *call, long long began_at_ns, const char *bytes, size_t length)
 {
     if (length < 5 || (memcmp(bytes, "POST ", 5) && memcmp(bytes, "GET ", 4)))
         return;
     char line[1024];
-    int count = snprintf(line, sizeof line, "%s %lld %lld ", call, began_at, monotonic_nanoseconds());
+    int count = snprintf(line, sizeof line, "%s %lld %lld ", call, began_at_ns, monotonic_ns());
     for (size_t i = 0; i < length && count < (int)sizeof line - 1; i++)
         line[count++] = bytes[i] == '\r' || bytes[i] == '\n' ? '\t' : bytes[i];
     line[count++] = '\n';
@@ -171,37 +175,37 @@
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags)
 {
-    int fault = is_tcp(fd) ? fault_of("recv") : 0;
-    if (fails(fault))
+    int fault = is_tcp(fd) ? draw_fault("recv") : 0;
+    if (set_errno(fault))
         return -1;
-    long long began_at = request_log_file ? monotonic_nanoseconds() : 0;
-    ssize_t count = syscall(SYS_recvfrom, fd, buffer, shortened(fault, length), flags, NULL, NULL);
+    long long began_at_ns = request_log_file ? monotonic_ns() : 0;
+    ssize_t count = syscall(SYS_recvfrom, fd, buffer, limit_length(fault, length), flags, NULL, NULL);
     if (request_log_file && count > 0)
-        log_request("recv", began_at, buffer, count);
+        log_request("recv", began_at_ns, buffer, count);
     return count;
 }
 
 ssize_t send(int fd, const void *buffer, size_t length, int flags)
 {
-    long long began_at = request_log_file ? monotonic_nanoseconds() : 0;
-    int fault = is_tcp(fd) ? fault_of("send") : 0;
-    if (fails(fault))
+    long long began_at_ns = request_log_file ? monotonic_ns() : 0;
+    int fault = is_tcp(fd) ? draw_fault("send") : 0;
+    if (set_errno(fault))
         return -1;
     if (request_log_file)
-        log_request("send", began_at, buffer, length);
-    return syscall(SYS_sendto, fd, buffer, shortened(fault, length), flags, NULL, 0);
+        log_request("send", began_at_ns, buffer, length);
+    return syscall(SYS_sendto, fd, buffer, limit_length(fault, length), flags, NULL, 0);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count)
 {
-    long long began_at = request_log_file ? monotonic_nanoseconds() : 0;
-    int fault = is_tcp(fd) ? fault_of("send") : 0;
-    if (fails(fault))
+    long long began_at_ns = request_log_file ? monotonic_ns() : 0;
+    int fault = is_tcp(fd) ? draw_fault("send") : 0;
+    if (set_errno(fault))
         return -1;
     if (request_log_file && count > 0)
-        log_request("send", began_at, parts[0].iov_base, parts[0].iov_len);
+        log_request("send", began_at_ns, parts[0].iov_base, parts[0].iov_len);
     if (fault == SHORT && count > 0) {
-        struct iovec first = {parts[0].iov_base, shortened(fault, parts[0].iov_len)};
+        struct iovec first = {parts[0].iov_base, limit_length(fault, parts[0].iov_len)};
         return syscall(SYS_writev, fd, &first, 1);
     }
     return syscall(SYS_writev, fd, parts, count);
@@ -209,53 +213,54 @@
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags)
 {
-    if (fails(is_tcp(fd) ? fault_of("accept") : 0))
+    if (set_errno(is_tcp(fd) ? draw_fault("accept") : 0))
         return -1;
     return syscall(SYS_accept4, fd, address, length, flags);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length)
 {
-    if (fails(is_tcp(fd) ? fault_of("connect") : 0))
+    if (set_errno(is_tcp(fd) ? draw_fault("connect") : 0))
         return -1;
     return syscall(SYS_connect, fd, address, length);
 }
 
-/* A Unix socket gets its name: a file in a folder. */
+/* Binding a Unix socket creates a file. */
 int bind(int fd, const struct sockaddr *address, socklen_t length)
 {
-    if (address->sa_family == AF_UNIX && fails(fault_of("bind_unix")))
+    if (address->sa_family == AF_UNIX && set_errno(draw_fault("bind_unix")))
         return -1;
     return syscall(SYS_bind, fd, address, length);
 }
 
 int socket(int domain, int type, int protocol)
 {
-    if ((domain == AF_INET || domain == AF_INET6) && fails(fault_of("socket")))
+    if ((domain == AF_INET || domain == AF_INET6) && set_errno(draw_fault("socket")))
         return -1;
     return syscall(SYS_socket, domain, type, protocol);
 }
 
-/* What became of a connect that went on by itself is told here. */
+/* SO_ERROR returns the result of a non-blocking connect. */
 int getsockopt(int fd, int level, int name, void *value, socklen_t *length)
 {
     int result = syscall(SYS_getsockopt, fd, level, name, value, length);
     if (!result && level == SOL_SOCKET && name == SO_ERROR && *(int *)value == 0 && is_tcp(fd)) {
-        int fault = fault_of("so_error");
+        int fault = draw_fault("so_error");
         if (fault > 0)
             *(int *)value = fault;
     }
     return result;
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int count, int wait)
+int epoll_wait(int fd, struct epoll_event *events, int count, int timeout)
 {
-    if (fails(fault_of("epoll")))
+    if (set_errno(draw_fault("epoll")))
         return -1;
-    return syscall(SYS_epoll_pwait, fd, events, count, wait, NULL, 8);
+    return syscall(SYS_epoll_pwait, fd, events, count, timeout, NULL, 8);
 }
 
-static int64_t milliseconds_ahead(void)
+/* 0 where the file cannot be opened. */
+static int64_t read_wall_clock_offset_ms(void)
 {
     char text[32] = {0};
     int fd = syscall(SYS_openat, AT_FDCWD, wall_clock_file, O_RDONLY | O_CLOEXEC);
@@ -271,7 +276,7 @@
     int result = syscall(SYS_clock_gettime, clock, now);
     if (result || clock != CLOCK_REALTIME || !wall_clock_file)
         return result;
-    int64_t nanoseconds = now->tv_sec * 1000000000LL + now->tv_nsec + milliseconds_ahead() * 1000000LL;
+    int64_t nanoseconds = now->tv_sec * 1000000000LL + now->tv_nsec + read_wall_clock_offset_ms() * 1000000LL;
     now->tv_sec = nanoseconds / 1000000000LL;
     now->tv_nsec = nanoseconds % 1000000000LL;
     return 0;
--- a/testkit/fakes/src/client.rs
+++ b/testkit/fakes/src/client.rs
@@ -1,42 +1,42 @@
-//! A client's requests to a node, and how it reads the responses. It does no I/O.
+//! Encodes a client's requests to a node and classifies the node's responses. Does no I/O.
 
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
 use crate::message::{self, Message};
 
-/// The longest `Retry-After` that a client follows, in seconds.
+/// Longer `Retry-After` values are cut to this one.
 const MAX_RETRY_AFTER_SECONDS: f64 = 3600.0;
 
-/// Whether a request may take effect twice.
+/// Whether a request may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may.
+    /// The request may take effect more than once.
     Idempotent,
-    /// It carries a key by which servers drop duplicates.
+    /// The request carries a key by which servers drop duplicates.
     Keyed,
-    /// It must not.
+    /// The request must not take effect more than once.
     NonIdempotent,
 }
 
 /// One attempt of a client's request.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest<'a> {
-    /// The attempt's id.
+    /// The attempt's id, sent as X-Call-Id and as the body of POST requests.
     pub id: &'a str,
-    /// The request's class.
+    /// The name of the request's class, sent as X-Call-Class.
     pub class: &'a str,
-    /// Whether the request may take effect twice.
+    /// Whether the request may take effect more than once; idempotent requests are GET, the others POST.
     pub idempotency: Idempotency,
-    /// The idempotency key of a keyed request, the same for all attempts.
+    /// The idempotency key, the same for all attempts of a request; sent with keyed requests only.
     pub key: &'a str,
-    /// How long the client waits for this attempt.
+    /// How long the client waits for this attempt, in nanoseconds.
     pub timeout: Nanos,
-    /// Whether it is a retry.
+    /// Whether the attempt is a retry.
     pub is_retry: bool,
 }
 
 impl ClientRequest<'_> {
-    /// The request's bytes.
+    /// Encodes the request.
     pub fn to_bytes(&self) -> Vec<u8> {
         let Self {
             id, class, timeout, ..
@@ -60,22 +60,22 @@
     }
 }
 
-/// What a node's response means to a client.
+/// The outcome that a node's response reports to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseOutcome {
     /// A server has served the request.
     Served,
     /// The request was rejected before it took effect, and may be retried.
     Rejected {
-        /// The pause before a retry.
+        /// How long the client must wait before a retry, in nanoseconds; 0 if the response does not say.
         retry_after: Nanos,
     },
-    /// The request has failed.
+    /// The request has failed: any other status.
     Failed,
 }
 
 impl ResponseOutcome {
-    /// Classifies a response.
+    /// Classifies a response by its status.
     pub fn of(response: &Message) -> Self {
         match response.status {
             200 => Self::Served,
@@ -87,7 +87,7 @@
     }
 }
 
-/// The `Retry-After` of a response; 0 where it has none that can be read.
+/// The `Retry-After` of a response; 0 if the header is missing or invalid.
 fn retry_after(response: &Message) -> Nanos {
     let seconds = response
         .value("retry-after")
--- a/testkit/fakes/src/client/tests.rs
+++ b/testkit/fakes/src/client/tests.rs
@@ -14,7 +14,8 @@
         };
         let mut decoder = MessageDecoder::new(MessageKind::Request);
         decoder.push(&request.to_bytes());
-        let message = decoder.next_message().expect("good").expect("whole");
+        let decoded = decoder.next_message().expect("a valid request");
+        let message = decoded.expect("a complete request");
         let values = [
             "x-call-id",
             "x-call-class",
@@ -55,7 +56,8 @@
     let read = |status, headers| {
         let mut decoder = MessageDecoder::new(MessageKind::Response);
         decoder.push(&response(status, headers, b""));
-        ResponseOutcome::of(&decoder.next_message().expect("good").expect("whole"))
+        let decoded = decoder.next_message().expect("a valid response");
+        ResponseOutcome::of(&decoded.expect("a complete response"))
     };
     assert_eq!(read(200, ""), ResponseOutcome::Served);
     assert_eq!(
--- a/testkit/fakes/src/discovery.rs
+++ b/testkit/fakes/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Model of the platform's discovery service: an endpoint list with revisions, watches on it, and ways to fail. It does no
-//! I/O; the response to a watch is a [`WatchResponse`].
+//! Model of the platform's discovery service: an endpoint list with revisions, watches on the list, and failure modes.
+//! The model does no I/O; the response to a watch is a [`WatchResponse`].
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,71 +7,71 @@
 use badgerpost_time::{MILLISECOND, Nanos};
 use serde::{Deserialize, Serialize};
 
-/// The revision of the lists that an empty registry returns; no list ever has it otherwise.
+/// The revision of the empty lists that [`Mode::Empty`] returns; no other list has this revision.
 const EMPTY_REVISION: u64 = u64::MAX >> 1;
 const MAX_WATCH_TIMEOUT_MS: u64 = 60_000;
 
-/// An endpoint's state, in the wire's words.
+/// An endpoint's state; the names are those of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum State {
-    /// Takes requests.
+    /// The server accepts requests.
     Ready,
-    /// Draining: finishes the requests that it has.
+    /// Draining: the server completes its current requests and gets no new ones.
     Terminating,
-    /// Has left the list; stands in updates only.
+    /// Removed; occurs only in updates.
     Gone,
 }
 
-/// An entry of the endpoint list, with the wire's field names.
+/// An entry of the endpoint list, with the field names of the wire format.
 #[derive(Clone, Debug, Serialize)]
 pub struct Entry {
-    /// The server's name.
+    /// The server's name, unique in the list.
     pub uid: String,
-    /// The address at which it listens.
+    /// The address at which the server listens.
     pub endpoint: SocketAddr,
-    /// Its zone.
+    /// The name of the server's zone.
     pub az: String,
-    /// Its machine kind.
+    /// The kind of machine that the server runs on.
     pub model: String,
-    /// Its cell.
+    /// The number of the cell that the server belongs to.
     pub pod_group: u64,
-    /// Its state.
+    /// Whether the server accepts requests, drains or is removed.
     pub state: State,
-    /// Its capacity relative to other servers.
+    /// The server's capacity relative to other servers.
     pub capacity_hint: f64,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
+    /// When the server last started, as Unix time in milliseconds; 0 for long ago.
     pub boot_ms: u64,
 }
 
-/// How the service behaves; the names are those of scenario files.
+/// The failure mode of the service; the names are those of scenario files.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// It works.
+    /// The service works.
     #[default]
     Good,
-    /// It accepts calls and does not respond.
+    /// The service accepts requests and does not respond.
     Silent,
-    /// It reports no further changes.
+    /// The service reports no changes made after the mode was set.
     Stale,
-    /// Its lists are empty.
+    /// The service returns empty lists.
     Empty,
-    /// Its responses are not valid lists.
+    /// The service responds with invalid lists.
     Malformed,
-    /// It responds with status 503.
+    /// The service responds with status 503.
     Failing,
 }
 
 /// The response to a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchResponse {
-    /// A response with this body.
+    /// Respond with this endpoint list, or with malformed bytes in [`Mode::Malformed`].
     Body(String),
-    /// A response later: after a change, or when the watch times out.
+    /// Respond later: after a change, or when the watch times out.
     Pending,
-    /// No response at all.
+    /// Never respond.
     Unanswered,
-    /// A response with status 503.
+    /// Respond with status 503.
     Unavailable,
 }
 
@@ -84,7 +84,7 @@
 
 #[derive(Clone, Debug)]
 struct RevisedEntry {
-    /// The revision in which the entry last changed.
+    /// The revision of the list in which the entry last changed.
     revision: u64,
     entry: Entry,
 }
@@ -95,23 +95,23 @@
     entries: BTreeMap<String, RevisedEntry>,
 }
 
-/// The discovery service.
+/// A discovery service with one endpoint list.
 #[derive(Debug, Default)]
 pub struct Discovery {
     current: EndpointList,
-    /// The list as it was when the service became stale.
+    /// A copy of the list from the start of [`Mode::Stale`]; `None` in other modes.
     stale: Option<EndpointList>,
     mode: Mode,
 }
 
 impl Discovery {
-    /// Changes how the service behaves.
+    /// Sets the failure mode.
     pub fn set_mode(&mut self, mode: Mode) {
         self.mode = mode;
         self.stale = (mode == Mode::Stale).then(|| self.current.clone());
     }
 
-    /// Adds an entry, or replaces the one of the same server.
+    /// Adds an entry or replaces the entry of the same server, under the next revision.
     pub fn set(&mut self, entry: Entry) {
         self.current.revision += 1;
         let revision = self.current.revision;
@@ -120,7 +120,7 @@
         entries.insert(uid, RevisedEntry { revision, entry });
     }
 
-    /// Changes one server's state.
+    /// Sets the state of one server; has no effect if the list has no entry for the server.
     pub fn set_state(&mut self, uid: &str, state: State) {
         if let Some(RevisedEntry { entry, .. }) = self.current.entries.get(uid) {
             self.set(Entry {
@@ -130,12 +130,12 @@
         }
     }
 
-    /// The list that clients see.
+    /// The list that clients get.
     fn visible(&self) -> &EndpointList {
         self.stale.as_ref().unwrap_or(&self.current)
     }
 
-    /// The entries of servers that have not left.
+    /// The entries of servers that are not removed, as clients get them.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.visible()
             .entries
@@ -144,14 +144,14 @@
             .filter(|entry| entry.state != State::Gone)
     }
 
-    /// Responds to a watch: with the whole list, or with what has changed since a revision. `timeout` is the time for
-    /// which the watch may still wait.
+    /// The response to a watch: the complete list, or the changes since the revision `from`. `timeout` is the remaining
+    /// time for which the response may wait for a change.
     pub fn watch(&self, from: Option<u64>, timeout: Nanos) -> WatchResponse {
         match self.mode {
             Mode::Silent => return WatchResponse::Unanswered,
             Mode::Failing => return WatchResponse::Unavailable,
             Mode::Malformed => return WatchResponse::Body("{\"rev\":1,\"all\":tr".to_owned()),
-            // A client that watches from the empty list waits as usual, and gets the whole list once the mode ends.
+            // A client that has the empty list waits as usual, and gets the complete list once the mode ends.
             Mode::Empty if from == Some(EMPTY_REVISION) && timeout > 0 => {
                 return WatchResponse::Pending;
             }
@@ -177,17 +177,17 @@
     WatchResponse::Body(body)
 }
 
-/// A request for the endpoint list.
+/// A request for the endpoint list or its changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchRequest {
-    /// The revision that the client has; none for the whole list.
+    /// The revision that the client has; `None` requests the complete list.
     pub from: Option<u64>,
-    /// How long the response may wait for a change.
+    /// How long the response may wait for a change, in nanoseconds; at most a minute.
     pub timeout: Nanos,
 }
 
 impl WatchRequest {
-    /// Parses the target of an HTTP request; none where it is not for the endpoint list.
+    /// Parses the target of an HTTP request; `None` if its path is not that of the endpoint list.
     pub fn parse(target: &str) -> Option<Self> {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let parameter = |name: &str| {
--- a/testkit/fakes/src/discovery/tests.rs
+++ b/testkit/fakes/src/discovery/tests.rs
@@ -13,13 +13,16 @@
     }
 }
 
-fn names(reply: WatchResponse) -> (u64, bool, Vec<String>) {
-    let WatchResponse::Body(text) = reply else {
-        panic!("{reply:?}")
+fn parse_list(response: WatchResponse) -> (u64, bool, Vec<String>) {
+    let WatchResponse::Body(text) = response else {
+        panic!("no list in the response: {response:?}")
     };
-    let list: serde_json::Value = serde_json::from_str(&text).expect("a list");
-    let targets = list["targets"].as_array().expect("targets").iter();
-    let names = targets.map(|t| {
+    let list: serde_json::Value = serde_json::from_str(&text).expect("valid JSON");
+    let targets = list["targets"]
+        .as_array()
+        .expect("an array of targets")
+        .iter();
+    let states = targets.map(|t| {
         format!(
             "{} {}",
             t["uid"].as_str().unwrap(),
@@ -29,66 +32,66 @@
     (
         list["rev"].as_u64().unwrap(),
         list["all"].as_bool().unwrap(),
-        names.collect(),
+        states.collect(),
     )
 }
 
 #[test]
-fn watches_get_the_whole_list_or_what_has_changed() {
+fn watches_get_the_complete_list_or_the_changes() {
     let mut list = Discovery::default();
     ["x", "y"].into_iter().for_each(|uid| list.set(entry(uid)));
     let both = vec!["x Ready".to_owned(), "y Ready".to_owned()];
-    assert_eq!(names(list.watch(None, 5)), (2, true, both.clone()));
+    assert_eq!(parse_list(list.watch(None, 5)), (2, true, both.clone()));
     assert_eq!(list.watch(Some(2), 5), WatchResponse::Pending);
-    assert_eq!(names(list.watch(Some(2), 0)), (2, false, vec![]));
+    assert_eq!(parse_list(list.watch(Some(2), 0)), (2, false, vec![]));
     list.set_state("x", State::Gone);
     assert_eq!(
-        names(list.watch(Some(2), 5)),
+        parse_list(list.watch(Some(2), 5)),
         (3, false, vec!["x Gone".to_owned()])
     );
     assert_eq!(
-        names(list.watch(Some(99), 5)),
+        parse_list(list.watch(Some(99), 5)),
         (3, true, vec!["y Ready".to_owned()])
     );
-    // Stale: no change is reported, and a new watch gets the old list.
+    // In stale mode no change is reported, and a new watch gets the old list.
     list.set_mode(Mode::Stale);
     list.set_state("y", State::Terminating);
     assert_eq!(list.watch(Some(3), 5), WatchResponse::Pending);
     assert_eq!(
-        names(list.watch(None, 5)),
+        parse_list(list.watch(None, 5)),
         (3, true, vec!["y Ready".to_owned()])
     );
     list.set_mode(Mode::Good);
     assert_eq!(
-        names(list.watch(Some(3), 5)),
+        parse_list(list.watch(Some(3), 5)),
         (4, false, vec!["y Terminating".to_owned()])
     );
 }
 
 #[test]
-fn each_failure_mode_answers_as_documented() {
+fn each_failure_mode_gives_its_documented_response() {
     let mut list = Discovery::default();
     list.set(entry("x"));
-    for (mode, wanted) in [
+    for (mode, expected) in [
         (Mode::Silent, WatchResponse::Unanswered),
         (Mode::Failing, WatchResponse::Unavailable),
     ] {
         list.set_mode(mode);
-        assert_eq!(list.watch(None, 5), wanted);
+        assert_eq!(list.watch(None, 5), expected);
     }
     list.set_mode(Mode::Empty);
-    let (rev, all, targets) = names(list.watch(None, 5));
+    let (rev, all, targets) = parse_list(list.watch(None, 5));
     assert!(all && targets.is_empty());
     assert_eq!(list.watch(Some(rev), 5), WatchResponse::Pending);
     list.set_mode(Mode::Malformed);
     let WatchResponse::Body(text) = list.watch(None, 5) else {
-        panic!("an answer")
+        panic!("no body in malformed mode")
     };
     assert!(serde_json::from_str::<serde_json::Value>(&text).is_err());
-    // A client that took the empty list gets the whole one afterwards.
+    // A client that has the empty list gets the complete list afterwards.
     list.set_mode(Mode::Good);
     assert_eq!(
-        names(list.watch(Some(rev), 5)),
+        parse_list(list.watch(Some(rev), 5)),
         (1, true, vec!["x Ready".to_owned()])
     );
 }
--- a/testkit/fakes/src/lib.rs
+++ b/testkit/fakes/src/lib.rs
@@ -1,7 +1,11 @@
-//! Fakes of a node's peers for tests. The models ([`server`], [`discovery`], [`client`]) do no I/O and are told the time;
-//! [`net`] connects them to loopback sockets on one thread, on the virtual or the real clock. [`scripted`] is for tests
-//! that write each byte of a peer by hand, [`database`] a PostgreSQL server in memory, [`system_faults`] what the
-//! operating system does wrong.
+//! Fakes of a node's peers for tests:
+//!
+//! - [`server`], [`discovery`] and [`client`] are models that do no I/O; [`net`] provides loopback sockets for them,
+//!   polled on one thread, on the virtual or the real clock.
+//! - [`scripted`] has peers whose bytes are written out in the test, with a thread for each connection, and starts
+//!   nodes as processes; [`slow_connect`] is a backend to which connects succeed late.
+//! - [`database`] is an in-memory PostgreSQL server.
+//! - [`system_faults`] injects system call faults into a process.
 
 pub mod client;
 pub mod database;
@@ -16,12 +20,16 @@
 
 use std::path::PathBuf;
 
-/// A program of this workspace has not been built.
+/// A program of this workspace is missing at this path: it has not been built.
 #[derive(Debug, thiserror::Error)]
-#[error("{} is not built: `cargo build --workspace` builds it, with --release where this one was", .0.display())]
+#[error("{} does not exist: build it with `cargo build --workspace`, for release builds with --release", .0.display())]
 pub struct NotBuilt(PathBuf);
 
-/// The path of a program of this workspace: in the folder of the running program or, for tests, in the one above it.
+/// The path of a program of this workspace: in the folder of the running program or, for tests, in the parent folder.
+///
+/// # Errors
+///
+/// Neither folder has a file of this name.
 pub fn program(name: &str) -> Result<PathBuf, NotBuilt> {
     let running = std::env::current_exe().unwrap_or_default();
     let folder = running.parent().map(PathBuf::from).unwrap_or_default();
@@ -33,7 +41,7 @@
     found.ok_or_else(|| NotBuilt(candidates[0].clone()))
 }
 
-/// The address at which a node listens, from the log line that reports it; none for other lines.
+/// The address at which a node listens, parsed from the log line that reports it; `None` for other lines.
 pub fn listens_at(line: &str) -> Option<std::net::SocketAddr> {
     let (_, fields) = line.split_once("serving node=")?;
     fields
--- a/testkit/fakes/src/message.rs
+++ b/testkit/fakes/src/message.rs
@@ -1,12 +1,11 @@
-//! HTTP/1.1 messages of the fakes (RFC 9112): decoded from a connection's bytes, and encoded.
+//! A decoder and encoders of HTTP/1.1 messages (RFC 9112) for the fakes.
 
-/// A peer that sends a longer head is faulty.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 const MAX_HEADERS: usize = 96;
-/// An endpoint list of thousands of servers fits.
+/// Large enough for an endpoint list of thousands of servers.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// A complete message.
+/// A complete request or response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// The method of a request; empty for a response.
@@ -15,14 +14,14 @@
     pub target: String,
     /// The status of a response; 0 for a request.
     pub status: u16,
-    /// The headers.
+    /// Names and values of the headers, in the order of the message.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body; empty if the message has none.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The value of the first header of this name.
+    /// The value of the first header of this name, which is compared without regard to case.
     pub fn value(&self, name: &str) -> Option<&str> {
         let named = self
             .headers
@@ -31,28 +30,30 @@
         named.map(|(_, value)| value.as_str())
     }
 
-    /// Whether the sender closes the connection after it.
+    /// Whether the message announces that its sender closes the connection (`Connection: close`).
     pub fn closes_connection(&self) -> bool {
         self.value("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
-/// Why bytes are not a message.
+/// Why the received bytes cannot be decoded as a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// The head can't be parsed.
-    #[error("not HTTP/1.1: {0}")]
+    /// The head cannot be parsed.
+    #[error("cannot parse the head of an HTTP/1.1 message: {0}")]
     InvalidHead(httparse::Error),
     /// The head or the body exceeds its limit.
-    #[error("too long")]
+    #[error(
+        "HTTP message too long: the limits are {MAX_HEAD_BYTES} bytes of head and {MAX_BODY_BYTES} bytes of body"
+    )]
     TooLong,
-    /// The length can't be parsed, or a response has none.
-    #[error("no usable length")]
+    /// The value of Content-Length cannot be parsed, or a response has no Content-Length.
+    #[error("HTTP message without a valid Content-Length")]
     InvalidLength,
 }
 
-/// The kind of messages on one direction of a connection.
+/// The kind of messages in one direction of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageKind {
     /// Requests.
@@ -61,11 +62,11 @@
     Response,
 }
 
-/// Decodes messages from the bytes of a connection.
+/// Decodes messages from the bytes received on a connection.
 #[derive(Clone, Debug)]
 pub struct MessageDecoder {
     kind: MessageKind,
-    /// Bytes that no returned message held.
+    /// Received bytes that are not decoded yet.
     buffer: Vec<u8>,
 }
 
@@ -76,7 +77,7 @@
 }
 
 impl MessageDecoder {
-    /// A decoder with an empty buffer.
+    /// Creates a decoder of one kind of messages.
     pub fn new(kind: MessageKind) -> Self {
         Self {
             kind,
@@ -89,12 +90,12 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether bytes of an incomplete message are buffered.
+    /// Whether received bytes are not decoded yet, such as an incomplete message.
     pub fn has_buffered_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Takes the next complete message.
+    /// Removes the next complete message from the buffer and returns it; `None` while the message is incomplete.
     pub fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
         let Some(ParsedHead {
             mut message,
@@ -120,7 +121,7 @@
         Ok(Some(message))
     }
 
-    /// Parses the head at the start of the buffer; none while it is incomplete.
+    /// Parses the head at the start of the buffer; `None` while the head is incomplete.
     fn parse_head(&self) -> Result<Option<ParsedHead>, MessageError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let (parsed, message) = match self.kind {
@@ -190,7 +191,7 @@
     }
 }
 
-/// Encodes a response. `headers` are complete lines, each with its line end.
+/// Encodes a response. `headers` are complete header lines, each with its CRLF.
 pub fn response(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
@@ -210,7 +211,7 @@
     bytes
 }
 
-/// Encodes a response without a length, which ends with its connection.
+/// Encodes a response without Content-Length, whose body ends when the connection is closed.
 pub fn response_without_length(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let bytes = response(status, headers, body);
     let length = format!("Content-Length: {}\r\n", body.len());
@@ -218,7 +219,7 @@
     text.replacen(&length, "", 1).into_bytes()
 }
 
-/// Encodes a request. `headers` are complete lines, each with its line end.
+/// Encodes a request. `headers` are complete header lines, each with its CRLF.
 pub fn request(method: &str, target: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let length = if method == "GET" {
         String::new()
--- a/testkit/fakes/src/message/tests.rs
+++ b/testkit/fakes/src/message/tests.rs
@@ -12,7 +12,7 @@
         let mut decoded = Vec::new();
         for part in [&all[..split], &all[split..]] {
             decoder.push(part);
-            while let Some(message) = decoder.next_message().expect("good messages") {
+            while let Some(message) = decoder.next_message().expect("valid messages") {
                 decoded.push((message.method.clone(), message.body.clone()));
             }
         }
@@ -35,11 +35,15 @@
         decoder.push(bytes);
         decoder.next_message()
     };
-    let good = read(&response(503, "Connection: close\r\n", b"no"))
-        .expect("good")
-        .expect("whole");
+    let valid = read(&response(503, "Connection: close\r\n", b"no"))
+        .expect("a valid response")
+        .expect("a complete response");
     assert_eq!(
-        (good.status, good.closes_connection(), good.body.as_slice()),
+        (
+            valid.status,
+            valid.closes_connection(),
+            valid.body.as_slice()
+        ),
         (503, true, b"no".as_slice())
     );
     assert_eq!(
--- a/testkit/fakes/src/net.rs
+++ b/testkit/fakes/src/net.rs
@@ -1,5 +1,5 @@
 //! Loopback sockets for the fakes, polled on one thread. What peers do is reported as [`NetworkEvent`]s, in an order
-//! that does not depend on the system's.
+//! that does not depend on the order in which the system reports them.
 
 mod connection;
 mod event;
@@ -19,12 +19,12 @@
 pub use reserved_port::ReservedPort;
 use reserved_port::listen;
 
-/// Poll tokens below this are listeners', the others connections'.
+/// Poll tokens below this value identify listeners and datagram sockets; the others identify connections.
 const FIRST_CONNECTION_TOKEN: usize = 1 << 16;
-/// Events that one poll takes from the system.
-const EVENTS_PER_POLL: usize = 4096;
+/// The most system events that one poll returns.
+const MAX_EVENTS_PER_POLL: usize = 4096;
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// A loopback connect succeeds at once unless the peer's accept queue is full.
+/// Reached only if the peer's accept queue is full: other loopback connects end at once.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A listener or datagram socket, and the address that it is bound to.
@@ -32,7 +32,7 @@
 pub struct BoundSocket {
     /// The socket's id.
     pub id: ListenerId,
-    /// The address, with its port.
+    /// The bound address, with the assigned port.
     pub address: SocketAddr,
 }
 
@@ -48,11 +48,10 @@
     state: ListenerState,
 }
 
-/// What the system reports about one socket.
 #[derive(Default)]
 struct Readiness {
-    readable: bool,
-    writable: bool,
+    is_readable: bool,
+    is_writable: bool,
 }
 
 /// All sockets of the fakes, on the loopback interface.
@@ -63,8 +62,8 @@
     /// The listeners' ports, which stay reserved while connects are refused.
     reserved_ports: Vec<ReservedPort>,
     connections: BTreeMap<ConnId, Connection>,
-    /// Connections closed on this side: what the peer still sends is read and dropped until it has closed too. Closing
-    /// a socket with unread bytes resets its connection, and when the peer notices that would be left to chance.
+    /// Connections whose sending side has been closed: received bytes are discarded until the peer has closed too.
+    /// Closing a socket with unread bytes would reset the connection, and the time at which the peer notices varies.
     lingering: BTreeMap<ConnId, TcpStream>,
     next_connection: usize,
     bytes_read: u64,
@@ -75,7 +74,7 @@
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             poll: Poll::new()?,
-            events: Events::with_capacity(EVENTS_PER_POLL),
+            events: Events::with_capacity(MAX_EVENTS_PER_POLL),
             listeners: Vec::new(),
             reserved_ports: Vec::new(),
             connections: BTreeMap::new(),
@@ -85,7 +84,7 @@
         })
     }
 
-    /// Listens at the port of `address`, or at a free one if that is 0.
+    /// Listens at `address`; port 0 selects a free port.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<BoundSocket> {
         let reserved = ReservedPort::new(address)?;
         let address = reserved.address();
@@ -104,7 +103,7 @@
         Ok(ListenerState::Listening(listener))
     }
 
-    /// Binds a datagram socket to the port of `address`, or to a free one if that is 0.
+    /// Binds a datagram socket to `address`; port 0 selects a free port.
     pub fn bind_datagrams(&mut self, address: SocketAddr) -> io::Result<BoundSocket> {
         let mut socket = UdpSocket::bind(address)?;
         let address = socket.local_addr()?;
@@ -117,7 +116,7 @@
         Ok(BoundSocket { id, address })
     }
 
-    /// Sends a datagram. Returns the number of bytes sent: none where the system does not take it.
+    /// Sends a datagram. Returns the number of bytes sent: 0 if the send fails or `socket` is not a datagram socket.
     pub fn send_datagram(&self, socket: ListenerId, to: SocketAddr, bytes: &[u8]) -> usize {
         match self.listeners.get(socket.0).map(|found| &found.state) {
             Some(ListenerState::Datagrams(socket)) => socket.send_to(bytes, to).unwrap_or(0),
@@ -125,7 +124,7 @@
         }
     }
 
-    /// Refuses new connections from now on; the port stays reserved.
+    /// Closes the listener: new connections are refused, and the port stays reserved.
     pub fn stop_listening(&mut self, id: ListenerId) -> io::Result<()> {
         if let Some(Listener { state, .. }) = self.listeners.get_mut(id.0)
             && let ListenerState::Listening(listener) = state
@@ -136,7 +135,7 @@
         Ok(())
     }
 
-    /// Accepts new connections again at the same port.
+    /// Listens again at the port of a listener that [`LoopbackNetwork::stop_listening`] has closed.
     pub fn resume_listening(&mut self, id: ListenerId) -> io::Result<()> {
         if let Some(Listener {
             address,
@@ -149,7 +148,7 @@
         Ok(())
     }
 
-    /// Connects to a peer.
+    /// Connects to a peer; blocks until the connection is established or refused, for 2 s at most.
     pub fn connect(&mut self, to: SocketAddr) -> io::Result<ConnId> {
         let stream = std::net::TcpStream::connect_timeout(&to, CONNECT_TIMEOUT)?;
         stream.set_nonblocking(true)?;
@@ -174,8 +173,9 @@
         self.connections.contains_key(&conn)
     }
 
-    /// Writes what the peer takes now and buffers the remainder. Returns the number of bytes written at once. A peer
-    /// that has closed the connection is reported by the next [`LoopbackNetwork::poll`].
+    /// Writes as many bytes as the socket accepts, including bytes buffered earlier, and buffers the remainder. Returns
+    /// the number of bytes written now. Resets the connection where the buffer would exceed its limit. If the peer has
+    /// closed the connection, the next [`LoopbackNetwork::poll`] reports that.
     pub fn write(&mut self, conn: ConnId, bytes: &[u8]) -> usize {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return 0;
@@ -187,7 +187,7 @@
         connection.write(bytes)
     }
 
-    /// Closes a connection in an orderly way: the peer receives what has been written, then the end.
+    /// Closes a connection in an orderly way: the peer receives all bytes written so far, then the end of the stream.
     pub fn close(&mut self, conn: ConnId) {
         if let Some(connection) = self.connections.remove(&conn) {
             self.lingering.insert(conn, connection.shut_down());
@@ -201,13 +201,13 @@
         }
     }
 
-    /// Number of bytes read so far, over all sockets.
+    /// The number of bytes read so far from all sockets, including discarded ones.
     pub fn bytes_read(&self) -> u64 {
         self.bytes_read
     }
 
-    /// Polls all sockets once, for at most `timeout`, and appends what has happened to `events`: accepted connections
-    /// by listener, then the others by connection, whatever the system's order is.
+    /// Polls all sockets once, for at most `timeout`, and appends the events: accepted connections and datagrams in the
+    /// order of their sockets, then received bytes and closes in the order of their connections.
     pub fn poll(&mut self, timeout: Duration, events: &mut Vec<NetworkEvent>) -> io::Result<()> {
         match self.poll.poll(&mut self.events, Some(timeout)) {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => return Ok(()),
@@ -220,12 +220,12 @@
                 continue;
             }
             let id = ConnId(token);
-            if readiness.writable
+            if readiness.is_writable
                 && let Some(connection) = self.connections.get_mut(&id)
             {
                 connection.on_writable();
             }
-            if readiness.readable {
+            if readiness.is_readable {
                 to_read.push(id);
             }
         }
@@ -241,14 +241,15 @@
         let mut ready: BTreeMap<usize, Readiness> = BTreeMap::new();
         for event in &self.events {
             let readiness = ready.entry(event.token().0).or_default();
-            readiness.readable |= event.is_readable() || event.is_read_closed() || event.is_error();
-            readiness.writable |= event.is_writable();
+            readiness.is_readable |=
+                event.is_readable() || event.is_read_closed() || event.is_error();
+            readiness.is_writable |= event.is_writable();
         }
         ready
     }
 
-    /// Accepts connections, or receives datagrams, until there are none left. Returns the accepted connections: their
-    /// first bytes may have arrived with them.
+    /// Accepts all pending connections, or receives all pending datagrams. Returns the accepted connections, which may
+    /// have bytes to read already.
     fn read_listener(
         &mut self,
         id: ListenerId,
@@ -299,7 +300,7 @@
                     });
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // An earlier datagram of this socket was sent to a port where nobody listens.
+                // ICMP error: an earlier datagram from this socket was sent to a port without a receiver.
                 Err(_) => {}
             }
         }
--- a/testkit/fakes/src/net/connection.rs
+++ b/testkit/fakes/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! One non-blocking connection: a buffer for bytes that the peer has not read yet, and reads of all that has arrived.
+//! A non-blocking connection with a buffer for bytes that the socket has not accepted yet.
 
 use std::io::{self, Read, Write};
 use std::net::Shutdown;
@@ -9,7 +9,7 @@
 
 use super::READ_BUFFER_BYTES;
 
-/// Bytes buffered for a peer that does not read; beyond this the connection is reset.
+/// The most bytes buffered for a peer that does not read; the connection is reset beyond this.
 const MAX_UNSENT_BYTES: usize = 8 * 1024 * 1024;
 
 pub(super) struct Connection {
@@ -32,7 +32,7 @@
         self.unsent.len() + length <= MAX_UNSENT_BYTES
     }
 
-    /// Appends bytes to the buffer and writes what the peer takes now. Returns the number of bytes written.
+    /// Appends bytes to the buffer and writes as many as the socket accepts. Returns the number of bytes written.
     pub(super) fn write(&mut self, bytes: &[u8]) -> usize {
         self.unsent.extend_from_slice(bytes);
         self.flush()
@@ -51,7 +51,7 @@
                 Ok(count) => written += count,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.is_writable = false,
-                // A read from the socket finds the connection's end and reports it.
+                // The next read reports the end of the connection; the buffered bytes are discarded.
                 Err(_) => written = self.unsent.len(),
             }
         }
@@ -59,32 +59,32 @@
         written
     }
 
-    /// Closes the sending side. The returned stream must be read until the peer has closed too.
+    /// Closes the sending side. The caller must read the returned stream until the peer has closed too.
     pub(super) fn shut_down(self) -> TcpStream {
         let _ = self.stream.shutdown(Shutdown::Write);
         self.stream
     }
 
-    /// Closes the connection by a reset.
+    /// Resets the connection.
     pub(super) fn reset(self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// How a connection was closed by its peer.
+/// How the peer closed a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CloseKind {
     Orderly,
     Reset,
 }
 
-/// The bytes that have arrived on a connection, and whether the peer has closed it after them.
 pub(super) struct ReadResult {
     pub(super) bytes: Vec<u8>,
+    /// Set if the peer has closed the connection after these bytes.
     pub(super) closed: Option<CloseKind>,
 }
 
-/// Reads everything that has arrived.
+/// Reads until the socket would block or the connection has ended.
 pub(super) fn read_available(stream: &mut TcpStream) -> ReadResult {
     let mut bytes = Vec::new();
     let mut buffer = [0; READ_BUFFER_BYTES];
--- a/testkit/fakes/src/net/event.rs
+++ b/testkit/fakes/src/net/event.rs
@@ -1,4 +1,4 @@
-//! What the network reports: new connections, received bytes and datagrams, and the ends of connections.
+//! Network events: new connections, received bytes and datagrams, and closed connections.
 
 use std::net::SocketAddr;
 
@@ -6,14 +6,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListenerId(pub usize);
 
-/// Identifies a connection; never used twice.
+/// Identifies a connection; ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnId(pub usize);
 
-/// Something that a peer has done.
+/// An action of a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NetworkEvent {
-    /// A peer has connected.
+    /// A connection has been accepted.
     Accepted {
         /// The listener that accepted the connection.
         listener: ListenerId,
@@ -22,14 +22,14 @@
     },
     /// Bytes have been received on a connection.
     Received {
-        /// The connection.
+        /// The connection that received the bytes.
         conn: ConnId,
-        /// The bytes.
+        /// All bytes that one poll has read from the connection; never empty.
         bytes: Vec<u8>,
     },
     /// A datagram has been received.
     Datagram {
-        /// The socket that received it, from [`super::LoopbackNetwork::bind_datagrams`].
+        /// The receiving socket, from [`super::LoopbackNetwork::bind_datagrams`].
         socket: ListenerId,
         /// The sender's address.
         from: SocketAddr,
@@ -38,14 +38,14 @@
     },
     /// The peer has closed the connection; the last event of a connection.
     Closed {
-        /// The connection.
+        /// The closed connection.
         conn: ConnId,
-        /// Whether the connection was reset.
+        /// Whether the peer reset the connection rather than closing it in an orderly way.
         reset: bool,
     },
 }
 
-/// Where an event is sorted among others: connections first, then datagram sockets.
+/// The sort order of events: by connection, then by datagram socket.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum SortKey {
     Connection(ConnId),
@@ -53,7 +53,7 @@
 }
 
 impl NetworkEvent {
-    /// The event's place in the order that [`super::LoopbackNetwork::sort_events`] establishes.
+    /// The key by which [`super::LoopbackNetwork::sort_events`] sorts.
     pub(super) fn sort_key(&self) -> SortKey {
         match self {
             Self::Accepted { conn, .. }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The connection that the event belongs to, if any.
+    /// The id of the connection; `None` for datagrams.
     pub(super) fn connection_mut(&mut self) -> Option<&mut ConnId> {
         match self {
             Self::Accepted { conn, .. }
--- a/testkit/fakes/src/net/event_order.rs
+++ b/testkit/fakes/src/net/event_order.rs
@@ -1,4 +1,4 @@
-//! An order of events that does not depend on the order in which the system reported them.
+//! Sorts events into an order that does not depend on the order in which the system reported them.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,9 +9,9 @@
 
 impl LoopbackNetwork {
     /// Sorts the events of several polls into an order that does not depend on which poll returned which event: new
-    /// connections are numbered again in the order of their listeners, then all events are sorted by connection.
+    /// connections are renumbered in the order of their listeners, then all events are sorted by connection.
     pub fn sort_events(&mut self, events: &mut [NetworkEvent]) -> io::Result<()> {
-        let new_ids = renumbered_by_listener(events);
+        let new_ids = new_ids_by_listener(events);
         self.renumber(&new_ids)?;
         for event in events.iter_mut() {
             if let Some(conn) = event.connection_mut()
@@ -20,7 +20,7 @@
                 *conn = *new_id;
             }
         }
-        // The sort is stable: events of one connection stay in their order.
+        // A stable sort keeps the events of one connection in order.
         events.sort_by_key(NetworkEvent::sort_key);
         Ok(())
     }
@@ -41,8 +41,9 @@
     }
 }
 
-/// New ids of the accepted connections, in the order of their listeners; empty where they are in that order already.
-fn renumbered_by_listener(events: &[NetworkEvent]) -> BTreeMap<ConnId, ConnId> {
+/// Maps the ids of accepted connections to new ones in the order of their listeners; empty if the ids have that order
+/// already.
+fn new_ids_by_listener(events: &[NetworkEvent]) -> BTreeMap<ConnId, ConnId> {
     let accepted = events.iter().filter_map(|event| match event {
         NetworkEvent::Accepted { listener, conn } => Some((*listener, *conn)),
         _ => None,
--- a/testkit/fakes/src/net/reserved_port.rs
+++ b/testkit/fakes/src/net/reserved_port.rs
@@ -1,4 +1,4 @@
-//! Ports that stay reserved while nobody listens on them.
+//! Ports that stay reserved while no listener uses them.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -7,15 +7,15 @@
 
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// A port that is reserved for listeners that come and go. While nobody listens, connects are refused, and the system
-/// does not use the port as the local end of a connection, which would keep the next listener from binding it.
+/// A bound socket that reserves a port between listeners. While there is no listener, connects are refused, and the
+/// system does not assign the port to an outgoing connection, which would prevent the next listener from binding to it.
 pub struct ReservedPort {
     address: SocketAddr,
     _socket: Socket,
 }
 
 impl ReservedPort {
-    /// Reserves the port of `address`, or a free one if that is 0. A listener on it must set `SO_REUSEADDR`.
+    /// Reserves the port of `address`, or a free port where that is 0. Listeners on the port must set `SO_REUSEADDR`.
     pub fn new(address: SocketAddr) -> io::Result<Self> {
         let socket = bind(address)?;
         let address = socket.local_addr()?.as_socket().unwrap_or(address);
@@ -25,7 +25,7 @@
         })
     }
 
-    /// The reserved address, with its port.
+    /// The reserved address, with the assigned port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -38,7 +38,7 @@
     Ok(socket)
 }
 
-/// Listens at `address` without blocking, also where a [`ReservedPort`] holds it.
+/// Creates a non-blocking listener at `address`, which a [`ReservedPort`] may hold.
 pub(super) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = bind(address)?;
     socket.listen(LISTEN_BACKLOG)?;
--- a/testkit/fakes/src/net/tests.rs
+++ b/testkit/fakes/src/net/tests.rs
@@ -6,23 +6,23 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Polls until `done`; loopback sockets report at once.
+/// Polls until `is_done` returns true; panics after 500 polls.
 fn poll_until(
     network: &mut LoopbackNetwork,
     events: &mut Vec<NetworkEvent>,
-    done: impl Fn(&[NetworkEvent]) -> bool,
+    is_done: impl Fn(&[NetworkEvent]) -> bool,
 ) {
     for _ in 0..500 {
-        if done(events) {
+        if is_done(events) {
             return;
         }
         network.poll(POLL_TIMEOUT, events).unwrap();
     }
-    panic!("in vain: {events:?}");
+    panic!("the awaited events did not arrive in 500 polls; got {events:?}");
 }
 
 #[test]
-fn written_bytes_arrive_and_a_reset_is_told_from_an_orderly_close() {
+fn written_bytes_arrive_and_a_reset_is_distinguished_from_an_orderly_close() {
     let mut network = LoopbackNetwork::new().unwrap();
     let listener = network.listen(any_port()).unwrap();
     for reset in [false, true] {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn datagrams_are_received_by_the_socket_that_they_are_sent_to() {
+fn a_datagram_is_received_by_the_socket_that_it_is_sent_to() {
     let mut network = LoopbackNetwork::new().unwrap();
     let sender = network.bind_datagrams(any_port()).unwrap();
     let receiver = network.bind_datagrams(any_port()).unwrap();
@@ -73,32 +73,34 @@
 }
 
 #[test]
-fn a_reserved_port_takes_one_listener_after_another() {
+fn a_reserved_port_accepts_successive_listeners() {
     let reserved = ReservedPort::new(any_port()).unwrap();
     for _ in 0..3 {
-        std::net::TcpStream::connect(reserved.address()).expect_err("nobody listens yet");
+        std::net::TcpStream::connect(reserved.address()).expect_err("refused without a listener");
         let listener = listen(reserved.address()).unwrap();
-        std::net::TcpStream::connect(reserved.address()).expect("it listens");
+        std::net::TcpStream::connect(reserved.address()).expect("accepted by the listener");
         drop(listener);
     }
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     assert!(
         ReservedPort::new(listener.local_addr().unwrap()).is_err(),
-        "the port is taken"
+        "a port in use must not be reserved"
     );
 }
 
 #[test]
-fn a_refusing_listener_accepts_connections_again_at_its_port() {
+fn a_listener_that_resumes_accepts_connections_at_the_same_port() {
     let mut network = LoopbackNetwork::new().unwrap();
     let listener = network.listen(any_port()).unwrap();
     network.stop_listening(listener.id).unwrap();
     let error = network
         .connect(listener.address)
-        .expect_err("nobody listens");
+        .expect_err("refused without a listener");
     assert_eq!(error.kind(), io::ErrorKind::ConnectionRefused);
     network.resume_listening(listener.id).unwrap();
-    network.connect(listener.address).expect("it listens again");
+    network
+        .connect(listener.address)
+        .expect("accepted after listening resumed");
     let mut events = Vec::new();
     poll_until(&mut network, &mut events, |events| !events.is_empty());
     assert!(matches!(events[0], NetworkEvent::Accepted { listener: of, .. } if of == listener.id));
--- a/testkit/fakes/src/random.rs
+++ b/testkit/fakes/src/random.rs
@@ -5,16 +5,17 @@
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 /// The increment of SplitMix64's state.
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The number of values that a `f64` in [0, 1) is drawn from.
+/// The number of equally spaced values from which an `f64` in [0, 1) is drawn.
 const MANTISSA_VALUES: u64 = 1 << 53;
 
-/// A SplitMix64 generator (Steele, Lea and Flood, 2014). Recorded seeds depend on its numbers: they must not change.
+/// A SplitMix64 generator (Steele, Lea and Flood, 2014). The numbers of a seed must not change: recorded seeds depend
+/// on them.
 #[derive(Clone, Debug)]
 pub struct Random(u64);
 
 impl Random {
-    /// Creates the generator for one purpose. Each purpose has its own, so that a further draw for one of them does not
-    /// change the draws for the others.
+    /// Creates the generator for one purpose. Each purpose has its own generator, so that additional draws for one
+    /// purpose do not change the draws for others.
     pub fn new(seed: u64, purpose: &str) -> Self {
         let purpose_hash = purpose.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
@@ -24,7 +25,7 @@
         random
     }
 
-    /// 64 uniformly distributed bits.
+    /// Draws 64 uniformly distributed bits.
     pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(GOLDEN_GAMMA);
         let mut z = self.0;
@@ -33,23 +34,23 @@
         z ^ (z >> 31)
     }
 
-    /// Uniformly distributed from 0 up to, but not including, 1.
+    /// Draws from the uniform distribution over [0, 1).
     pub fn uniform(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / MANTISSA_VALUES as f64
     }
 
-    /// Uniformly distributed from `low` to `high`, both included.
+    /// Draws uniformly from `low` to `high`, both included.
     pub fn between(&mut self, low: u64, high: u64) -> u64 {
         let span = high.saturating_sub(low).saturating_add(1).max(1);
         low + ((u128::from(self.next_u64()) * u128::from(span)) >> 64) as u64
     }
 
-    /// True with this probability.
+    /// Returns true with this probability.
     pub fn chance(&mut self, probability: f64) -> bool {
         self.uniform() < probability
     }
 
-    /// Exponentially distributed, with this mean.
+    /// Draws from the exponential distribution with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.uniform()).ln()
     }
--- a/testkit/fakes/src/random/tests.rs
+++ b/testkit/fakes/src/random/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn draws_depend_on_the_seed_and_the_purpose_only() {
+fn draws_depend_only_on_the_seed_and_the_purpose() {
     let draws = |seed, purpose| {
         let mut random = Random::new(seed, purpose);
         (0..4).map(|_| random.next_u64()).collect::<Vec<_>>()
@@ -23,9 +23,9 @@
     assert!((5_700..6_300).contains(&share), "{share}");
 }
 
-/// Seeds that stand in repro files depend on these numbers.
+/// Seeds in repro files depend on these numbers.
 #[test]
-fn the_numbers_of_a_seed_do_not_change() {
+fn the_draws_of_a_seed_do_not_change() {
     let mut random = Random::new(7, "arrivals");
     let numbers = [(); 3].map(|()| random.next_u64());
     assert_eq!(
--- a/testkit/fakes/src/scripted.rs
+++ b/testkit/fakes/src/scripted.rs
@@ -1,5 +1,5 @@
 //! Scripted peers of a node for tests: backends, a discovery service and clients on loopback sockets, with a thread for
-//! each connection, and the node itself as a process. They panic where a test has failed.
+//! each connection. Also starts the node as a process. The functions panic if a test has failed.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
--- a/testkit/fakes/src/scripted/backend.rs
+++ b/testkit/fakes/src/scripted/backend.rs
@@ -1,4 +1,4 @@
-//! An HTTP backend that answers each request by a plan that the test returns. Panics where a test has failed.
+//! An HTTP backend that executes a plan of the test for each request. Panics if a test has failed.
 
 use std::io::{self, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 use super::message::{Message, read_message};
 use super::wait::TEST_TIMEOUT;
 
-/// Time for bytes on the loopback interface to arrive before the connection is reset.
+/// How long a backend waits between writing a response and resetting the connection, so that the response arrives.
 const DELIVERY_TIME: Duration = Duration::from_millis(20);
 
 /// What a backend does with one request.
@@ -24,11 +24,11 @@
     Respond(String),
     /// Writes the response, closes the connection and waits until the node has closed it too.
     RespondAndClose(String),
-    /// Writes the response, lets it arrive, and resets the connection.
+    /// Writes the response, waits until it has arrived, and resets the connection.
     RespondAndReset(String),
-    /// Writes the response and bytes that do not belong to it in one write.
+    /// Writes the response, followed by further bytes in the same write.
     RespondWithExtraBytes { response: String, extra: String },
-    /// Writes the first part at once, and the second one after the latch is released.
+    /// Writes the first part at once, and the second part after the latch is released.
     RespondInTwoParts {
         first: String,
         latch: Arc<Latch>,
@@ -42,9 +42,9 @@
     Hang,
 }
 
-/// Whether the connection serves another request.
+/// Whether the connection can serve another request.
 #[derive(PartialEq, Eq)]
-enum Connection {
+enum ConnectionState {
     KeptAlive,
     Closed,
 }
@@ -57,24 +57,24 @@
     )
 }
 
-/// The text of a response with this status, further headers and no body.
+/// The text of a response with this status and these headers, and without a body. `headers` are complete lines.
 pub fn status(code: u16, headers: &str) -> String {
     format!("HTTP/1.1 {code} X\r\n{headers}Content-Length: 0\r\n\r\n")
 }
 
-/// A backend on a port of its own, with a thread for each connection.
+/// A backend on a free port, with a thread for each connection.
 pub struct Backend {
     pub address: SocketAddr,
     /// Requests in the order in which they were read.
     pub requests: Receiver<Message>,
-    /// Number of connections accepted so far.
+    /// The number of connections accepted so far.
     pub connections: Arc<AtomicU32>,
-    /// Number of connections that the backend has closed and that the node has closed in turn.
+    /// The number of connections that the node has closed after [`ResponsePlan::RespondAndClose`].
     pub closed_by_node: Arc<AtomicU32>,
 }
 
 impl Backend {
-    /// Starts a backend that answers each request by the plan that `plan` returns.
+    /// Starts a backend that calls `plan` for each request and executes the returned plan.
     pub fn new(plan: impl Fn(&Message) -> ResponsePlan + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -103,7 +103,7 @@
     pub fn next_request(&self) -> Message {
         self.requests
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a request reaches the backend")
+            .expect("a request should reach the backend within the test timeout")
     }
 
     /// Takes the requests that have been read since the last call and returns their number.
@@ -126,8 +126,8 @@
             return;
         }
         match execute(plan, &mut writer, &mut reader, closed_by_node) {
-            Ok(Connection::KeptAlive) => {}
-            Ok(Connection::Closed) | Err(_) => return,
+            Ok(ConnectionState::KeptAlive) => {}
+            Ok(ConnectionState::Closed) | Err(_) => return,
         }
     }
 }
@@ -137,7 +137,7 @@
     writer: &mut TcpStream,
     reader: &mut BufReader<TcpStream>,
     closed_by_node: &AtomicU32,
-) -> io::Result<Connection> {
+) -> io::Result<ConnectionState> {
     match plan {
         ResponsePlan::Respond(response) => writer.write_all(response.as_bytes())?,
         ResponsePlan::RespondAfter(latch, response) => {
@@ -146,20 +146,20 @@
         }
         ResponsePlan::CloseAfter(latch) => {
             latch.wait();
-            return Ok(Connection::Closed);
+            return Ok(ConnectionState::Closed);
         }
         ResponsePlan::RespondAndClose(response) => {
             let _ = writer.write_all(response.as_bytes());
             let _ = writer.shutdown(Shutdown::Write);
             let _ = io::copy(reader, &mut io::sink());
             closed_by_node.fetch_add(1, Ordering::SeqCst);
-            return Ok(Connection::Closed);
+            return Ok(ConnectionState::Closed);
         }
         ResponsePlan::RespondAndReset(response) => {
             let _ = writer.write_all(response.as_bytes());
             thread::sleep(DELIVERY_TIME);
             reset_on_drop(writer);
-            return Ok(Connection::Closed);
+            return Ok(ConnectionState::Closed);
         }
         ResponsePlan::RespondWithExtraBytes { response, extra } => {
             writer.write_all((response + &extra).as_bytes())?;
@@ -176,10 +176,10 @@
         }
         ResponsePlan::Hang => {}
     }
-    Ok(Connection::KeptAlive)
+    Ok(ConnectionState::KeptAlive)
 }
 
-/// Makes the connection end by a reset once its last handle is dropped.
+/// Makes the system reset the connection when the last handle of the socket is dropped.
 fn reset_on_drop(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/testkit/fakes/src/scripted/client.rs
+++ b/testkit/fakes/src/scripted/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection to a node, and the requests that tests send on it. Panics where a test has failed.
+//! A client's connection to a node, and the texts of requests. Panics if a test has failed.
 
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,7 +7,7 @@
 
 use super::{Message, TEST_TIMEOUT, read_message};
 
-/// Time between two pieces that are to be sent in packets of their own.
+/// Interval between two writes that must be sent in separate packets.
 const PIECE_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A client's connection.
@@ -32,7 +32,7 @@
         self.writer.write_all(text.as_bytes()).unwrap();
     }
 
-    /// Writes these bytes in pieces of this size, each in a packet of its own.
+    /// Writes the bytes in pieces of `size` bytes, each in a separate packet.
     pub fn write_in_pieces(&mut self, bytes: &[u8], size: usize) {
         self.writer.set_nodelay(true).unwrap();
         for piece in bytes.chunks(size) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Reads one response; none where the connection is closed first.
+    /// Reads one response; `None` if the connection is closed first or the test timeout has passed.
     pub fn read(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
@@ -52,13 +52,13 @@
         self.read()
     }
 
-    /// Sends a request on a connection that the node may have closed.
+    /// Sends a request and reads its response; `None` if the node has closed the connection.
     pub fn try_request(&mut self, text: &str) -> Option<Message> {
         self.writer.write_all(text.as_bytes()).ok()?;
         self.read()
     }
 
-    /// Whether the node has closed the connection by now, or has sent bytes that were not read.
+    /// Whether the node has closed the connection or sent bytes that are not read yet. Does not wait.
     pub fn has_ended(&self) -> bool {
         self.writer.set_nonblocking(true).unwrap();
         let peeked = self.writer.peek(&mut [0]);
@@ -66,7 +66,8 @@
         !matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Waits until the node closes the connection; false where it sends something, or nothing in time.
+    /// Waits until the node closes or resets the connection; false if the node sends bytes instead, or if the test
+    /// timeout passes.
     pub fn is_closed(&mut self) -> bool {
         match self.reader.read(&mut [0]) {
             Ok(read) => read == 0,
@@ -75,16 +76,16 @@
     }
 }
 
-/// Sends a request to a node's console.
+/// Sends a request to a node's console and returns the response.
 #[expect(clippy::expect_used, reason = "a test fails here")]
 pub fn console_request(console: SocketAddr, method: &str, path: &str) -> Message {
     let request = format!("{method} {path} HTTP/1.1\r\nHost: ops\r\n\r\n");
     Client::connect(console)
         .request(&request)
-        .expect("an answer")
+        .expect("the console should respond")
 }
 
-/// The value of one metric of a node's console, if it is there.
+/// The value of a metric that a node's console reports; `None` if the console does not report the metric.
 pub fn metric(console: SocketAddr, name: &str) -> Option<String> {
     let response = console_request(console, "GET", "/status/metrics");
     let text = String::from_utf8(response.body).unwrap();
@@ -92,7 +93,7 @@
         .find_map(|line| Some(line.strip_prefix(name)?.strip_prefix('=')?.to_owned()))
 }
 
-/// The text of a GET request of the class `read`, with further headers.
+/// The text of a GET request of the class `read`. `headers` are complete lines that are added to the head.
 pub fn get(id: &str, headers: &str) -> String {
     format!(
         "GET /api?x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: read\r\nX-Caller: acme\r\n\
@@ -100,7 +101,7 @@
     )
 }
 
-/// The text of a POST request of this class, with further headers and a body.
+/// The text of a POST request. `headers` are complete lines that are added to the head.
 pub fn post(class: &str, id: &str, headers: &str, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Caller: acme\r\n\
--- a/testkit/fakes/src/scripted/configuration.rs
+++ b/testkit/fakes/src/scripted/configuration.rs
@@ -1,10 +1,10 @@
-//! The platform's configuration of a node, and entries of the endpoint list, as JSON.
+//! The JSON of a node's platform configuration and of endpoint list entries.
 
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
 
-/// An entry of the endpoint list; `targets` is the wire's name of the list.
+/// An entry of the endpoint list, whose field on the wire is `targets`.
 pub fn target(uid: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "model": "k", "pod_group": 0, "state": state,
         "capacity_hint": 1.0, "boot_ms": 0})
@@ -27,7 +27,8 @@
             "start-capacity": 0.1, "tip-multiple": 2.5, "warm-after-ns": 20_000_000_000u64}})
 }
 
-/// The configuration of a node with this discovery service, and with a cached endpoint list.
+/// The configuration of a node with the address of its discovery service. `known` holds the entries of the endpoint
+/// list that the node starts with.
 #[expect(clippy::needless_pass_by_value, reason = "callers hand the value over")]
 pub fn config(discovery: SocketAddr, known: Value) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
--- a/testkit/fakes/src/scripted/discovery.rs
+++ b/testkit/fakes/src/scripted/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service with one endpoint list, which a test changes. Panics where a test has failed.
+//! A discovery service with an endpoint list that the test sets. Panics if a test has failed.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,15 +12,15 @@
 use super::message::read_message;
 use super::wait::wait_until;
 
-/// A watch without a change is answered after this time, with an empty update.
+/// How long a watch waits for a change before the service responds with an empty update.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A discovery service on a port of its own, with a thread for each connection.
+/// A discovery service on a loopback port, with a thread for each connection.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
     state: Arc<SharedState>,
-    /// The start lines of all watch requests, in the order in which they came.
+    /// The request lines of all watches, in the order of their arrival.
     pub watch_requests: Arc<Mutex<Vec<String>>>,
 }
 
@@ -29,7 +29,7 @@
     changed: Condvar,
 }
 
-/// The body of responses to watches from other revisions.
+/// The current revision and the body of the response to watches from other revisions.
 struct Snapshot {
     revision: u64,
     body: String,
@@ -41,7 +41,7 @@
         Self::on_listener(TcpListener::bind("127.0.0.1:0").unwrap(), targets)
     }
 
-    /// Starts a service on a listener that clients may have connected to already.
+    /// Starts a service on an existing listener, to which clients may have connected already.
     #[expect(clippy::needless_pass_by_value, reason = "callers hand the value over")]
     pub fn on_listener(listener: TcpListener, targets: Value) -> Self {
         let snapshot = Snapshot {
@@ -83,8 +83,8 @@
         }
     }
 
-    /// The response to a watch: the endpoint list as soon as its revision differs from the known one, an empty update
-    /// where it does not change in time.
+    /// The body of the response to a watch: the set body as soon as the revision differs from the known one, or an
+    /// empty update if that does not happen within the watch timeout.
     fn wait_for_change(&self, known_revision: Option<u64>) -> String {
         let snapshot = self.state.snapshot.lock().unwrap();
         let is_known = |snapshot: &mut Snapshot| Some(snapshot.revision) == known_revision;
@@ -103,23 +103,23 @@
         }
     }
 
-    /// Replaces the endpoint list under the next revision; watches get the whole of it.
+    /// Replaces the endpoint list under the next revision; watches get the complete list.
     #[expect(clippy::needless_pass_by_value, reason = "callers hand the value over")]
     pub fn set_endpoints(&self, targets: Value) {
         let revision = self.revision() + 1;
         self.set_response(revision, endpoint_list(revision, &targets));
     }
 
-    /// Sets the body of the next responses, which need not be an endpoint list.
+    /// Sets the body of the next responses, which may be an invalid endpoint list.
     pub fn set_response(&self, revision: u64, body: String) {
         *self.state.snapshot.lock().unwrap() = Snapshot { revision, body };
         self.state.changed.notify_all();
     }
 
-    /// Waits for a watch from this revision: the node has then applied it.
+    /// Waits for a watch from this revision: the node has then applied the revision.
     pub fn wait_for_watch_from(&self, revision: u64) {
         let parameter = format!("from={revision}&");
-        wait_until("the watch goes on", || {
+        wait_until("the node watches from the revision", || {
             self.watch_requests
                 .lock()
                 .unwrap()
--- a/testkit/fakes/src/scripted/latch.rs
+++ b/testkit/fakes/src/scripted/latch.rs
@@ -1,10 +1,10 @@
-//! A latch that threads wait for. Panics where a test has failed.
+//! A one-time latch for threads. Panics if a test has failed.
 
 use std::sync::{Condvar, Mutex};
 
 use super::wait::TEST_TIMEOUT;
 
-/// Holds back the threads that wait for it until it is released, once and for all.
+/// Blocks the threads that wait for the latch until it is released; it stays released.
 #[derive(Default)]
 pub struct Latch {
     is_released: Mutex<bool>,
@@ -17,13 +17,16 @@
         self.changed.notify_all();
     }
 
-    /// Waits until the latch is released; fails the test where that does not happen.
+    /// Waits until the latch is released; panics after [`TEST_TIMEOUT`].
     pub fn wait(&self) {
         let is_released = self.is_released.lock().unwrap();
         let (_is_released, result) = self
             .changed
             .wait_timeout_while(is_released, TEST_TIMEOUT, |is_released| !*is_released)
             .unwrap();
-        assert!(!result.timed_out(), "the latch was never released");
+        assert!(
+            !result.timed_out(),
+            "the latch was not released within {TEST_TIMEOUT:?}"
+        );
     }
 }
--- a/testkit/fakes/src/scripted/load.rs
+++ b/testkit/fakes/src/scripted/load.rs
@@ -1,4 +1,4 @@
-//! A steady load of clients on a node, each with a connection that it reuses. Panics where a test has failed.
+//! A steady load of clients on a node, each of which reuses its connection. Panics if a test has failed.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,7 +13,7 @@
 pub struct LoadResult {
     /// The request's id.
     pub id: String,
-    /// The response's status; none where the connection was closed without a response.
+    /// The response's status; `None` if the connection was closed without a response.
     pub status: Option<u16>,
 }
 
@@ -24,10 +24,10 @@
     }
 }
 
-/// Returns the text of the request with this id.
+/// Builds the text of the request with this id.
 pub type RequestText = fn(id: &str) -> String;
 
-/// Clients that send one request after the other until they are stopped.
+/// Running clients, each of which sends one request after the other until the load is stopped.
 pub struct Load {
     stop: Arc<AtomicBool>,
     results: Arc<Mutex<Vec<LoadResult>>>,
@@ -35,7 +35,7 @@
 }
 
 impl Load {
-    /// Starts this many clients; each sends a request once in `period`. `name` begins the ids of the requests.
+    /// Starts clients that each send one request per `period`. The ids of the requests start with `name`.
     pub fn start(
         address: SocketAddr,
         name: &str,
@@ -47,7 +47,7 @@
         let clients = (0..clients).map(|number| {
             let (stop, results) = (Arc::clone(&stop), Arc::clone(&results));
             let name = format!("{name}-{number}");
-            // The clients start one after the other, so that their requests are spread over the period.
+            // Staggered starts spread the requests over the period.
             let offset = period * u32::try_from(number).unwrap() / u32::try_from(clients).unwrap();
             thread::spawn(move || {
                 thread::sleep(offset);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Waits for the last responses, and returns how all requests ended.
+    /// Stops the clients, waits for their last responses and returns the results of all requests.
     #[must_use]
     pub fn stop(self) -> Vec<LoadResult> {
         self.stop.store(true, Ordering::Relaxed);
@@ -95,8 +95,8 @@
     }
 }
 
-/// Sends one request and returns the response's status. HTTP lets a node close an idle connection at any time, so a
-/// reused connection that gives no response is replaced once.
+/// Sends one request and returns the response's status. A node may close an idle connection at any time, so a request
+/// without a response on a reused connection is sent once more on a new connection.
 fn send_request(address: SocketAddr, idle: &mut Option<Client>, text: &str) -> Option<u16> {
     let reused = idle.take().filter(|client| !client.has_ended());
     let was_reused = reused.is_some();
--- a/testkit/fakes/src/scripted/message.rs
+++ b/testkit/fakes/src/scripted/message.rs
@@ -1,4 +1,4 @@
-//! HTTP messages as the scripted peers read them from a socket.
+//! Reads HTTP messages from the sockets of the scripted peers.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
@@ -13,7 +13,7 @@
 }
 
 impl Message {
-    /// All values of a header.
+    /// The values of all headers of this name, which is compared without regard to case.
     pub fn values(&self, name: &str) -> Vec<&str> {
         let named = self
             .headers
@@ -22,12 +22,12 @@
         named.map(|(_, value)| value.as_str()).collect()
     }
 
-    /// The first value of a header.
+    /// The value of the first header of this name.
     pub fn value(&self, name: &str) -> Option<&str> {
         self.values(name).first().copied()
     }
 
-    /// The status code of a response; 0 where there is none.
+    /// The status code of a response; 0 if the start line has none.
     pub fn status(&self) -> u16 {
         self.start_line
             .split(' ')
@@ -37,7 +37,7 @@
     }
 }
 
-/// Reads one message; none where the connection is closed first.
+/// Reads one message; `None` if the message is incomplete when the connection ends or a read fails.
 pub fn read_message(reader: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut line = || {
         let mut text = String::new();
@@ -71,7 +71,7 @@
     Some(message)
 }
 
-/// Reads a body in chunks; none where the connection is closed first.
+/// Reads a chunked body without its chunk framing; `None` if the body is incomplete or a chunk size invalid.
 fn read_chunks(reader: &mut BufReader<TcpStream>) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
--- a/testkit/fakes/src/scripted/node.rs
+++ b/testkit/fakes/src/scripted/node.rs
@@ -1,4 +1,4 @@
-//! A node as a process of its own: its start, its log and signals to it. Panics where a test has failed.
+//! Starts a node as a process, reads its log and sends it signals. Panics if a test has failed.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -18,45 +18,46 @@
 use super::wait::wait_until;
 use crate::system_faults::SystemFaults;
 
-/// A running node; killed when it is dropped.
+/// A running node process, which is killed when this is dropped.
 pub struct Node {
     pub child: Child,
+    /// The address at which the node listens for clients.
     pub address: SocketAddr,
     log: Arc<Mutex<String>>,
     config_file: PathBuf,
 }
 
-/// A node's process that has just been started, and may end before it serves.
+/// A node process that has just been started and may exit before it listens.
 pub struct NodeProcess {
     pub child: Child,
-    /// The platform's configuration of the node.
+    /// The file with the platform's configuration of the node.
     pub config_file: PathBuf,
 }
 
-/// What a node is started with besides the platform's configuration.
+/// How a node is started, besides the platform's configuration.
 #[derive(Default)]
 struct StartOptions<'a> {
-    /// The operators' own configuration file.
-    own_file: Option<&'a Path>,
-    /// The folder that the node stores its data in.
+    /// The operators' configuration file, passed by `--config`.
+    operator_file: Option<&'a Path>,
+    /// The folder in which the node stores its data, set by `TMPDIR`.
     data_folder: Option<&'a Path>,
     faults: Option<&'a SystemFaults>,
-    /// Where the log goes, if the test does not read it.
+    /// Where the log goes; `None` if the test reads the log.
     log: Option<Stdio>,
 }
 
-/// Starts the program with this text as the platform's configuration.
+/// Starts the node program with this text as the platform's configuration.
 pub fn spawn(config: &str) -> NodeProcess {
     spawn_process(config, StartOptions::default())
 }
 
-/// Starts the program with the operators' own file too.
-pub fn spawn_with_file(config: &str, own_file: &Path) -> NodeProcess {
-    let own_file = Some(own_file);
+/// Starts the node program with this text as the platform's configuration and with the operators' configuration file.
+pub fn spawn_with_file(config: &str, operator_file: &Path) -> NodeProcess {
+    let operator_file = Some(operator_file);
     spawn_process(
         config,
         StartOptions {
-            own_file,
+            operator_file,
             ..StartOptions::default()
         },
     )
@@ -81,17 +82,17 @@
     if let Some(folder) = options.data_folder {
         command.env("TMPDIR", folder);
     }
-    if let Some(own_file) = options.own_file {
-        command.arg("--config").arg(own_file);
+    if let Some(operator_file) = options.operator_file {
+        command.arg("--config").arg(operator_file);
     }
     if let Some(faults) = options.faults {
         faults.apply(&mut command).unwrap();
     }
-    let child = command.spawn().expect("the node starts");
+    let child = command.spawn().expect("the node program should start");
     NodeProcess { child, config_file }
 }
 
-/// Reads the node's log up to the line that says where it listens, and returns that address.
+/// Reads the node's log up to the line with the address at which the node listens, and returns that address.
 #[expect(clippy::panic, reason = "a test fails here")]
 fn wait_for_listen_line(reader: &mut BufReader<ChildStderr>, log: &mut String) -> SocketAddr {
     let mut line = String::new();
@@ -102,7 +103,7 @@
         }
         line.clear();
     }
-    panic!("the node ended before it listened");
+    panic!("the node exited before it listened; its log:\n{log}");
 }
 
 impl Node {
@@ -111,7 +112,7 @@
         Self::start_with(config, StartOptions::default())
     }
 
-    /// Starts a node that stores its data in this folder, if one is given.
+    /// Starts a node that stores its data in `data_folder`, if given, and waits until it listens.
     pub fn start_in(config: &Value, data_folder: Option<&Path>) -> Self {
         let options = StartOptions {
             data_folder,
@@ -120,21 +121,22 @@
         Self::start_with(config, options)
     }
 
-    /// Starts a node with the operators' own file too.
-    pub fn start_with_file(config: &Value, own_file: &Path) -> Self {
+    /// Starts a node with the operators' configuration file too, and waits until it listens.
+    pub fn start_with_file(config: &Value, operator_file: &Path) -> Self {
         let options = StartOptions {
-            own_file: Some(own_file),
+            operator_file: Some(operator_file),
             ..StartOptions::default()
         };
         Self::start_with(config, options)
     }
 
-    /// Starts a node with faults injected into its system calls and wall clock.
+    /// Starts a node with injected system call faults, and waits until it listens.
     pub fn start_with_faults(config: &Value, faults: &SystemFaults) -> Self {
         Self::start_with_faults_in(config, faults, None)
     }
 
-    /// Starts a node with injected faults that stores its data in this folder, if one is given.
+    /// Starts a node with injected system call faults that stores its data in `data_folder`, if given, and waits until
+    /// it listens.
     pub fn start_with_faults_in(
         config: &Value,
         faults: &SystemFaults,
@@ -148,8 +150,8 @@
         Self::start_with(config, options)
     }
 
-    /// Starts a node whose log goes elsewhere, so that the configuration must say where it listens. Returns once it
-    /// accepts connections.
+    /// Starts a node that writes its log to `log`, and waits until the node accepts connections. The `listen` address
+    /// of the configuration must have a fixed port, since the log is not read.
     pub fn start_logging_to(config: &Value, log: Stdio) -> Self {
         let address = config["listen"].as_str().unwrap().parse().unwrap();
         let options = StartOptions {
@@ -159,7 +161,7 @@
         let mut process = spawn_process(&config.to_string(), options);
         wait_until("the node listens", || {
             let exit_status = process.child.try_wait().unwrap();
-            assert_eq!(exit_status, None, "the node has ended");
+            assert_eq!(exit_status, None, "the node exited before it listened");
             TcpStream::connect(address).is_ok()
         });
         Self {
@@ -193,7 +195,8 @@
         }
     }
 
-    /// Starts a node and a discovery service that lists these backends, as `s-0`, `s-1` and so on.
+    /// Starts a node and a discovery service that lists these backends as `s-0`, `s-1` and so on. Returns once the node
+    /// has applied the list.
     pub fn start_with_backends(backends: &[&Backend]) -> (Self, Discovery) {
         let targets: Vec<Value> = (0..)
             .zip(backends)
@@ -205,16 +208,16 @@
         (node, discovery)
     }
 
-    /// The address of its console, from its log.
+    /// The address of the node's console, from the log.
     pub fn console(&self) -> SocketAddr {
         self.logged_address("operators may call console=")
     }
 
-    /// Waits for this text in its log and returns the address that follows it.
-    pub fn logged_address(&self, mark: &str) -> SocketAddr {
-        wait_until(mark, || self.has_logged(mark));
+    /// Waits for this text in the log and returns the address that follows the text.
+    pub fn logged_address(&self, prefix: &str) -> SocketAddr {
+        wait_until(prefix, || self.has_logged(prefix));
         let log = self.log.lock().unwrap();
-        let (_, text) = log.split_once(mark).unwrap();
+        let (_, text) = log.split_once(prefix).unwrap();
         text.split_whitespace().next().unwrap().parse().unwrap()
     }
 
@@ -222,7 +225,7 @@
         self.log_count(text) > 0
     }
 
-    /// How often this text stands in its log.
+    /// How often this text occurs in the log.
     pub fn log_count(&self, text: &str) -> usize {
         self.log.lock().unwrap().matches(text).count()
     }
@@ -245,11 +248,11 @@
     }
 
     #[expect(clippy::expect_used, reason = "a test fails here")]
-    /// Sends a request on a connection of its own and reads the response.
+    /// Sends a request on a new connection and reads the response.
     pub fn request(&self, text: &str) -> Message {
         Client::connect(self.address)
             .request(text)
-            .expect("an answer")
+            .expect("the node should respond")
     }
 }
 
--- a/testkit/fakes/src/scripted/wait.rs
+++ b/testkit/fakes/src/scripted/wait.rs
@@ -1,14 +1,14 @@
-//! Waiting for conditions. Panics where a test has failed.
+//! Waits for conditions. Panics if a test has failed.
 
 use std::thread;
 use std::time::Duration;
 
-/// Nothing that a test waits for takes this long unless the test has failed.
+/// How long tests wait for a condition before they fail.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Polls until the condition is met; fails the test after [`TEST_TIMEOUT`].
+/// Polls until the condition is met; panics after [`TEST_TIMEOUT`]. `description` names the condition.
 #[expect(clippy::panic, reason = "a test fails here")]
 pub fn wait_until(description: &str, mut is_met: impl FnMut() -> bool) {
     for _ in 0..TEST_TIMEOUT.as_millis() / POLL_INTERVAL.as_millis() {
@@ -17,5 +17,5 @@
         }
         thread::sleep(POLL_INTERVAL);
     }
-    panic!("in vain: {description}");
+    panic!("condition not met within {TEST_TIMEOUT:?}: {description}");
 }
--- a/testkit/fakes/src/server.rs
+++ b/testkit/fakes/src/server.rs
@@ -1,5 +1,5 @@
-//! Model of a match server: slots, a bounded queue, utilization reports, slow start and congestion. It does no I/O and is
-//! told the time.
+//! Model of a match server: slots, a bounded queue, utilization reports, slow start and congestion. The model does no
+//! I/O; callers pass the current time.
 
 mod congestion;
 
@@ -10,50 +10,52 @@
 pub use congestion::CongestionConfig;
 use congestion::CongestionState;
 
-/// Expected requests below this vary more, relative to their number, than a normal distribution's two deviations.
-const SMALL_SAMPLE: f64 = 30.0;
-/// The lowest share of its speed at which a server that is warming up works.
-const MIN_WARMTH: f64 = 0.001;
+/// Below this expected number of requests, three standard deviations are allowed in place of two: a normal
+/// distribution approximates small counts poorly.
+const SMALL_SAMPLE_REQUESTS: f64 = 30.0;
+/// The lowest share of its full speed that a server has during slow start.
+const MIN_SLOW_START_CAPACITY: f64 = 0.001;
 
-/// Properties of a server.
+/// The capacity of a server and its behaviour under load.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerConfig {
-    /// Requests that run concurrently, each at full speed.
+    /// The most requests that run concurrently; they do not slow each other down.
     pub slots: usize,
-    /// Requests that may wait for a slot; beyond this requests are rejected.
+    /// The most requests that wait for a slot; further ones are rejected.
     pub queue_limit: usize,
-    /// Speed relative to a standard server.
+    /// Speed relative to a standard server, which has 1.
     pub speed: f64,
-    /// Share of the speed at which the server starts.
+    /// Share of the full speed, from 0 to 1, that the server has when it starts.
     pub slow_start_capacity: f64,
-    /// Time after its start until it is warm; the speed grows linearly until then.
+    /// Length of slow start, during which the speed grows linearly to the full speed.
     pub slow_start_duration: Nanos,
-    /// A server that is warming up crashes when it is sent more than this multiple of its capacity ...
+    /// During slow start the server crashes when the service time offered within `overload_window` exceeds this
+    /// multiple of its capacity.
     pub overload_multiple: f64,
-    /// ... over a window of this length.
+    /// Length of the window over which overload is measured.
     pub overload_window: Nanos,
-    /// The mean service time of a request. Where it is set, the server bears as many more requests as chance may bring:
-    /// N + 2 * sqrt(N) + 2, N being what the multiple allows, or N + 3 * sqrt(N) + 3 for an N under 30. Such a server runs
-    /// at full speed while it is warming up, so that nothing shows before it crashes.
+    /// The mean service time of a request. If set, the overload limit allows for random variation of the load: where
+    /// `overload_multiple` allows N requests, the limit is N + 2 * sqrt(N) + 2, or N + 3 * sqrt(N) + 3 for an N under
+    /// 30. Requests then run at full speed during slow start, so that latencies give no warning before a crash.
     pub mean_service_time: Option<Nanos>,
-    /// Time between two refreshes of the utilization report.
+    /// Interval between updates of the reported utilization.
     pub report_period: Nanos,
-    /// How the server slows down with a long queue, if it does.
+    /// How a long queue slows the server down; `None` for no effect.
     pub congestion: Option<CongestionConfig>,
 }
 
-/// What became of a request that was offered to a server.
+/// The result of offering a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs, or waits in the queue.
+    /// The request runs or waits in the queue.
     Accepted,
-    /// The queue is full; the request never runs.
+    /// The queue is full: the request never runs.
     Rejected,
-    /// It has overloaded a server that was warming up, which has crashed with all its requests.
+    /// The request has overloaded the server during slow start: the server has crashed and lost all its requests.
     Crashed,
 }
 
-/// Caller's id of a request.
+/// An id that the caller assigns to a request.
 type RequestId = u64;
 
 #[derive(Debug)]
@@ -64,26 +66,26 @@
 
 /// A request that was offered during slow start.
 #[derive(Debug)]
-struct SentRequest {
+struct SlowStartRequest {
     at: Nanos,
     service_time: Nanos,
 }
 
-/// State of one server.
+/// A server that executes requests at the times that the caller passes.
 #[derive(Debug)]
 pub struct Server {
     config: ServerConfig,
-    /// When it started; none for long ago.
+    /// When the server started; `None` if slow start ended long ago.
     started_at: Option<Nanos>,
     /// Running requests by the time of their completion.
     running: BTreeSet<(Nanos, RequestId)>,
     queue: VecDeque<QueuedRequest>,
-    slow_start_sends: VecDeque<SentRequest>,
+    slow_start_requests: VecDeque<SlowStartRequest>,
     has_crashed: bool,
-    /// Service times are multiplied by this.
+    /// Factor on the service times of requests; at least 1.
     slowdown: f64,
     congestion: CongestionState,
-    /// Slot time used since the last report, up to `accounted_until`.
+    /// Busy time, summed over the slots, from the last report to `accounted_until`.
     used_slot_time: Nanos,
     accounted_until: Nanos,
     reported_at: Nanos,
@@ -91,14 +93,14 @@
 }
 
 impl Server {
-    /// A server that started at `started_at`, or long ago.
+    /// Creates a server that started at `started_at`; `None` skips slow start.
     pub fn new(config: ServerConfig, started_at: Option<Nanos>, now: Nanos) -> Self {
         Self {
             config,
             started_at,
             running: BTreeSet::new(),
             queue: VecDeque::new(),
-            slow_start_sends: VecDeque::new(),
+            slow_start_requests: VecDeque::new(),
             has_crashed: false,
             slowdown: 1.0,
             congestion: CongestionState::default(),
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Restarts the process: its requests are lost, and it warms up again.
+    /// Restarts the server: all its requests are lost, and slow start begins again. The slowdown stays.
     pub fn restart(&mut self, now: Nanos) {
         *self = Self {
             slowdown: self.slowdown,
@@ -117,17 +119,17 @@
         };
     }
 
-    /// Multiplies the service times of requests that start from now on.
+    /// Sets the factor on the service times of requests that start from now on; factors below 1 count as 1.
     pub fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = factor.max(1.0);
     }
 
-    /// Whether it has crashed from overload during slow start.
+    /// Whether overload during slow start has crashed the server.
     pub fn has_crashed(&self) -> bool {
         self.has_crashed
     }
 
-    /// Whether it is slow because its queue was long.
+    /// Whether a long queue has slowed the server down.
     pub fn is_congested(&self) -> bool {
         self.congestion.is_congested()
     }
@@ -141,7 +143,7 @@
         }
     }
 
-    /// The speed at this time, relative to a standard server.
+    /// The current speed relative to a standard server.
     fn speed(&self, now: Nanos) -> f64 {
         let ServerConfig {
             speed,
@@ -149,56 +151,62 @@
             slow_start_duration,
             ..
         } = self.config;
-        let warmth = self.started_at.map_or(1.0, |started_at| {
+        let slow_start_factor = self.started_at.map_or(1.0, |started_at| {
             let age = now.saturating_sub(started_at) as f64 / slow_start_duration.max(1) as f64;
-            (slow_start_capacity + (1.0 - slow_start_capacity) * age).clamp(MIN_WARMTH, 1.0)
+            (slow_start_capacity + (1.0 - slow_start_capacity) * age)
+                .clamp(MIN_SLOW_START_CAPACITY, 1.0)
         });
         let congestion = self.config.congestion.filter(|_| self.is_congested());
         let congestion_slowdown = congestion.map_or(1.0, |config| config.slowdown);
-        speed * warmth / self.slowdown / congestion_slowdown
+        speed * slow_start_factor / self.slowdown / congestion_slowdown
     }
 
-    fn is_warming_up(&self, now: Nanos) -> bool {
+    fn is_in_slow_start(&self, now: Nanos) -> bool {
         self.started_at.is_some_and(|started_at| {
             now.saturating_sub(started_at) < self.config.slow_start_duration
         })
     }
 
-    /// Service time that the server can provide in one overload window at its speed now.
+    /// Service time that the server can provide within one overload window at its current speed.
     fn capacity_per_window(&self, now: Nanos) -> f64 {
         self.speed(now) * self.config.slots as f64 * self.config.overload_window as f64
     }
 
-    /// Service time offered in the last overload window, as a multiple of the capacity; none once warm.
+    /// Service time offered within the last overload window, as a multiple of the capacity; `None` after slow start.
     pub fn slow_start_load(&self, now: Nanos) -> Option<f64> {
         let window = self.config.overload_window;
         let recent = self
-            .slow_start_sends
+            .slow_start_requests
             .iter()
-            .filter(|sent| now.saturating_sub(sent.at) < window);
-        let offered: Nanos = recent.map(|sent| sent.service_time).sum();
+            .filter(|request| now.saturating_sub(request.at) < window);
+        let offered: Nanos = recent.map(|request| request.service_time).sum();
         let capacity = self.capacity_per_window(now);
-        self.is_warming_up(now).then(|| offered as f64 / capacity)
+        self.is_in_slow_start(now)
+            .then(|| offered as f64 / capacity)
     }
 
-    /// The load that the server bears at this time, in the unit of [`Server::slow_start_load`].
+    /// The load above which the server crashes, in the unit of [`Server::slow_start_load`].
     fn max_slow_start_load(&self, now: Nanos) -> f64 {
         let multiple = self.config.overload_multiple;
         let Some(mean_service_time) = self.config.mean_service_time else {
             return multiple;
         };
         let expected = multiple * self.capacity_per_window(now) / mean_service_time as f64;
-        let deviations = if expected < SMALL_SAMPLE { 3.0 } else { 2.0 };
+        let deviations = if expected < SMALL_SAMPLE_REQUESTS {
+            3.0
+        } else {
+            2.0
+        };
         let max_requests = expected + deviations * expected.sqrt() + deviations;
         multiple * max_requests / expected
     }
 
-    /// Offers a request. `service_time` is what it takes on a standard server.
+    /// Offers a request to the server. `service_time` is the time that a standard server needs for it.
     pub fn offer(&mut self, now: Nanos, id: u64, service_time: Nanos) -> Admission {
         self.account_slot_time(now);
         self.update_congestion(now);
-        if self.is_warming_up(now) {
-            self.record_slow_start_send(now, service_time);
+        if self.is_in_slow_start(now) {
+            self.record_slow_start_request(now, service_time);
             if self
                 .slow_start_load(now)
                 .is_some_and(|load| load > self.max_slow_start_load(now))
@@ -220,18 +228,18 @@
         Admission::Accepted
     }
 
-    fn record_slow_start_send(&mut self, now: Nanos, service_time: Nanos) {
-        self.slow_start_sends.push_back(SentRequest {
+    fn record_slow_start_request(&mut self, now: Nanos, service_time: Nanos) {
+        self.slow_start_requests.push_back(SlowStartRequest {
             at: now,
             service_time,
         });
         let window = self.config.overload_window;
         while self
-            .slow_start_sends
+            .slow_start_requests
             .front()
-            .is_some_and(|sent| now.saturating_sub(sent.at) >= window)
+            .is_some_and(|request| now.saturating_sub(request.at) >= window)
         {
-            self.slow_start_sends.pop_front();
+            self.slow_start_requests.pop_front();
         }
     }
 
@@ -245,12 +253,13 @@
             .insert((now.saturating_add(duration.max(1)), id));
     }
 
-    /// When the next request completes.
+    /// When the next running request completes; `None` if no request runs.
     pub fn next_completion(&self) -> Option<Nanos> {
         self.running.first().map(|(at, _)| *at)
     }
 
-    /// Takes a request that has completed by now, if there is one; a queued one starts in its slot.
+    /// Removes the earliest request that has completed by `now` and returns its id. The first queued request starts in
+    /// its slot.
     pub fn take_completed(&mut self, now: Nanos) -> Option<u64> {
         let (at, id) = *self.running.first().filter(|(at, _)| *at <= now)?;
         self.account_slot_time(at);
@@ -263,13 +272,13 @@
         Some(id)
     }
 
-    /// The share of slots in use, as in the last report.
+    /// The mean share of slots in use, from 0 to 1, over the period before the last report.
     pub fn utilization(&mut self, now: Nanos) -> f64 {
         self.account_slot_time(now);
         self.utilization
     }
 
-    /// Adds the slot time used since the last call, and refreshes the report when it is due.
+    /// Adds the slot time used since the last call, and updates the reported utilization when that is due.
     fn account_slot_time(&mut self, now: Nanos) {
         let elapsed = now.saturating_sub(self.accounted_until);
         self.used_slot_time += elapsed.saturating_mul(self.running.len() as u64);
--- a/testkit/fakes/src/server/congestion.rs
+++ b/testkit/fakes/src/server/congestion.rs
@@ -1,25 +1,25 @@
-//! Congestion of a server: a queue that stays long slows it down until it has been mostly idle for a while.
+//! Congestion: a queue that stays long slows the server down until the server has been mostly idle for a while.
 
 use badgerpost_time::Nanos;
 
-/// When a server becomes congested, and what that does to it.
+/// When a server becomes congested, how much it slows down, and when it recovers.
 #[derive(Clone, Copy, Debug)]
 pub struct CongestionConfig {
-    /// A queue of at least this length ...
+    /// The queue length, in requests, from which the server becomes congested.
     pub queue_threshold: usize,
-    /// ... for this long congests the server.
+    /// How long the queue must have at least that length before the server becomes congested.
     pub onset: Nanos,
-    /// The speed is divided by this ...
+    /// The divisor of the speed of a congested server.
     pub slowdown: f64,
-    /// ... until the queue has been empty, and at most a quarter of the slots in use, for this long.
+    /// How long the queue must be empty, with at most a quarter of the slots in use, before the server recovers.
     pub recovery: Nanos,
 }
 
-/// Whether a server is congested, and since when the condition for the opposite has held.
 #[derive(Debug, Default)]
 pub(super) struct CongestionState {
     is_congested: bool,
-    changing_since: Option<Nanos>,
+    /// Since when the condition for the opposite state has held; `None` while it does not hold.
+    condition_met_since: Option<Nanos>,
 }
 
 impl CongestionState {
@@ -27,7 +27,7 @@
         self.is_congested
     }
 
-    /// Applies the state of the queue and the slots at this time.
+    /// Updates the state from the current queue length and use of slots.
     pub(super) fn update(
         &mut self,
         config: &CongestionConfig,
@@ -35,19 +35,19 @@
         queue_length: usize,
         is_mostly_idle: bool,
     ) {
-        let (is_changing, required) = if self.is_congested {
+        let (is_condition_met, required_duration) = if self.is_congested {
             (is_mostly_idle, config.recovery)
         } else {
             (queue_length >= config.queue_threshold, config.onset)
         };
-        if !is_changing {
-            self.changing_since = None;
+        if !is_condition_met {
+            self.condition_met_since = None;
             return;
         }
-        let since = *self.changing_since.get_or_insert(now);
-        if now.saturating_sub(since) >= required {
+        let since = *self.condition_met_since.get_or_insert(now);
+        if now.saturating_sub(since) >= required_duration {
             self.is_congested = !self.is_congested;
-            self.changing_since = None;
+            self.condition_met_since = None;
         }
     }
 }
--- a/testkit/fakes/src/server/tests.rs
+++ b/testkit/fakes/src/server/tests.rs
@@ -48,15 +48,18 @@
     };
     assert!(
         !run(&mut server, 100 * MILLISECOND, 2),
-        "two wait: below the threshold"
+        "a queue of two is below the threshold"
     );
     assert!(
         run(&mut server, 200 * MILLISECOND, 6),
-        "three or more wait for 50 ms"
+        "a queue of three or more for 50 ms congests the server"
     );
-    // Work goes on at half the speed, and a shorter queue alone does not help.
+    // A shorter queue alone does not end the congestion: the slots must also be idle.
     server.offer(200 * MILLISECOND, 7, 10 * MILLISECOND);
-    assert!(run(&mut server, 300 * MILLISECOND, 1), "still in use");
+    assert!(
+        run(&mut server, 300 * MILLISECOND, 1),
+        "congested while the slots are in use"
+    );
     while let Some(next) = server.next_completion() {
         assert!(server.take_completed(next).is_some());
     }
@@ -65,7 +68,7 @@
     assert_eq!(
         server.next_completion(),
         Some(idle + 20 * MILLISECOND),
-        "half the speed"
+        "a congested server runs at half its speed"
     );
     server.take_completed(idle + 20 * MILLISECOND);
     server.offer(idle + 230 * MILLISECOND, 9, 10 * MILLISECOND);
@@ -73,7 +76,7 @@
 }
 
 #[test]
-fn requests_run_then_queue_then_are_rejected() {
+fn requests_beyond_the_slots_are_queued_and_beyond_the_queue_limit_rejected() {
     let mut server = Server::new(config(), None, 0);
     let offers: Vec<Admission> = (0..4)
         .map(|id| server.offer(0, id, 10 * MILLISECOND))
@@ -96,7 +99,7 @@
         ),
         (Some(0), Some(1))
     );
-    // The third began when the first was done.
+    // The third request starts when the first has completed.
     assert_eq!(
         (
             server.take_completed(39 * MILLISECOND),
@@ -125,7 +128,8 @@
         (crashed_at, server.has_crashed())
     };
     assert_eq!(send(None), (None, false));
-    // A tenth of half of two slots does 100 ms of work a second; more than twice that is too much.
+    // Two slots at a tenth of half the standard speed provide 100 ms of service time per second. The overload multiple
+    // allows twice that.
     let (crashed_at, has_crashed) = send(Some(0));
     assert!(
         has_crashed && crashed_at.is_some_and(|n| (20..26).contains(&n)),
--- a/testkit/fakes/src/slow_connect.rs
+++ b/testkit/fakes/src/slow_connect.rs
@@ -1,5 +1,5 @@
-//! A backend to which connects succeed late: its accept queue is full, so that the system drops the first packet of a
-//! connect, and the peer sends the next one a second later. For tests, like [`crate::scripted`].
+//! A backend to which connects succeed late: the accept queue is full, so that the system drops the client's first SYN,
+//! which the client retransmits a second later. Panics if a test has failed, like [`crate::scripted`].
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use std::io::Read;
@@ -14,7 +14,7 @@
 pub struct SlowConnectBackend {
     pub address: SocketAddr,
     listener: TcpListener,
-    /// Fills the queue: with a backlog of 0 the system queues one connection and takes no other.
+    /// Fills the accept queue: with a backlog of 0 the system queues one connection.
     _queued: TcpStream,
 }
 
@@ -35,23 +35,24 @@
         }
     }
 
-    /// Waits until a peer tries to connect.
+    /// Waits until a client tries to connect.
     pub fn wait_for_connect_attempt(&self) {
-        // Remote address and port in hexadecimal, and the state SYN_SENT.
+        // The remote address and port in hexadecimal, followed by the state SYN_SENT.
         let entry = format!("0100007F:{:04X} 02", self.address.port());
-        wait_until("a connect is tried", || {
+        wait_until("a client tries to connect to the slow backend", || {
             std::fs::read_to_string("/proc/net/tcp")
                 .unwrap()
                 .contains(&entry)
         });
     }
 
-    /// Empties the accept queue: a connect under way succeeds about a second after its first packet.
+    /// Empties the accept queue: a pending connect succeeds once the client retransmits its SYN.
     pub fn make_room(&self) {
         drop(self.listener.accept().unwrap());
     }
 
-    /// Accepts the next connection and returns what arrives on it until it is closed, or nothing more for this time.
+    /// Accepts the next connection and returns the text received until the connection is closed or reset, or nothing
+    /// arrives for `timeout`.
     pub fn read_until_closed(&self, timeout: Duration) -> String {
         let (mut stream, _) = self.listener.accept().unwrap();
         stream.set_read_timeout(Some(timeout)).unwrap();
--- a/testkit/fakes/src/system_faults.rs
+++ b/testkit/fakes/src/system_faults.rs
@@ -1,5 +1,5 @@
-//! Injection of system call faults into a process under test, by a preloaded library that fails a share of the calls in
-//! ways that Linux documents. It is seeded, so that a run can be repeated.
+//! Injects system call faults into a process under test: a preloaded library fails a share of the calls in ways that
+//! Linux documents. A seed determines which calls fail, so that a run can be repeated.
 
 mod request_log;
 mod temporary_file;
@@ -15,7 +15,7 @@
 use temporary_file::replace_file;
 pub use wall_clock::WallClock;
 
-/// The library, built by `build.rs`.
+/// The contents of the shared library, which `build.rs` builds.
 const LIBRARY: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/libsystem_faults.so"));
 
 /// A system call into which faults can be injected.
@@ -33,13 +33,14 @@
     ConnectResult,
     /// `socket`.
     Socket,
-    /// `bind` of a Unix socket, which makes a file.
+    /// `bind` of a Unix socket, which creates a file.
     BindUnix,
     /// `epoll_wait`.
     EpollWait,
 }
 
 impl SystemCall {
+    /// The name of the call in `BADGERPOST_FAULTS`.
     fn name(self) -> &'static str {
         match self {
             Self::Recv => "recv",
@@ -54,14 +55,14 @@
     }
 }
 
-/// The fault that a call meets.
+/// The fault that is injected into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFault {
-    /// It transfers at most 40 bytes.
+    /// The call transfers at most 40 bytes.
     Short,
-    /// It starts 150 ms late.
+    /// The call starts 150 ms late.
     Delay,
-    /// It fails with the error of this name, such as `EINTR`.
+    /// The call fails with the error of this name, such as `EINTR`.
     Error(&'static str),
 }
 
@@ -75,18 +76,18 @@
     }
 }
 
-/// The faults of one process.
+/// The faults that are injected into one process, and the process's wall clock and request log.
 #[derive(Clone, Debug, Default)]
 pub struct SystemFaults {
     seed: u64,
-    /// Entries of the form `call:fault=permille`, as the library reads them.
+    /// Entries of `BADGERPOST_FAULTS`, in the form `call:fault=permille`.
     entries: Vec<String>,
     wall_clock: Option<PathBuf>,
     request_log: Option<PathBuf>,
 }
 
 impl SystemFaults {
-    /// No faults yet; the seed determines which calls meet them.
+    /// Creates an empty set of faults; the seed determines into which calls faults are injected.
     #[must_use]
     pub fn seeded(seed: u64) -> Self {
         Self {
@@ -101,7 +102,7 @@
         Self { seed, ..self }
     }
 
-    /// Adds a fault that this many of a thousand calls meet.
+    /// Adds a fault that is injected into `permille` of a thousand calls of this kind, on average.
     #[must_use]
     pub fn with(mut self, call: SystemCall, fault: CallFault, permille: u32) -> Self {
         self.entries
@@ -109,32 +110,32 @@
         self
     }
 
-    /// Whether some calls are delayed.
+    /// Whether [`CallFault::Delay`] is among the faults.
     #[must_use]
     pub fn has_delays(&self) -> bool {
         let delay = format!(":{}=", CallFault::Delay);
         self.entries.iter().any(|entry| entry.contains(&delay))
     }
 
-    /// Makes the process read this wall clock in place of the system's.
+    /// Makes the process read this wall clock instead of the system's.
     #[must_use]
     pub fn with_wall_clock(mut self, clock: &WallClock) -> Self {
         self.wall_clock = Some(clock.file().to_owned());
         self
     }
 
-    /// Makes the process append the requests that pass its sockets to this log.
+    /// Makes the process append the requests that it receives and sends to this log.
     #[must_use]
     pub fn with_request_log(mut self, log: &RequestLog) -> Self {
         self.request_log = Some(log.file().to_owned());
         self
     }
 
-    /// Sets the environment of a process that is about to start.
+    /// Sets the environment variables that load and configure the library in a process to be started.
     ///
     /// # Errors
     ///
-    /// The library can't be written.
+    /// The library cannot be written to the temporary folder.
     pub fn apply(&self, command: &mut Command) -> io::Result<()> {
         command
             .env("LD_PRELOAD", library_file()?)
@@ -156,7 +157,8 @@
     }
 }
 
-/// Writes the library to a file, one for each build of it, and returns the path.
+/// The path of a file with the library, which is written unless it exists. The name contains a hash of the library, so
+/// that different builds do not share a file.
 fn library_file() -> io::Result<OsString> {
     let hash = LIBRARY.iter().fold(0u64, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
--- a/testkit/fakes/src/system_faults/request_log.rs
+++ b/testkit/fakes/src/system_faults/request_log.rs
@@ -1,5 +1,5 @@
-//! The requests that pass the sockets of a process under test, with times taken by the preloaded library at the calls
-//! themselves: a test's own threads may run late on a busy machine.
+//! A log of the requests that a process under test receives and sends. The preloaded library takes the times within the
+//! calls, since the test's own threads may run late on a busy machine.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,31 +7,31 @@
 
 use super::temporary_file::unique_path;
 
-/// A log of requests. Its file is removed when it is dropped.
+/// A log of requests in a temporary file, which is removed when the log is dropped.
 #[derive(Debug)]
 pub struct RequestLog {
     file: PathBuf,
 }
 
-/// The call that a request has passed.
+/// The direction of a logged request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoggedCall {
-    /// The process has received it.
+    /// The process has received the request.
     Received,
-    /// The process has sent it.
+    /// The process has sent the request.
     Sent,
 }
 
-/// One request that has passed a socket. Times are those of the monotonic clock.
+/// A request that the process has received or sent. Times are readings of the monotonic clock.
 #[derive(Clone, Debug)]
 pub struct LoggedRequest {
-    /// The call.
+    /// Whether the request was received or sent.
     pub call: LoggedCall,
-    /// When the call began, before any delay that was injected.
+    /// When the call began; for sent requests this is before any injected delay.
     pub began_at: Duration,
-    /// When its bytes passed.
+    /// When the request was logged: after it was received, or just before it is sent.
     pub passed_at: Duration,
-    /// The request's head, or the beginning of it; a tab in place of each character of the line ends.
+    /// The request's head, perhaps truncated, with each CR and LF replaced by a tab.
     head: String,
 }
 
@@ -44,11 +44,11 @@
 }
 
 impl RequestLog {
-    /// The requests so far.
+    /// The requests logged so far, in the order of the log. Invalid lines are skipped.
     ///
     /// # Errors
     ///
-    /// The log can't be read.
+    /// The log file cannot be read.
     pub fn requests(&self) -> io::Result<Vec<LoggedRequest>> {
         if !self.file.exists() {
             return Ok(Vec::new());
@@ -85,7 +85,7 @@
         })
     }
 
-    /// The value of a header.
+    /// The value of the first header of this name, which is compared without regard to case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.split('\t').find_map(|line| {
--- a/testkit/fakes/src/system_faults/temporary_file.rs
+++ b/testkit/fakes/src/system_faults/temporary_file.rs
@@ -1,4 +1,4 @@
-//! Temporary files that processes under test read.
+//! Temporary files that are shared with processes under test.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
     std::fs::rename(new, file)
 }
 
-/// A path in the temporary folder that nobody else uses.
+/// A path in the temporary folder, unique by process id and a counter.
 pub(super) fn unique_path(kind: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/testkit/fakes/src/system_faults/wall_clock.rs
+++ b/testkit/fakes/src/system_faults/wall_clock.rs
@@ -1,37 +1,38 @@
-//! A wall clock that steps, for a process under test.
+//! A wall clock with steps, for a process under test.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use super::temporary_file::{replace_file, unique_path};
 
-/// A wall clock with a settable offset to the system's. Its file is removed when it is dropped.
+/// A wall clock with a settable offset from the system's clock. The offset is kept in a temporary file, which is
+/// removed when the clock is dropped.
 #[derive(Debug)]
 pub struct WallClock {
     file: PathBuf,
 }
 
 impl WallClock {
-    /// A clock that is ahead by this many milliseconds, or behind where the number is negative.
+    /// Creates a clock that is ahead of the system's clock by `offset_ms` milliseconds, or behind if that is negative.
     ///
     /// # Errors
     ///
-    /// The clock's file can't be written.
-    pub fn ahead_by(milliseconds: i64) -> io::Result<Self> {
+    /// The file of the offset cannot be written.
+    pub fn ahead_by(offset_ms: i64) -> io::Result<Self> {
         let clock = Self {
             file: unique_path("clock"),
         };
-        clock.set(milliseconds)?;
+        clock.set(offset_ms)?;
         Ok(clock)
     }
 
-    /// Steps the clock to this offset.
+    /// Steps the clock to this offset from the system's clock, in milliseconds.
     ///
     /// # Errors
     ///
-    /// The clock's file can't be written.
-    pub fn set(&self, milliseconds: i64) -> io::Result<()> {
-        replace_file(&self.file, milliseconds.to_string().as_bytes())
+    /// The file of the offset cannot be written.
+    pub fn set(&self, offset_ms: i64) -> io::Result<()> {
+        replace_file(&self.file, offset_ms.to_string().as_bytes())
     }
 
     /// The file from which the preloaded library reads the offset.
