--- a/testkit/scenarios/src/arguments.rs
+++ b/testkit/scenarios/src/arguments.rs
@@ -173,8 +173,8 @@
             program: self.path()?,
             real_time,
             port,
-            own: operator_settings,
-            peers: self.gossip,
+            extra_settings: operator_settings,
+            gossip: self.gossip,
             system_faults: Vec::new(),
         })
     }
--- a/testkit/scenarios/src/commands/soak.rs
+++ b/testkit/scenarios/src/commands/soak.rs
@@ -27,9 +27,9 @@
 impl Verdicts {
     fn count(&mut self, verdict: Verdict) {
         match verdict {
-            Verdict::Kept => self.kept += 1,
-            Verdict::Broken => self.broken += 1,
-            Verdict::NotJudged => self.not_judged += 1,
+            Verdict::Passed => self.kept += 1,
+            Verdict::Failed => self.broken += 1,
+            Verdict::Inconclusive => self.not_judged += 1,
         }
     }
 
@@ -111,15 +111,15 @@
         Ok(report) => report,
         Err(error @ RunError::Crashed { .. }) => {
             print_line(&format!("seed {seed}: CRASHED: {error}\n  {drawn}"))?;
-            return Ok(Verdict::Broken);
+            return Ok(Verdict::Failed);
         }
         Err(error) => return Err(error),
     };
     let counts = report.counts();
     let verdict = match report.verdict() {
-        Verdict::Kept => "kept",
-        Verdict::Broken => "BROKEN",
-        Verdict::NotJudged => "not judged",
+        Verdict::Passed => "kept",
+        Verdict::Failed => "BROKEN",
+        Verdict::Inconclusive => "not judged",
     };
     let mut lines = vec![
         format!(
--- a/testkit/scenarios/src/commands/summary.rs
+++ b/testkit/scenarios/src/commands/summary.rs
@@ -68,8 +68,8 @@
     ))?;
     let simulated = simulated_seconds(report);
     let wall = report.wall.as_secs_f64();
-    let late_bytes = if report.late > 0 {
-        format!(", {} waits for late bytes", report.late)
+    let late_bytes = if report.late_waits > 0 {
+        format!(", {} waits for late bytes", report.late_waits)
     } else {
         String::new()
     };
@@ -82,14 +82,22 @@
 
 /// Prints how much the nodes sent to each other, if they did.
 fn print_gossip(report: &RunReport) -> io::Result<()> {
-    if !report.talk.iter().any(|(datagrams, _)| *datagrams > 0) {
+    if !report
+        .gossip_traffic
+        .iter()
+        .any(|(datagrams, _)| *datagrams > 0)
+    {
         return Ok(());
     }
-    let node_count = report.talk.len() as f64;
+    let node_count = report.gossip_traffic.len() as f64;
     let seconds = simulated_seconds(report).max(MIN_SECONDS);
-    let datagrams: u64 = report.talk.iter().map(|(datagrams, _)| *datagrams).sum();
-    let bytes: u64 = report.talk.iter().map(|(_, sent)| *sent).sum();
-    let max_bytes = report.talk.iter().map(|(_, sent)| *sent).max();
+    let datagrams: u64 = report
+        .gossip_traffic
+        .iter()
+        .map(|(datagrams, _)| *datagrams)
+        .sum();
+    let bytes: u64 = report.gossip_traffic.iter().map(|(_, sent)| *sent).sum();
+    let max_bytes = report.gossip_traffic.iter().map(|(_, sent)| *sent).max();
     print_line(&format!(
         "nodes to each other: {:.1} datagrams and {:.0} bytes a second and node, {:.0} bytes at the most",
         datagrams as f64 / node_count / seconds,
@@ -110,10 +118,10 @@
             ))?,
         }
     }
-    if report.strangers > 0 {
+    if report.unknown_requests > 0 {
         print_line(&format!(
             "{} requests came to servers or discovery that no client had sent so",
-            report.strangers
+            report.unknown_requests
         ))?;
     }
     Ok(())
--- a/testkit/scenarios/src/commands/up.rs
+++ b/testkit/scenarios/src/commands/up.rs
@@ -21,10 +21,10 @@
     let stop = StopRequest::on_signals()?;
     let options = arguments.program.options(true, arguments.port)?;
     let plan = plan(&arguments.scenario, arguments.nodes)?;
-    let mut runner = Runner::set(&plan, &options)?;
+    let mut runner = Runner::new(&plan, &options)?;
     print_line(&describe(&plan, &mut runner).to_string())?;
     stop.on_end_of_input();
-    runner.stay(&|| stop.is_requested())?;
+    runner.run_until(&|| stop.is_requested())?;
     Ok(ExitCode::SUCCESS)
 }
 
--- a/testkit/scenarios/src/postgres/environment.rs
+++ b/testkit/scenarios/src/postgres/environment.rs
@@ -9,7 +9,7 @@
 use badgerpost_postgres_session::scram::Verifier;
 
 use super::load::ConnectionParameters;
-use crate::process::{self, Process, Start};
+use crate::process::{self, Process, StartOptions};
 use crate::run::RunError;
 use crate::scenario;
 
@@ -42,7 +42,7 @@
         }
         let discovery = Discovery::new(endpoint_list(&databases, None));
         let (mut node, http) = start_node(program, port, discovery.address)?;
-        let listen = node.listens_for("serving PostgreSQL clients")?;
+        let listen = node.wait_for_logged_address("serving PostgreSQL clients")?;
         Ok(Self {
             databases: Rc::new(databases),
             discovery,
@@ -74,7 +74,7 @@
 
     /// How the node ended, with its log, if it has ended by itself.
     pub(super) fn crash(&mut self) -> Option<String> {
-        let status = self.node.exited()?;
+        let status = self.node.exit_status()?;
         let log = self.node.log();
         Some(format!("the node ended with {status}; its log:\n{log}"))
     }
@@ -107,9 +107,9 @@
     /// Creates the table of the transactions in each database.
     pub async fn create_tables(&self) -> Result<(), RunError> {
         for database in self.databases.iter() {
-            create_table(database)
-                .await
-                .map_err(|error| RunError::Stage(format!("the stand-in database: {error}")))?;
+            create_table(database).await.map_err(|error| {
+                RunError::Environment(format!("the stand-in database: {error}"))
+            })?;
         }
         Ok(())
     }
@@ -148,14 +148,14 @@
     let no_servers = Discovery::new(serde_json::json!([]));
     let calm = scenario::find("calm")?;
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
-    let edge = process::edge(&calm, 0, any_port, no_servers.address, 7, None);
+    let edge_config = process::edge_config(&calm, 0, any_port, no_servers.address, 7, None);
     let verifier = Verifier::from_password(CLIENT_PASSWORD, b"a salt of the rehearsal").to_text();
-    let start = Start {
+    let start = StartOptions {
         program,
         name: "n0",
-        edge,
-        stepped: None,
-        own: node_settings(port, discovery),
+        edge_config,
+        virtual_clock_start: None,
+        operator_settings: node_settings(port, discovery),
         files: vec![
             ("users", format!("{CLIENT_USER} {verifier}\n")),
             ("password", NODE_PASSWORD.to_owned()),
--- a/testkit/scenarios/src/postgres/measure.rs
+++ b/testkit/scenarios/src/postgres/measure.rs
@@ -50,7 +50,7 @@
 }
 
 fn client_error(error: impl std::fmt::Display) -> RunError {
-    RunError::Stage(format!("a client of the kit's: {error}"))
+    RunError::Environment(format!("a client of the kit's: {error}"))
 }
 
 /// The value below which this fraction of the sorted values lies; none if there are no values.
--- a/testkit/scenarios/src/postgres/run.rs
+++ b/testkit/scenarios/src/postgres/run.rs
@@ -134,7 +134,7 @@
             tokio::time::sleep(PROGRESS_INTERVAL).await;
         }
         let records = client.await;
-        transactions.extend(records.map_err(|error| RunError::Stage(error.to_string()))?);
+        transactions.extend(records.map_err(|error| RunError::Environment(error.to_string()))?);
     }
     Ok(transactions)
 }
--- a/testkit/scenarios/src/process.rs
+++ b/testkit/scenarios/src/process.rs
@@ -20,7 +20,7 @@
 use serde_json::Value;
 
 use badgerpost_time::Nanos;
-pub use edge::edge;
+pub use edge::edge_config;
 pub use error::ProcessError;
 pub use files::sha256;
 use files::{private_folder, write_private_files};
@@ -48,22 +48,22 @@
     log: Arc<(Mutex<Log>, Condvar)>,
     control: Option<BufReader<TcpStream>>,
     /// When it next waits for the time, on a stepped clock; Unix time.
-    pub next: Option<Nanos>,
+    pub next_timer_at: Option<Nanos>,
     folder: PathBuf,
 }
 
 /// How a node is started.
-pub struct Start<'a> {
+pub struct StartOptions<'a> {
     /// The program.
     pub program: &'a Path,
     /// Its name.
     pub name: &'a str,
     /// What the platform tells it.
-    pub edge: Value,
+    pub edge_config: Value,
     /// The Unix time at which its stepped clock stands at first; none for the system's clock.
-    pub stepped: Option<Nanos>,
+    pub virtual_clock_start: Option<Nanos>,
     /// More of the operators' own file: a text in TOML.
-    pub own: String,
+    pub operator_settings: String,
     /// Files that it names, with their texts; they lie beside it, mode 0600, and `{folder}` in the text is theirs.
     pub files: Vec<(&'static str, String)>,
     /// Faults of its system calls.
@@ -72,7 +72,7 @@
 
 impl Process {
     /// Starts a node and waits until it serves.
-    pub fn start(start: &Start<'_>) -> Result<(Self, SocketAddr), ProcessError> {
+    pub fn start(start: &StartOptions<'_>) -> Result<(Self, SocketAddr), ProcessError> {
         let (mut process, control) = Self::launch(start)?;
         let listens = match control {
             Some(listener) => process.welcome(&listener)?,
@@ -82,24 +82,24 @@
     }
 
     /// Starts a node on the system's clock and does not wait for it.
-    pub fn start_in_background(start: &Start<'_>) -> Result<Self, ProcessError> {
+    pub fn start_in_background(start: &StartOptions<'_>) -> Result<Self, ProcessError> {
         Ok(Self::launch(start)?.0)
     }
 
     /// Where a node that was started in the background listens, once it does.
-    pub fn listens(&mut self) -> Result<Option<SocketAddr>, ProcessError> {
+    pub fn listen_address(&mut self) -> Result<Option<SocketAddr>, ProcessError> {
         let listens = {
             let kept = self.log.0.lock().unwrap_or_else(PoisonError::into_inner);
             kept.listens
         };
         match listens {
-            None if self.exited().is_some() => Err(self.not_ready()),
+            None if self.exit_status().is_some() => Err(self.not_ready()),
             listens => Ok(listens),
         }
     }
 
     /// Starts a node's process. Returns the listener for its control connection too, if it has one.
-    fn launch(start: &Start<'_>) -> Result<(Self, Option<TcpListener>), ProcessError> {
+    fn launch(start: &StartOptions<'_>) -> Result<(Self, Option<TcpListener>), ProcessError> {
         let name = start.name.to_owned();
         let system = |source| ProcessError::System {
             name: start.name.to_owned(),
@@ -107,7 +107,7 @@
         };
         let folder = private_folder().map_err(system)?;
         let edge = folder.join("edge.json");
-        std::fs::write(&edge, start.edge.to_string()).map_err(system)?;
+        std::fs::write(&edge, start.edge_config.to_string()).map_err(system)?;
         let mut command = Command::new(start.program);
         command
             .env("EDGE_CONFIG", &edge)
@@ -117,9 +117,11 @@
         if let Some(faults) = &start.system_faults {
             faults.apply(&mut command).map_err(system)?;
         }
-        let mut settings = start.own.replace("{folder}", &folder.to_string_lossy());
+        let mut settings = start
+            .operator_settings
+            .replace("{folder}", &folder.to_string_lossy());
         write_private_files(&folder, &start.files).map_err(system)?;
-        let control = match start.stepped {
+        let control = match start.virtual_clock_start {
             Some(now) => Some(listen_for_control(&mut settings, now).map_err(system)?),
             None => None,
         };
@@ -143,7 +145,7 @@
             child,
             log,
             control: None,
-            next: None,
+            next_timer_at: None,
             folder,
         };
         Ok((process, control))
@@ -174,7 +176,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err(self.system(error)),
             }
-            if began.elapsed() > PATIENCE || self.exited().is_some() {
+            if began.elapsed() > PATIENCE || self.exit_status().is_some() {
                 return Err(self.not_ready());
             }
             thread::sleep(Duration::from_millis(1));
@@ -249,7 +251,7 @@
                 ended,
                 ..
             }) => {
-                self.next = next;
+                self.next_timer_at = next;
                 Ok(Some((written, ended)))
             }
             Some(NodeMessage::Hello { .. }) | None => Ok(None),
@@ -257,7 +259,7 @@
     }
 
     /// Its exit status, if it has ended.
-    pub fn exited(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
@@ -265,7 +267,7 @@
     pub fn wait(&mut self) -> Option<ExitStatus> {
         let began = Instant::now();
         while began.elapsed() < PATIENCE {
-            if let Some(status) = self.exited() {
+            if let Some(status) = self.exit_status() {
                 let (lock, changed) = &*self.log;
                 let kept = lock.lock().unwrap_or_else(PoisonError::into_inner);
                 // A child of its own that lives on would keep the log open; there is none, but the wait is bounded.
@@ -297,9 +299,9 @@
     }
 
     /// Where it says that it listens for this kind of clients, once it does.
-    pub fn listens_for(&mut self, what: &str) -> Result<SocketAddr, ProcessError> {
+    pub fn wait_for_logged_address(&mut self, what: &str) -> Result<SocketAddr, ProcessError> {
         let began = Instant::now();
-        while began.elapsed() < PATIENCE && self.exited().is_none() {
+        while began.elapsed() < PATIENCE && self.exit_status().is_none() {
             let kept = self.log.0.lock().unwrap_or_else(PoisonError::into_inner);
             let line = kept.lines.iter().find(|line| line.contains(what));
             let at = line.and_then(|line| {
--- a/testkit/scenarios/src/process/edge.rs
+++ b/testkit/scenarios/src/process/edge.rs
@@ -10,7 +10,7 @@
 
 /// What the platform would tell a node of a scene.
 #[expect(clippy::needless_pass_by_value, reason = "callers hand the value over")]
-pub fn edge(
+pub fn edge_config(
     scenario: &LoadedScenario,
     node: usize,
     listen: SocketAddr,
--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -48,9 +48,9 @@
     /// Where the first node listens; 0 for any free port.
     pub port: u16,
     /// More of the operators' own file of every node, after the scene's.
-    pub own: String,
-    /// The nodes talk to each other, whatever the scene says.
-    pub peers: bool,
+    pub extra_settings: String,
+    /// The nodes gossip_traffic to each other, whatever the scene says.
+    pub gossip: bool,
     /// Faults of the nodes' system calls, by the node's position; each process draws its own. In real time only.
     pub system_faults: Vec<SystemFaults>,
 }
@@ -63,7 +63,7 @@
 ) -> Result<RunReport, RunError> {
     let sha256 = process::sha256(&options.program)?;
     let started_at = Instant::now();
-    let mut runner = Runner::set(plan, options)?;
+    let mut runner = Runner::new(plan, options)?;
     runner.run_to_end(progress)?;
     let mut report = runner.into_report(sha256);
     report.wall = started_at.elapsed();
@@ -94,7 +94,7 @@
     started_at: Instant,
     checked_at: Nanos,
     steps: u64,
-    late: u64,
+    late_waits: u64,
     /// When the last turn began, in real time.
     turned_at: Nanos,
     longest_stall: Nanos,
@@ -103,7 +103,7 @@
 
 impl Runner {
     /// Starts the nodes of a plan, with its peers listening.
-    pub fn set(plan: &Plan, options: &Options) -> Result<Self, RunError> {
+    pub fn new(plan: &Plan, options: &Options) -> Result<Self, RunError> {
         let base = if options.real_time {
             let unix = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
@@ -114,7 +114,7 @@
         };
         let pinning = (!options.real_time).then(CpuPinning::acquire);
         let count = plan.scenario.spec.nodes.len();
-        let simulation = Simulation::new(plan.clone(), base, options.peers)?;
+        let simulation = Simulation::new(plan.clone(), base, options.gossip)?;
         let port = |node| {
             let at = SocketAddr::from(([127, 0, 0, 1], if node == 0 { options.port } else { 0 }));
             ReservedPort::new(at).map_err(|source| RunError::Port { at, source })
@@ -143,12 +143,12 @@
             started_at: Instant::now(),
             checked_at: 0,
             steps: 0,
-            late: 0,
+            late_waits: 0,
             turned_at: 0,
             longest_stall: 0,
             _pinning: pinning,
         };
-        (0..count).try_for_each(|node| runner.start(node))?;
+        (0..count).try_for_each(|node| runner.start_node(node))?;
         runner.started_at = Instant::now();
         Ok(runner)
     }
@@ -182,8 +182,8 @@
             .collect();
         drop(self.processes);
         let simulation = self.simulation;
-        let (strangers, simulated) = (simulation.unknown_requests(), simulation.now());
-        let (cold_peaks, talk) = (simulation.cold_peaks(), simulation.gossip_traffic());
+        let (unknown_requests, simulated) = (simulation.unknown_requests(), simulation.now());
+        let (cold_peaks, gossip_traffic) = (simulation.cold_peaks(), simulation.gossip_traffic());
         let missed_responses = simulation.missed_responses();
         let log = simulation.into_log();
         let mut breaches = rules::check(&log, &tolerances(&self.plan, &self.options));
@@ -193,13 +193,13 @@
             cold_peaks,
             logs,
             breaches,
-            strangers,
-            talk,
+            unknown_requests,
+            gossip_traffic,
             sha256,
             simulated,
             wall: Duration::ZERO,
             steps: self.steps,
-            late: self.late,
+            late_waits: self.late_waits,
             longest_stall: self.longest_stall,
         }
     }
@@ -225,7 +225,10 @@
     fn stepped_turn(&mut self) -> Result<(), RunError> {
         let base = self.simulation.base();
         let waits = |(node, process): (usize, &Option<Process>)| {
-            let next = process.as_ref().filter(|_| !self.paused[node])?.next?;
+            let next = process
+                .as_ref()
+                .filter(|_| !self.paused[node])?
+                .next_timer_at?;
             Some((next.saturating_sub(base), node))
         };
         let node = self.processes.iter().enumerate().filter_map(waits).min();
@@ -238,7 +241,7 @@
                 let outcome = self.simulation.step()?;
                 self.apply(outcome)
             }
-            (_, None) => Err(RunError::Endless("requests are open and nothing is due")),
+            (_, None) => Err(RunError::NoProgress("requests are open and nothing is due")),
         }
     }
 
@@ -266,7 +269,7 @@
         };
         self.steps += 1;
         if self.steps > MAX_STEPS {
-            return Err(RunError::Endless("the nodes never come to rest"));
+            return Err(RunError::NoProgress("the nodes never come to rest"));
         }
         let before = self.simulation.bytes_read();
         match process.step(
@@ -305,7 +308,7 @@
                     if !all {
                         self.missing_ends[node] = ended - seen;
                     }
-                    self.late += u64::from(polls > 1);
+                    self.late_waits += u64::from(polls > 1);
                     break;
                 }
             }
--- a/testkit/scenarios/src/run/error.rs
+++ b/testkit/scenarios/src/run/error.rs
@@ -34,14 +34,14 @@
     },
     /// A shipped scene can't be read.
     #[error(transparent)]
-    Scene(#[from] badgerpost_settings::file::FileError),
+    Scenario(#[from] badgerpost_settings::file::FileError),
     /// The stage can't be set, or a client of the kit's own broke.
     #[error("{0}")]
-    Stage(String),
+    Environment(String),
     /// Sockets or files.
     #[error("{0}")]
     System(#[from] std::io::Error),
     /// Nothing moves any more, or it moves on for ever.
     #[error("the scene does not come to its end: {0}")]
-    Endless(&'static str),
+    NoProgress(&'static str),
 }
--- a/testkit/scenarios/src/run/processes.rs
+++ b/testkit/scenarios/src/run/processes.rs
@@ -37,7 +37,7 @@
                 Some(clock) => Ok(clock.set(ahead)?),
                 None => Ok(()),
             },
-            ProcessCommand::Start { node } => self.restart(node),
+            ProcessCommand::Start { node } => self.restart_node(node),
             ProcessCommand::Pause { node } => {
                 if self.options.real_time {
                     let process = self.processes[node].as_ref();
@@ -105,7 +105,7 @@
         for node in 0..self.processes.len() {
             if self.processes[node]
                 .as_mut()
-                .is_some_and(|process| process.exited().is_some())
+                .is_some_and(|process| process.exit_status().is_some())
             {
                 self.handle_exit(node)?;
             }
--- a/testkit/scenarios/src/run/real_time.rs
+++ b/testkit/scenarios/src/run/real_time.rs
@@ -61,7 +61,7 @@
     }
 
     /// Runs the simulation in real time until `over`.
-    pub fn stay(&mut self, over: &dyn Fn() -> bool) -> Result<(), RunError> {
+    pub fn run_until(&mut self, over: &dyn Fn() -> bool) -> Result<(), RunError> {
         while !over() {
             self.real_time_turn()?;
         }
--- a/testkit/scenarios/src/run/report.rs
+++ b/testkit/scenarios/src/run/report.rs
@@ -23,9 +23,9 @@
     /// Broken rules.
     pub breaches: Vec<Breach>,
     /// Requests at servers that no client had sent in this form.
-    pub strangers: u64,
+    pub unknown_requests: u64,
     /// What the nodes have said to each other: datagrams and bytes, by node.
-    pub talk: Vec<(u64, u64)>,
+    pub gossip_traffic: Vec<(u64, u64)>,
     /// The program's SHA-256.
     pub sha256: String,
     /// How long the scene lasted.
@@ -35,7 +35,7 @@
     /// Steps of nodes.
     pub steps: u64,
     /// Bytes that had to be waited for; above 0 on a machine whose loopback device is late.
-    pub late: u64,
+    pub late_waits: u64,
     /// The longest time for which the test kit itself stood still, in real time.
     pub longest_stall: Nanos,
 }
@@ -44,11 +44,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Every rule held.
-    Kept,
+    Passed,
     /// A rule was broken.
-    Broken,
+    Failed,
     /// The test kit stood still for longer than the rules allow a node to: neither can be said.
-    NotJudged,
+    Inconclusive,
 }
 
 impl RunReport {
@@ -69,17 +69,17 @@
     /// What the run says of the node, by the letter of rules whose times the test kit has to keep too.
     pub fn verdict(&self) -> Verdict {
         if self.longest_stall > MAX_STALL {
-            Verdict::NotJudged
+            Verdict::Inconclusive
         } else if self.is_good() {
-            Verdict::Kept
+            Verdict::Passed
         } else {
-            Verdict::Broken
+            Verdict::Failed
         }
     }
 
     /// Whether every rule held.
     pub fn is_good(&self) -> bool {
-        self.breaches.is_empty() && self.strangers == 0
+        self.breaches.is_empty() && self.unknown_requests == 0
     }
 }
 
--- a/testkit/scenarios/src/run/report/tests.rs
+++ b/testkit/scenarios/src/run/report/tests.rs
@@ -9,19 +9,19 @@
         cold_peaks: Vec::new(),
         logs: Vec::new(),
         breaches,
-        strangers: 0,
-        talk: Vec::new(),
+        unknown_requests: 0,
+        gossip_traffic: Vec::new(),
         sha256: String::new(),
         simulated: 0,
         wall: Duration::ZERO,
         steps: 0,
-        late: 0,
+        late_waits: 0,
         longest_stall,
     }
 }
 
 #[test]
-fn a_run_in_which_the_test_kit_stood_still_is_neither_kept_nor_broken() {
+fn a_run_with_a_test_kit_stall_above_the_limit_is_inconclusive() {
     let breach = || {
         vec![Breach {
             rule: Rule::SingleResponse,
@@ -32,18 +32,18 @@
     };
     assert_eq!(
         report(50 * MILLISECOND, Vec::new()).verdict(),
-        Verdict::Kept
+        Verdict::Passed
     );
     assert_eq!(
         report(50 * MILLISECOND, breach()).verdict(),
-        Verdict::Broken
+        Verdict::Failed
     );
     assert_eq!(
         report(51 * MILLISECOND, Vec::new()).verdict(),
-        Verdict::NotJudged
+        Verdict::Inconclusive
     );
     assert_eq!(
         report(51 * MILLISECOND, breach()).verdict(),
-        Verdict::NotJudged
+        Verdict::Inconclusive
     );
 }
--- a/testkit/scenarios/src/run/starts.rs
+++ b/testkit/scenarios/src/run/starts.rs
@@ -6,12 +6,12 @@
 use badgerpost_fakes::system_faults::SystemFaults;
 
 use super::{RunError, Runner};
-use crate::process::{self, Process, Start};
+use crate::process::{self, Process, StartOptions};
 use crate::simulation::GOSSIP_KEY;
 
 impl Runner {
     /// Starts a node's process, and waits until it listens.
-    pub(super) fn start(&mut self, node: usize) -> Result<(), RunError> {
+    pub(super) fn start_node(&mut self, node: usize) -> Result<(), RunError> {
         let (process, listens) = Process::start(&self.start_options(node))?;
         self.processes[node] = Some(process);
         self.node_listens(node, listens)?;
@@ -22,9 +22,9 @@
     }
 
     /// Starts a node's process during a run.
-    pub(super) fn restart(&mut self, node: usize) -> Result<(), RunError> {
+    pub(super) fn restart_node(&mut self, node: usize) -> Result<(), RunError> {
         if !self.options.real_time {
-            return self.start(node);
+            return self.start_node(node);
         }
         let process = Process::start_in_background(&self.start_options(node))?;
         self.processes[node] = Some(process);
@@ -36,7 +36,7 @@
     pub(super) fn finish_starts(&mut self) -> Result<(), RunError> {
         for node in std::mem::take(&mut self.starting) {
             let listens = match &mut self.processes[node] {
-                Some(process) => process.listens()?,
+                Some(process) => process.listen_address()?,
                 // It was killed meanwhile.
                 None => continue,
             };
@@ -53,7 +53,7 @@
         if self.simulation.has_gossip()
             && let Some(process) = &mut self.processes[node]
         {
-            let gossip = process.listens_for("peers may call")?;
+            let gossip = process.wait_for_logged_address("peers may call")?;
             self.simulation.set_gossip_address(node, gossip);
         }
         (self.unread_bytes[node], self.missing_ends[node]) = (0, 0);
@@ -63,7 +63,7 @@
     }
 
     /// How a node's next process is started.
-    fn start_options(&mut self, node: usize) -> Start<'_> {
+    fn start_options(&mut self, node: usize) -> StartOptions<'_> {
         // Under the same address each time.
         let listen = self.ports[node].address();
         self.incarnations += 1;
@@ -74,7 +74,7 @@
             .discovery
             .is_preconfigured
             .then(|| self.simulation.endpoint_snapshot());
-        let mut edge = process::edge(
+        let mut edge_config = process::edge_config(
             scenario,
             node,
             listen,
@@ -83,16 +83,16 @@
             known,
         );
         if self.plan.behaviour.polled_discovery {
-            edge["settings"]["discovery"] = "on_request".into();
+            edge_config["settings"]["discovery"] = "on_request".into();
         }
         let now = self.simulation.base() + self.simulation.now();
-        Start {
+        StartOptions {
             program: &self.options.program,
             name: scenario.spec.nodes[node].name.get_ref(),
-            edge,
-            stepped: (!self.options.real_time).then_some(now),
-            own: scenario.spec.operator_settings.clone()
-                + &self.options.own
+            edge_config,
+            virtual_clock_start: (!self.options.real_time).then_some(now),
+            operator_settings: scenario.spec.operator_settings.clone()
+                + &self.options.extra_settings
                 + &self.simulation.gossip_settings(node),
             files: if self.simulation.has_gossip() {
                 vec![(GOSSIP_KEY.0, GOSSIP_KEY.1.to_owned())]
--- a/testkit/scenarios/src/search.rs
+++ b/testkit/scenarios/src/search.rs
@@ -37,7 +37,7 @@
     if let Some(rule) = broken_rule {
         return Some(Violation::BrokenRule(rule));
     }
-    if report.strangers > 0 {
+    if report.unknown_requests > 0 {
         return Some(Violation::UnknownRequest);
     }
     (!fleet::lost(plan, report).is_empty()).then_some(Violation::UnmetExpectation)
--- a/testkit/scenarios/src/soak.rs
+++ b/testkit/scenarios/src/soak.rs
@@ -63,8 +63,8 @@
             program,
             real_time: true,
             port: 0,
-            own: String::new(),
-            peers: false,
+            extra_settings: String::new(),
+            gossip: false,
             system_faults: self.system_faults.clone(),
         };
         run::play(&self.plan, &options, &mut |_| {})
--- a/testkit/scenarios/src/sweep.rs
+++ b/testkit/scenarios/src/sweep.rs
@@ -78,7 +78,7 @@
     Ok(SeedResult {
         seed,
         served_fraction: report.counts().served_fraction(),
-        breaches: report.breaches.len() + usize::from(report.strangers > 0),
+        breaches: report.breaches.len() + usize::from(report.unknown_requests > 0),
         conduct: first_outage.map(|outage| fleet::conduct(&report.log, &outage)),
         slow_start_peak: report.cold_peak(None),
         false_ejections: fleet::strayed(&plan, &report.log).len(),
--- a/testkit/scenarios/tests/common/mod.rs
+++ b/testkit/scenarios/tests/common/mod.rs
@@ -85,8 +85,8 @@
         program,
         real_time: false,
         port: 0,
-        own: own.to_owned(),
-        peers,
+        extra_settings: own.to_owned(),
+        gossip: peers,
         system_faults: Vec::new(),
     };
     run::play(plan, &options, &mut |_| {}).unwrap_or_else(|error| panic!("{error}"))
--- a/testkit/scenarios/tests/identical.rs
+++ b/testkit/scenarios/tests/identical.rs
@@ -21,8 +21,8 @@
         program,
         real_time: false,
         port: 0,
-        own: String::new(),
-        peers: false,
+        extra_settings: String::new(),
+        gossip: false,
         system_faults: Vec::new(),
     };
     let report = run::play(&plan, &options, &mut |_| {})
--- a/testkit/scenarios/tests/soak.rs
+++ b/testkit/scenarios/tests/soak.rs
@@ -30,12 +30,12 @@
             Err(error) => return Some(format!("seed {seed}: {error}")),
         };
         match played.verdict() {
-            Verdict::Kept => return None,
-            Verdict::Broken => {
+            Verdict::Passed => return None,
+            Verdict::Failed => {
                 let ways = Soak::ways(&played).join("\n");
                 return Some(format!("seed {seed}: {}\n{ways}", soak.summary()));
             }
-            Verdict::NotJudged => {}
+            Verdict::Inconclusive => {}
         }
     }
     Some(format!("seed {seed}: could not be judged"))
