--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -246,7 +246,7 @@
     }
 
     fn apply(&mut self, outcome: StepOutcome) -> Result<(), RunError> {
-        if let Some(NodeInput { node, bytes }) = outcome.touched {
+        if let Some(NodeInput { node, bytes }) = outcome.input {
             self.unread_bytes[node] += bytes;
             if !self.options.real_time {
                 self.step(node)?;
--- a/testkit/scenarios/src/simulation.rs
+++ b/testkit/scenarios/src/simulation.rs
@@ -1,6 +1,6 @@
-//! A simulation of every process around the rehearsed nodes: servers, discovery, clients, the links between them and
-//! the faults of the scenario, on real sockets. It processes one event at a time, in an order that the plan alone
-//! determines, and keeps the outcome log; the runner moves the time on.
+//! Simulates every process around the nodes under test on real sockets: servers, discovery and clients, with the
+//! network links and the faults of the scenario. Events are processed one at a time, in an order that depends on the
+//! plan alone. The simulation also keeps the outcome log; the runner advances the time.
 
 mod clients;
 mod connection;
@@ -32,13 +32,13 @@
 pub use state::{SOCKET_SLACK, Simulation};
 
 impl Simulation {
-    /// Processes the next event. It writes to one connection at most.
+    /// Processes the next event, which writes to at most one connection.
     pub fn step(&mut self) -> io::Result<StepOutcome> {
         let Some(((at, _), event)) = self.queue.pop_first() else {
             return Ok(StepOutcome::default());
         };
         self.advance(at);
-        let touched = match event {
+        let input = match event {
             ScheduledEvent::RequestArrival { arrival } => self.start_request(arrival, None),
             ScheduledEvent::ClientRetry { request } => {
                 self.start_request(self.requests[request].arrival, Some(request))
@@ -73,7 +73,7 @@
                 return Ok(StepOutcome::command(command));
             }
         };
-        Ok(StepOutcome::input(touched))
+        Ok(StepOutcome::input(input))
     }
 
     fn process_server_event(&mut self, event: ServerEvent) -> io::Result<()> {
@@ -90,9 +90,9 @@
         Ok(())
     }
 
-    /// Handles what has come on a socket.
-    pub fn handle_socket_event(&mut self, happening: NetworkEvent) {
-        match happening {
+    /// Handles a new connection, received data or a closed connection.
+    pub fn handle_socket_event(&mut self, event: NetworkEvent) {
+        match event {
             NetworkEvent::Accepted { listener, conn } => self.accept(listener, conn),
             NetworkEvent::Received { conn, bytes } => match self.connections.get_mut(&conn) {
                 Some(Connection::Server { decoder, .. }) => {
@@ -107,7 +107,7 @@
                     decoder.push(&bytes);
                     self.read_client(conn);
                 }
-                // Any response ends its wait: the node has noticed it.
+                // Any response shows that the node has timed out the silent client.
                 Some(Connection::Silent { .. }) => self.silent_client_notified(conn),
                 None => {}
             },
@@ -125,7 +125,7 @@
         let connection = match self.listeners.get(&listener) {
             Some(&ListenerOwner::Server(server)) => Connection::Server {
                 server,
-                node: self.running,
+                node: self.running_node,
                 decoder,
                 attempt: None,
             },
@@ -145,11 +145,16 @@
                 self.end_attempt(attempt, AttemptOutcome::Abandoned);
             }
             Some(Connection::Client {
-                node, open, last, ..
+                node,
+                open,
+                last_answered,
+                ..
             }) => {
-                self.nodes[node].idle.retain(|idle| *idle != conn);
+                self.nodes[node]
+                    .idle_connections
+                    .retain(|idle| *idle != conn);
                 for (position, request) in open.into_iter().enumerate() {
-                    self.client_connection_lost(request, last.is_some() || position > 0);
+                    self.client_connection_lost(request, last_answered.is_some() || position > 0);
                 }
             }
             Some(Connection::Silent { node, since }) => self.record_silent_client_end(node, since),
--- a/testkit/scenarios/src/simulation/clients.rs
+++ b/testkit/scenarios/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: tries come to nodes, answers are read and judged, patience ends.
+//! Clients: they send requests to nodes, classify the responses, retry, and stop waiting after a time limit.
 
 use std::collections::VecDeque;
 
@@ -16,15 +16,15 @@
 use badgerpost_time::{MILLISECOND, Nanos};
 
 /// Clients wait this long beyond the time limit of the rules, so that late responses are logged.
-const LISTENS_ON: Nanos = 30 * MILLISECOND;
+const LATE_RESPONSE_WAIT: Nanos = 30 * MILLISECOND;
 
 impl Simulation {
-    /// Starts a request of an arrival: the first one, or a retry `of` another.
+    /// Sends the first request of an arrival, or a retry `of` an earlier request.
     pub(super) fn start_request(&mut self, arrival: usize, of: Option<usize>) -> Option<NodeInput> {
         let plan = self.plan.arrivals[arrival];
         let class = &self.plan.scenario.spec.classes[plan.class.get()];
-        let tries = of.map_or(0, |of| self.requests[of].tries + 1);
-        let id = match tries {
+        let retry_number = of.map_or(0, |of| self.requests[of].retry_number + 1);
+        let id = match retry_number {
             0 => format!("{:016x}", plan.number),
             tries => format!("{:016x}-{tries}", plan.number),
         };
@@ -32,12 +32,12 @@
             scope: class.dedup_scope,
             window: class.dedup_window_ms * MILLISECOND,
         });
-        // The system before the nodes has noticed by now which of them are down.
+        // The load balancer in front of the nodes skips those that take no requests.
         let count = self.nodes.len();
-        let up = (0..count)
+        let available = (0..count)
             .map(|step| (plan.node.get() + step) % count)
             .find(|node| self.takes_requests(*node));
-        let node = up.unwrap_or(plan.node.get());
+        let node = available.unwrap_or(plan.node.get());
         let log = Request {
             id: id.clone(),
             retry_of: of.map(|of| self.requests[of].log.id.clone()),
@@ -51,27 +51,27 @@
             response: None,
             client_left_at: None,
             surplus_bytes: 0,
-            is_excused: self.nodes[node].paused && !self.plan.behaviour.strict,
+            is_excused: self.nodes[node].is_paused && !self.plan.behaviour.strict,
             held_up: self.pause_left(node),
         };
         let key = format!("{:x}-{:08x}", self.plan.seed, plan.number);
         let number = self.requests.len();
         self.request_by_id.insert(id, number);
-        let due = self.gives_up_at(&log);
+        let due = self.client_deadline(&log);
         self.requests.push(OpenRequest {
             log,
             arrival,
             node,
-            tries,
+            retry_number,
             key,
-            done: false,
-            resent: false,
-            written: self.now,
-            unwritten: Vec::new(),
+            is_done: false,
+            is_resent: false,
+            written_at: self.now,
+            unwritten_head: Vec::new(),
         });
         self.schedule(due, ScheduledEvent::ClientTimeout { request: number });
         self.plan_disconnect(number);
-        if up.is_none() {
+        if available.is_none() {
             self.requests[number].log.is_excused = true;
             self.finish(number, true);
             return None;
@@ -80,12 +80,12 @@
     }
 
     /// When the client of a request stops waiting for its response.
-    fn gives_up_at(&self, request: &Request) -> Nanos {
+    fn client_deadline(&self, request: &Request) -> Nanos {
         let due = request.arrival + request.timeout + self.response_slack();
-        due + request.held_up + LISTENS_ON
+        due + request.held_up + LATE_RESPONSE_WAIT
     }
 
-    /// How long after its client's time a response may arrive by the rules.
+    /// How long after the client's deadline the rules allow a response to arrive.
     fn response_slack(&self) -> Nanos {
         if self.plan.behaviour.strict {
             return LATE_RESPONSE_LIMIT;
@@ -94,20 +94,20 @@
         rules.response_slack_ms * MILLISECOND + SOCKET_SLACK
     }
 
-    /// Sends a request to a node, on an open connection or, for `fresh`, on a new one.
+    /// Sends a request to a node, on an existing connection or, if `needs_new_connection`, on a new one.
     pub(super) fn send_request(
         &mut self,
         number: usize,
         node: usize,
-        fresh: bool,
+        needs_new_connection: bool,
     ) -> Option<NodeInput> {
-        let open_connection = if fresh {
+        let open_connection = if needs_new_connection {
             None
         } else {
             self.open_connection_for(number, node)
         };
         let Some(conn) = open_connection.or_else(|| self.connect_client(node)) else {
-            // The node does not listen any more, so it has taken nothing.
+            // The node no longer listens, so it did not receive the request.
             self.requests[number].log.is_excused = true;
             self.finish(number, true);
             return None;
@@ -130,21 +130,21 @@
         self.transmit(InFlightMessage::ToNode(conn, number, bytes))
     }
 
-    /// A connection with open requests, for pipelining, or an idle one.
+    /// A connection with open requests if the request is to be pipelined, or an idle one.
     fn open_connection_for(&mut self, request: usize, node: usize) -> Option<ConnId> {
-        self.busy_connection(node, request)
-            .or_else(|| self.nodes[node].idle.pop())
+        self.pipelining_connection(node, request)
+            .or_else(|| self.nodes[node].idle_connections.pop())
     }
 
     fn connect_client(&mut self, node: usize) -> Option<ConnId> {
-        let address = self.nodes[node].listen?;
+        let address = self.nodes[node].listen_address?;
         let conn = self.net.connect(address).ok()?;
         let connection = Connection::Client {
             node,
             decoder: MessageDecoder::new(MessageKind::Response),
             open: VecDeque::new(),
-            read: 0,
-            last: None,
+            undelivered_responses: 0,
+            last_answered: None,
             has_partial_head: false,
         };
         self.add_connection(conn, connection);
@@ -153,7 +153,10 @@
 
     fn request_bytes(&self, number: usize) -> Vec<u8> {
         let OpenRequest {
-            log, key, tries, ..
+            log,
+            key,
+            retry_number,
+            ..
         } = &self.requests[number];
         let idempotency = match log.idempotency {
             Idempotency::Idempotent => client::Idempotency::Idempotent,
@@ -166,12 +169,12 @@
             idempotency,
             key,
             timeout: log.timeout,
-            is_retry: *tries > 0,
+            is_retry: *retry_number > 0,
         };
         request.to_bytes()
     }
 
-    /// Writes a request that has arrived at its node, if the client still waits.
+    /// Writes a request that has arrived at its node, if the client still waits for the response.
     pub(super) fn deliver_to_node(
         &mut self,
         conn: ConnId,
@@ -185,7 +188,7 @@
         if !open.contains(&number) {
             return None;
         }
-        self.requests[number].written = self.now;
+        self.requests[number].written_at = self.now;
         Some(NodeInput {
             node,
             bytes: self.net.write(conn, bytes) as u64,
@@ -202,19 +205,20 @@
             node,
             decoder,
             open,
-            read,
-            last,
+            undelivered_responses,
+            last_answered,
             ..
         }) = self.connections.get_mut(&conn)
         else {
             return false;
         };
         let node = *node;
-        let Some(&request) = open.get(*read) else {
-            // Bytes that nobody asked for, unless they come behind an answer that is still on its way.
+        let Some(&request) = open.get(*undelivered_responses) else {
+            // Without open requests, further bytes from the node are surplus.
             let surplus = u64::from(decoder.has_buffered_bytes() && open.is_empty());
             if surplus > 0 {
-                last.iter()
+                last_answered
+                    .iter()
                     .for_each(|last| self.requests[*last].log.surplus_bytes += surplus);
                 self.drop_client(conn, node);
             }
@@ -222,13 +226,13 @@
         };
         match decoder.next_message() {
             Ok(None) => false,
-            Ok(Some(answer)) => {
-                *read += 1;
-                let _ = self.transmit(InFlightMessage::ToClient(conn, request, answer));
+            Ok(Some(response)) => {
+                *undelivered_responses += 1;
+                let _ = self.transmit(InFlightMessage::ToClient(conn, request, response));
                 true
             }
             Err(_) => {
-                // No answer at all, and no more will come of this connection.
+                // A malformed response ends the connection, and all its open requests get no response.
                 let open = std::mem::take(open);
                 self.drop_client(conn, node);
                 open.into_iter()
@@ -238,14 +242,14 @@
         }
     }
 
-    /// Hands a response that has arrived to its client, if that still waits.
-    pub(super) fn deliver_to_client(&mut self, conn: ConnId, request: usize, answer: &Message) {
+    /// Delivers a response to its client, if the client still waits for it.
+    pub(super) fn deliver_to_client(&mut self, conn: ConnId, request: usize, response: &Message) {
         let Some(Connection::Client {
             node,
             decoder,
             open,
-            read,
-            last,
+            undelivered_responses,
+            last_answered,
             has_partial_head,
         }) = self.connections.get_mut(&conn)
         else {
@@ -256,106 +260,110 @@
             return;
         }
         open.pop_front();
-        *read -= 1;
-        *last = Some(request);
+        *undelivered_responses -= 1;
+        *last_answered = Some(request);
         let has_partial_head = *has_partial_head;
-        let behind: Vec<usize> = open.iter().copied().collect();
-        let surplus = u64::from(decoder.has_buffered_bytes() && behind.is_empty());
-        let told = self.answered(request, answer, self.now);
+        let remaining: Vec<usize> = open.iter().copied().collect();
+        let surplus = u64::from(decoder.has_buffered_bytes() && remaining.is_empty());
+        let result = self.record_response(request, response, self.now);
         self.requests[request].log.surplus_bytes += surplus;
-        if answer.closes_connection() || surplus > 0 {
+        if response.closes_connection() || surplus > 0 {
             self.drop_client(conn, node);
-            // It says that nothing more follows: whoever waits behind it has not been read, or is lost.
-            behind
+            // The node sends nothing more on this connection: it has not read the remaining requests, or drops them.
+            remaining
                 .into_iter()
                 .for_each(|request| self.client_connection_lost(request, true));
-        } else if behind.is_empty() {
+        } else if remaining.is_empty() {
             if has_partial_head {
-                self.fall_silent(conn, node);
+                self.become_silent(conn, node);
             } else {
-                self.nodes[node].idle.push(conn);
+                self.nodes[node].idle_connections.push(conn);
             }
         }
-        self.finish(request, told != ClientResult::Served);
+        self.finish(request, result != ClientResult::Served);
     }
 
     pub(super) fn drop_client(&mut self, conn: ConnId, node: usize) {
         self.net.close(conn);
         self.remove_connection(conn);
-        self.nodes[node].idle.retain(|idle| *idle != conn);
+        self.nodes[node]
+            .idle_connections
+            .retain(|idle| *idle != conn);
     }
 
-    pub(super) fn answered(
+    /// Records a response in the log, and schedules a retry if the request was rejected or failed.
+    pub(super) fn record_response(
         &mut self,
         request: usize,
-        answer: &Message,
+        response: &Message,
         now: Nanos,
     ) -> ClientResult {
         let open = &mut self.requests[request];
-        if !std::mem::take(&mut open.unwritten).is_empty() {
-            // A node that ends has told a client that its request had not arrived.
+        if !std::mem::take(&mut open.unwritten_head).is_empty() {
+            // The node responded before the client had written the whole request head.
             open.log.is_excused = true;
         }
         let log = &mut open.log;
-        let result = match ResponseOutcome::of(answer) {
+        let result = match ResponseOutcome::of(response) {
             ResponseOutcome::Served => ClientResult::Served,
             ResponseOutcome::Rejected { .. } => ClientResult::Rejected,
             ResponseOutcome::Failed => ClientResult::Failed,
         };
         let is_from_own_attempt = log.attempts.iter().any(|attempt| {
             attempt.outcome == AttemptOutcome::Served
-                && answer.body == response_body(&log.id, &attempt.server)
+                && response.body == response_body(&log.id, &attempt.server)
         });
         log.response = Some(FinalResponse {
             at: now,
             result,
-            status: answer.status,
+            status: response.status,
             is_from_own_attempt,
         });
-        if let ResponseOutcome::Rejected { retry_after: pause } = ResponseOutcome::of(answer) {
-            self.retry(request, pause);
+        if let ResponseOutcome::Rejected { retry_after } = ResponseOutcome::of(response) {
+            self.retry(request, retry_after);
         } else if result == ClientResult::Failed {
             self.retry(request, 0);
         }
         result
     }
 
-    /// Ends a request. A `lost` one without a response is retried.
-    pub(super) fn finish(&mut self, request: usize, lost: bool) {
+    /// Ends a request. If it `is_lost` and has no response, the client may retry it.
+    pub(super) fn finish(&mut self, request: usize, is_lost: bool) {
         let open = &mut self.requests[request];
-        if std::mem::replace(&mut open.done, true) {
+        if std::mem::replace(&mut open.is_done, true) {
             return;
         }
-        if lost && open.log.response.is_none() {
+        if is_lost && open.log.response.is_none() {
             self.retry(request, 0);
         }
-        self.pending -= 1;
+        self.pending_requests -= 1;
     }
 
-    pub(super) fn retry(&mut self, request: usize, pause: Nanos) {
+    /// Schedules a retry after at least `delay`, if retries are left and repeating the request is safe.
+    pub(super) fn retry(&mut self, request: usize, delay: Nanos) {
         let clients = &self.plan.scenario.spec.clients;
         let open = &self.requests[request];
-        let refused = open.log.result() == Some(ClientResult::Rejected);
-        let harmless = refused || open.log.idempotency != Idempotency::NonIdempotent;
-        if open.tries < clients.retries && harmless {
-            let wait = pause.max(clients.backoff_ms * MILLISECOND).max(MILLISECOND);
-            self.pending += 1;
+        let is_rejected = open.log.result() == Some(ClientResult::Rejected);
+        let is_retry_safe = is_rejected || open.log.idempotency != Idempotency::NonIdempotent;
+        if open.retry_number < clients.retries && is_retry_safe {
+            let wait = delay.max(clients.backoff_ms * MILLISECOND).max(MILLISECOND);
+            self.pending_requests += 1;
             self.schedule(self.now + wait, ScheduledEvent::ClientRetry { request });
         }
     }
 
-    /// The node has closed the connection of an open request.
-    pub(super) fn client_connection_lost(&mut self, request: usize, reused: bool) {
+    /// Handles the loss of the connection of an open request. `is_reused`: an earlier request used the connection.
+    pub(super) fn client_connection_lost(&mut self, request: usize, is_reused: bool) {
         let open = &mut self.requests[request];
-        if !std::mem::take(&mut open.unwritten).is_empty() {
-            // The node never had all of it.
+        if !std::mem::take(&mut open.unwritten_head).is_empty() {
+            // The node never received the whole request.
             open.log.is_excused = true;
         }
-        let unread = reused && open.log.attempts.is_empty() && !open.resent;
+        let is_unread = is_reused && open.log.attempts.is_empty() && !open.is_resent;
         let node = open.node;
-        if unread && self.nodes[node].up && !self.has_surely_read(request) {
-            // It crossed a request that the node had not read: once more, on a new connection.
-            self.requests[request].resent = true;
+        if is_unread && self.nodes[node].is_up && !self.is_assumed_read(request) {
+            // The close crossed the request, which the node had not read: the client sends it on a new connection.
+            self.requests[request].is_resent = true;
             self.schedule(self.now, ScheduledEvent::Resend { request, node });
             return;
         }
@@ -364,12 +372,12 @@
 
     pub(super) fn time_out_client(&mut self, request: usize) -> Option<NodeInput> {
         let open = &self.requests[request];
-        if open.done {
+        if open.is_done {
             return None;
         }
-        // Its head was completed later, or its node has stood still.
-        let due = self.gives_up_at(&open.log);
-        if self.now < due || !open.unwritten.is_empty() {
+        // The deadline moves if the request head is completed later or the node is paused.
+        let due = self.client_deadline(&open.log);
+        if self.now < due || !open.unwritten_head.is_empty() {
             self.schedule(
                 due.max(self.now + MILLISECOND),
                 ScheduledEvent::ClientTimeout { request },
@@ -384,8 +392,9 @@
 
     /// The connection on which a request is open.
     pub(super) fn connection_of(&self, request: usize) -> Option<ConnId> {
-        let holds = |peer: &Connection| matches!(peer, Connection::Client { open, .. } if open.contains(&request));
-        let mut peers = self.connections.iter();
-        peers.find(|(_, peer)| holds(peer)).map(|(conn, _)| *conn)
+        let has_request = |connection: &Connection| matches!(connection, Connection::Client { open, .. } if open.contains(&request));
+        let mut connections = self.connections.iter();
+        let found = connections.find(|(_, connection)| has_request(connection));
+        found.map(|(conn, _)| *conn)
     }
 }
--- a/testkit/scenarios/src/simulation/connection.rs
+++ b/testkit/scenarios/src/simulation/connection.rs
@@ -1,4 +1,4 @@
-//! Listening sockets and connections of the simulation, and their state by kind.
+//! Listening sockets and connections of the simulation.
 
 use std::collections::VecDeque;
 
@@ -7,25 +7,28 @@
 
 use super::in_flight::AttemptId;
 
-/// A poll of the endpoint list that is held.
+/// A poll of the endpoint list, held until the list changes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Watch {
     pub(super) number: u64,
-    /// The revision that the node has.
+    /// The revision of the list that the node already has.
     pub(super) revision: Option<u64>,
 }
 
-/// Whose listening socket it is.
+/// The process that a listening socket belongs to.
 #[derive(Clone, Copy)]
 pub(super) enum ListenerOwner {
+    /// The server with this index.
     Server(usize),
+    /// Discovery, as polled by the node with this index.
     Discovery(usize),
 }
 
-/// An open connection of a node, by who holds its other end.
+/// An open connection of a node, by the kind of the process at the other end.
 pub(super) enum Connection {
     Server {
         server: usize,
+        /// In real time absent until the first request, which identifies the node.
         node: Option<usize>,
         decoder: MessageDecoder,
         attempt: Option<AttemptId>,
@@ -38,20 +41,21 @@
     Client {
         node: usize,
         decoder: MessageDecoder,
-        /// Requests on it, in the order in which they were written.
+        /// Requests without a delivered response, in the order of sending.
         open: VecDeque<usize>,
-        /// Of these, how many answers have been read that are still on their way to the client.
-        read: usize,
-        last: Option<usize>,
-        /// An incomplete request head was written after the last one.
+        /// The number of responses to open requests that were read and have not been delivered to the client yet.
+        undelivered_responses: usize,
+        /// The last request whose response was delivered.
+        last_answered: Option<usize>,
+        /// Whether an incomplete request head was written after the last request.
         has_partial_head: bool,
     },
-    /// A client that sends nothing more.
+    /// A client that sends nothing more, since the given time.
     Silent { node: usize, since: Nanos },
 }
 
 impl Connection {
-    /// The node at the other end, where it is known.
+    /// The node of the connection, if it is known.
     pub(super) fn node(&self) -> Option<usize> {
         match self {
             Self::Server { node, .. } => *node,
--- a/testkit/scenarios/src/simulation/discovery.rs
+++ b/testkit/scenarios/src/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the state of the endpoint list, held polls, and what each node has been notified of.
+//! Discovery: the endpoint list, held polls, and a record of what each node has been notified of.
 
 use std::collections::HashMap;
 
@@ -13,8 +13,9 @@
 use super::state::Simulation;
 
 impl Simulation {
-    pub(super) fn change_endpoint(&mut self, server: usize, state: State, lists: bool) {
-        if lists {
+    /// Changes the state of a server in the endpoint list, or replaces the whole entry.
+    pub(super) fn change_endpoint(&mut self, server: usize, state: State, replaces_entry: bool) {
+        if replaces_entry {
             let entry = entry(&self.servers[server], state, self.base);
             self.discovery.set(entry);
         } else {
@@ -27,7 +28,7 @@
         self.notify_watchers();
     }
 
-    /// Discovery is reachable again: the time in which nodes must learn of its changes starts now.
+    /// Restarts the time limit within which nodes must learn of drained and removed servers.
     pub(super) fn mark_discovery_reachable(&mut self) {
         let now = self.now;
         for server_state in &mut self.servers {
@@ -37,12 +38,13 @@
 
     /// Schedules a response to every held poll.
     pub(super) fn notify_watchers(&mut self) {
-        let waits =
-            |peer: &Connection| matches!(peer, Connection::Discovery { watch: Some(_), .. });
+        let has_held_poll = |connection: &Connection| {
+            matches!(connection, Connection::Discovery { watch: Some(_), .. })
+        };
         let conns: Vec<ConnId> = self
             .connections
             .iter()
-            .filter(|(_, peer)| waits(peer))
+            .filter(|(_, connection)| has_held_poll(connection))
             .map(|(conn, _)| *conn)
             .collect();
         conns
@@ -66,36 +68,32 @@
         let _ = self.transmit(InFlightMessage::ToDiscovery(conn, message));
     }
 
-    /// Handles a poll that has arrived: it is held until the list changes or its time limit is over.
+    /// Handles a poll of the endpoint list: holds the poll until the list changes or the poll times out.
     pub(super) fn receive_poll(&mut self, conn: ConnId, message: &Message) {
         let Some(Connection::Discovery { watch, .. }) = self.connections.get_mut(&conn) else {
             return;
         };
-        let Some(WatchRequest {
-            from,
-            timeout: hold,
-        }) = WatchRequest::parse(&message.target)
-        else {
+        let Some(WatchRequest { from, timeout }) = WatchRequest::parse(&message.target) else {
             self.unknown_requests += 1;
             self.schedule(self.now, ScheduledEvent::CloseConnection(conn));
             return;
         };
-        self.watches += 1;
+        self.watch_count += 1;
         *watch = Some(Watch {
-            number: self.watches,
+            number: self.watch_count,
             revision: from,
         });
-        let until = self.now
-            + if self.discovery.watch(from, hold) == WatchResponse::Pending {
-                hold
+        let respond_at = self.now
+            + if self.discovery.watch(from, timeout) == WatchResponse::Pending {
+                timeout
             } else {
                 0
             };
         let event = ScheduledEvent::WatchTimeout {
             conn,
-            watch: self.watches,
+            watch: self.watch_count,
         };
-        self.schedule(until, event);
+        self.schedule(respond_at, event);
     }
 
     pub(super) fn time_out_watch(&mut self, conn: ConnId, number: u64) -> Option<NodeInput> {
@@ -130,7 +128,7 @@
         self.transmit(InFlightMessage::FromDiscovery(conn, reply))
     }
 
-    /// Writes discovery's response, which has arrived at its node.
+    /// Writes a response of discovery that has arrived at its node.
     pub(super) fn write_endpoint_list(
         &mut self,
         conn: ConnId,
@@ -154,8 +152,8 @@
         })
     }
 
-    /// Notes of which drains a node has been notified. An invalid list notifies of nothing, nor an empty one that the
-    /// registry sends after a hiccup.
+    /// Records the drains and starts that a node has been notified of. An invalid list or an empty snapshot, as after a
+    /// failure of the registry, notifies the node of nothing.
     pub(super) fn record_notified_endpoints(&mut self, node: usize, text: &str) {
         let Ok(list) = serde_json::from_str::<serde_json::Value>(text) else {
             return;
@@ -169,29 +167,29 @@
         let now = self.now;
         let states: HashMap<&str, &str> = targets
             .iter()
-            .filter_map(|t| Some((t["uid"].as_str()?, t["state"].as_str()?)))
+            .filter_map(|target| Some((target["uid"].as_str()?, target["state"].as_str()?)))
             .collect();
         for target in targets {
-            let number = self
+            let server = self
                 .servers
                 .iter()
                 .position(|server_state| target["uid"] == server_state.name.as_str());
-            if let (Some(number), Some(start)) = (number, target["boot_ms"].as_u64()) {
-                self.nodes[node].notified_starts.insert(number, start);
+            if let (Some(server), Some(start)) = (server, target["boot_ms"].as_u64()) {
+                self.nodes[node].notified_starts.insert(server, start);
             }
         }
-        let told = &mut self.nodes[node].told;
-        for (number, server_state) in self.servers.iter().enumerate() {
+        let drain_notified_at = &mut self.nodes[node].drain_notified_at;
+        for (server, server_state) in self.servers.iter().enumerate() {
             match states.get(server_state.name.as_str()) {
                 Some(&"Ready") => {
-                    told.remove(&number);
+                    drain_notified_at.remove(&server);
                 }
                 Some(_) => {
-                    told.entry(number).or_insert(now);
+                    drain_notified_at.entry(server).or_insert(now);
                 }
-                // Missing in a snapshot: it is gone, or has not been listed yet; both count alike.
+                // A server that a snapshot does not list is gone or not listed yet; both count as a drain.
                 None if all => {
-                    told.entry(number).or_insert(now);
+                    drain_notified_at.entry(server).or_insert(now);
                 }
                 None => {}
             }
--- a/testkit/scenarios/src/simulation/events.rs
+++ b/testkit/scenarios/src/simulation/events.rs
@@ -1,4 +1,4 @@
-//! The events that the simulation schedules, and what one step of it leaves to the runner.
+//! The events that the simulation schedules, and the result of one step that the runner has to act on.
 
 use badgerpost_fakes::discovery::State;
 use badgerpost_fakes::net::ConnId;
@@ -6,24 +6,24 @@
 
 use super::in_flight::{InFlightMessage, ServerResponse};
 
-/// An event that the simulation will process at its time.
+/// An event that is scheduled for a time in the simulation.
 #[derive(Clone, Debug)]
 pub(super) enum ScheduledEvent {
     /// A client sends the first attempt of a planned request.
     RequestArrival { arrival: usize },
     /// A client retries a request.
     ClientRetry { request: usize },
-    /// A request that a node has not read is sent to it once more, on a new connection.
+    /// A client sends a request again, on a new connection, because the node closed the first one without reading it.
     Resend { request: usize, node: usize },
-    /// A client writes the end of a head.
+    /// A client writes the end of a request head.
     FinishHead { conn: ConnId, request: usize },
     /// A client stops waiting for its response.
     ClientTimeout { request: usize },
-    /// A server changes by itself.
+    /// The state of a server changes.
     Server(ServerEvent),
     /// A server writes a response.
     ServerResponse(Box<ServerResponse>),
-    /// A message that a cut link held is sent once more.
+    /// A message that a cut link held is sent again.
     HeldMessage(Box<InFlightMessage>),
     /// A message arrives at the other end of its link.
     MessageDelivery(Box<InFlightMessage>),
@@ -33,7 +33,7 @@
     ResetConnection(ConnId),
     /// A connection is closed by the test kit's end.
     CloseConnection(ConnId),
-    /// A held poll of the endpoint list reaches its time limit.
+    /// A held poll of the endpoint list times out.
     WatchTimeout { conn: ConnId, watch: u64 },
     /// A held poll of the endpoint list is answered because the list has changed.
     NotifyWatcher(ConnId),
@@ -43,11 +43,11 @@
     FaultEnd { fault: usize },
     /// A client disconnects while its request is open.
     ClientDisconnect { request: usize },
-    /// Silent clients connect to a node, up to their number.
+    /// Silent clients connect to a node, up to the planned number.
     OpenSilentClients { node: usize },
-    /// The time limit for a silent client's connection is over.
+    /// The time within which the node must end a silent client's connection is over.
     SilentClientTimeout(ConnId),
-    /// A signal that follows the first SIGTERM, sent at `since`.
+    /// A further signal to a node that got its first SIGTERM at `since`.
     StopSignal {
         node: usize,
         since: Nanos,
@@ -57,20 +57,20 @@
     StepClock { node: usize, ahead_ms: i64 },
 }
 
-/// An event at a server that no node sees at once.
+/// A change of a server's state.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ServerEvent {
-    /// Its next request is done.
+    /// The server completes a request.
     Completion { server: usize },
-    /// A server that starts during the scenario does so.
+    /// The server starts during the scenario.
     Start { server: usize },
-    /// A paused server continues.
+    /// The paused server continues.
     Resume { server: usize },
-    /// Discovery learns of its state.
+    /// Discovery gets the new state of the server.
     EndpointChange {
         server: usize,
         state: State,
-        /// Whether the entry is written anew, with the server's last start.
+        /// Whether the whole entry is replaced, with the time of the server's last start.
         replaces_entry: bool,
     },
 }
@@ -84,11 +84,11 @@
     Interrupt,
     /// SIGTERM.
     Terminate,
-    /// SIGKILL, at the earliest time.
+    /// SIGKILL, at the earliest time that the rules allow.
     Kill,
 }
 
-/// A command for the process of a node, which the runner carries out.
+/// An action on a node's process, which the runner carries out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessCommand {
     /// Sends SIGKILL.
@@ -103,39 +103,39 @@
     Resume { node: usize },
     /// Sends a signal to a node that is shutting down.
     Signal { node: usize, signal: StopSignal },
-    /// Sets the node's wall clock ahead by so many milliseconds.
+    /// Sets how many milliseconds the node's wall clock is ahead of the true time.
     StepClock { node: usize, ahead_ms: i64 },
 }
 
-/// What was written to the sockets of a node, which has to read it.
+/// New input on the sockets of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeInput {
     /// The node.
     pub node: usize,
-    /// How many bytes; 0 where a connection was closed or reset.
+    /// The number of bytes written; 0 if a connection was closed or reset.
     pub bytes: u64,
 }
 
-/// What the runner has to do after one step of the simulation.
+/// The result of one step of the simulation.
 #[derive(Clone, Debug, Default)]
 pub struct StepOutcome {
     /// The node that has new input.
-    pub touched: Option<NodeInput>,
-    /// Commands for processes.
+    pub input: Option<NodeInput>,
+    /// Commands that the runner has to carry out.
     pub commands: Vec<ProcessCommand>,
 }
 
 impl StepOutcome {
-    pub(super) fn input(touched: Option<NodeInput>) -> Self {
+    pub(super) fn input(input: Option<NodeInput>) -> Self {
         Self {
-            touched,
+            input,
             commands: Vec::new(),
         }
     }
 
     pub(super) fn command(command: ProcessCommand) -> Self {
         Self {
-            touched: None,
+            input: None,
             commands: vec![command],
         }
     }
--- a/testkit/scenarios/src/simulation/faults.rs
+++ b/testkit/scenarios/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the scenario: what begins and ends with each of them, by whom it concerns.
+//! Begins and ends the planned faults of nodes, servers, discovery and network links.
 
 use std::io;
 
@@ -15,8 +15,8 @@
     pub(super) fn change_fault(&mut self, number: usize, begins: bool) -> io::Result<StepOutcome> {
         let planned = self.plan.faults[number];
         let mut outcome = StepOutcome::default();
-        if let FaultKind::Link(trouble) = planned.kind {
-            self.change_link_fault(number, trouble, begins);
+        if let FaultKind::Link(link_fault) = planned.kind {
+            self.change_link_fault(number, link_fault, begins);
             return Ok(outcome);
         }
         for target in planned.targets(&self.plan.scenario.spec, self.plan.seed) {
@@ -39,7 +39,7 @@
         Ok(outcome)
     }
 
-    fn change_link_fault(&mut self, fault: usize, trouble: LinkFault, begins: bool) {
+    fn change_link_fault(&mut self, fault: usize, link_fault: LinkFault, begins: bool) {
         if begins {
             let mut nodes = vec![false; self.nodes.len()];
             for target in self.plan.faults[fault].targets(&self.plan.scenario.spec, self.plan.seed)
@@ -49,9 +49,9 @@
             let impairment = LinkImpairment {
                 fault,
                 nodes,
-                trouble,
+                link_fault,
             };
-            if trouble.kind == LinkFaultKind::Reset {
+            if link_fault.kind == LinkFaultKind::Reset {
                 self.reset_links(&impairment);
             }
             self.impairments.push(impairment);
@@ -61,7 +61,7 @@
         self.release_held_messages();
     }
 
-    /// The command for the process of the node, unless its state has made the fault void.
+    /// The command for the node's process; none if the fault does not apply to the node's current state.
     fn change_node_fault(
         &mut self,
         fault: FaultKind,
@@ -69,7 +69,7 @@
         begins: bool,
         duration: Nanos,
     ) -> Option<ProcessCommand> {
-        let is_up = self.nodes[node].up;
+        let is_up = self.nodes[node].is_up;
         match (fault, begins) {
             (FaultKind::KillNode, true) if is_up => Some(ProcessCommand::Kill { node }),
             (FaultKind::StopNode, true) if is_up => {
@@ -80,7 +80,7 @@
                 Some(ProcessCommand::Start { node })
             }
             (FaultKind::PauseNode, true) if is_up => {
-                self.nodes[node].paused = true;
+                self.nodes[node].is_paused = true;
                 self.nodes[node].paused_until = self.now + duration;
                 if self.plan.behaviour.strict {
                     self.hold_up_open_requests(node, duration);
@@ -89,8 +89,8 @@
                 }
                 Some(ProcessCommand::Pause { node })
             }
-            (FaultKind::PauseNode, false) if self.nodes[node].paused => {
-                self.nodes[node].paused = false;
+            (FaultKind::PauseNode, false) if self.nodes[node].is_paused => {
+                self.nodes[node].is_paused = false;
                 Some(ProcessCommand::Resume { node })
             }
             _ => None,
@@ -113,8 +113,8 @@
         self.schedule_endpoint_change(server, state);
     }
 
-    /// When discovery learns of what happens now.
-    pub(super) fn discovery_notice(&self) -> Nanos {
+    /// When discovery is notified of a change that happens now.
+    pub(super) fn discovery_notified_at(&self) -> Nanos {
         self.now + self.plan.scenario.spec.discovery.propagation_delay_ms * MILLISECOND
     }
 
@@ -124,11 +124,11 @@
             state,
             replaces_entry: false,
         };
-        self.schedule(self.discovery_notice(), ScheduledEvent::Server(change));
+        self.schedule(self.discovery_notified_at(), ScheduledEvent::Server(change));
     }
 
     fn kill_server(&mut self, server: usize) -> io::Result<()> {
-        if self.servers[server].up {
+        if self.servers[server].is_up {
             self.stop_server(server)?;
             self.schedule_endpoint_change(server, State::Gone);
         }
@@ -136,7 +136,7 @@
     }
 
     fn restart_server(&mut self, server: usize) -> io::Result<()> {
-        if !self.servers[server].up {
+        if !self.servers[server].is_up {
             self.start_server(server)?;
         }
         Ok(())
@@ -149,7 +149,7 @@
         permille: u16,
     ) -> io::Result<()> {
         let server_state = &mut self.servers[server];
-        if fault == FaultKind::RefuseConnections && server_state.up {
+        if fault == FaultKind::RefuseConnections && server_state.is_up {
             self.net.stop_listening(server_state.listener)?;
         }
         server_state.faults.push((fault, permille));
@@ -173,7 +173,7 @@
         }
         server_state.update_slowdown();
         let refuses = server_state.has(FaultKind::RefuseConnections, 0);
-        if fault == FaultKind::RefuseConnections && server_state.up && !refuses {
+        if fault == FaultKind::RefuseConnections && server_state.is_up && !refuses {
             self.net.resume_listening(server_state.listener)?;
         }
         if fault == FaultKind::PauseServer {
--- a/testkit/scenarios/src/simulation/gossip.rs
+++ b/testkit/scenarios/src/simulation/gossip.rs
@@ -1,5 +1,5 @@
-//! Gossip between the nodes: each advertises a socket of the test kit, which forwards every datagram, late or not
-//! at all as the scenario says. Their content is opaque here.
+//! Gossip between the nodes: each node advertises a socket of the test kit, which forwards the datagrams with the delay
+//! and the loss of the link. The content of datagrams is not inspected.
 
 use std::net::SocketAddr;
 
@@ -8,10 +8,10 @@
 use super::state::Simulation;
 use badgerpost_fakes::net::ListenerId;
 
-/// The name and content of the key file of all nodes; used for nothing else.
+/// The name and the content of the gossip key file, the same for all nodes.
 pub const GOSSIP_KEY: (&str, &str) = ("peers.key", "a rehearsal's key, known to everybody");
-/// How many nodes are seeds of the others.
-const SEEDS: usize = 3;
+/// The number of nodes that all nodes have as gossip seeds.
+const SEED_COUNT: usize = 3;
 
 impl Simulation {
     /// Whether the nodes exchange gossip.
@@ -27,50 +27,58 @@
         let seeds = self
             .nodes
             .iter()
-            .take(SEEDS)
+            .take(SEED_COUNT)
             .filter_map(|seed| seed.gossip.as_ref());
-        let seeds: Vec<String> = seeds.map(|seed| format!("\"{}\"", seed.at)).collect();
+        let seeds: Vec<String> = seeds
+            .map(|seed| format!("\"{}\"", seed.advertised_address))
+            .collect();
         format!(
             "\n[peers]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{}\"\nseeds = [{}]\nkey_file = \"{{folder}}/{}\"\n",
-            gossip.at,
+            gossip.advertised_address,
             seeds.join(", "),
             GOSSIP_KEY.0
         )
     }
 
-    /// A new process of a node receives datagrams at this address.
-    pub fn set_gossip_address(&mut self, node: usize, at: SocketAddr) {
+    /// Sets the address at which a new process of a node receives datagrams.
+    pub fn set_gossip_address(&mut self, node: usize, address: SocketAddr) {
         self.nodes[node]
             .gossip
             .iter_mut()
-            .for_each(|gossip| gossip.real = Some(at));
+            .for_each(|gossip| gossip.node_address = Some(address));
     }
 
-    /// Datagrams and bytes that each node has sent.
+    /// The number of datagrams and of bytes that each node has sent.
     pub fn gossip_traffic(&self) -> Vec<(u64, u64)> {
-        let of = |node: &SimulatedNode| {
+        let traffic = |node: &SimulatedNode| {
             node.gossip
                 .as_ref()
-                .map_or((0, 0), |gossip| (gossip.datagrams, gossip.bytes))
+                .map_or((0, 0), |gossip| (gossip.sent_datagrams, gossip.sent_bytes))
         };
-        self.nodes.iter().map(of).collect()
+        self.nodes.iter().map(traffic).collect()
     }
 
     /// Schedules the delivery of a datagram, unless the link loses it.
-    pub(super) fn forward_datagram(&mut self, door: ListenerId, from: SocketAddr, bytes: Vec<u8>) {
-        let node = |is: &dyn Fn(&GossipEndpoint) -> bool| {
+    pub(super) fn forward_datagram(
+        &mut self,
+        socket: ListenerId,
+        from: SocketAddr,
+        bytes: Vec<u8>,
+    ) {
+        let find_node = |predicate: &dyn Fn(&GossipEndpoint) -> bool| {
             self.nodes
                 .iter()
-                .position(|node| node.gossip.as_ref().is_some_and(is))
+                .position(|node| node.gossip.as_ref().is_some_and(predicate))
         };
-        let to = node(&|gossip| gossip.door == door);
-        // The sender of a datagram that came as its process had gone is not known any more.
-        let (Some(from), Some(to)) = (node(&|gossip| gossip.real == Some(from)), to) else {
+        let to = find_node(&|gossip| gossip.socket == socket);
+        // The sender's process may have ended and another one may use a new address.
+        let from = find_node(&|gossip| gossip.node_address == Some(from));
+        let (Some(from), Some(to)) = (from, to) else {
             return;
         };
         if let Some(gossip) = &mut self.nodes[from].gossip {
-            gossip.datagrams += 1;
-            gossip.bytes += bytes.len() as u64;
+            gossip.sent_datagrams += 1;
+            gossip.sent_bytes += bytes.len() as u64;
         }
         if let Some(delay) = self.datagram_delay(from, to) {
             self.schedule(
@@ -80,11 +88,13 @@
         }
     }
 
-    /// Writes a datagram that has arrived at its node.
+    /// Sends a datagram that has arrived at its node to the node's process.
     pub(super) fn deliver_datagram(&mut self, to: usize, bytes: &[u8]) -> Option<NodeInput> {
         let node = &self.nodes[to];
-        let gossip = node.gossip.as_ref().filter(|_| node.up)?;
-        let sent = self.net.send_datagram(gossip.door, gossip.real?, bytes);
+        let gossip = node.gossip.as_ref().filter(|_| node.is_up)?;
+        let sent = self
+            .net
+            .send_datagram(gossip.socket, gossip.node_address?, bytes);
         Some(NodeInput {
             node: to,
             bytes: sent as u64,
--- a/testkit/scenarios/src/simulation/in_flight.rs
+++ b/testkit/scenarios/src/simulation/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests and responses in flight, and the impairments of links that they meet.
+//! Messages in flight between nodes and other processes, and active link faults.
 
 use badgerpost_fakes::discovery::WatchResponse;
 use badgerpost_fakes::message::Message;
@@ -11,11 +11,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AttemptId {
     pub(super) request: usize,
-    /// Its position among the attempts of the request.
+    /// The index among the attempts of the request.
     pub(super) number: usize,
 }
 
-/// A request that a server works on.
+/// A request at a server.
 #[derive(Clone, Debug)]
 pub(super) struct ServerJob {
     pub(super) conn: ConnId,
@@ -23,23 +23,23 @@
     pub(super) id: String,
 }
 
-/// A response of a server that is to be written.
+/// A server's response that is to be sent.
 #[derive(Clone, Debug)]
 pub(super) struct ServerResponse {
     pub(super) conn: ConnId,
     pub(super) attempt: Option<AttemptId>,
     pub(super) bytes: Vec<u8>,
-    pub(super) ended: AttemptOutcome,
-    /// What becomes of the connection afterwards.
-    pub(super) then: ConnectionFate,
+    /// The outcome of the attempt once the response is sent.
+    pub(super) outcome: AttemptOutcome,
+    pub(super) connection_action: ConnectionAction,
 }
 
-/// What becomes of a server's connection after a response.
+/// What a server does with the connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ConnectionFate {
-    Stays,
-    Closes,
-    Resets,
+pub(super) enum ConnectionAction {
+    KeepOpen,
+    Close,
+    Reset,
 }
 
 /// A message between a node and another process, in flight on their link.
@@ -53,18 +53,18 @@
     ToDiscovery(ConnId, Message),
     /// Discovery's response.
     FromDiscovery(ConnId, WatchResponse),
-    /// A client's request, by its number, as it is written.
+    /// The index and the bytes of a client's request.
     ToNode(ConnId, usize, Vec<u8>),
-    /// A node's answer to the request of this number.
+    /// A node's response to the request with this index.
     ToClient(ConnId, usize, Message),
 }
 
 impl InFlightMessage {
-    /// The connection that carries it.
+    /// The connection that carries the message.
     pub(super) fn conn(&self) -> ConnId {
         match self {
             Self::ToServer(job) => job.conn,
-            Self::FromServer(sending) => sending.conn,
+            Self::FromServer(response) => response.conn,
             Self::ToDiscovery(conn, _)
             | Self::FromDiscovery(conn, _)
             | Self::ToNode(conn, ..)
@@ -73,10 +73,11 @@
     }
 }
 
-/// A fault of links that is active.
+/// An active link fault.
 pub(super) struct LinkImpairment {
+    /// The index of the fault in the plan.
     pub(super) fault: usize,
-    /// Whether it concerns a node, by index.
+    /// Whether the fault affects each node, by index.
     pub(super) nodes: Vec<bool>,
-    pub(super) trouble: LinkFault,
+    pub(super) link_fault: LinkFault,
 }
--- a/testkit/scenarios/src/simulation/misbehaviour.rs
+++ b/testkit/scenarios/src/simulation/misbehaviour.rs
@@ -1,5 +1,5 @@
-//! Misbehaving clients and hard shutdowns of the soak: clients that disconnect, pipeline, send incomplete heads or stay
-//! silent, and nodes that are killed at the earliest time after SIGTERM.
+//! Client misbehaviour and abrupt shutdowns, as in the soak test: clients that disconnect, pipeline, send incomplete
+//! request heads or stay silent, and nodes that get SIGKILL at the earliest time allowed after SIGTERM.
 
 use badgerpost_fakes::net::ConnId;
 
@@ -8,38 +8,44 @@
 use super::state::Simulation;
 use badgerpost_time::{MILLISECOND, Nanos, SECOND};
 
-/// An incomplete request head, which is never completed.
+/// An incomplete request head, which the client never completes.
 const PARTIAL_HEAD: &[u8] = b"GET /api HTTP/1.1\r\nX-Ca";
-/// A node must respond to, or close, the connection of a silent client within this.
-const OWED_WITHIN: Nanos = 3 * SECOND;
-/// The tolerance for a busy machine.
-const OWED_SLACK: Nanos = 300 * MILLISECOND;
-/// How often silent clients connect to a node, up to their number.
-const SILENT_PERIOD: Nanos = 100 * MILLISECOND;
-/// At most so many of them connect at a time.
-const SILENT_AT_ONCE: usize = 40;
+/// A node must respond on, or close, a silent client's connection within this time.
+const SILENT_CLIENT_TIME_LIMIT: Nanos = 3 * SECOND;
+/// The tolerance of that time limit for scheduling delays.
+const SILENT_CLIENT_SLACK: Nanos = 300 * MILLISECOND;
+/// How often silent clients connect to a node.
+const SILENT_CLIENT_PERIOD: Nanos = 100 * MILLISECOND;
+/// The most silent clients that connect to a node in one period.
+const MAX_SILENT_CLIENTS_PER_PERIOD: usize = 40;
 /// The most requests pipelined on one connection.
-const MOST_PIPELINED: usize = 6;
-/// New connections still reach a node for so long after SIGTERM.
-const NEW_CONNECTIONS: Nanos = 300 * MILLISECOND;
-/// The longest deadline counts as this at most in a shutdown ...
-const LONGEST_COUNTED: Nanos = 3 * SECOND;
-/// ... and SIGKILL follows so much later.
-const KILLED_AFTER: Nanos = 700 * MILLISECOND;
-/// A head that comes in two parts lacks its last bytes for a while: a node has to wait for 2 s.
+const MAX_PIPELINED_REQUESTS: usize = 6;
+/// Clients still open new connections to a node for this long after SIGTERM.
+const NEW_CONNECTIONS_AFTER_SIGTERM: Nanos = 300 * MILLISECOND;
+/// The upper bound of the request deadline that a node may wait for after SIGTERM.
+const MAX_SHUTDOWN_DEADLINE: Nanos = 3 * SECOND;
+/// SIGKILL follows this long after that deadline.
+const KILL_DELAY: Nanos = 700 * MILLISECOND;
+/// The number of bytes at the end of a request head that a slow client writes later.
 const HELD_BACK_BYTES: usize = 3;
-const LEAST_HEAD_TIME: Nanos = 1500 * MILLISECOND;
-const MOST_HEAD_TIME: Nanos = 2000 * MILLISECOND;
-/// A request that was written this long ago has surely been read.
-const SURELY_READ: Nanos = 400 * MILLISECOND;
+/// The shortest delay of those bytes.
+const MIN_HEAD_DELAY: Nanos = 1500 * MILLISECOND;
+/// The longest delay of those bytes: nodes must wait this long for a request head.
+const MAX_HEAD_DELAY: Nanos = 2000 * MILLISECOND;
+/// A node that is not paused is assumed to have read a request this long after it was written.
+const ASSUMED_READ_AFTER: Nanos = 400 * MILLISECOND;
 
 impl Simulation {
+    /// Schedules the first silent clients and the clock steps of all nodes.
     pub(super) fn schedule_misbehaviour(&mut self) {
         let behaviour = self.plan.behaviour;
         let (first, later) = behaviour.clocks_ahead_ms;
         for node in 0..self.nodes.len() {
             if behaviour.silent_clients > 0 {
-                self.schedule(SILENT_PERIOD, ScheduledEvent::OpenSilentClients { node });
+                self.schedule(
+                    SILENT_CLIENT_PERIOD,
+                    ScheduledEvent::OpenSilentClients { node },
+                );
             }
             if first != later {
                 self.schedule(
@@ -53,44 +59,47 @@
         }
     }
 
-    fn chance(&mut self, share: f64) -> bool {
-        share > 0.0 && self.misbehaviour.random.chance(share)
+    /// Draws whether an event of this probability occurs. A probability of 0 takes no random number.
+    fn draw(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.misbehaviour.random.chance(probability)
     }
 
-    /// Whether requests of clients use as many of a node's descriptors as the platform allows: a third.
-    pub(super) fn is_full(&self, node: usize) -> bool {
+    /// Whether open client requests use a third of a node's descriptors, the most that the platform allows.
+    pub(super) fn has_max_open_requests(&self, node: usize) -> bool {
         if !self.plan.behaviour.strict {
             return false;
         }
-        let is_open = |peer: &Connection| matches!(peer, Connection::Client { node: of, open, .. } if *of == node && !open.is_empty());
+        let has_open_request = |connection: &Connection| matches!(connection, Connection::Client { node: of, open, .. } if *of == node && !open.is_empty());
         let open = self
             .connections
             .values()
-            .filter(|peer| is_open(peer))
+            .filter(|connection| has_open_request(connection))
             .count();
         open >= self.plan.scenario.spec.nodes[node].max_descriptors / 3
     }
 
-    /// Whether clients send a node requests, on new connections or on their idle ones.
+    /// Whether clients send requests to a node, on new or on idle connections.
     pub(super) fn takes_requests(&self, node: usize) -> bool {
-        let side = &self.nodes[node];
-        let takes_new = side
-            .stopping
-            .is_none_or(|since| self.now < since + NEW_CONNECTIONS);
-        side.up && (takes_new || !side.idle.is_empty()) && !self.is_full(node)
+        let node_state = &self.nodes[node];
+        let takes_new = node_state
+            .shutdown_started_at
+            .is_none_or(|since| self.now < since + NEW_CONNECTIONS_AFTER_SIGTERM);
+        node_state.is_up
+            && (takes_new || !node_state.idle_connections.is_empty())
+            && !self.has_max_open_requests(node)
     }
 
-    /// A connection of this node on which a request is open, to be written to before that is answered. Answers keep
-    /// their order, so that only one whose time is over no earlier than theirs can be answered in time.
-    pub(super) fn busy_connection(&mut self, node: usize, request: usize) -> Option<ConnId> {
-        if !self.chance(self.plan.behaviour.pipelined) {
+    /// Draws whether a request is pipelined, and returns a connection to the node with open requests for it. Responses
+    /// come in the order of requests, so no request ahead may have a later deadline than this one.
+    pub(super) fn pipelining_connection(&mut self, node: usize, request: usize) -> Option<ConnId> {
+        if !self.draw(self.plan.behaviour.pipelined) {
             return None;
         }
-        let ends = |request: usize| {
+        let deadline = |request: usize| {
             let log = &self.requests[request].log;
             log.arrival + log.timeout
         };
-        let is_busy = |peer: &Connection| match peer {
+        let can_pipeline = |connection: &Connection| match connection {
             Connection::Client {
                 node: of,
                 open,
@@ -98,22 +107,26 @@
                 ..
             } => {
                 *of == node
-                    && (1..MOST_PIPELINED).contains(&open.len())
-                    && open.iter().all(|before| ends(*before) <= ends(request))
+                    && (1..MAX_PIPELINED_REQUESTS).contains(&open.len())
+                    && open
+                        .iter()
+                        .all(|before| deadline(*before) <= deadline(request))
                     && open
                         .iter()
-                        .all(|before| self.requests[*before].unwritten.is_empty())
+                        .all(|before| self.requests[*before].unwritten_head.is_empty())
                     && !has_partial_head
             }
             _ => false,
         };
-        let mut peers = self.connections.iter();
-        peers.find(|(_, peer)| is_busy(peer)).map(|(conn, _)| *conn)
+        let mut connections = self.connections.iter();
+        connections
+            .find(|(_, connection)| can_pipeline(connection))
+            .map(|(conn, _)| *conn)
     }
 
-    /// The bytes that a client sends directly after a request.
+    /// Draws the bytes that a client sends directly after a request: an incomplete request head, or none.
     pub(super) fn partial_head(&mut self) -> &'static [u8] {
-        if self.chance(self.plan.behaviour.half_heads) {
+        if self.draw(self.plan.behaviour.half_heads) {
             PARTIAL_HEAD
         } else {
             &[]
@@ -122,88 +135,96 @@
 
     /// Draws whether, and when, a client disconnects before its response.
     pub(super) fn plan_disconnect(&mut self, request: usize) {
-        if !self.chance(self.plan.behaviour.disconnecting) {
+        if !self.draw(self.plan.behaviour.disconnecting) {
             return;
         }
-        let budget = self.requests[request].log.timeout;
+        let timeout = self.requests[request].log.timeout;
         let after = self
             .misbehaviour
             .random
-            .between(MILLISECOND, budget * 3 / 4);
+            .between(MILLISECOND, timeout * 3 / 4);
         self.schedule(
             self.now + after,
             ScheduledEvent::ClientDisconnect { request },
         );
     }
 
-    /// A client closes its connection though its request is open.
+    /// Closes or resets the connection of a client whose request is still open.
     pub(super) fn disconnect_client(&mut self, request: usize) -> Option<NodeInput> {
-        if self.requests[request].done {
+        if self.requests[request].is_done {
             return None;
         }
         let conn = self.connection_of(request)?;
         self.abandon_pipelined(conn, request);
         self.requests[request].log.client_left_at = Some(self.now);
         self.finish(request, false);
-        if self.chance(0.3) {
+        if self.draw(0.3) {
             self.reset(conn)
         } else {
             self.close(conn)
         }
     }
 
-    /// A client that disconnects gives up the other requests on its connection.
-    pub(super) fn abandon_pipelined(&mut self, conn: ConnId, but: usize) {
+    /// Ends the other requests on the connection of a client that disconnects during `request`.
+    pub(super) fn abandon_pipelined(&mut self, conn: ConnId, request: usize) {
         let Some(Connection::Client { open, .. }) = self.connections.get(&conn) else {
             return;
         };
-        let others: Vec<usize> = open.iter().copied().filter(|one| *one != but).collect();
-        for request in others {
-            self.requests[request].log.client_left_at = Some(self.now);
-            self.finish(request, false);
+        let others: Vec<usize> = open
+            .iter()
+            .copied()
+            .filter(|other| *other != request)
+            .collect();
+        for other in others {
+            self.requests[other].log.client_left_at = Some(self.now);
+            self.finish(other, false);
         }
     }
 
-    /// A client that wrote an incomplete head after its request falls silent after the response.
-    pub(super) fn fall_silent(&mut self, conn: ConnId, node: usize) {
+    /// Marks a client that wrote an incomplete request head after its request as silent once it has the response.
+    pub(super) fn become_silent(&mut self, conn: ConnId, node: usize) {
         let since = self.now;
         self.connections
             .insert(conn, Connection::Silent { node, since });
         self.schedule(
-            since + OWED_WITHIN + OWED_SLACK,
+            since + SILENT_CLIENT_TIME_LIMIT + SILENT_CLIENT_SLACK,
             ScheduledEvent::SilentClientTimeout(conn),
         );
     }
 
-    /// Connects silent clients, up to their number.
+    /// Connects silent clients to a node, up to the planned number, and schedules the next call.
     pub(super) fn open_silent_clients(&mut self, node: usize) -> Option<NodeInput> {
-        let of =
-            |peer: &Connection| matches!(peer, Connection::Silent { node: of, .. } if *of == node);
-        let there = self.connections.values().filter(|peer| of(peer)).count();
-        let wanted = self.plan.behaviour.silent_clients.saturating_sub(there);
-        let takes_new = self.nodes[node].up && self.nodes[node].stopping.is_none();
-        let listen = self.nodes[node].listen.filter(|_| takes_new);
-        for _ in 0..wanted.min(SILENT_AT_ONCE) {
-            let Some(conn) = listen.and_then(|at| self.net.connect(at).ok()) else {
+        let is_silent = |connection: &Connection| matches!(connection, Connection::Silent { node: of, .. } if *of == node);
+        let connected = self
+            .connections
+            .values()
+            .filter(|connection| is_silent(connection))
+            .count();
+        let missing = self.plan.behaviour.silent_clients.saturating_sub(connected);
+        let takes_new = self.nodes[node].is_up && self.nodes[node].shutdown_started_at.is_none();
+        let listen_address = self.nodes[node].listen_address.filter(|_| takes_new);
+        for _ in 0..missing.min(MAX_SILENT_CLIENTS_PER_PERIOD) {
+            let Some(conn) = listen_address.and_then(|address| self.net.connect(address).ok())
+            else {
                 break;
             };
             let since = self.now;
             self.add_connection(conn, Connection::Silent { node, since });
             self.schedule(
-                since + OWED_WITHIN + OWED_SLACK,
+                since + SILENT_CLIENT_TIME_LIMIT + SILENT_CLIENT_SLACK,
                 ScheduledEvent::SilentClientTimeout(conn),
             );
         }
         if self.now < self.plan.scenario.spec.length_ms.get_ref() * MILLISECOND {
             self.schedule(
-                self.now + SILENT_PERIOD,
+                self.now + SILENT_CLIENT_PERIOD,
                 ScheduledEvent::OpenSilentClients { node },
             );
         }
         None
     }
 
-    /// The time limit for a silent client is over.
+    /// Records a breach if the node has not ended a silent client's connection in time, and closes the connection.
     pub(super) fn time_out_silent_client(&mut self, conn: ConnId) -> Option<NodeInput> {
         let Some(Connection::Silent { node, since }) = self.connections.get(&conn) else {
             return None;
@@ -213,7 +234,7 @@
         self.close(conn)
     }
 
-    /// A silent client has received a response, so the node has kept its time limit or not.
+    /// Checks the time limit when a silent client has received a response, and closes the connection.
     pub(super) fn silent_client_notified(&mut self, conn: ConnId) {
         if let Some(Connection::Silent { node, since }) = self.connections.get(&conn) {
             self.record_silent_client_end(*node, *since);
@@ -221,76 +242,82 @@
         }
     }
 
-    /// Records a node that exceeded the time limit for a silent client.
+    /// Records a node that ended a silent client's connection after the time limit; a paused node is excused.
     pub(super) fn record_silent_client_end(&mut self, node: usize, since: Nanos) {
-        let took = self.now - since;
-        let has_stood_still = self.nodes[node].paused || self.nodes[node].paused_until > since;
-        if took >= OWED_WITHIN + OWED_SLACK && self.nodes[node].up && !has_stood_still {
+        let duration = self.now - since;
+        let was_paused = self.nodes[node].is_paused || self.nodes[node].paused_until > since;
+        if duration >= SILENT_CLIENT_TIME_LIMIT + SILENT_CLIENT_SLACK
+            && self.nodes[node].is_up
+            && !was_paused
+        {
             let name = self.nodes[node].name.clone();
-            self.misbehaviour.unended.push((name, took));
+            self.misbehaviour
+                .overdue_silent_clients
+                .push((name, duration));
         }
     }
 
-    /// Whether its node has had the time to read a request.
-    pub(super) fn has_surely_read(&self, request: usize) -> bool {
+    /// Whether the node has had enough time to read a request. Always false without strict rules.
+    pub(super) fn is_assumed_read(&self, request: usize) -> bool {
         let open = &self.requests[request];
-        let has_stood_still = self.nodes[open.node].paused_until > open.written;
-        let waited = self.now - open.written;
-        self.plan.behaviour.strict && waited >= SURELY_READ && !has_stood_still
+        let was_paused = self.nodes[open.node].paused_until > open.written_at;
+        let waited = self.now - open.written_at;
+        self.plan.behaviour.strict && waited >= ASSUMED_READ_AFTER && !was_paused
     }
 
-    /// Has the end of some heads written later, shortly before the node's time limit for a head.
+    /// Draws whether the end of a request head is written later, shortly before the node's time limit for a head.
     pub(super) fn hold_back_end_of_head(
         &mut self,
         conn: ConnId,
         request: usize,
         bytes: &mut Vec<u8>,
     ) {
-        let is_alone = matches!(
+        let is_only_request = matches!(
             self.connections.get(&conn),
             Some(Connection::Client { open, .. }) if open.is_empty()
         );
-        if !is_alone || !self.chance(self.plan.behaviour.slow_heads) {
+        if !is_only_request || !self.draw(self.plan.behaviour.slow_heads) {
             return;
         }
         let end = bytes.len().saturating_sub(HELD_BACK_BYTES);
-        self.requests[request].unwritten = bytes.split_off(end);
+        self.requests[request].unwritten_head = bytes.split_off(end);
         let after = self
             .misbehaviour
             .random
-            .between(LEAST_HEAD_TIME, MOST_HEAD_TIME);
+            .between(MIN_HEAD_DELAY, MAX_HEAD_DELAY);
         self.schedule(
             self.now + after,
             ScheduledEvent::FinishHead { conn, request },
         );
     }
 
-    /// Writes the end of a head that was held back. The request's time begins with its last byte.
+    /// Writes the end of a request head that was held back. The request's deadline counts from this last byte.
     pub(super) fn finish_head(&mut self, conn: ConnId, number: usize) -> Option<NodeInput> {
-        let rest = std::mem::take(&mut self.requests[number].unwritten);
-        if self.requests[number].done || rest.is_empty() {
+        let rest = std::mem::take(&mut self.requests[number].unwritten_head);
+        if self.requests[number].is_done || rest.is_empty() {
             return None;
         }
         self.requests[number].log.arrival = self.now;
         self.deliver_to_node(conn, number, &rest)
     }
 
-    /// Schedules further signals to a node that shuts down, and SIGKILL at the earliest time.
+    /// Schedules further signals to a node that shuts down, and SIGKILL at the earliest time allowed. Does nothing
+    /// without strict rules.
     pub(super) fn plan_shutdown(&mut self, node: usize) {
         if !self.plan.behaviour.strict {
             return;
         }
         let since = self.now;
-        self.nodes[node].stopping = Some(since);
+        self.nodes[node].shutdown_started_at = Some(since);
         let deadlines = self.plan.scenario.spec.classes.iter();
         let longest = deadlines.map(|class| class.deadline_ms.get_ref() * MILLISECOND);
-        let longest = longest.max().unwrap_or(0).min(LONGEST_COUNTED);
-        let series = [
+        let longest = longest.max().unwrap_or(0).min(MAX_SHUTDOWN_DEADLINE);
+        let signals = [
             StopSignal::Hangup,
             StopSignal::Terminate,
             StopSignal::Interrupt,
         ];
-        for signal in series {
+        for signal in signals {
             let after = self.misbehaviour.random.between(MILLISECOND, longest);
             self.schedule(
                 since + after,
@@ -306,30 +333,30 @@
             since,
             signal: StopSignal::Kill,
         };
-        self.schedule(since + longest + KILLED_AFTER, kill);
+        self.schedule(since + longest + KILL_DELAY, kill);
     }
 
-    /// The command for a signal to a node whose shutdown began at `since`, if that process still runs.
+    /// The command for a further signal to a node whose shutdown began at `since`; none if that process has ended.
     pub(super) fn signal_stopping(
         &mut self,
         node: usize,
         since: Nanos,
         signal: StopSignal,
     ) -> StepOutcome {
-        if !self.nodes[node].up || self.nodes[node].stopping != Some(since) {
+        if !self.nodes[node].is_up || self.nodes[node].shutdown_started_at != Some(since) {
             return StepOutcome::default();
         }
         if signal == StopSignal::Kill {
-            // The rules ask nothing of requests that SIGKILL cuts off.
-            let excused = since + KILLED_AFTER;
+            // The rules excuse requests that were written before SIGKILL and are still open.
+            let kill_at = since + KILL_DELAY;
             let open = self
                 .requests
                 .iter_mut()
-                .filter(|open| !open.done && open.node == node && open.written <= excused);
+                .filter(|open| !open.is_done && open.node == node && open.written_at <= kill_at);
             open.for_each(|open| open.log.is_excused = true);
         }
         StepOutcome {
-            touched: None,
+            input: None,
             commands: vec![ProcessCommand::Signal { node, signal }],
         }
     }
--- a/testkit/scenarios/src/simulation/network.rs
+++ b/testkit/scenarios/src/simulation/network.rs
@@ -1,5 +1,5 @@
-//! The links between nodes and the processes around them: each message is delayed, held, lost or reset as the link
-//! faults of the scenario say.
+//! Network links between nodes and the processes around them: the latency of each message, and the delays, losses, cuts
+//! and resets of active link faults.
 
 use badgerpost_fakes::net::ConnId;
 use badgerpost_time::{MILLISECOND, Nanos};
@@ -10,10 +10,10 @@
 use super::state::Simulation;
 use crate::scenario::{LinkEnd, LinkFaultKind};
 
-/// The first retransmission of a lost segment comes after this; each further one takes twice as long, as in TCP.
+/// The delay of the first retransmission of a lost segment; it doubles for each further one, as in TCP.
 const RETRANSMISSION_TIMEOUT: Nanos = 200 * MILLISECOND;
-/// After so many losses in a row the message arrives all the same, long after anybody waits for it.
-const MAX_LOSSES: u32 = 8;
+/// A message arrives after at most this many losses in a row.
+const MAX_CONSECUTIVE_LOSSES: u32 = 8;
 
 /// The other end of a node's link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     Server(usize),
     Discovery,
     Clients,
-    /// Another node.
+    /// Another node, over gossip.
     Node(usize),
 }
 
@@ -30,7 +30,7 @@
 struct Route {
     node: usize,
     remote: Remote,
-    /// From the node to the remote end.
+    /// Whether the direction is from the node to the remote end.
     is_outbound: bool,
 }
 
@@ -52,24 +52,27 @@
     }
 }
 
-/// What all impairments of a route that lets messages through add up to.
+/// The combined effect of the link faults on a route that delivers messages.
 struct Degradation {
     delay: Nanos,
-    /// The thousandths of messages that are lost.
-    loss: u16,
+    /// The loss in thousandths of all messages.
+    loss_permille: u16,
 }
 
-/// What a route does with a message.
-enum Path {
-    /// It arrives after this delay.
+/// What happens to a message on a route.
+enum Transmission {
+    /// The message arrives after this delay.
     Delayed(Nanos),
-    Cut,
+    /// The message is held until the link faults change.
+    Held,
+    /// The connection is reset.
     Reset,
 }
 
 impl Simulation {
+    /// Whether a link fault affects a route.
     fn affects(&self, impairment: &LinkImpairment, route: Route) -> bool {
-        let fault = impairment.trouble;
+        let fault = impairment.link_fault;
         let matches_remote = match (fault.remote, route.remote) {
             (LinkEnd::Clients, remote) => remote == Remote::Clients,
             (_, Remote::Clients) => false,
@@ -77,10 +80,10 @@
             (LinkEnd::Servers, remote) => matches!(remote, Remote::Server(_)),
             (LinkEnd::Discovery, remote) => remote == Remote::Discovery,
             (LinkEnd::Zone(zone), Remote::Server(server)) => {
-                self.servers[server].zone_number == zone.get()
+                self.servers[server].zone_index == zone.get()
             }
             (LinkEnd::Zone(zone), Remote::Node(other)) => {
-                self.nodes[other].zone_number == zone.get()
+                self.nodes[other].zone_index == zone.get()
             }
             (LinkEnd::Nodes, remote) => matches!(remote, Remote::Node(_)),
             (LinkEnd::Zone(_), Remote::Discovery) => false,
@@ -93,15 +96,15 @@
         matches_remote && impairment.nodes[route.node] && matches_direction
     }
 
-    /// The delay of a link without impairments.
+    /// The latency of a link without faults.
     fn base_latency(&self, node: usize, remote: Remote) -> Nanos {
         let network = self.plan.scenario.spec.network;
         let zone = match remote {
-            Remote::Server(server) => Some(self.servers[server].zone_number),
-            Remote::Node(other) => Some(self.nodes[other].zone_number),
+            Remote::Server(server) => Some(self.servers[server].zone_index),
+            Remote::Node(other) => Some(self.nodes[other].zone_index),
             Remote::Discovery | Remote::Clients => None,
         };
-        let is_local = zone.is_none_or(|zone| zone == self.nodes[node].zone_number);
+        let is_local = zone.is_none_or(|zone| zone == self.nodes[node].zone_index);
         1000 * if is_local {
             network.latency_in_zone_us
         } else {
@@ -109,73 +112,78 @@
         }
     }
 
-    /// Combines the active impairments of a route; the first one that lets nothing through is an error.
+    /// Combines the active link faults of a route. The first cut or reset among them is returned as the error.
     fn combined_impairment(
         &self,
         applies: impl Fn(&LinkImpairment) -> bool,
     ) -> Result<Degradation, LinkFaultKind> {
-        let (mut delay, mut loss) = (0, 0);
+        let (mut delay, mut loss_permille) = (0, 0);
         for impairment in self.impairments.iter().filter(|active| applies(active)) {
-            match impairment.trouble.kind {
-                stops @ (LinkFaultKind::Cut | LinkFaultKind::Reset) => return Err(stops),
+            match impairment.link_fault.kind {
+                kind @ (LinkFaultKind::Cut | LinkFaultKind::Reset) => return Err(kind),
                 LinkFaultKind::Slow { by } => delay += by,
-                LinkFaultKind::Lossy { permille } => loss = loss.max(permille),
+                LinkFaultKind::Lossy { permille } => {
+                    loss_permille = loss_permille.max(permille);
+                }
             }
         }
-        Ok(Degradation { delay, loss })
+        Ok(Degradation {
+            delay,
+            loss_permille,
+        })
     }
 
+    /// Draws whether a message is lost. Without loss no random number is taken.
     fn is_lost(&mut self, permille: u16) -> bool {
         permille > 0 && self.random.chance(f64::from(permille) / 1000.0)
     }
 
-    fn path(&mut self, route: Route) -> Path {
+    fn transmission(&mut self, route: Route) -> Transmission {
         let degradation = match self.combined_impairment(|active| self.affects(active, route)) {
             Ok(degradation) => degradation,
-            Err(LinkFaultKind::Reset) => return Path::Reset,
-            Err(_) => return Path::Cut,
+            Err(LinkFaultKind::Reset) => return Transmission::Reset,
+            Err(_) => return Transmission::Held,
         };
         let mut delay = self.base_latency(route.node, route.remote) + degradation.delay;
-        for round in 0..MAX_LOSSES {
-            if !self.is_lost(degradation.loss) {
+        for round in 0..MAX_CONSECUTIVE_LOSSES {
+            if !self.is_lost(degradation.loss_permille) {
                 break;
             }
             delay += RETRANSMISSION_TIMEOUT << round;
         }
-        Path::Delayed(delay)
+        Transmission::Delayed(delay)
     }
 
-    /// The delay of a datagram from one node to another; none if it is lost. Faults that reset connections leave
-    /// datagrams alone.
+    /// The delay of a datagram between nodes; absent if the datagram is lost. Resets do not affect datagrams.
     pub(super) fn datagram_delay(&mut self, from: usize, to: usize) -> Option<Nanos> {
         let applies = |impairment: &LinkImpairment| {
-            impairment.trouble.kind != LinkFaultKind::Reset
+            impairment.link_fault.kind != LinkFaultKind::Reset
                 && (self.affects(impairment, Route::outbound(from, Remote::Node(to)))
                     || self.affects(impairment, Route::inbound(to, Remote::Node(from))))
         };
         let degradation = self.combined_impairment(applies).ok()?;
         let delay = self.base_latency(from, Remote::Node(to)) + degradation.delay;
-        (!self.is_lost(degradation.loss)).then_some(delay)
+        (!self.is_lost(degradation.loss_permille)).then_some(delay)
     }
 
-    /// Sends a message. One that needs no time is delivered at once; returns the node that has input then.
+    /// Sends a message over its link. Returns the node that has new input, if the message is delivered without delay.
     pub(super) fn transmit(&mut self, message: InFlightMessage) -> Option<NodeInput> {
         let Some(route) = self.route(&message) else {
             return self.deliver_message(message);
         };
-        match self.path(route) {
-            Path::Delayed(0) => self.deliver_message(message),
-            Path::Delayed(delay) => {
+        match self.transmission(route) {
+            Transmission::Delayed(0) => self.deliver_message(message),
+            Transmission::Delayed(delay) => {
                 let at = self.now.saturating_add(delay);
                 self.schedule(at, ScheduledEvent::MessageDelivery(Box::new(message)));
                 None
             }
-            Path::Cut => {
+            Transmission::Held => {
                 self.excuse_request_of(&message);
                 self.held_messages.push(message);
                 None
             }
-            Path::Reset => {
+            Transmission::Reset => {
                 let conn = message.conn();
                 self.excuse_request_of(&message);
                 self.schedule(self.now, ScheduledEvent::ResetConnection(conn));
@@ -184,7 +192,7 @@
         }
     }
 
-    /// The route of a message; none if its connection is gone or its node is not known yet.
+    /// The route of a message; absent if the connection is closed or its node is not known yet.
     fn route(&self, message: &InFlightMessage) -> Option<Route> {
         let connection = self.connections.get(&message.conn())?;
         match (message, connection) {
@@ -210,7 +218,7 @@
         }
     }
 
-    /// The rules ask nothing of a request whose message to or from its client did not come through.
+    /// Excuses the request of a message that was not delivered to or from a client.
     fn excuse_request_of(&mut self, message: &InFlightMessage) {
         if let InFlightMessage::ToNode(_, number, _) | InFlightMessage::ToClient(_, number, _) =
             message
@@ -235,14 +243,14 @@
             InFlightMessage::ToNode(conn, number, bytes) => {
                 self.deliver_to_node(conn, number, &bytes)
             }
-            InFlightMessage::ToClient(conn, number, answer) => {
-                self.deliver_to_client(conn, number, &answer);
+            InFlightMessage::ToClient(conn, number, response) => {
+                self.deliver_to_client(conn, number, &response);
                 None
             }
         }
     }
 
-    /// Sends all held messages once more after the impairments have changed.
+    /// Sends all held messages again after the active link faults have changed.
     pub(super) fn release_held_messages(&mut self) {
         for message in std::mem::take(&mut self.held_messages) {
             if self.connections.contains_key(&message.conn()) {
@@ -251,7 +259,7 @@
         }
     }
 
-    /// Resets the connections that a new impairment affects.
+    /// Resets the connections that a new link fault affects.
     pub(super) fn reset_links(&mut self, impairment: &LinkImpairment) {
         let is_affected = |connection: &Connection| match connection {
             Connection::Server {
--- a/testkit/scenarios/src/simulation/server_lifecycle.rs
+++ b/testkit/scenarios/src/simulation/server_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, stop and resumption of server processes.
+//! Starts, stops and resumes of server processes.
 
 use std::io;
 
@@ -9,12 +9,12 @@
 use super::state::Simulation;
 
 impl Simulation {
-    /// A server's process ends: its connections are reset and new ones are refused.
+    /// Stops a server's process: its connections are reset and new ones are refused.
     pub(super) fn stop_server(&mut self, server: usize) -> io::Result<()> {
         let server_state = &mut self.servers[server];
-        server_state.up = false;
+        server_state.is_up = false;
         server_state.jobs.clear();
-        server_state.held.clear();
+        server_state.held_jobs.clear();
         self.net.stop_listening(server_state.listener)?;
         let mut conns = Vec::new();
         for (conn, connection) in &self.connections {
@@ -28,12 +28,16 @@
         Ok(())
     }
 
-    /// A server's process starts, in slow start.
+    /// Starts a server's process, which begins in slow start, and schedules the new entry in discovery.
     pub(super) fn start_server(&mut self, server: usize) -> io::Result<()> {
         let now = self.now;
         let server_state = &mut self.servers[server];
         server_state.model.restart(now);
-        (server_state.up, server_state.booted, server_state.wake) = (true, Some(now), None);
+        (
+            server_state.is_up,
+            server_state.started_at,
+            server_state.next_completion_at,
+        ) = (true, Some(now), None);
         server_state.jobs.clear();
         self.net.resume_listening(server_state.listener)?;
         let change = ServerEvent::EndpointChange {
@@ -41,13 +45,13 @@
             state: State::Ready,
             replaces_entry: true,
         };
-        self.schedule(self.discovery_notice(), ScheduledEvent::Server(change));
+        self.schedule(self.discovery_notified_at(), ScheduledEvent::Server(change));
         Ok(())
     }
 
-    /// Executes what a server received while it was paused.
+    /// Executes the requests that a server received while it was paused.
     pub(super) fn resume_server(&mut self, server: usize) {
-        for job in std::mem::take(&mut self.servers[server].held) {
+        for job in std::mem::take(&mut self.servers[server].held_jobs) {
             self.execute(server, job);
         }
         self.schedule_completion(server);
--- a/testkit/scenarios/src/simulation/server_responses.rs
+++ b/testkit/scenarios/src/simulation/server_responses.rs
@@ -1,4 +1,4 @@
-//! Responses of servers, as their active faults change them.
+//! Responses of servers, modified by the servers' active faults.
 
 use badgerpost_fakes::message;
 use badgerpost_fakes::net::ConnId;
@@ -7,17 +7,17 @@
 
 use super::connection::Connection;
 use super::events::{NodeInput, ScheduledEvent};
-use super::in_flight::{AttemptId, ConnectionFate, InFlightMessage, ServerResponse};
+use super::in_flight::{AttemptId, ConnectionAction, InFlightMessage, ServerResponse};
 use super::server_state::response_body;
 use super::state::Simulation;
 use crate::outcome::AttemptOutcome;
 use crate::scenario::{FaultKind, LoadReports};
 
-/// An invalid response.
-const NOISE: &[u8] = b"HTTP/1.1 2x0 \x01\x02\r\n\r\n";
+/// An HTTP response with a malformed status code and header section.
+const INVALID_RESPONSE: &[u8] = b"HTTP/1.1 2x0 \x01\x02\r\n\r\n";
 
 impl Simulation {
-    /// Responds to a completed request, as the server's active faults change the response.
+    /// Schedules the response to a completed request, modified by the server's active faults.
     pub(super) fn respond(&mut self, server: usize, id: &str, mut response: ServerResponse) {
         let (headers, draw) = (
             self.load_report_headers(server, ""),
@@ -27,36 +27,36 @@
         let body = response_body(id, &server_state.name);
         response.bytes = message::response(200, &headers, &body);
         let mut at = self.now;
-        for trouble in server_state.faults_in_order(draw) {
-            match trouble {
+        for fault in server_state.faults_in_order(draw) {
+            match fault {
                 FaultKind::CloseDelimited => {
                     response.bytes = message::response_without_length(200, &headers, &body);
-                    response.then = ConnectionFate::Closes;
+                    response.connection_action = ConnectionAction::Close;
                 }
                 FaultKind::ServerError => {
-                    (response.bytes, response.ended) = (
+                    (response.bytes, response.outcome) = (
                         message::response(500, &headers, b""),
                         AttemptOutcome::ServerError,
                     );
                 }
                 FaultKind::InvalidResponse => {
-                    (response.bytes, response.ended) =
-                        (NOISE.to_vec(), AttemptOutcome::InvalidResponse);
+                    (response.bytes, response.outcome) =
+                        (INVALID_RESPONSE.to_vec(), AttemptOutcome::InvalidResponse);
                 }
                 FaultKind::ResetConnection { after } => {
                     response
                         .bytes
                         .truncate(usize::try_from(after).unwrap_or(usize::MAX));
-                    (response.ended, response.then) =
-                        (AttemptOutcome::ConnectionReset, ConnectionFate::Resets);
+                    (response.outcome, response.connection_action) =
+                        (AttemptOutcome::ConnectionReset, ConnectionAction::Reset);
                 }
                 FaultKind::DelayResponse { by } => at = at.saturating_add(by),
                 _ => {}
             }
         }
-        let is_complete = response.ended == AttemptOutcome::Served;
+        let is_complete = response.outcome == AttemptOutcome::Served;
         if is_complete
-            && response.then == ConnectionFate::Closes
+            && response.connection_action == ConnectionAction::Close
             && let Some(AttemptId { request, number }) = response.attempt
         {
             self.requests[request].log.attempts[number].without_length = true;
@@ -64,14 +64,15 @@
         self.schedule(at, ScheduledEvent::ServerResponse(Box::new(response)));
     }
 
-    /// Sends a response on its way, if its connection and its attempt still exist.
+    /// Sends a response if its connection is open and still belongs to the same attempt. A paused server's response is
+    /// postponed.
     pub(super) fn send_response(&mut self, response: ServerResponse) -> Option<NodeInput> {
         let ServerResponse {
             conn,
             attempt,
             bytes,
-            ended,
-            then,
+            outcome,
+            connection_action,
         } = response;
         let Some(Connection::Server {
             server,
@@ -83,7 +84,7 @@
             return None;
         };
         let server = *server;
-        // Connections of an earlier process of this server were reset with it.
+        // The connection belongs to the current process: those of earlier ones were reset.
         if self.servers[server].is_paused() || *current != attempt {
             if self.servers[server].is_paused() {
                 self.schedule(
@@ -92,25 +93,25 @@
                         conn,
                         attempt,
                         bytes,
-                        ended,
-                        then,
+                        outcome,
+                        connection_action,
                     })),
                 );
             }
             return None;
         }
         *current = None;
-        self.end_attempt(attempt, ended);
+        self.end_attempt(attempt, outcome);
         self.transmit(InFlightMessage::FromServer(ServerResponse {
             conn,
             attempt,
             bytes,
-            ended,
-            then,
+            outcome,
+            connection_action,
         }))
     }
 
-    /// Writes a response that has arrived at its node.
+    /// Writes a response that has arrived at its node, then closes or resets the connection if the response demands it.
     #[expect(clippy::needless_pass_by_value, reason = "callers hand the value over")]
     pub(super) fn write_response(&mut self, response: ServerResponse) -> Option<NodeInput> {
         let Some(Connection::Server { node, .. }) = self.connections.get(&response.conn) else {
@@ -118,12 +119,12 @@
         };
         let node = *node;
         let written = self.net.write(response.conn, &response.bytes);
-        match response.then {
-            ConnectionFate::Stays => {}
-            ConnectionFate::Closes => {
+        match response.connection_action {
+            ConnectionAction::KeepOpen => {}
+            ConnectionAction::Close => {
                 self.schedule(self.now, ScheduledEvent::CloseConnection(response.conn));
             }
-            ConnectionFate::Resets => {
+            ConnectionAction::Reset => {
                 self.schedule(self.now, ScheduledEvent::ResetConnection(response.conn));
             }
         }
@@ -133,7 +134,7 @@
         })
     }
 
-    /// A number in thousandths, drawn for each attempt, that decides which faults affect it.
+    /// A number from 0 to 999, drawn for each attempt, that decides which faults affect the attempt.
     pub(super) fn fault_draw(&self, attempt: Option<AttemptId>) -> u16 {
         let Some(AttemptId { request, number }) = attempt else {
             return 0;
@@ -145,10 +146,10 @@
         random.between(0, 999) as u16
     }
 
-    /// Answers a health check outside the queue; a server that is paused or hangs does not.
+    /// Responds to a health check outside the request queue. A server that is paused or hangs does not respond.
     pub(super) fn answer_health_check(&mut self, conn: ConnId, server: usize) {
-        let silent = self.servers[server].has(FaultKind::Hang, 0);
-        if silent || self.servers[server].is_paused() {
+        let hangs = self.servers[server].has(FaultKind::Hang, 0);
+        if hangs || self.servers[server].is_paused() {
             return;
         }
         let has_endpoint = self.plan.scenario.spec.load_reports == LoadReports::HealthChecks;
@@ -158,25 +159,26 @@
         } else {
             message::response(404, "", b"")
         };
-        let (attempt, ended, then) = (None, AttemptOutcome::Served, ConnectionFate::Stays);
+        let (attempt, outcome) = (None, AttemptOutcome::Served);
+        let connection_action = ConnectionAction::KeepOpen;
         self.schedule(
             self.now,
             ScheduledEvent::ServerResponse(Box::new(ServerResponse {
                 conn,
                 attempt,
                 bytes,
-                ended,
-                then,
+                outcome,
+                connection_action,
             })),
         );
     }
 
-    /// Response headers: the load report, where responses carry it, and then `more`.
-    pub(super) fn load_report_headers(&mut self, server: usize, more: &str) -> String {
+    /// Response headers: the load report, if responses carry load reports, followed by `other_headers`.
+    pub(super) fn load_report_headers(&mut self, server: usize, other_headers: &str) -> String {
         if self.plan.scenario.spec.load_reports == LoadReports::HealthChecks {
-            return more.to_owned();
+            return other_headers.to_owned();
         }
         let util = self.servers[server].model.utilization(self.now);
-        format!("X-Load-Report: {{\"util\":{util:.4}}}\r\n{more}")
+        format!("X-Load-Report: {{\"util\":{util:.4}}}\r\n{other_headers}")
     }
 }
--- a/testkit/scenarios/src/simulation/server_state.rs
+++ b/testkit/scenarios/src/simulation/server_state.rs
@@ -1,4 +1,4 @@
-//! State of one simulated server.
+//! The state of a simulated server.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -15,43 +15,47 @@
 pub(super) struct SimulatedServer {
     pub(super) name: String,
     pub(super) zone: String,
-    /// Its position among the scene's zones.
-    pub(super) zone_number: usize,
+    /// The index of the server's zone in the scenario.
+    pub(super) zone_index: usize,
     pub(super) cell: u64,
     pub(super) listener: ListenerId,
-    pub(super) at: SocketAddr,
+    pub(super) address: SocketAddr,
     pub(super) model: Server,
+    /// Requests accepted by the model, by ticket.
     pub(super) jobs: BTreeMap<u64, ServerJob>,
+    /// The ticket of the next request.
     pub(super) next_job: u64,
-    /// Requests received while the process was paused; bounded by its connections.
-    pub(super) held: Vec<ServerJob>,
-    pub(super) wake: Option<Nanos>,
-    /// Active faults, each with the thousandths of the requests that it affects.
+    /// Requests received while the process was paused: at most one for each connection.
+    pub(super) held_jobs: Vec<ServerJob>,
+    /// The time of the earliest scheduled completion.
+    pub(super) next_completion_at: Option<Nanos>,
+    /// Active faults, each with the share of affected requests in thousandths.
     pub(super) faults: Vec<(FaultKind, u16)>,
-    pub(super) up: bool,
-    pub(super) booted: Option<Nanos>,
+    pub(super) is_up: bool,
+    /// The last start during the scenario; absent if the server has been up from the beginning.
+    pub(super) started_at: Option<Nanos>,
     /// The highest load during slow start, as a multiple of the capacity at that time.
     pub(super) slow_start_peak: f64,
-    /// Recent requests during slow start: when, and whether the node had been notified of the start.
+    /// Recent requests: their time, and whether the node had been notified of the server's last start.
     pub(super) slow_start_sends: VecDeque<(Nanos, bool)>,
-    /// Since when discovery has listed it as draining or gone and was reachable.
+    /// Since when discovery has been reachable and has listed the server as draining or gone. Strict rules only.
     pub(super) unlisted_since: Option<Nanos>,
 }
 
 impl SimulatedServer {
-    /// Whether a fault is active and affects a request with this draw, in thousandths.
-    pub(super) fn has(&self, trouble: FaultKind, draw: u16) -> bool {
+    /// Whether a fault is active and affects a request with this draw, from 0 to 999.
+    pub(super) fn has(&self, fault: FaultKind, draw: u16) -> bool {
         self.faults
             .iter()
-            .any(|(one, permille)| *one == trouble && draw < *permille)
+            .any(|(active, permille)| *active == fault && draw < *permille)
     }
 
-    /// The faults that affect a request with this draw, in thousandths, in the order in which they change its response.
+    /// The faults that affect a request with this draw, from 0 to 999, in the order in which they change the response.
     pub(super) fn faults_in_order(&self, draw: u16) -> Vec<FaultKind> {
-        let strikes = |one: &&(FaultKind, u16)| draw < one.1;
-        let struck = self.faults.iter().filter(strikes);
-        let mut faults: Vec<FaultKind> = struck.map(|one| one.0).collect();
-        faults.sort_by_key(|trouble| match trouble {
+        let is_affecting = |active: &&(FaultKind, u16)| draw < active.1;
+        let affecting = self.faults.iter().filter(is_affecting);
+        let mut faults: Vec<FaultKind> = affecting.map(|active| active.0).collect();
+        faults.sort_by_key(|fault| match fault {
             FaultKind::CloseDelimited => 0,
             FaultKind::ResetConnection { .. } => 2,
             _ => 1,
@@ -59,22 +63,21 @@
         faults
     }
 
-    /// Sets the speed of the model to the slowest active fault.
+    /// Sets the model's slowdown to the largest one of all active faults.
     pub(super) fn update_slowdown(&mut self) {
-        let slow = self.faults.iter().filter_map(|(trouble, _)| match trouble {
+        let slowdowns = self.faults.iter().filter_map(|(fault, _)| match fault {
             FaultKind::SlowDown { percent } => Some(f64::from(*percent) / 100.0),
             _ => None,
         });
-        let times = slow.fold(1.0, |most: f64, times| most.max(times));
-        self.model.set_slowdown(times);
+        let slowdown = slowdowns.fold(1.0, |largest: f64, slowdown| largest.max(slowdown));
+        self.model.set_slowdown(slowdown);
     }
 
-    /// Whether its process is paused.
     pub(super) fn is_paused(&self) -> bool {
         self.has(FaultKind::PauseServer, 0)
     }
 
-    /// Notes a request for the load during slow start; those before the window no longer count.
+    /// Records a request and updates the peak load during slow start. Requests before the window are dropped.
     pub(super) fn record_slow_start_send(&mut self, now: Nanos, is_notified: bool, window: Nanos) {
         self.slow_start_sends.push_back((now, is_notified));
         while self
@@ -89,7 +92,7 @@
             .max(self.model.slow_start_load(now).unwrap_or(0.0));
     }
 
-    /// Whether more than two thirds of the recent requests came from nodes that knew of the start.
+    /// Whether more than two thirds of the recent requests came from nodes that had been notified of the last start.
     pub(super) fn is_mostly_notified(&self) -> bool {
         let notified = self
             .slow_start_sends
@@ -100,23 +103,23 @@
     }
 }
 
-/// The body of a response, by which the client recognises its own request and the server.
+/// The body of a response, which identifies the request and the server.
 pub(super) fn response_body(id: &str, server: &str) -> Vec<u8> {
     format!("{id}@{server}").into_bytes()
 }
 
-/// The entry of a server in the endpoint list.
+/// The server's entry in the endpoint list. `base` is the Unix time at the start of the scenario.
 pub(super) fn entry(server_state: &SimulatedServer, state: State, base: Nanos) -> Entry {
     Entry {
         uid: server_state.name.clone(),
-        endpoint: server_state.at,
+        endpoint: server_state.address,
         az: server_state.zone.clone(),
         model: "match".to_owned(),
         pod_group: server_state.cell,
         state,
         capacity_hint: 1.0,
         boot_ms: server_state
-            .booted
-            .map_or(0, |booted| (base + booted) / MILLISECOND),
+            .started_at
+            .map_or(0, |started_at| (base + started_at) / MILLISECOND),
     }
 }
--- a/testkit/scenarios/src/simulation/servers.rs
+++ b/testkit/scenarios/src/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! Requests at the simulated servers: reading, deduplication, execution by the model.
+//! Requests at the simulated servers: reading, deduplication and execution by the server model.
 
 use badgerpost_fakes::message::{self, Message};
 use badgerpost_fakes::net::ConnId;
@@ -7,19 +7,19 @@
 
 use super::connection::Connection;
 use super::events::{ScheduledEvent, ServerEvent};
-use super::in_flight::{AttemptId, ConnectionFate, InFlightMessage, ServerJob, ServerResponse};
+use super::in_flight::{AttemptId, ConnectionAction, InFlightMessage, ServerJob, ServerResponse};
 use super::server_state::response_body;
 use super::state::{OpenRequest, Simulation};
 use crate::outcome::{Attempt, AttemptOutcome, Dedup, DedupScope};
 use crate::scenario::FaultKind;
 
-/// A node counts as notified of a change this long after discovery had it and was reachable.
+/// A node counts as notified of a change this long after discovery listed the change and was reachable.
 const NOTIFICATION_LIMIT: Nanos = 6 * SECOND;
-/// A deadline header that exceeds the time that the client has left by more than this is logged.
+/// A deadline header is logged if it exceeds the client's remaining time by more than this.
 const DEADLINE_TOLERANCE: Nanos = 100 * MILLISECOND;
 
 impl Simulation {
-    /// Handles all requests that a connection of a server has received whole.
+    /// Handles all requests that a server has received completely on a connection.
     pub(super) fn read_server(&mut self, conn: ConnId) {
         loop {
             let Some(Connection::Server {
@@ -56,22 +56,26 @@
         let _ = self.transmit(InFlightMessage::ToServer(ServerJob { conn, attempt, id }));
     }
 
-    /// Adds an attempt to the log line of its request.
+    /// Adds an attempt to the log of its request.
     fn record_attempt(&mut self, request: usize, server: usize, message: &Message) -> AttemptId {
         let now = self.now;
         let server_state = &self.servers[server];
         let open = &mut self.requests[request];
-        let notified = self.nodes[open.node].told.get(&server);
-        let counted = server_state
+        let notified_at = self.nodes[open.node].drain_notified_at.get(&server);
+        let notified_at_latest = server_state
             .unlisted_since
             .map(|since| since + NOTIFICATION_LIMIT);
-        let notified = notified.copied().into_iter().chain(counted).min();
-        let left = (open.written + open.log.timeout).saturating_sub(now);
+        let drain_known_since = notified_at
+            .copied()
+            .into_iter()
+            .chain(notified_at_latest)
+            .min();
+        let remaining_time = (open.written_at + open.log.timeout).saturating_sub(now);
         let deadline = message
             .value("x-budget-ms")
             .and_then(|text| text.parse().ok());
-        let over = deadline.map_or(0, |deadline: u64| {
-            (deadline * MILLISECOND).saturating_sub(left)
+        let deadline_excess = deadline.map_or(0, |deadline: u64| {
+            (deadline * MILLISECOND).saturating_sub(remaining_time)
         });
         open.log.attempts.push(Attempt {
             server: server_state.name.clone(),
@@ -81,10 +85,10 @@
             end: None,
             outcome: AttemptOutcome::Unfinished,
             executed: false,
-            drain_known_for: notified.and_then(|notified| now.checked_sub(notified)),
+            drain_known_for: drain_known_since.and_then(|since| now.checked_sub(since)),
             caused_overload: false,
             without_length: false,
-            deadline_excess: (over > DEADLINE_TOLERANCE).then_some(over),
+            deadline_excess: (deadline_excess > DEADLINE_TOLERANCE).then_some(deadline_excess),
         });
         AttemptId {
             request,
@@ -92,7 +96,7 @@
         }
     }
 
-    /// Notes which attempt is on a connection, and in real time whose connection it is: only its requests show that.
+    /// Records which attempt uses a connection. In real time the first attempt also identifies the node.
     fn assign_attempt(&mut self, conn: ConnId, assigned: Option<AttemptId>) {
         let Some(Connection::Server { attempt, node, .. }) = self.connections.get_mut(&conn) else {
             return;
@@ -103,7 +107,7 @@
         {
             let sender = self.requests[assigned.request].node;
             *node = Some(sender);
-            self.nodes[sender].open += 1;
+            self.nodes[sender].open_connections += 1;
         }
     }
 
@@ -114,14 +118,14 @@
         };
         let server = *server;
         if self.servers[server].is_paused() {
-            // The process reads it once it continues.
-            self.servers[server].held.push(job);
+            // The process reads the request when it resumes.
+            self.servers[server].held_jobs.push(job);
         } else {
             self.execute(server, job);
         }
     }
 
-    /// Has a server execute a request, as its active faults let it.
+    /// Executes a request at a server, subject to the server's active faults.
     pub(super) fn execute(&mut self, server: usize, job: ServerJob) {
         let now = self.now;
         let request = job.attempt.map(|attempt| attempt.request);
@@ -141,7 +145,7 @@
                     &self.load_report_headers(server, ""),
                     &response_body(&job.id, &self.servers[server].name),
                 ),
-                ended: AttemptOutcome::Served,
+                outcome: AttemptOutcome::Served,
                 ..rejection
             };
             self.schedule(now, ScheduledEvent::ServerResponse(Box::new(response)));
@@ -158,7 +162,7 @@
                 self.schedule(now, ScheduledEvent::ServerResponse(Box::new(rejection)));
             }
             Admission::Crashed => {
-                // It stays down, and its connections are reset.
+                // The server stays down, and its connections are reset.
                 let _ = self.stop_server(server);
             }
         }
@@ -170,12 +174,12 @@
             conn: job.conn,
             attempt: job.attempt,
             bytes: message::response(503, &headers, b""),
-            ended: AttemptOutcome::Rejected,
-            then: ConnectionFate::Stays,
+            outcome: AttemptOutcome::Rejected,
+            connection_action: ConnectionAction::KeepOpen,
         }
     }
 
-    /// Offers a request to the model of a server, and notes in the log what came of it.
+    /// Offers a request to the server model, and records the result in the log.
     fn offer(&mut self, server: usize, ticket: u64, attempt: Option<AttemptId>) -> Admission {
         let now = self.now;
         let request = attempt.map(|attempt| attempt.request);
@@ -187,57 +191,61 @@
                 * MILLISECOND,
             |request| self.plan.arrivals[self.requests[request].arrival].service_time,
         );
-        let is_notified = request.is_some_and(|request| self.knows_start(request, server));
+        let is_notified = request.is_some_and(|request| self.is_notified_of_start(request, server));
         let window = self.plan.scenario.spec.rules.overload_window_ms * MILLISECOND;
         let server_state = &mut self.servers[server];
-        let offer = server_state.model.offer(now, ticket, service_time);
+        let admission = server_state.model.offer(now, ticket, service_time);
         server_state.record_slow_start_send(now, is_notified, window);
         let is_breach = !self.plan.behaviour.strict || server_state.is_mostly_notified();
         if let Some(AttemptId { request, number }) = attempt {
             let attempt = &mut self.requests[request].log.attempts[number];
-            attempt.executed = offer == Admission::Accepted;
-            attempt.caused_overload = offer == Admission::Crashed && is_breach;
+            attempt.executed = admission == Admission::Accepted;
+            attempt.caused_overload = admission == Admission::Crashed && is_breach;
         }
-        offer
+        admission
     }
 
     /// Whether the node of a request has been notified of the last start of a server.
-    fn knows_start(&self, request: usize, server: usize) -> bool {
+    fn is_notified_of_start(&self, request: usize, server: usize) -> bool {
         let node = &self.nodes[self.requests[request].node];
         let start = self.servers[server]
-            .booted
-            .map(|booted| (self.base + booted) / MILLISECOND);
+            .started_at
+            .map(|started_at| (self.base + started_at) / MILLISECOND);
         node.notified_starts.get(&server).copied() == start
     }
 
-    /// Whether the deduplication scope of a server saw the request's key within the window; notes the key.
+    /// Whether the deduplication scope of a server saw the request's key within the window. Records the key.
     fn is_duplicate(&mut self, request: usize, server: usize) -> bool {
         let OpenRequest { log, key, .. } = &self.requests[request];
         let Some(Dedup { scope, window }) = log.dedup else {
             return false;
         };
         let server_state = &self.servers[server];
-        let group = match scope {
+        let scope_id = match scope {
             DedupScope::All => String::new(),
             DedupScope::Zone => server_state.zone.clone(),
             DedupScope::Cell => format!("{}", server_state.cell),
         };
         let now = self.now;
-        // Never evicted: a run has a bounded number of requests, and so of keys.
-        let seen = self.keys_seen.entry((group, key.clone())).or_insert(now);
-        let is_duplicate = *seen < now && now - *seen < window;
-        if now - *seen >= window {
-            *seen = now;
+        // Keys are never evicted: a run has a bounded number of requests.
+        let first_seen = self.keys_seen.entry((scope_id, key.clone())).or_insert(now);
+        let is_duplicate = *first_seen < now && now - *first_seen < window;
+        if now - *first_seen >= window {
+            *first_seen = now;
         }
         is_duplicate
     }
 
-    /// Schedules the next completion of a server, unless an event no later than it is scheduled.
+    /// Schedules the next completion of a server, unless a completion at the same time or earlier is scheduled.
     pub(super) fn schedule_completion(&mut self, server: usize) {
         let server_state = &mut self.servers[server];
         let next = server_state.model.next_completion();
-        if let Some(next) = next.filter(|next| server_state.wake.is_none_or(|wake| *next < wake)) {
-            server_state.wake = Some(next);
+        if let Some(next) = next.filter(|next| {
+            server_state
+                .next_completion_at
+                .is_none_or(|next_completion_at| *next < next_completion_at)
+        }) {
+            server_state.next_completion_at = Some(next);
             self.schedule(
                 next,
                 ScheduledEvent::Server(ServerEvent::Completion { server }),
@@ -245,12 +253,12 @@
         }
     }
 
-    /// Responds to the next request that the model has completed.
+    /// Responds to the next request that the server model has completed.
     pub(super) fn complete_job(&mut self, server: usize) {
         let now = self.now;
         let server_state = &mut self.servers[server];
-        server_state.wake = None;
-        if server_state.is_paused() || !server_state.up {
+        server_state.next_completion_at = None;
+        if server_state.is_paused() || !server_state.is_up {
             return;
         }
         let job = server_state
@@ -265,8 +273,8 @@
             conn,
             attempt,
             bytes: Vec::new(),
-            ended: AttemptOutcome::Served,
-            then: ConnectionFate::Stays,
+            outcome: AttemptOutcome::Served,
+            connection_action: ConnectionAction::KeepOpen,
         };
         self.respond(server, &id, response);
     }
--- a/testkit/scenarios/src/simulation/setup.rs
+++ b/testkit/scenarios/src/simulation/setup.rs
@@ -1,4 +1,4 @@
-//! Builds a simulation from a plan: all sockets listen, and everything that the plan knows in advance is scheduled.
+//! Builds a simulation from a plan: opens all sockets and schedules the events that the plan fixes in advance.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io;
@@ -18,14 +18,14 @@
 use crate::plan::Plan;
 use crate::scenario::{PlannedFault, Scenario};
 
-/// How often servers refresh their load report.
-const REPORT_PERIOD: Nanos = 100 * MILLISECOND;
+/// How often a server refreshes its load report.
+const LOAD_REPORT_PERIOD: Nanos = 100 * MILLISECOND;
 /// Any free port of the loopback interface.
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 impl Simulation {
-    /// Opens all sockets of a plan that starts at `base`, in Unix time; `gossip` has the nodes exchange gossip even
-    /// if the scenario does not ask for it.
+    /// Opens the sockets of all servers and nodes. `base` is the Unix time at the start of the scenario; `gossip`
+    /// enables gossip between the nodes even if the scenario does not.
     pub fn new(plan: Plan, base: Nanos, gossip: bool) -> io::Result<Self> {
         let mut simulation = Self::empty(plan, base)?;
         for index in 0..simulation.plan.scenario.spec.servers.len() {
@@ -48,19 +48,19 @@
             now: 0,
             base,
             queue: BTreeMap::new(),
-            next: 0,
+            next_event_number: 0,
             servers: Vec::new(),
             nodes: Vec::new(),
             listeners: BTreeMap::new(),
             connections: BTreeMap::new(),
             discovery: Discovery::default(),
-            watches: 0,
+            watch_count: 0,
             requests: Vec::new(),
             request_by_id: HashMap::new(),
             keys_seen: BTreeMap::new(),
-            pending: plan.arrivals.len(),
+            pending_requests: plan.arrivals.len(),
             unknown_requests: 0,
-            running: None,
+            running_node: None,
             impairments: Vec::new(),
             held_messages: Vec::new(),
             random: Random::new(plan.seed, "links"),
@@ -72,36 +72,36 @@
     fn add_server(&mut self, index: usize) -> io::Result<()> {
         let BoundSocket {
             id: listener,
-            address: at,
+            address,
         } = self.net.listen(ANY_PORT)?;
         self.listeners
             .insert(listener, ListenerOwner::Server(index));
-        let scene = &self.plan.scenario.spec;
-        let server = &scene.servers[index];
-        let up = server.starts_ms.is_none();
-        if !up {
+        let scenario = &self.plan.scenario.spec;
+        let server = &scenario.servers[index];
+        let is_up = server.starts_ms.is_none();
+        if !is_up {
             self.net.stop_listening(listener)?;
         }
         let server_state = SimulatedServer {
             name: server.name.get_ref().clone(),
             zone: server.zone.clone(),
-            zone_number: zone_number(scene, &server.zone),
+            zone_index: zone_index(scenario, &server.zone),
             cell: server.cell,
             listener,
-            at,
+            address,
             model: Server::new(server_config(&self.plan, index), None, 0),
             jobs: BTreeMap::new(),
             next_job: 0,
-            held: Vec::new(),
-            wake: None,
+            held_jobs: Vec::new(),
+            next_completion_at: None,
             faults: Vec::new(),
-            up,
-            booted: None,
+            is_up,
+            started_at: None,
             slow_start_peak: 0.0,
             slow_start_sends: VecDeque::new(),
             unlisted_since: None,
         };
-        if up {
+        if is_up {
             self.discovery
                 .set(entry(&server_state, State::Ready, self.base));
         }
@@ -119,32 +119,32 @@
         let gossip_socket = gossip
             .then(|| self.net.bind_datagrams(ANY_PORT))
             .transpose()?;
-        let scene = &self.plan.scenario.spec;
-        let node = &scene.nodes[index];
+        let scenario = &self.plan.scenario.spec;
+        let node = &scenario.nodes[index];
         self.nodes.push(SimulatedNode {
             name: node.name.get_ref().clone(),
-            zone_number: zone_number(scene, &node.zone),
-            listen: None,
+            zone_index: zone_index(scenario, &node.zone),
+            listen_address: None,
             discovery_address,
-            up: false,
-            paused: false,
+            is_up: false,
+            is_paused: false,
             paused_until: 0,
-            idle: Vec::new(),
-            told: BTreeMap::new(),
+            idle_connections: Vec::new(),
+            drain_notified_at: BTreeMap::new(),
             notified_starts: BTreeMap::new(),
-            stopping: None,
-            open: 0,
-            ended: 0,
+            shutdown_started_at: None,
+            open_connections: 0,
+            ended_connections: 0,
             gossip: gossip_socket.map(
                 |BoundSocket {
-                     id: door,
-                     address: at,
+                     id: socket,
+                     address,
                  }| GossipEndpoint {
-                    door,
-                    at,
-                    real: None,
-                    datagrams: 0,
-                    bytes: 0,
+                    socket,
+                    advertised_address: address,
+                    node_address: None,
+                    sent_datagrams: 0,
+                    sent_bytes: 0,
                 },
             ),
         });
@@ -179,15 +179,15 @@
     }
 }
 
-/// The position of a zone among those of the scenario.
-fn zone_number(scene: &Scenario, zone: &str) -> usize {
-    let zones = scene.zones();
-    zones.iter().position(|one| *one == zone).unwrap_or(0)
+/// The index of a zone in the scenario's list of zones.
+fn zone_index(scenario: &Scenario, zone: &str) -> usize {
+    let zones = scenario.zones();
+    zones.iter().position(|name| *name == zone).unwrap_or(0)
 }
 
 fn server_config(plan: &Plan, index: usize) -> ServerConfig {
-    let scene = &plan.scenario.spec;
-    let (server, rules) = (&scene.servers[index], &scene.rules);
+    let scenario = &plan.scenario.spec;
+    let (server, rules) = (&scenario.servers[index], &scenario.rules);
     ServerConfig {
         slots: server.slots.max(1),
         queue_limit: server.queue_capacity,
@@ -196,8 +196,8 @@
         slow_start_duration: rules.slow_start_duration_ms * MILLISECOND,
         overload_multiple: rules.overload_multiple,
         overload_window: rules.overload_window_ms * MILLISECOND,
-        report_period: REPORT_PERIOD,
-        mean_service_time: plan.behaviour.strict.then(|| mean_service_time(scene)),
+        report_period: LOAD_REPORT_PERIOD,
+        mean_service_time: plan.behaviour.strict.then(|| mean_service_time(scenario)),
         congestion: server
             .degradation
             .as_ref()
@@ -210,13 +210,13 @@
     }
 }
 
-/// The mean service time of the requests of a scenario.
-fn mean_service_time(scene: &Scenario) -> Nanos {
-    let (mut total, mut shares) = (0.0, 0.0);
-    for class in &scene.classes {
-        let (least, most) = *class.service_time_ms.get_ref();
-        total += class.weight.get_ref() * (least + most) as f64 / 2.0;
-        shares += class.weight.get_ref();
+/// The mean service time of a scenario's requests, weighted by class.
+fn mean_service_time(scenario: &Scenario) -> Nanos {
+    let (mut weighted_sum, mut total_weight) = (0.0, 0.0);
+    for class in &scenario.classes {
+        let (min, max) = *class.service_time_ms.get_ref();
+        weighted_sum += class.weight.get_ref() * (min + max) as f64 / 2.0;
+        total_weight += class.weight.get_ref();
     }
-    (total / shares * MILLISECOND as f64) as Nanos
+    (weighted_sum / total_weight * MILLISECOND as f64) as Nanos
 }
