--- a/testkit/scenarios/src/process.rs
+++ b/testkit/scenarios/src/process.rs
@@ -1,5 +1,4 @@
-//! A node's process: its configuration, its start, its log, its end, and the control connection by which its
-//! clock is stepped.
+//! A node's process: configuration, start, log and exit, and the control connection that advances its virtual clock.
 
 mod edge;
 mod error;
@@ -25,120 +24,122 @@
 pub use files::sha256;
 use files::{private_folder, write_private_files};
 
-/// Nothing that a node does at its start, or between two steps, takes longer, on a busy machine either.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// What a process has logged before its end is here that soon after it.
-const LAST_WORDS: Duration = Duration::from_secs(5);
-/// So many lines of a node's log are kept, its last ones.
-const LOG_LINES: usize = 400;
-const LOG_LINE: u64 = 4096;
+/// The time limit for a node's start, for one step of its virtual clock, and for its exit.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
+/// The time limit for reading the rest of a node's log after its exit.
+const LOG_END_TIMEOUT: Duration = Duration::from_secs(5);
+/// The number of log lines that are kept of a node; older ones are dropped.
+const MAX_LOG_LINES: usize = 400;
+/// The limit for one line of the log or of the control connection, in bytes.
+const MAX_LINE_BYTES: u64 = 4096;
 
-/// The last lines of a node's log, and where it has said that it listens.
+/// The last lines of a node's log.
 #[derive(Default)]
 struct Log {
     lines: VecDeque<String>,
-    listens: Option<SocketAddr>,
-    ended: bool,
+    /// The listen address that the node logged first.
+    listen_address: Option<SocketAddr>,
+    has_ended: bool,
 }
 
-/// A node's process; killed when dropped.
+/// A node's process. It is killed when dropped.
 pub struct Process {
     name: String,
     child: Child,
     log: Arc<(Mutex<Log>, Condvar)>,
     control: Option<BufReader<TcpStream>>,
-    /// When it next waits for the time, on a stepped clock; Unix time.
+    /// When the node's next timer is due, in Unix time; absent without a timer or on the system clock.
     pub next_timer_at: Option<Nanos>,
     folder: PathBuf,
 }
 
-/// How a node is started.
+/// The options for starting a node's process.
 pub struct StartOptions<'a> {
-    /// The program.
+    /// The path of the node's program.
     pub program: &'a Path,
-    /// Its name.
+    /// The node's name, for error messages.
     pub name: &'a str,
-    /// What the platform tells it.
+    /// The platform's configuration, which the node reads from the file that `EDGE_CONFIG` names.
     pub edge_config: Value,
-    /// The Unix time at which its stepped clock stands at first; none for the system's clock.
+    /// The Unix time at which the node's virtual clock starts; absent for the system clock.
     pub virtual_clock_start: Option<Nanos>,
-    /// More of the operators' own file: a text in TOML.
+    /// The operator's settings file in TOML, in which `{folder}` stands for the node's private folder.
     pub operator_settings: String,
-    /// Files that it names, with their texts; they lie beside it, mode 0600, and `{folder}` in the text is theirs.
+    /// Names and contents of files that are written to the private folder, with mode 0600.
     pub files: Vec<(&'static str, String)>,
-    /// Faults of its system calls.
+    /// Faults that are injected into the node's system calls.
     pub system_faults: Option<SystemFaults>,
 }
 
 impl Process {
-    /// Starts a node and waits until it serves.
-    pub fn start(start: &StartOptions<'_>) -> Result<(Self, SocketAddr), ProcessError> {
-        let (mut process, control) = Self::launch(start)?;
-        let listens = match control {
-            Some(listener) => process.welcome(&listener)?,
-            None => process.wait_for_listen()?,
+    /// Starts a node and waits until the node listens. Returns the listen address too.
+    pub fn start(options: &StartOptions<'_>) -> Result<(Self, SocketAddr), ProcessError> {
+        let (mut process, control) = Self::launch(options)?;
+        let listen_address = match control {
+            Some(listener) => process.accept_control(&listener)?,
+            None => process.wait_for_listen_address()?,
         };
-        Ok((process, listens))
+        Ok((process, listen_address))
     }
 
-    /// Starts a node on the system's clock and does not wait for it.
-    pub fn start_in_background(start: &StartOptions<'_>) -> Result<Self, ProcessError> {
-        Ok(Self::launch(start)?.0)
+    /// Starts a node on the system clock without waiting until the node listens.
+    pub fn start_in_background(options: &StartOptions<'_>) -> Result<Self, ProcessError> {
+        Ok(Self::launch(options)?.0)
     }
 
-    /// Where a node that was started in the background listens, once it does.
+    /// The listen address of a node that was started in the background; absent until the node logs it.
     pub fn listen_address(&mut self) -> Result<Option<SocketAddr>, ProcessError> {
-        let listens = {
-            let kept = self.log.0.lock().unwrap_or_else(PoisonError::into_inner);
-            kept.listens
+        let listen_address = {
+            let log = self.log.0.lock().unwrap_or_else(PoisonError::into_inner);
+            log.listen_address
         };
-        match listens {
+        match listen_address {
             None if self.exit_status().is_some() => Err(self.not_ready()),
-            listens => Ok(listens),
+            listen_address => Ok(listen_address),
         }
     }
 
-    /// Starts a node's process. Returns the listener for its control connection too, if it has one.
-    fn launch(start: &StartOptions<'_>) -> Result<(Self, Option<TcpListener>), ProcessError> {
-        let name = start.name.to_owned();
+    /// Starts a node's process. On a virtual clock, returns the listener for the control connection too.
+    fn launch(options: &StartOptions<'_>) -> Result<(Self, Option<TcpListener>), ProcessError> {
+        let name = options.name.to_owned();
         let system = |source| ProcessError::System {
-            name: start.name.to_owned(),
+            name: options.name.to_owned(),
             source,
         };
         let folder = private_folder().map_err(system)?;
-        let edge = folder.join("edge.json");
-        std::fs::write(&edge, start.edge_config.to_string()).map_err(system)?;
-        let mut command = Command::new(start.program);
+        let edge_file = folder.join("edge.json");
+        std::fs::write(&edge_file, options.edge_config.to_string()).map_err(system)?;
+        let mut command = Command::new(options.program);
         command
-            .env("EDGE_CONFIG", &edge)
+            .env("EDGE_CONFIG", &edge_file)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped());
-        if let Some(faults) = &start.system_faults {
+        if let Some(faults) = &options.system_faults {
             faults.apply(&mut command).map_err(system)?;
         }
-        let mut settings = start
+        let mut settings = options
             .operator_settings
             .replace("{folder}", &folder.to_string_lossy());
-        write_private_files(&folder, &start.files).map_err(system)?;
-        let control = match start.virtual_clock_start {
+        write_private_files(&folder, &options.files).map_err(system)?;
+        let control = match options.virtual_clock_start {
             Some(now) => Some(listen_for_control(&mut settings, now).map_err(system)?),
             None => None,
         };
         if !settings.is_empty() {
-            let own = folder.join("badgerpost.toml");
-            std::fs::write(&own, settings).map_err(system)?;
-            command.arg("--config").arg(&own);
+            let settings_file = folder.join("badgerpost.toml");
+            std::fs::write(&settings_file, settings).map_err(system)?;
+            command.arg("--config").arg(&settings_file);
         }
-        let started = command.spawn();
-        let mut child = started.map_err(|source| ProcessError::Start {
-            program: start.program.to_owned(),
+        let spawned = command.spawn();
+        let mut child = spawned.map_err(|source| ProcessError::Start {
+            program: options.program.to_owned(),
             source,
         })?;
         let log = Arc::new((Mutex::new(Log::default()), Condvar::new()));
         if let Some(stderr) = child.stderr.take() {
-            let kept = log.clone();
-            thread::spawn(move || keep(stderr, &kept));
+            let shared_log = log.clone();
+            thread::spawn(move || read_log(stderr, &shared_log));
         }
         let process = Self {
             name,
@@ -165,50 +166,55 @@
         }
     }
 
-    /// Waits for the control connection and its first line.
-    fn welcome(&mut self, door: &TcpListener) -> Result<SocketAddr, ProcessError> {
-        door.set_nonblocking(true)
+    /// Waits for the control connection and the node's first message on it. Returns the node's listen address.
+    fn accept_control(&mut self, listener: &TcpListener) -> Result<SocketAddr, ProcessError> {
+        listener
+            .set_nonblocking(true)
             .map_err(|source| self.system(source))?;
         let began = Instant::now();
         let stream = loop {
-            match door.accept() {
+            match listener.accept() {
                 Ok((stream, _)) => break stream,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err(self.system(error)),
             }
-            if began.elapsed() > PATIENCE || self.exit_status().is_some() {
+            if began.elapsed() > RESPONSE_TIMEOUT || self.exit_status().is_some() {
                 return Err(self.not_ready());
             }
             thread::sleep(Duration::from_millis(1));
         };
-        let set = stream
+        let configured = stream
             .set_nonblocking(false)
             .and_then(|()| stream.set_nodelay(true));
-        set.and_then(|()| stream.set_read_timeout(Some(PATIENCE)))
+        configured
+            .and_then(|()| stream.set_read_timeout(Some(RESPONSE_TIMEOUT)))
             .map_err(|source| self.system(source))?;
         self.control = Some(BufReader::new(stream));
-        match self.hear()? {
+        match self.read_message()? {
             Some(NodeMessage::Hello { listen, .. }) => Ok(listen),
             _ => Err(self.not_ready()),
         }
     }
 
-    fn wait_for_listen(&mut self) -> Result<SocketAddr, ProcessError> {
+    fn wait_for_listen_address(&mut self) -> Result<SocketAddr, ProcessError> {
         let (lock, changed) = &*self.log;
-        let kept = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        let waits = |kept: &mut Log| kept.listens.is_none() && !kept.ended;
-        let waited = changed.wait_timeout_while(kept, PATIENCE, waits);
-        let listens = waited.unwrap_or_else(PoisonError::into_inner).0.listens;
-        listens.ok_or_else(|| self.not_ready())
+        let log = lock.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_pending = |log: &mut Log| log.listen_address.is_none() && !log.has_ended;
+        let waited = changed.wait_timeout_while(log, RESPONSE_TIMEOUT, is_pending);
+        let listen_address = waited
+            .unwrap_or_else(PoisonError::into_inner)
+            .0
+            .listen_address;
+        listen_address.ok_or_else(|| self.not_ready())
     }
 
-    /// The next line on the control connection; none where that has ended, and so the process.
-    fn hear(&mut self) -> Result<Option<NodeMessage>, ProcessError> {
+    /// Reads the next message from the control connection; absent if the connection has ended, as it does on exit.
+    fn read_message(&mut self) -> Result<Option<NodeMessage>, ProcessError> {
         let Some(control) = &mut self.control else {
             return Ok(None);
         };
         let mut line = String::new();
-        match control.take(LOG_LINE).read_line(&mut line) {
+        match control.take(MAX_LINE_BYTES).read_line(&mut line) {
             Ok(0) => Ok(None),
             Ok(_) => line.parse().map(Some).map_err(|source| {
                 let (name, log) = (self.name.clone(), self.log());
@@ -229,8 +235,10 @@
         }
     }
 
-    /// Has the node run at this Unix time until nothing is ready. Returns how many bytes it has written to its
-    /// sockets, and how many of its connections have ended since its start; none if its process has ended.
+    /// Runs the node at the Unix time `now` until it is idle. `bytes`: written to the node's sockets since the last
+    /// step; `ended`: connections of the node that have ended since its start, as seen by the test kit. Returns the
+    /// bytes that the node wrote, and the connections that have ended since its start as seen by the node; none if the
+    /// process has ended.
     pub fn step(
         &mut self,
         now: Nanos,
@@ -244,7 +252,7 @@
         if control.get_mut().write_all(line.as_bytes()).is_err() {
             return Ok(None);
         }
-        match self.hear()? {
+        match self.read_message()? {
             Some(NodeMessage::Idle {
                 next,
                 written,
@@ -258,20 +266,20 @@
         }
     }
 
-    /// Its exit status, if it has ended.
+    /// The exit status, if the process has ended.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits for its end, and for its last words in the log.
+    /// Waits for the exit of the process and the end of its log. Returns none after a time limit.
     pub fn wait(&mut self) -> Option<ExitStatus> {
         let began = Instant::now();
-        while began.elapsed() < PATIENCE {
+        while began.elapsed() < RESPONSE_TIMEOUT {
             if let Some(status) = self.exit_status() {
                 let (lock, changed) = &*self.log;
-                let kept = lock.lock().unwrap_or_else(PoisonError::into_inner);
-                // A child of its own that lives on would keep the log open; there is none, but the wait is bounded.
-                let _ = changed.wait_timeout_while(kept, LAST_WORDS, |kept| !kept.ended);
+                let log = lock.lock().unwrap_or_else(PoisonError::into_inner);
+                // A surviving child process of the node would keep the log open, so the wait is bounded.
+                let _ = changed.wait_timeout_while(log, LOG_END_TIMEOUT, |log| !log.has_ended);
                 return Some(status);
             }
             thread::sleep(Duration::from_millis(1));
@@ -279,51 +287,48 @@
         None
     }
 
-    /// Its process's id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
-        // One that has ended and was not waited for yet takes signals without effect.
+        // A signal to a process that has exited and was not waited for has no effect.
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Ends it at once.
+    /// Kills the process with SIGKILL and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Where it says that it listens for this kind of clients, once it does.
-    pub fn wait_for_logged_address(&mut self, what: &str) -> Result<SocketAddr, ProcessError> {
+    /// Waits for a log line that contains `message`, and returns the address in the line's `listen` field.
+    pub fn wait_for_logged_address(&mut self, message: &str) -> Result<SocketAddr, ProcessError> {
         let began = Instant::now();
-        while began.elapsed() < PATIENCE && self.exit_status().is_none() {
-            let kept = self.log.0.lock().unwrap_or_else(PoisonError::into_inner);
-            let line = kept.lines.iter().find(|line| line.contains(what));
-            let at = line.and_then(|line| {
+        while began.elapsed() < RESPONSE_TIMEOUT && self.exit_status().is_none() {
+            let log = self.log.0.lock().unwrap_or_else(PoisonError::into_inner);
+            let line = log.lines.iter().find(|line| line.contains(message));
+            let address = line.and_then(|line| {
                 line.split_whitespace()
                     .find_map(|field| field.strip_prefix("listen="))
             });
-            if let Some(at) = at.and_then(|at| at.parse().ok()) {
-                return Ok(at);
+            if let Some(address) = address.and_then(|text| text.parse().ok()) {
+                return Ok(address);
             }
-            drop(kept);
+            drop(log);
             thread::sleep(Duration::from_millis(2));
         }
         Err(self.not_ready())
     }
 
-    /// The last lines of its log.
+    /// The last lines of the node's log.
     pub fn log(&self) -> String {
-        let kept = self.log.0.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.lines
-            .iter()
-            .map(|line| format!("  {line}\n"))
-            .collect()
+        let log = self.log.0.lock().unwrap_or_else(PoisonError::into_inner);
+        log.lines.iter().map(|line| format!("  {line}\n")).collect()
     }
 }
 
@@ -334,32 +339,34 @@
     }
 }
 
-/// Keeps what a node logs, the last of it.
-fn keep(stderr: ChildStderr, log: &(Mutex<Log>, Condvar)) {
+/// Reads a node's log until its end, and keeps the last lines and the first listen address.
+fn read_log(stderr: ChildStderr, shared_log: &(Mutex<Log>, Condvar)) {
     let mut reader = BufReader::new(stderr);
     loop {
         let mut line = Vec::new();
-        // A line longer than that is cut in two.
-        let read = (&mut reader).take(LOG_LINE).read_until(b'\n', &mut line);
-        let mut kept = log.0.lock().unwrap_or_else(PoisonError::into_inner);
+        // A longer line is split.
+        let read = (&mut reader)
+            .take(MAX_LINE_BYTES)
+            .read_until(b'\n', &mut line);
+        let mut log = shared_log.0.lock().unwrap_or_else(PoisonError::into_inner);
         if !read.is_ok_and(|read| read > 0) {
-            kept.ended = true;
-            log.1.notify_all();
+            log.has_ended = true;
+            shared_log.1.notify_all();
             return;
         }
         let line = String::from_utf8_lossy(&line).trim_end().to_owned();
-        if let Some(at) = badgerpost_fakes::listens_at(&line) {
-            kept.listens = kept.listens.or(Some(at));
-            log.1.notify_all();
+        if let Some(address) = badgerpost_fakes::listens_at(&line) {
+            log.listen_address = log.listen_address.or(Some(address));
+            shared_log.1.notify_all();
         }
-        if kept.lines.len() >= LOG_LINES {
-            kept.lines.pop_front();
+        if log.lines.len() >= MAX_LOG_LINES {
+            log.lines.pop_front();
         }
-        kept.lines.push_back(line);
+        log.lines.push_back(line);
     }
 }
 
-/// Listens for the control connection of a node on a stepped clock, and adds its address to the settings.
+/// Listens for the control connection of a node on a virtual clock, and adds the listener's address to the settings.
 fn listen_for_control(settings: &mut String, now: Nanos) -> io::Result<TcpListener> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
--- a/testkit/scenarios/src/process/error.rs
+++ b/testkit/scenarios/src/process/error.rs
@@ -1,53 +1,57 @@
-//! Failures of a node's process.
+//! Errors of starting and controlling a node's process.
 
 use std::io;
 use std::path::PathBuf;
 
-use super::PATIENCE;
+use super::RESPONSE_TIMEOUT;
 
-/// Why a node's process is of no use.
+/// An error of a node's process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// It can't be started.
-    #[error("can't start {}: {source}", program.display())]
+    /// The program can't be started or read.
+    #[error("can't start or read the node's program {}: {source}", program.display())]
     Start {
-        /// The program.
+        /// The path of the program.
         program: PathBuf,
-        /// What happened.
+        /// The underlying error.
         source: io::Error,
     },
-    /// Something else that the kit needs fails.
-    #[error("node {name}: {source}")]
+    /// A file, socket or system call that the test kit needs for the node failed.
+    #[error(
+        "node {name}: setting up its files, control connection or system-call faults failed: {source}"
+    )]
     System {
-        /// The node.
+        /// The node's name.
         name: String,
-        /// What happened.
+        /// The underlying error.
         source: io::Error,
     },
-    /// It does not say that it serves.
-    #[error("node {name} did not start to serve; its log:\n{log}")]
+    /// The node exited or the time limit ended before the node listened.
+    #[error("node {name} exited or did not listen within {} s; its log:\n{log}", RESPONSE_TIMEOUT.as_secs())]
     NotReady {
-        /// The node.
+        /// The node's name.
         name: String,
-        /// What it logged.
+        /// The last lines of the node's log.
         log: String,
     },
-    /// It does not come to rest.
-    #[error("node {name} did not come to rest within {} s; its log:\n{log}", PATIENCE.as_secs())]
+    /// The node did not become idle in time.
+    #[error("node {name} did not become idle within {} s of a step; its log:\n{log}", RESPONSE_TIMEOUT.as_secs())]
     Stalled {
-        /// The node.
+        /// The node's name.
         name: String,
-        /// What it logged.
+        /// The last lines of the node's log.
         log: String,
     },
-    /// It says what the kit does not understand.
-    #[error("node {name}: {source}; its log:\n{log}")]
+    /// The node sent a malformed message on the control connection.
+    #[error(
+        "node {name} sent a malformed line on its control connection: {source}; its log:\n{log}"
+    )]
     Control {
-        /// The node.
+        /// The node's name.
         name: String,
-        /// What it said.
+        /// The parse error of the line.
         source: badgerpost_virtual_clock::MalformedLine,
-        /// What it logged.
+        /// The last lines of the node's log.
         log: String,
     },
 }
--- a/testkit/scenarios/src/process/files.rs
+++ b/testkit/scenarios/src/process/files.rs
@@ -1,4 +1,4 @@
-//! The files of a node's process: its private folder, and its program.
+//! Files of a node's process: the private folder and the program.
 
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 
 use super::ProcessError;
 
-/// Writes files that only their owner may read into a folder.
+/// Writes files to a folder with mode 0600.
 pub(super) fn write_private_files(
     folder: &Path,
     files: &[(&'static str, String)],
@@ -25,12 +25,12 @@
     Ok(())
 }
 
-/// A folder that nobody else uses.
+/// Creates a temporary folder with mode 0700 and a unique name.
 pub(super) fn private_folder() -> io::Result<PathBuf> {
     use std::os::unix::fs::DirBuilderExt;
     use std::sync::atomic::{AtomicU32, Ordering};
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let folder = std::env::temp_dir().join(format!(
         "badgerpost-rehearse-{}-{number}",
         std::process::id()
@@ -39,11 +39,11 @@
     Ok(folder)
 }
 
-/// The SHA-256 of a program, in hexadecimal.
+/// The SHA-256 digest of a program file, in hexadecimal.
 pub fn sha256(program: &Path) -> Result<String, ProcessError> {
     let mut hasher = Sha256::new();
-    let read = std::fs::File::open(program).and_then(|mut file| io::copy(&mut file, &mut hasher));
-    read.map_err(|source| ProcessError::Start {
+    let copied = std::fs::File::open(program).and_then(|mut file| io::copy(&mut file, &mut hasher));
+    copied.map_err(|source| ProcessError::Start {
         program: program.to_owned(),
         source,
     })?;
--- a/testkit/scenarios/src/run.rs
+++ b/testkit/scenarios/src/run.rs
@@ -1,6 +1,6 @@
-//! Runs a plan: starts the nodes, moves the time on, and takes the outcome log at the end. In stepped time the
-//! kit owns the time of all: whatever happens next, at a node or among its peers, happens alone, and the node
-//! that has news runs until it is idle before anything else does.
+//! Runs a plan: starts the nodes, advances the time, and collects the outcome log at the end. On virtual time the test
+//! kit controls all clocks and processes one event at a time: a node with new input runs until it is idle before the
+//! next event.
 
 mod error;
 mod processes;
@@ -27,35 +27,35 @@
 pub use report::{RunReport, Verdict};
 use tolerances::tolerances;
 
-/// Unix time at which stepped scenes begin: any would do, as long as it is always the same.
-const STEPPED_BASE: Nanos = 1_700_000_000 * SECOND;
-/// What a node has written, or connections that it has ended, and that is not here when it says that it is idle is
-/// looked for this often, a millisecond each. It is on its way already, but a machine with other work may be long about
-/// it.
-const MAX_POLLS: u32 = 5000;
-/// A run with more steps than this is not going anywhere.
+/// The Unix time at which every scenario on virtual time starts.
+const VIRTUAL_TIME_BASE: Nanos = 1_700_000_000 * SECOND;
+/// The limit of empty polls, of a millisecond each after the first, while bytes or closes that an idle node has
+/// reported have not arrived. The loopback device delivers them late on a busy machine.
+const MAX_EMPTY_POLLS: u32 = 5000;
+/// A run with more node steps than this is aborted.
 const MAX_STEPS: u64 = 200_000_000;
-/// How often `progress` is called over the length of a scenario.
+/// The number of calls of `progress` over the length of a scenario.
 const PROGRESS_CALLS: u64 = 200;
 
-/// How to play.
+/// The options of a run.
 #[derive(Clone)]
 pub struct Options {
-    /// The node's program.
+    /// The path of the node's program.
     pub program: PathBuf,
-    /// In real time, not in steps.
+    /// Whether the run is in real time and not on virtual time.
     pub real_time: bool,
-    /// Where the first node listens; 0 for any free port.
+    /// The port of the first node; 0 for any free port. The other nodes get free ports.
     pub port: u16,
-    /// More of the operators' own file of every node, after the scene's.
+    /// TOML settings that are appended to the scenario's operator settings for every node.
     pub extra_settings: String,
-    /// The nodes gossip_traffic to each other, whatever the scene says.
+    /// Enables gossip between the nodes even if the scenario does not.
     pub gossip: bool,
-    /// Faults of the nodes' system calls, by the node's position; each process draws its own. In real time only.
+    /// Faults that are injected into the nodes' system calls, by node index; each process draws from its own seed. In
+    /// real time only.
     pub system_faults: Vec<SystemFaults>,
 }
 
-/// Plays a plan to its end. `progress` is called with the part that is done, from 0 to 1.
+/// Runs a plan to its end. `progress` is called with the fraction of the scenario's length that is done.
 pub fn play(
     plan: &Plan,
     options: &Options,
@@ -75,42 +75,45 @@
     plan: Plan,
     options: Options,
     simulation: Simulation,
-    /// Where the nodes listen, also while they are away.
+    /// The listen ports of the nodes, reserved also while a node is down.
     ports: Vec<ReservedPort>,
     processes: Vec<Option<Process>>,
-    /// Nodes whose processes do not listen yet: a process that starts during a run must not hold up the others' peers.
+    /// In real time, nodes whose processes do not listen yet. The run goes on while they start.
     starting: Vec<usize>,
-    /// Bytes written to each node's sockets of which it has not been told.
+    /// Bytes written to each node's sockets since the node's last step.
     unread_bytes: Vec<u64>,
-    /// Ends of connections that each node has told of and that were waited for in vain.
+    /// Ended connections that each node has reported and whose end did not arrive within the poll limit.
     missing_ends: Vec<u64>,
     paused: Vec<bool>,
-    /// It was asked to stop, so its end is none too soon.
+    /// Whether each node got SIGTERM, so that an exit is not a crash.
     stopping: Vec<bool>,
-    incarnations: u64,
-    /// The wall clocks that the nodes read, where their system calls have faults.
+    /// The number of node processes that the run has started.
+    started_processes: u64,
+    /// The nodes' wall clocks; empty without system-call faults.
     wall_clocks: Vec<WallClock>,
+    /// A buffer for socket events, kept for reuse.
     events: Vec<NetworkEvent>,
     started_at: Instant,
-    checked_at: Nanos,
+    /// When the nodes' processes are next checked for an exit, in real time.
+    next_exit_check: Nanos,
     steps: u64,
     late_waits: u64,
     /// When the last turn began, in real time.
-    turned_at: Nanos,
+    last_turn_at: Nanos,
     longest_stall: Nanos,
     _pinning: Option<CpuPinning>,
 }
 
 impl Runner {
-    /// Starts the nodes of a plan, with its peers listening.
+    /// Builds the simulation of a plan and starts the nodes.
     pub fn new(plan: &Plan, options: &Options) -> Result<Self, RunError> {
         let base = if options.real_time {
-            let unix = SystemTime::now()
+            let unix_time = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default();
-            u64::try_from(unix.as_nanos()).unwrap_or(STEPPED_BASE)
+            u64::try_from(unix_time.as_nanos()).unwrap_or(VIRTUAL_TIME_BASE)
         } else {
-            STEPPED_BASE
+            VIRTUAL_TIME_BASE
         };
         let pinning = (!options.real_time).then(CpuPinning::acquire);
         let count = plan.scenario.spec.nodes.len();
@@ -120,11 +123,11 @@
             ReservedPort::new(at).map_err(|source| RunError::Port { at, source })
         };
         let ports = (0..count).map(port).collect::<Result<Vec<_>, _>>()?;
-        let ahead = plan.behaviour.clocks_ahead_ms.0;
+        let ahead_ms = plan.behaviour.clocks_ahead_ms.0;
         let wall_clocks = options
             .system_faults
             .iter()
-            .map(|_| WallClock::ahead_by(ahead));
+            .map(|_| WallClock::ahead_by(ahead_ms));
         let wall_clocks = wall_clocks.collect::<Result<Vec<_>, _>>()?;
         let mut runner = Self {
             plan: plan.clone(),
@@ -137,14 +140,14 @@
             missing_ends: vec![0; count],
             paused: vec![false; count],
             stopping: vec![false; count],
-            incarnations: 0,
+            started_processes: 0,
             wall_clocks,
             events: Vec::new(),
             started_at: Instant::now(),
-            checked_at: 0,
+            next_exit_check: 0,
             steps: 0,
             late_waits: 0,
-            turned_at: 0,
+            last_turn_at: 0,
             longest_stall: 0,
             _pinning: pinning,
         };
@@ -160,7 +163,7 @@
             if self.options.real_time {
                 self.real_time_turn()?;
             } else {
-                self.stepped_turn()?;
+                self.virtual_time_turn()?;
             }
             let now = self.simulation.now();
             if now >= next_progress {
@@ -171,7 +174,7 @@
         self.check_exits()
     }
 
-    /// Ends the processes, and checks the log against the rules. The caller adds how long the run took.
+    /// Stops the processes and checks the log against the rules. The caller sets `wall`.
     fn into_report(self, sha256: String) -> RunReport {
         let nodes = &self.plan.scenario.spec.nodes;
         let logs = nodes
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Where a node listens, and its process's id.
+    /// The listen address and the process id of a node; none if the node is down.
     pub fn node(&self, node: usize) -> Option<(SocketAddr, u32)> {
         Some((
             self.simulation.node_address(node)?,
@@ -212,27 +215,28 @@
         ))
     }
 
-    /// Where discovery listens for a node.
+    /// The address at which a node polls discovery.
     pub fn discovery_address(&self, node: usize) -> SocketAddr {
         self.simulation.discovery_address(node)
     }
 
-    /// Where the servers listen, by name.
+    /// The name and the address of each server.
     pub fn servers(&self) -> impl Iterator<Item = (&str, SocketAddr)> {
         self.simulation.servers()
     }
 
-    fn stepped_turn(&mut self) -> Result<(), RunError> {
+    /// Advances virtual time to the next node timer or scheduled event, and processes it.
+    fn virtual_time_turn(&mut self) -> Result<(), RunError> {
         let base = self.simulation.base();
-        let waits = |(node, process): (usize, &Option<Process>)| {
-            let next = process
+        let timer = |(node, process): (usize, &Option<Process>)| {
+            let due = process
                 .as_ref()
                 .filter(|_| !self.paused[node])?
                 .next_timer_at?;
-            Some((next.saturating_sub(base), node))
+            Some((due.saturating_sub(base), node))
         };
-        let node = self.processes.iter().enumerate().filter_map(waits).min();
-        match (node, self.simulation.next_event_at()) {
+        let next_timer = self.processes.iter().enumerate().filter_map(timer).min();
+        match (next_timer, self.simulation.next_event_at()) {
             (Some((at, node)), next) if next.is_none_or(|next| at <= next) => {
                 self.simulation.advance(at);
                 self.step(node)
@@ -241,7 +245,9 @@
                 let outcome = self.simulation.step()?;
                 self.apply(outcome)
             }
-            (_, None) => Err(RunError::NoProgress("requests are open and nothing is due")),
+            (_, None) => Err(RunError::NoProgress(
+                "requests are open, but no node timer and no event is scheduled",
+            )),
         }
     }
 
@@ -258,7 +264,7 @@
             .try_for_each(|command| self.execute(command))
     }
 
-    /// Has a node run at the present until it is idle, and takes in what it has written.
+    /// Runs a node at the current virtual time until it is idle, and processes what the node has written.
     fn step(&mut self, node: usize) -> Result<(), RunError> {
         if self.paused[node] {
             return Ok(());
@@ -269,7 +275,9 @@
         };
         self.steps += 1;
         if self.steps > MAX_STEPS {
-            return Err(RunError::NoProgress("the nodes never come to rest"));
+            return Err(RunError::NoProgress(
+                "the nodes took more steps than the limit for one run",
+            ));
         }
         let before = self.simulation.bytes_read();
         match process.step(
@@ -282,33 +290,35 @@
         }
     }
 
-    /// Takes in what a node has written, so many bytes over all, and that so many of its connections have ended since
-    /// its start.
+    /// Processes the socket events of a node, once `read` bytes in total from all nodes and the ends of `ended`
+    /// connections since the node's start have arrived, or after a limit of empty polls.
     fn collect(&mut self, node: usize, read: u64, ended: u64) -> Result<(), RunError> {
         let mut events = std::mem::take(&mut self.events);
-        let mut polls = 0;
+        let mut empty_polls = 0;
         loop {
-            let known = events.len();
-            let wait = if polls > 0 {
+            let previous_count = events.len();
+            let wait = if empty_polls > 0 {
                 Duration::from_millis(1)
             } else {
                 Duration::ZERO
             };
             self.simulation.poll(wait, &mut events)?;
-            if events.len() == known {
-                polls += 1;
+            if events.len() == previous_count {
+                empty_polls += 1;
                 let ends = events
                     .iter()
-                    .filter(|one| matches!(one, NetworkEvent::Closed { .. }))
+                    .filter(|event| matches!(event, NetworkEvent::Closed { .. }))
                     .count() as u64;
                 let seen = self.simulation.ended_connections(node) + ends;
-                let all = seen + self.missing_ends[node] >= ended
+                let has_all_ends = seen + self.missing_ends[node] >= ended
                     || self.simulation.open_connections(node) as u64 <= ends;
-                if (all && self.simulation.bytes_read() >= read) || polls > MAX_POLLS {
-                    if !all {
+                if (has_all_ends && self.simulation.bytes_read() >= read)
+                    || empty_polls > MAX_EMPTY_POLLS
+                {
+                    if !has_all_ends {
                         self.missing_ends[node] = ended - seen;
                     }
-                    self.late_waits += u64::from(polls > 1);
+                    self.late_waits += u64::from(empty_polls > 1);
                     break;
                 }
             }
@@ -317,7 +327,7 @@
         self.simulation.set_running(Some(node));
         events
             .drain(..)
-            .for_each(|happening| self.simulation.handle_socket_event(happening));
+            .for_each(|event| self.simulation.handle_socket_event(event));
         self.simulation.set_running(None);
         self.events = events;
         Ok(())
--- a/testkit/scenarios/src/run/error.rs
+++ b/testkit/scenarios/src/run/error.rs
@@ -1,4 +1,4 @@
-//! Reasons for which a run has no verdict.
+//! Errors that leave a run without a verdict.
 
 use std::net::SocketAddr;
 
@@ -6,42 +6,42 @@
 
 use crate::process::ProcessError;
 
-/// Why a run has no verdict.
+/// The reason why a run has no verdict.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// A node's process.
+    /// A node's process could not be started or controlled.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// It crashed.
-    #[error("node {name} crashed ({status}) {} ms into the scene; its log:\n{log}", at / MILLISECOND)]
+    /// A node's process exited unexpectedly.
+    #[error("node {name} crashed ({status}) {} ms into the scenario; its log:\n{log}", at / MILLISECOND)]
     Crashed {
-        /// The node.
+        /// The node's name.
         name: String,
-        /// How it ended.
+        /// The exit status.
         status: String,
-        /// When.
+        /// The time since the start of the scenario.
         at: Nanos,
-        /// What it logged.
+        /// The last lines of the node's log.
         log: String,
     },
-    /// A node's port is not to be had.
+    /// A node's port can't be reserved.
     #[error("can't listen at {at}: {source}")]
     Port {
         /// The address.
         at: SocketAddr,
-        /// What happened.
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// A shipped scene can't be read.
+    /// A scenario file can't be read.
     #[error(transparent)]
     Scenario(#[from] badgerpost_settings::file::FileError),
-    /// The stage can't be set, or a client of the kit's own broke.
+    /// A fake could not be set up, or a client of the test kit failed.
     #[error("{0}")]
     Environment(String),
-    /// Sockets or files.
+    /// A socket, file or system call of the test kit failed.
     #[error("{0}")]
     System(#[from] std::io::Error),
-    /// Nothing moves any more, or it moves on for ever.
-    #[error("the scene does not come to its end: {0}")]
+    /// The run on virtual time does not end: nothing is scheduled, or the nodes take too many steps.
+    #[error("the scenario does not end: {0}")]
     NoProgress(&'static str),
 }
--- a/testkit/scenarios/src/run/processes.rs
+++ b/testkit/scenarios/src/run/processes.rs
@@ -1,4 +1,4 @@
-//! The nodes' processes: what is done to them, and how they end.
+//! Carries out commands for the nodes' processes and handles exits.
 
 use rustix::process::Signal;
 
@@ -7,10 +7,11 @@
 use badgerpost_time::Nanos;
 
 impl Runner {
+    /// Carries out a command of the simulation.
     pub(super) fn execute(&mut self, command: ProcessCommand) -> Result<(), RunError> {
         match command {
             ProcessCommand::Kill { node } => {
-                // Its connections are reset as it goes; they are found so before anything else happens.
+                // The kill resets the node's connections; the resets are collected before any other event.
                 if let Some(mut process) = self.processes[node].take() {
                     process.kill();
                 }
@@ -30,11 +31,8 @@
                 }
             }
             ProcessCommand::Signal { node, signal } => self.signal_stopping(node, signal),
-            ProcessCommand::StepClock {
-                node,
-                ahead_ms: ahead,
-            } => match self.wall_clocks.get(node) {
-                Some(clock) => Ok(clock.set(ahead)?),
+            ProcessCommand::StepClock { node, ahead_ms } => match self.wall_clocks.get(node) {
+                Some(clock) => Ok(clock.set(ahead_ms)?),
                 None => Ok(()),
             },
             ProcessCommand::Start { node } => self.restart_node(node),
@@ -62,7 +60,7 @@
         }
     }
 
-    /// A signal to a node that was asked to stop.
+    /// Sends a further signal to a node that is shutting down.
     fn signal_stopping(&mut self, node: usize, signal: StopSignal) -> Result<(), RunError> {
         let signal = match signal {
             StopSignal::Hangup => Signal::HUP,
@@ -82,7 +80,7 @@
         Ok(())
     }
 
-    /// A node's process has ended by itself: as it was asked to, or it has crashed.
+    /// Handles an exit that is not a kill. An exit of a node without SIGTERM, or with a failure status, is a crash.
     pub(super) fn handle_exit(&mut self, node: usize) -> Result<(), RunError> {
         let Some(mut process) = self.processes[node].take() else {
             return Ok(());
@@ -94,13 +92,16 @@
         }
         Err(RunError::Crashed {
             name: self.plan.scenario.spec.nodes[node].name.get_ref().clone(),
-            status: status.map_or_else(|| "it still runs".to_owned(), |status| status.to_string()),
+            status: status.map_or_else(
+                || "the control connection closed, but the process did not exit".to_owned(),
+                |status| status.to_string(),
+            ),
             at: self.simulation.now(),
             log: process.log(),
         })
     }
 
-    /// Finds nodes that have crashed and were not looked at since.
+    /// Checks all nodes for exits that have not been handled yet.
     pub(super) fn check_exits(&mut self) -> Result<(), RunError> {
         for node in 0..self.processes.len() {
             if self.processes[node]
--- a/testkit/scenarios/src/run/real_time.rs
+++ b/testkit/scenarios/src/run/real_time.rs
@@ -1,4 +1,4 @@
-//! The real-time loop: events are processed when the monotonic clock has reached their time.
+//! The loop of a run in real time: events are processed when the monotonic clock reaches their time.
 
 use std::time::{Duration, Instant};
 
@@ -6,13 +6,13 @@
 
 use super::{RunError, Runner};
 
-/// The longest wait for sockets.
+/// The longest wait for socket events in one turn.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(20);
-/// How often the processes of the nodes are checked for an exit.
-const NODE_CHECK_PERIOD: Nanos = 100 * MILLISECOND;
+/// How often the nodes' processes are checked for an exit.
+const EXIT_CHECK_PERIOD: Nanos = 100 * MILLISECOND;
 
 impl Runner {
-    /// Processes the events that are due, and then those of the sockets.
+    /// Processes the events that are due, and then waits for and processes socket events.
     pub(super) fn real_time_turn(&mut self) -> Result<(), RunError> {
         let now = |started_at: Instant| {
             u64::try_from(started_at.elapsed().as_nanos()).unwrap_or(Nanos::MAX)
@@ -27,15 +27,15 @@
             let outcome = self.simulation.step()?;
             self.apply(outcome)?;
         }
-        let left = self
+        let time_to_next = self
             .simulation
             .next_event_at()
             .map_or(Nanos::MAX, |next| next.saturating_sub(now(self.started_at)));
-        // The poll has a resolution of milliseconds: less is waited for by polling without a timeout.
-        let wait = if left < 2 * MILLISECOND {
+        // Polls have a resolution of milliseconds. For a shorter wait the loop polls without waiting.
+        let wait = if time_to_next < 2 * MILLISECOND {
             Duration::ZERO
         } else {
-            MAX_POLL_WAIT.min(Duration::from_nanos(left - MILLISECOND))
+            MAX_POLL_WAIT.min(Duration::from_nanos(time_to_next - MILLISECOND))
         };
         let mut events = std::mem::take(&mut self.events);
         self.simulation.poll(wait, &mut events)?;
@@ -44,25 +44,25 @@
             .drain(..)
             .for_each(|event| self.simulation.handle_socket_event(event));
         self.events = events;
-        if self.simulation.now() >= self.checked_at {
-            self.checked_at = self.simulation.now() + NODE_CHECK_PERIOD;
+        if self.simulation.now() >= self.next_exit_check {
+            self.next_exit_check = self.simulation.now() + EXIT_CHECK_PERIOD;
             self.check_exits()?;
         }
         Ok(())
     }
 
-    /// Measures how much later than it should a turn begins: all peers of the nodes stood still meanwhile.
+    /// Records how late a turn begins. No simulated process responds to a node during such a stall.
     fn measure_stall(&mut self, now: Nanos) {
-        let expected = self.turned_at + MAX_POLL_WAIT.as_nanos() as Nanos;
-        if self.turned_at > 0 {
+        let expected = self.last_turn_at + MAX_POLL_WAIT.as_nanos() as Nanos;
+        if self.last_turn_at > 0 {
             self.longest_stall = self.longest_stall.max(now.saturating_sub(expected));
         }
-        self.turned_at = now;
+        self.last_turn_at = now;
     }
 
-    /// Runs the simulation in real time until `over`.
-    pub fn run_until(&mut self, over: &dyn Fn() -> bool) -> Result<(), RunError> {
-        while !over() {
+    /// Runs the simulation in real time until `is_over` returns true.
+    pub fn run_until(&mut self, is_over: &dyn Fn() -> bool) -> Result<(), RunError> {
+        while !is_over() {
             self.real_time_turn()?;
         }
         Ok(())
--- a/testkit/scenarios/src/run/report.rs
+++ b/testkit/scenarios/src/run/report.rs
@@ -1,4 +1,4 @@
-//! The result of a run: the outcome log, breaches of the rules, and figures of the run itself.
+//! The result of a run: the outcome log, breaches of the rules, and statistics of the run.
 
 use std::time::Duration;
 
@@ -8,65 +8,64 @@
 use crate::rules::Breach;
 use crate::simulation::SOCKET_SLACK;
 
-/// The longest that the test kit may stand still in a run that is judged: what the time limits of the rules are extended
-/// by for sockets is no more.
+/// The longest stall of the test kit in a run that has a verdict: the tolerance of the rules' time limits.
 const MAX_STALL: Nanos = SOCKET_SLACK;
 
 /// The result of a run.
 pub struct RunReport {
     /// The outcome log.
     pub log: Vec<Request>,
-    /// The most that each server was sent while cold, as a multiple of what it could do; with its zone.
+    /// The zone of each server, and its highest load during slow start as a multiple of its capacity at that time.
     pub cold_peaks: Vec<(String, f64)>,
-    /// The last lines that each node logged, by name.
+    /// The name of each node that is up, and the last lines of its log.
     pub logs: Vec<(String, String)>,
-    /// Broken rules.
+    /// Breaches of the rules.
     pub breaches: Vec<Breach>,
-    /// Requests at servers that no client had sent in this form.
+    /// How many requests to servers or discovery were malformed or not sent by any client.
     pub unknown_requests: u64,
-    /// What the nodes have said to each other: datagrams and bytes, by node.
+    /// The number of gossip datagrams and of bytes that each node sent, by node index.
     pub gossip_traffic: Vec<(u64, u64)>,
-    /// The program's SHA-256.
+    /// The SHA-256 digest of the node's program, in hexadecimal.
     pub sha256: String,
-    /// How long the scene lasted.
+    /// The duration of the scenario, on virtual time or in real time.
     pub simulated: Nanos,
-    /// How long it took.
+    /// The real time that the run took.
     pub wall: Duration,
-    /// Steps of nodes.
+    /// Steps of nodes on virtual time; 0 in real time.
     pub steps: u64,
-    /// Bytes that had to be waited for; above 0 on a machine whose loopback device is late.
+    /// Steps after which the test kit waited for bytes or closes that the loopback device delivered late.
     pub late_waits: u64,
-    /// The longest time for which the test kit itself stood still, in real time.
+    /// The longest stall of the test kit; 0 on virtual time.
     pub longest_stall: Nanos,
 }
 
-/// What a run says of the node.
+/// The verdict of a run on the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Every rule held.
+    /// No rule was broken.
     Passed,
     /// A rule was broken.
     Failed,
-    /// The test kit stood still for longer than the rules allow a node to: neither can be said.
+    /// The test kit stalled for longer than the tolerance of the rules' time limits.
     Inconclusive,
 }
 
 impl RunReport {
-    /// Counts over the log.
+    /// The counts of requests and attempts in the log.
     pub fn counts(&self) -> Counts {
         Counts::of(&self.log)
     }
 
-    /// The most that a cold server was sent, of one zone or of all.
+    /// The highest load during slow start of the servers of one zone, or of all servers.
     pub fn cold_peak(&self, zone: Option<&str>) -> f64 {
-        let of = self
+        let peaks = self
             .cold_peaks
             .iter()
-            .filter(|(at, _)| zone.is_none_or(|zone| zone == at));
-        of.map(|(_, peak)| *peak).fold(0.0, f64::max)
+            .filter(|(server_zone, _)| zone.is_none_or(|zone| zone == server_zone));
+        peaks.map(|(_, peak)| *peak).fold(0.0, f64::max)
     }
 
-    /// What the run says of the node, by the letter of rules whose times the test kit has to keep too.
+    /// The verdict of a run in real time, which is inconclusive if the test kit stalled too long.
     pub fn verdict(&self) -> Verdict {
         if self.longest_stall > MAX_STALL {
             Verdict::Inconclusive
@@ -77,7 +76,7 @@
         }
     }
 
-    /// Whether every rule held.
+    /// Whether no rule was broken and every request was known.
     pub fn is_good(&self) -> bool {
         self.breaches.is_empty() && self.unknown_requests == 0
     }
--- a/testkit/scenarios/src/run/starts.rs
+++ b/testkit/scenarios/src/run/starts.rs
@@ -10,18 +10,18 @@
 use crate::simulation::GOSSIP_KEY;
 
 impl Runner {
-    /// Starts a node's process, and waits until it listens.
+    /// Starts a node's process and waits until the node listens.
     pub(super) fn start_node(&mut self, node: usize) -> Result<(), RunError> {
-        let (process, listens) = Process::start(&self.start_options(node))?;
+        let (process, listen_address) = Process::start(&self.start_options(node))?;
         self.processes[node] = Some(process);
-        self.node_listens(node, listens)?;
+        self.record_node_start(node, listen_address)?;
         if !self.options.real_time {
             self.step(node)?;
         }
         Ok(())
     }
 
-    /// Starts a node's process during a run.
+    /// Starts a node's process during a run. In real time this does not wait until the node listens.
     pub(super) fn restart_node(&mut self, node: usize) -> Result<(), RunError> {
         if !self.options.real_time {
             return self.start_node(node);
@@ -32,44 +32,48 @@
         Ok(())
     }
 
-    /// Finds the processes that have come to listen.
+    /// Completes the starts of processes that listen by now.
     pub(super) fn finish_starts(&mut self) -> Result<(), RunError> {
         for node in std::mem::take(&mut self.starting) {
-            let listens = match &mut self.processes[node] {
+            let listen_address = match &mut self.processes[node] {
                 Some(process) => process.listen_address()?,
-                // It was killed meanwhile.
+                // The process was killed before it listened.
                 None => continue,
             };
-            match listens {
-                Some(listens) => self.node_listens(node, listens)?,
+            match listen_address {
+                Some(listen_address) => self.record_node_start(node, listen_address)?,
                 None => self.starting.push(node),
             }
         }
         Ok(())
     }
 
-    /// A node's process listens.
-    fn node_listens(&mut self, node: usize, listens: SocketAddr) -> Result<(), RunError> {
+    /// Resets the state of a node whose new process listens.
+    fn record_node_start(
+        &mut self,
+        node: usize,
+        listen_address: SocketAddr,
+    ) -> Result<(), RunError> {
         if self.simulation.has_gossip()
             && let Some(process) = &mut self.processes[node]
         {
-            let gossip = process.wait_for_logged_address("peers may call")?;
-            self.simulation.set_gossip_address(node, gossip);
+            let gossip_address = process.wait_for_logged_address("peers may call")?;
+            self.simulation.set_gossip_address(node, gossip_address);
         }
         (self.unread_bytes[node], self.missing_ends[node]) = (0, 0);
         (self.paused[node], self.stopping[node]) = (false, false);
-        self.simulation.node_started(node, listens);
+        self.simulation.node_started(node, listen_address);
         Ok(())
     }
 
-    /// How a node's next process is started.
+    /// The options for a node's next process.
     fn start_options(&mut self, node: usize) -> StartOptions<'_> {
-        // Under the same address each time.
-        let listen = self.ports[node].address();
-        self.incarnations += 1;
-        let seed = Random::new(self.plan.seed ^ self.incarnations, "node").next_u64();
+        // Every process of a node has the same address.
+        let listen_address = self.ports[node].address();
+        self.started_processes += 1;
+        let seed = Random::new(self.plan.seed ^ self.started_processes, "node").next_u64();
         let scenario = &self.plan.scenario;
-        let known = scenario
+        let endpoint_list = scenario
             .spec
             .discovery
             .is_preconfigured
@@ -77,10 +81,10 @@
         let mut edge_config = process::edge_config(
             scenario,
             node,
-            listen,
+            listen_address,
             self.simulation.discovery_address(node),
             seed,
-            known,
+            endpoint_list,
         );
         if self.plan.behaviour.polled_discovery {
             edge_config["settings"]["discovery"] = "on_request".into();
@@ -103,7 +107,7 @@
         }
     }
 
-    /// The faults of a node's next process.
+    /// The system-call faults of a node's next process, with a new seed.
     fn system_faults(&self, node: usize, seed: u64) -> Option<SystemFaults> {
         let faults = self.options.system_faults.get(node)?.clone();
         Some(
--- a/testkit/scenarios/src/run/tolerances.rs
+++ b/testkit/scenarios/src/run/tolerances.rs
@@ -1,4 +1,4 @@
-//! The tolerances with which the rules are checked.
+//! Tolerances for checking the rules.
 
 use badgerpost_fakes::system_faults::SystemFaults;
 use badgerpost_time::{MILLISECOND, Nanos};
@@ -9,14 +9,14 @@
 use crate::rules;
 use crate::simulation::SOCKET_SLACK;
 
-/// An attempt may begin this long after its client has disconnected.
+/// An attempt may begin this long after the client has disconnected.
 const DISCONNECT_SLACK: Nanos = 100 * MILLISECOND;
-/// A system call that is held begins this late.
-const HELD_CALL_DELAY: Nanos = 150 * MILLISECOND;
-/// The deadline that a server is told may be this much beyond what the client has left.
+/// The additional tolerance if injected faults delay system calls.
+const SYSTEM_CALL_DELAY_SLACK: Nanos = 150 * MILLISECOND;
+/// A deadline that is sent to a server may exceed the client's remaining time by this much.
 const DEADLINE_SLACK: Nanos = 150 * MILLISECOND;
 
-/// The tolerances of the rules for a run: those of the scenario, or by the letter of the platform's pages.
+/// The tolerances for a run: those of the scenario, or the platform's with strict rules.
 pub(super) fn tolerances(plan: &Plan, options: &Options) -> rules::Tolerances {
     let rules = &plan.scenario.spec.rules;
     rules::Tolerances {
@@ -30,10 +30,10 @@
     }
 }
 
-/// How much later a node may read a request where its system calls are held.
+/// How much later a node may read a request because of injected system-call delays.
 fn system_call_delay(options: &Options) -> Nanos {
     if options.system_faults.iter().any(SystemFaults::has_delays) {
-        HELD_CALL_DELAY
+        SYSTEM_CALL_DELAY_SLACK
     } else {
         0
     }
--- a/testkit/scenarios/src/simulation/state.rs
+++ b/testkit/scenarios/src/simulation/state.rs
@@ -91,7 +91,7 @@
     pub(super) running_node: Option<usize>,
     /// Active link faults.
     pub(super) impairments: Vec<LinkImpairment>,
-    /// Messages held by cut links: at most one for each connection, so their number is bounded.
+    /// Messages held by cut links; the open requests and polls bound their number.
     pub(super) held_messages: Vec<InFlightMessage>,
     /// Random draws for message loss.
     pub(super) random: Random,
