--- a/testkit/scenarios/src/simulation/misbehaviour.rs
+++ b/testkit/scenarios/src/simulation/misbehaviour.rs
@@ -347,12 +347,11 @@
             return StepOutcome::default();
         }
         if signal == StopSignal::Kill {
-            // The rules excuse requests that were written before SIGKILL and are still open.
-            let kill_at = since + KILL_DELAY;
-            let open = self
-                .requests
-                .iter_mut()
-                .filter(|open| !open.is_done && open.node == node && open.written_at <= kill_at);
+            // The rules excuse open requests that were written up to this long after SIGTERM.
+            let excused_until = since + KILL_DELAY;
+            let open = self.requests.iter_mut().filter(|open| {
+                !open.is_done && open.node == node && open.written_at <= excused_until
+            });
             open.for_each(|open| open.log.is_excused = true);
         }
         StepOutcome {
--- a/testkit/scenarios/src/simulation/servers.rs
+++ b/testkit/scenarios/src/simulation/servers.rs
@@ -15,7 +15,7 @@
 
 /// A node counts as notified of a change this long after discovery listed the change and was reachable.
 const NOTIFICATION_LIMIT: Nanos = 6 * SECOND;
-/// A deadline header is logged if it exceeds the client's remaining time by more than this.
+/// The excess of a deadline header is recorded if the header exceeds the client's remaining time by more than this.
 const DEADLINE_TOLERANCE: Nanos = 100 * MILLISECOND;
 
 impl Simulation {
