--- a/testkit/scenarios/src/run/starts.rs
+++ b/testkit/scenarios/src/run/starts.rs
@@ -6,25 +6,25 @@
 use badgerpost_fakes::system_faults::SystemFaults;
 
 use super::{RunError, Runner};
-use crate::process::{self, Process, Start};
+use crate::process::{self, Process, StartOptions};
 use crate::simulation::GOSSIP_KEY;
 
 impl Runner {
-    /// Starts a node's process, and waits until it listens.
-    pub(super) fn start(&mut self, node: usize) -> Result<(), RunError> {
-        let (process, listens) = Process::start(&self.start_options(node))?;
+    /// Starts a node's process and waits until the node listens.
+    pub(super) fn start_node(&mut self, node: usize) -> Result<(), RunError> {
+        let (process, listen_address) = Process::start(&self.start_options(node))?;
         self.processes[node] = Some(process);
-        self.node_listens(node, listens)?;
+        self.record_node_start(node, listen_address)?;
         if !self.options.real_time {
             self.step(node)?;
         }
         Ok(())
     }
 
-    /// Starts a node's process during a run.
-    pub(super) fn restart(&mut self, node: usize) -> Result<(), RunError> {
+    /// Starts a node's process during a run. In real time this does not wait until the node listens.
+    pub(super) fn restart_node(&mut self, node: usize) -> Result<(), RunError> {
         if !self.options.real_time {
-            return self.start(node);
+            return self.start_node(node);
         }
         let process = Process::start_in_background(&self.start_options(node))?;
         self.processes[node] = Some(process);
@@ -32,67 +32,71 @@
         Ok(())
     }
 
-    /// Finds the processes that have come to listen.
+    /// Completes the starts of processes that listen by now.
     pub(super) fn finish_starts(&mut self) -> Result<(), RunError> {
         for node in std::mem::take(&mut self.starting) {
-            let listens = match &mut self.processes[node] {
-                Some(process) => process.listens()?,
-                // It was killed meanwhile.
+            let listen_address = match &mut self.processes[node] {
+                Some(process) => process.listen_address()?,
+                // The process was killed before it listened.
                 None => continue,
             };
-            match listens {
-                Some(listens) => self.node_listens(node, listens)?,
+            match listen_address {
+                Some(listen_address) => self.record_node_start(node, listen_address)?,
                 None => self.starting.push(node),
             }
         }
         Ok(())
     }
 
-    /// A node's process listens.
-    fn node_listens(&mut self, node: usize, listens: SocketAddr) -> Result<(), RunError> {
+    /// Resets the state of a node whose new process listens.
+    fn record_node_start(
+        &mut self,
+        node: usize,
+        listen_address: SocketAddr,
+    ) -> Result<(), RunError> {
         if self.simulation.has_gossip()
             && let Some(process) = &mut self.processes[node]
         {
-            let gossip = process.listens_for("peers may call")?;
-            self.simulation.set_gossip_address(node, gossip);
+            let gossip_address = process.wait_for_logged_address("peers may call")?;
+            self.simulation.set_gossip_address(node, gossip_address);
         }
         (self.unread_bytes[node], self.missing_ends[node]) = (0, 0);
         (self.paused[node], self.stopping[node]) = (false, false);
-        self.simulation.node_started(node, listens);
+        self.simulation.node_started(node, listen_address);
         Ok(())
     }
 
-    /// How a node's next process is started.
-    fn start_options(&mut self, node: usize) -> Start<'_> {
-        // Under the same address each time.
-        let listen = self.ports[node].address();
-        self.incarnations += 1;
-        let seed = Random::new(self.plan.seed ^ self.incarnations, "node").next_u64();
+    /// The options for a node's next process.
+    fn start_options(&mut self, node: usize) -> StartOptions<'_> {
+        // Every process of a node has the same address.
+        let listen_address = self.ports[node].address();
+        self.started_processes += 1;
+        let seed = Random::new(self.plan.seed ^ self.started_processes, "node").next_u64();
         let scenario = &self.plan.scenario;
-        let known = scenario
+        let endpoint_list = scenario
             .spec
             .discovery
             .is_preconfigured
             .then(|| self.simulation.endpoint_snapshot());
-        let mut edge = process::edge(
+        let mut edge_config = process::edge_config(
             scenario,
             node,
-            listen,
+            listen_address,
             self.simulation.discovery_address(node),
             seed,
-            known,
+            endpoint_list,
         );
         if self.plan.behaviour.polled_discovery {
-            edge["settings"]["discovery"] = "on_request".into();
+            edge_config["settings"]["discovery"] = "on_request".into();
         }
         let now = self.simulation.base() + self.simulation.now();
-        Start {
+        StartOptions {
             program: &self.options.program,
             name: scenario.spec.nodes[node].name.get_ref(),
-            edge,
-            stepped: (!self.options.real_time).then_some(now),
-            own: scenario.spec.operator_settings.clone()
-                + &self.options.own
+            edge_config,
+            virtual_clock_start: (!self.options.real_time).then_some(now),
+            operator_settings: scenario.spec.operator_settings.clone()
+                + &self.options.extra_settings
                 + &self.simulation.gossip_settings(node),
             files: if self.simulation.has_gossip() {
                 vec![(GOSSIP_KEY.0, GOSSIP_KEY.1.to_owned())]
@@ -103,7 +107,7 @@
         }
     }
 
-    /// The faults of a node's next process.
+    /// The system-call faults of a node's next process, with a new seed.
     fn system_faults(&self, node: usize, seed: u64) -> Option<SystemFaults> {
         let faults = self.options.system_faults.get(node)?.clone();
         Some(
