--- a/testkit/scenarios/src/commands/run.rs
+++ b/testkit/scenarios/src/commands/run.rs
@@ -26,7 +26,7 @@
     let report = run::play(&plan, &options, &mut |done| show_progress(&bar, done))?;
     bar.finish_and_clear();
     write_files(&plan, &report, arguments)?;
-    let unmet = fleet::lost(&plan, &report);
+    let unmet = fleet::unmet_expectations(&plan, &report);
     print_summary(&plan, &options, &report, &unmet)?;
     Ok(if report.is_good() && unmet.is_empty() {
         ExitCode::SUCCESS
--- a/testkit/scenarios/src/commands/soak.rs
+++ b/testkit/scenarios/src/commands/soak.rs
@@ -136,7 +136,7 @@
         format!("  {drawn}"),
     ];
     lines.extend(
-        Soak::ways(&report)
+        Soak::breach_details(&report)
             .into_iter()
             .map(|way| format!("  {way}")),
     );
--- a/testkit/scenarios/src/commands/summary.rs
+++ b/testkit/scenarios/src/commands/summary.rs
@@ -121,14 +121,14 @@
 
 /// Prints what the fleet did in each outage of a zone.
 fn print_faults(plan: &Plan, report: &RunReport) -> io::Result<()> {
-    for outage in fleet::troubles(plan) {
+    for outage in fleet::zone_outages(plan) {
         print_line(&format!(
             "zone {}, {} for {} ms:",
             outage.zone,
-            outage.what,
-            (outage.until - outage.from) / NANOSECONDS_PER_MILLISECOND
+            outage.fault_name,
+            (outage.end - outage.start) / NANOSECONDS_PER_MILLISECOND
         ))?;
-        print_line(&fleet::conduct(&report.log, &outage).to_string())?;
+        print_line(&fleet::measure_failover(&report.log, &outage).to_string())?;
         let peak = report.cold_peak(Some(&outage.zone));
         let overload_multiple = plan.scenario.spec.rules.overload_multiple;
         print_line(&format!(
@@ -140,7 +140,7 @@
 
 /// Prints how many nodes ejected a zone that had no fault.
 fn print_false_ejections(plan: &Plan, report: &RunReport) -> io::Result<()> {
-    let ejections = fleet::strayed(plan, &report.log);
+    let ejections = fleet::false_ejections(plan, &report.log);
     let Some((node, at)) = ejections.first() else {
         return Ok(());
     };
--- a/testkit/scenarios/src/fleet/tests.rs
+++ b/testkit/scenarios/src/fleet/tests.rs
@@ -1,46 +1,47 @@
 use super::*;
 
-fn sent(pattern: &str) -> Vec<(Nanos, bool)> {
+/// One request a millisecond from 1 ms on: `z` for a request to the zone, any other character for one elsewhere.
+fn sent(pattern: &str) -> Vec<SentRequest> {
     pattern
         .chars()
         .zip(1..)
-        .map(|(one, at)| (at * MILLISECOND, one == 'z'))
+        .map(|(character, at)| (at * MILLISECOND, character == 'z'))
         .collect()
 }
 
 #[test]
-fn a_node_has_left_at_its_last_send_but_for_trials() {
+fn failover_is_at_the_last_request_to_the_zone_apart_from_trials() {
     assert_eq!(
-        left(&sent("zzz-----------------"), 0),
+        failover_at(&sent("zzz-----------------"), 0),
         Some(3 * MILLISECOND)
     );
     assert_eq!(
-        left(&sent("zzz-----------z------------"), 0),
+        failover_at(&sent("zzz-----------z------------"), 0),
         Some(3 * MILLISECOND)
     );
-    assert_eq!(left(&sent("--------"), 0), Some(0));
+    assert_eq!(failover_at(&sent("--------"), 0), Some(0));
     assert_eq!(
-        left(&sent("z-z-z-z-z-z-z---------"), 0),
+        failover_at(&sent("z-z-z-z-z-z-z---------"), 0),
         Some(11 * MILLISECOND)
     );
-    assert_eq!(left(&sent("zzzz"), 0), None);
+    assert_eq!(failover_at(&sent("zzzz"), 0), None);
 }
 
 #[test]
-fn a_node_is_back_once_it_goes_on_sending() {
+fn a_node_has_returned_once_it_keeps_sending_to_the_zone() {
     assert_eq!(
-        back(&sent("---z----------zzzzzzzz"), 1.0),
+        return_at(&sent("---z----------zzzzzzzz"), 1.0),
         Some(15 * MILLISECOND)
     );
-    assert_eq!(back(&sent("--------------"), 1.0), None);
+    assert_eq!(return_at(&sent("--------------"), 1.0), None);
 }
 
 #[test]
-fn shares_of_sorted_spans() {
-    let spans: Vec<Nanos> = (1..=10).collect();
+fn a_quantile_is_taken_from_sorted_durations_and_is_absent_without_any() {
+    let durations: Vec<Nanos> = (1..=10).collect();
     assert_eq!(
-        [0.5, 0.9, 1.0].map(|share| at_share(&spans, share)),
+        [0.5, 0.9, 1.0].map(|fraction| quantile(&durations, fraction)),
         [Some(5), Some(9), Some(10)]
     );
-    assert_eq!(at_share(&[], 0.5), None);
+    assert_eq!(quantile(&[], 0.5), None);
 }
--- a/testkit/scenarios/src/plan/repro.rs
+++ b/testkit/scenarios/src/plan/repro.rs
@@ -137,5 +137,5 @@
     },
     /// Its scenario is invalid.
     #[error(transparent)]
-    Scene(#[from] FileError),
+    Scenario(#[from] FileError),
 }
--- a/testkit/scenarios/src/plot.rs
+++ b/testkit/scenarios/src/plot.rs
@@ -34,11 +34,11 @@
 /// How many nodes sent first attempts to each zone that was in trouble, by step.
 fn senders(plan: &Plan, log: &[Request]) -> BTreeMap<String, BTreeMap<Nanos, f64>> {
     let mut senders: BTreeMap<String, BTreeMap<Nanos, BTreeSet<&str>>> = BTreeMap::new();
-    for trouble in fleet::troubles(plan) {
-        let steps = senders.entry(format!("to {}", trouble.zone)).or_default();
+    for outage in fleet::zone_outages(plan) {
+        let steps = senders.entry(format!("to {}", outage.zone)).or_default();
         for one in log
             .iter()
-            .filter(|one| one.first_attempt_is_in(&trouble.zone))
+            .filter(|one| one.first_attempt_is_in(&outage.zone))
         {
             steps
                 .entry(one.arrival / STEP)
--- a/testkit/scenarios/src/search.rs
+++ b/testkit/scenarios/src/search.rs
@@ -40,7 +40,7 @@
     if report.strangers > 0 {
         return Some(Violation::UnknownRequest);
     }
-    (!fleet::lost(plan, report).is_empty()).then_some(Violation::UnmetExpectation)
+    (!fleet::unmet_expectations(plan, report).is_empty()).then_some(Violation::UnmetExpectation)
 }
 
 /// Reduces a plan as long as it still shows the violation: first its faults, one by one, then its requests, by halves,
--- a/testkit/scenarios/src/soak.rs
+++ b/testkit/scenarios/src/soak.rs
@@ -72,7 +72,7 @@
 
     /// The way of the requests that broke a rule, a line each, with what the nodes logged of them.
     #[must_use]
-    pub fn ways(played: &RunReport) -> Vec<String> {
+    pub fn breach_details(played: &RunReport) -> Vec<String> {
         let mut ways = Vec::new();
         for breach in &played.breaches {
             ways.push(format!("{}: {breach}", breach.rule));
--- a/testkit/scenarios/src/sweep.rs
+++ b/testkit/scenarios/src/sweep.rs
@@ -6,7 +6,7 @@
 
 use badgerpost_time::{MILLISECOND, Nanos};
 
-use crate::fleet::{self, Conduct};
+use crate::fleet::{self, FailoverReport};
 use crate::plan::Plan;
 use crate::run::{self, Options, RunError};
 use crate::scenario;
@@ -21,7 +21,7 @@
     /// The number of breaches of rules.
     pub breaches: usize,
     /// What the fleet did in the first outage of a zone, if there is one.
-    pub conduct: Option<Conduct>,
+    pub failover: Option<FailoverReport>,
     /// The most load that a server in slow start got, as a multiple of its capacity.
     pub slow_start_peak: f64,
     /// How often a node left a healthy zone.
@@ -74,14 +74,14 @@
 fn run_seed(name: &str, seed: u64, options: &Options) -> Result<SeedResult, RunError> {
     let plan = Plan::draw(scenario::find(name)?, seed);
     let report = run::play(&plan, options, &mut |_| {})?;
-    let first_outage = fleet::troubles(&plan).into_iter().next();
+    let first_outage = fleet::zone_outages(&plan).into_iter().next();
     Ok(SeedResult {
         seed,
         served_fraction: report.counts().served_fraction(),
         breaches: report.breaches.len() + usize::from(report.strangers > 0),
-        conduct: first_outage.map(|outage| fleet::conduct(&report.log, &outage)),
+        failover: first_outage.map(|outage| fleet::measure_failover(&report.log, &outage)),
         slow_start_peak: report.cold_peak(None),
-        false_ejections: fleet::strayed(&plan, &report.log).len(),
+        false_ejections: fleet::false_ejections(&plan, &report.log).len(),
     })
 }
 
@@ -103,22 +103,22 @@
 
 /// The figures of a result in the order of [`COLUMNS`]; none where the run has no such figure.
 pub fn figures(result: &SeedResult) -> [Option<f64>; COLUMNS.len()] {
-    let conduct = result.conduct.as_ref();
-    let failover_ms = |fraction| conduct.and_then(|conduct| failover_ms(conduct, fraction));
+    let failover = result.failover.as_ref();
+    let failover_ms = |fraction| failover.and_then(|failover| failover_ms(failover, fraction));
     [
         Some(result.served_fraction),
         failover_ms(0.5),
         failover_ms(0.9),
         failover_ms(1.0),
-        conduct.map(|conduct| conduct.spent as f64),
-        conduct.map(|conduct| conduct.worst.0),
-        conduct
-            .and_then(|conduct| conduct.half_back)
+        failover.map(|failover| failover.attempts_during_outage as f64),
+        failover.map(|failover| failover.worst_second.0),
+        failover
+            .and_then(|failover| failover.half_load_after)
             .map(milliseconds),
-        conduct
-            .and_then(|conduct| conduct.full_back)
+        failover
+            .and_then(|failover| failover.nine_tenths_load_after)
             .map(milliseconds),
-        conduct.map(|conduct| conduct.peak_elsewhere),
+        failover.map(|failover| failover.peak_load_ratio_elsewhere),
         Some(result.slow_start_peak),
         Some(result.false_ejections as f64),
         Some(result.breaches as f64),
@@ -126,11 +126,11 @@
 }
 
 /// The time within which this fraction of the zone's nodes left it, if all did in the end.
-fn failover_ms(conduct: &Conduct, fraction: f64) -> Option<f64> {
-    if conduct.stayed > 0 {
+fn failover_ms(failover: &FailoverReport, fraction: f64) -> Option<f64> {
+    if failover.nodes_not_failed_over > 0 {
         return None;
     }
-    fleet::at_share(&conduct.left_after, fraction).map(milliseconds)
+    fleet::quantile(&failover.failover_times, fraction).map(milliseconds)
 }
 
 /// A duration in whole milliseconds.
--- a/testkit/scenarios/tests/peers.rs
+++ b/testkit/scenarios/tests/peers.rs
@@ -10,7 +10,7 @@
 
 mod common;
 
-use badgerpost_scenarios::fleet::{self, Conduct};
+use badgerpost_scenarios::fleet::{self, FailoverReport};
 use badgerpost_scenarios::plan::Plan;
 use badgerpost_scenarios::run::RunReport;
 use common::{MS, ZONE_WATCH_SETTINGS};
@@ -40,11 +40,11 @@
 }
 
 impl FleetRun {
-    fn failover(&self) -> Conduct {
-        let troubles = fleet::troubles(&self.plan);
-        fleet::conduct(
+    fn failover(&self) -> FailoverReport {
+        let outages = fleet::zone_outages(&self.plan);
+        fleet::measure_failover(
             &self.report.log,
-            troubles.first().expect("a zone in trouble"),
+            outages.first().expect("a zone in trouble"),
         )
     }
 
@@ -54,7 +54,7 @@
 
     /// Whether all four nodes of the zone had returned within this time after the fault, in milliseconds.
     fn all_returned_within(&self, most: u64) -> bool {
-        let back = self.failover().back_after;
+        let back = self.failover().return_times;
         back.len() == 4 && back.iter().all(|span| *span <= most * MS)
     }
 
@@ -75,21 +75,23 @@
 fn nodes_leave_an_unresponsive_zone_together_and_return_together() {
     let fleet_run = run_fleet(13_000, SILENT, true);
     let failover = fleet_run.failover();
-    assert_eq!(failover.stayed, 0);
+    assert_eq!(failover.nodes_not_failed_over, 0);
     assert!(
-        failover.left_after.iter().all(|span| *span <= 300 * MS),
+        failover.failover_times.iter().all(|span| *span <= 300 * MS),
         "{failover}"
     );
     assert!(fleet_run.all_returned_within(3500), "{failover}");
     assert!(
-        failover.full_back.is_some_and(|span| span < 4000 * MS),
+        failover
+            .nine_tenths_load_after
+            .is_some_and(|span| span < 4000 * MS),
         "{failover}"
     );
     // The same fleet without gossip.
     let alone = run_fleet(13_000, SILENT, false);
     let late = alone
         .failover()
-        .left_after
+        .failover_times
         .iter()
         .any(|span| *span > 300 * MS);
     println!("alone: {}", alone.failover());
@@ -127,7 +129,7 @@
     ] {
         let fleet_run = run_fleet(8000, faults, true);
         assert_eq!(
-            fleet::strayed(&fleet_run.plan, &fleet_run.report.log),
+            fleet::false_ejections(&fleet_run.plan, &fleet_run.report.log),
             [],
             "{faults}"
         );
@@ -153,17 +155,20 @@
         let fleet_run = run_fleet(14_000, &format!("{SILENT};{bad}"), true);
         let failover = fleet_run.failover();
         assert!(
-            failover.left_after.iter().all(|span| *span <= most * MS),
+            failover
+                .failover_times
+                .iter()
+                .all(|span| *span <= most * MS),
             "{bad}: {failover}"
         );
         assert_eq!(
-            (failover.stayed, failover.back_after.len()),
+            (failover.nodes_not_failed_over, failover.return_times.len()),
             (0, 4),
             "{bad}: {failover}"
         );
         // No node leaves a healthy zone, however late the gossip about it is.
         assert_eq!(
-            fleet::strayed(&fleet_run.plan, &fleet_run.report.log),
+            fleet::false_ejections(&fleet_run.plan, &fleet_run.report.log),
             [],
             "{bad}"
         );
@@ -188,14 +193,17 @@
 fn all_nodes_leave_a_zone_that_fails_30_percent_and_none_leaves_a_slow_one() {
     let failing = "kind = 'error'\nchance = 0.3\nat_ms = 4000\nfor_ms = 4000\nzone = 'dc-b'";
     let left = run_fleet(8500, failing, true).failover();
-    assert_eq!(left.stayed, 0, "{left}");
+    assert_eq!(left.nodes_not_failed_over, 0, "{left}");
     // Without gossip, some nodes observe too few failures: the check can fail.
     let alone = run_fleet(8500, failing, false).failover();
-    assert!(alone.stayed > 0, "{alone}");
+    assert!(alone.nodes_not_failed_over > 0, "{alone}");
     let slow = "kind = 'slow'\ntimes = 3.0\nat_ms = 4000\nfor_ms = 3000\nzone = 'dc-b'";
     let fleet_run = run_fleet(8500, slow, true);
     for why in ["silent", "failing"] {
         assert_eq!(fleet_run.zone_state_counts(why), [], "{slow}");
     }
-    assert_eq!(fleet::strayed(&fleet_run.plan, &fleet_run.report.log), []);
+    assert_eq!(
+        fleet::false_ejections(&fleet_run.plan, &fleet_run.report.log),
+        []
+    );
 }
--- a/testkit/scenarios/tests/soak.rs
+++ b/testkit/scenarios/tests/soak.rs
@@ -32,7 +32,7 @@
         match played.verdict() {
             Verdict::Kept => return None,
             Verdict::Broken => {
-                let ways = Soak::ways(&played).join("\n");
+                let ways = Soak::breach_details(&played).join("\n");
                 return Some(format!("seed {seed}: {}\n{ways}", soak.summary()));
             }
             Verdict::NotJudged => {}
--- a/testkit/scenarios/tests/zones.rs
+++ b/testkit/scenarios/tests/zones.rs
@@ -30,7 +30,7 @@
 fn run_fleet(text: &str, own: &str) -> FleetRun {
     let plan = common::plan(text, 7);
     let report = common::run_plan(&plan, common::program("badgerpost"), own, false);
-    let unmet = fleet::lost(&plan, &report);
+    let unmet = fleet::unmet_expectations(&plan, &report);
     FleetRun {
         plan,
         report,
@@ -158,9 +158,9 @@
     let report = common::run_plan(&plan, script.clone(), "", false);
     let _ = std::fs::remove_file(script);
     assert!(
-        fleet::lost(&plan, &report)
+        fleet::unmet_expectations(&plan, &report)
             .iter()
-            .any(|unmet| unmet.contains("in no trouble"))
+            .any(|unmet| unmet.ends_with("times a node left a healthy zone, expected at most 0"))
     );
 }
 
