--- a/testkit/scenarios/src/plan.rs
+++ b/testkit/scenarios/src/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: a scenario with the requests and faults of one run, drawn from a seed or read from a repro file.
+//! Plans: a scenario with the arrivals and faults of one run, drawn from a seed or read from a repro file.
 
 mod repro;
 
@@ -13,71 +13,72 @@
 
 pub use repro::ReproError;
 
-/// When clients begin: the nodes have the endpoint list by then.
+/// When clients begin to send requests; the nodes have the endpoint list by then.
 const FIRST_ARRIVAL: Nanos = 200 * MILLISECOND;
-/// The most requests of a run: its log has to fit into memory.
+/// The maximum number of arrivals of a run, which bounds the memory for the log.
 pub const MAX_REQUESTS: usize = 1_000_000;
-/// The lowest rate of requests a second, so that the mean time between two is a number.
-const MIN_RATE: f64 = 1e-9;
+/// The minimum rate of requests, which keeps the mean interval between arrivals finite.
+const MIN_REQUESTS_PER_SECOND: f64 = 1e-9;
 
-/// The arrival of a request that is no retry.
+/// The arrival of a request other than a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Its number in the plan of the seed, from which its id, key and service time follow.
+    /// The number of the arrival in the plan drawn from the seed; the request's id and idempotency key derive from it.
     pub number: u64,
-    /// When it arrives, from the start of the scenario.
+    /// When the request arrives, from the start of the scenario.
     pub at: Nanos,
-    /// Its class.
+    /// The request class.
     pub class: ClassIndex,
-    /// The node that it is sent to.
+    /// The node that the request is sent to.
     pub node: NodeIndex,
     /// The service time on a standard server.
     #[serde(rename = "work")]
     pub service_time: Nanos,
 }
 
-/// What clients and the platform do beyond what a scenario can say. All off but in a soak.
+/// Behaviour of clients and the platform that scenario files cannot describe. The default disables all of it; soaks
+/// enable it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Behaviour {
     /// The fraction of requests whose clients disconnect before the response.
     pub disconnecting: f64,
-    /// The fraction of requests that are followed by half a request head, of which no more comes.
+    /// The fraction of requests that are followed by an incomplete request head, which is never completed.
     pub half_heads: f64,
-    /// The fraction of requests whose head comes in two parts, with a pause that is just within a node's time limit.
+    /// The fraction of requests whose head is sent in two parts, with a pause slightly below the node's limit between them.
     pub slow_heads: f64,
-    /// The fraction of requests that are pipelined behind another one on its connection.
+    /// The fraction of requests that are pipelined after another request on the same connection.
     pub pipelined: f64,
     /// The number of connections to each node on which nothing is sent.
     pub silent_clients: usize,
-    /// Whether nodes poll discovery, and are not notified by an agent.
+    /// Whether nodes poll discovery instead of being notified by an agent.
     pub polled_discovery: bool,
-    /// By how many milliseconds the nodes' wall clocks are ahead of the true time at first, and later.
+    /// By how many milliseconds the nodes' wall clocks are ahead of the true time before and after the step.
     pub clocks_ahead_ms: (i64, i64),
-    /// When they step from the one to the other.
+    /// When the nodes' wall clocks step, from the start of the scenario.
     pub clocks_step_at: Nanos,
-    /// Whether rules are checked to the letter of the platform's pages: a node that was asked to stop is killed at the
-    /// earliest time, with signals in series before; a change of the list counts in time whether or not it was told; a
-    /// server in slow start falls as the pages say.
+    /// Whether the platform's own limits apply instead of the scenario's. A stopping node gets repeated signals and is
+    /// killed at the earliest time, changes of the endpoint list count from the change and not from the notification,
+    /// and a server in slow start is overloaded as the platform specifies.
     pub strict: bool,
 }
 
-/// What a run plays.
+/// The scenario, arrivals and faults of one run.
 #[derive(Clone)]
 pub struct Plan {
     /// The scenario.
     pub scenario: Rc<LoadedScenario>,
-    /// The seed.
+    /// The seed from which the rest of the plan and random choices during the run are drawn.
     pub seed: u64,
-    /// The requests that are no retries, by time.
+    /// The arrivals, sorted by time; retries are not among them.
     pub arrivals: Vec<Arrival>,
-    /// The faults, by time.
+    /// The faults, sorted by start time.
     pub faults: Vec<PlannedFault>,
-    /// What a scenario can't say.
+    /// Behaviour that the scenario file cannot describe.
     pub behaviour: Behaviour,
 }
 
 impl Plan {
-    /// A scenario as it is written, with arrivals drawn from a seed.
+    /// A plan with the faults of the scenario, and arrivals drawn from a seed.
     pub fn draw(scenario: LoadedScenario, seed: u64) -> Self {
         Self {
             arrivals: draw_arrivals(&scenario.spec, seed),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The same with the faults at other times, of other durations and with other targets, drawn from the seed.
+    /// Replaces the times, durations and targets of the faults by ones drawn from the seed.
     pub fn vary(mut self) -> Self {
         let mut random = Random::new(self.seed, "faults");
         for fault in &mut self.faults {
@@ -99,10 +100,11 @@
     }
 }
 
-/// Draws the arrivals of a scenario: a Poisson process over all classes and nodes.
+/// Draws the arrivals of a scenario as a Poisson process over all classes and nodes.
 fn draw_arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut random = Random::new(seed, "arrivals");
-    let mean_interval = SECOND as f64 / scenario.clients.rate.get_ref().max(MIN_RATE);
+    let mean_interval =
+        SECOND as f64 / scenario.clients.rate.get_ref().max(MIN_REQUESTS_PER_SECOND);
     let end = scenario_end(scenario) as f64;
     let total_weight: f64 = scenario
         .classes
@@ -130,7 +132,7 @@
     }
 }
 
-/// The class in whose part of the summed weights `point` lies.
+/// The class whose interval of the cumulative weights contains `point`.
 fn draw_class(scenario: &Scenario, mut point: f64) -> ClassIndex {
     let class = scenario.classes.iter().position(|class| {
         point -= class.weight.get_ref();
@@ -147,7 +149,7 @@
     scenario.length_ms.get_ref() * MILLISECOND
 }
 
-/// Draws another time, duration and target for a fault.
+/// Draws a new time, duration and target for a fault.
 fn vary_fault(fault: &mut PlannedFault, scenario: &Scenario, random: &mut Random) {
     fault.at = random.between(FIRST_ARRIVAL, scenario_end(scenario).max(FIRST_ARRIVAL));
     fault.duration = fault
--- a/testkit/scenarios/src/plan/repro.rs
+++ b/testkit/scenarios/src/plan/repro.rs
@@ -1,4 +1,4 @@
-//! Repro files: a plan as JSON, with the text of its scenario, so that a run can be repeated exactly.
+//! Repro files: a plan as JSON with the text of its scenario, from which a run can be repeated exactly.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use super::{Arrival, Behaviour, MAX_REQUESTS, Plan};
 use crate::scenario::{self, FaultTarget, PlannedFault, Scenario};
 
-/// The version of the format.
+/// The version of the file format.
 const FORMAT: u32 = 2;
 
 #[derive(Serialize, Deserialize)]
@@ -26,7 +26,7 @@
 }
 
 impl Plan {
-    /// Writes the plan as a repro file.
+    /// Serializes the plan in the format of repro files.
     pub fn to_repro(&self) -> Result<String, serde_json::Error> {
         serde_json::to_string_pretty(&ReproFile {
             format: FORMAT,
@@ -38,15 +38,18 @@
         })
     }
 
-    /// Reads a repro file.
+    /// Reads and validates a repro file.
     pub fn from_repro(path: &Path) -> Result<Self, ReproError> {
         let file = ReproFile::read(path)?;
-        let invalid = |problem: &str| ReproError::Invalid {
+        let invalid = |problem: String| ReproError::Invalid {
             path: path.to_owned(),
-            what: problem.to_owned(),
+            problem,
         };
         if file.format != FORMAT {
-            return Err(invalid("it is of another format"));
+            return Err(invalid(format!(
+                "format {} is not supported, only format {FORMAT}",
+                file.format
+            )));
         }
         let source_name = format!("{} in {}", file.scenario_name, path.display());
         let source = Source::embedded(&source_name, &file.scenario_text);
@@ -56,11 +59,15 @@
             .iter()
             .all(|fault| is_valid_fault(fault, &scenario.spec))
         {
-            return Err(invalid("a fault is none that its scene can have"));
+            return Err(invalid(
+                "the target of a fault is not in the scenario".to_owned(),
+            ));
         }
         let is_valid = |arrival: &Arrival| is_valid_arrival(arrival, &scenario.spec);
         if !arrivals.iter().all(is_valid) || arrivals.len() > MAX_REQUESTS {
-            return Err(invalid("an arrival is none that its scene can have"));
+            return Err(invalid(format!(
+                "the class or node of an arrival is not in the scenario, or there are more than {MAX_REQUESTS} arrivals"
+            )));
         }
         arrivals.sort_by_key(|arrival| arrival.at);
         faults.sort_by_key(|fault| fault.at);
@@ -108,34 +115,34 @@
     arrival.class.get() < scenario.classes.len() && arrival.node.get() < scenario.nodes.len()
 }
 
-/// Why a repro file can't be played.
+/// Why a repro file cannot be played.
 #[derive(Debug, thiserror::Error)]
 pub enum ReproError {
-    /// It can't be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the repro file.
         path: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It is not a repro file.
+    /// The file is not JSON, or lacks or has wrong keys.
     #[error("{}: {source}", path.display())]
     Malformed {
-        /// The file.
+        /// The path of the repro file.
         path: PathBuf,
-        /// What is wrong.
+        /// The error with its line and column.
         source: serde_json::Error,
     },
-    /// It does not fit its scenario, or is of another format.
-    #[error("{}: {what}", path.display())]
+    /// The plan does not fit its scenario, or the format is not supported.
+    #[error("{}: {problem}", path.display())]
     Invalid {
-        /// The file.
+        /// The path of the repro file.
         path: PathBuf,
-        /// What is wrong.
-        what: String,
+        /// What is invalid.
+        problem: String,
     },
-    /// Its scenario is invalid.
+    /// The scenario in the file is invalid.
     #[error(transparent)]
     Scenario(#[from] FileError),
 }
--- a/testkit/scenarios/src/plan/tests.rs
+++ b/testkit/scenarios/src/plan/tests.rs
@@ -2,7 +2,7 @@
 use crate::scenario;
 
 #[test]
-fn one_seed_always_draws_the_same_plan() {
+fn equal_seeds_draw_equal_plans_and_different_seeds_different_ones() {
     let plan = |seed| Plan::draw(scenario::find("night").expect("shipped"), seed).vary();
     let (one, same, other) = (plan(7), plan(7), plan(8));
     assert_eq!((&one.arrivals, &one.faults), (&same.arrivals, &same.faults));
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_repro_file_holds_its_plan_exactly() {
+fn a_repro_file_restores_its_plan_and_is_rejected_if_a_target_does_not_exist() {
     let mut plan = Plan::draw(scenario::find("night").expect("shipped"), 3).vary();
     plan.arrivals.retain(|arrival| arrival.number % 7 == 0);
     plan.faults.truncate(3);
@@ -32,9 +32,9 @@
     assert!(
         Plan::from_repro(&path)
             .err()
-            .expect("bad")
+            .expect("an invalid target")
             .to_string()
-            .contains("a fault is none")
+            .contains("the target of a fault is not in the scenario")
     );
     std::fs::remove_file(&path).expect("removed");
 }
--- a/testkit/scenarios/src/rules.rs
+++ b/testkit/scenarios/src/rules.rs
@@ -1,4 +1,4 @@
-//! Checks the four rules over an outcome log, and nothing else: no I/O, no knowledge of the node that was rehearsed.
+//! Checks the four rules on an outcome log. No I/O; the checks depend on nothing but the log and the tolerances.
 
 use std::fmt;
 
@@ -6,20 +6,20 @@
 
 use crate::outcome::{Attempt, ClientResult, Dedup, DedupScope, Idempotency, Request};
 
-/// One of the four rules, in the order of their weight.
+/// One of the four rules, the most important first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Every request that was accepted gets one final response, in time, and nothing after it.
+    /// Every accepted request gets one final response in time, and nothing follows the response.
     SingleResponse,
-    /// No request takes effect twice, and a rejected one has taken none: a retry is harmless.
+    /// No request takes effect twice, and a rejected request has taken no effect, so that a retry is harmless.
     NoDuplicateEffect,
-    /// A server that drains or is gone gets nothing new after the grace period.
+    /// A server that drains or is gone gets no new requests after the grace period.
     DrainRespected,
     /// A server in slow start is not overloaded.
     SlowStartRespected,
 }
 
-/// All rules.
+/// All rules, the most important first.
 pub const RULES: [Rule; 4] = [
     Rule::SingleResponse,
     Rule::NoDuplicateEffect,
@@ -38,27 +38,27 @@
     }
 }
 
-/// How far a run may be off a rule's letter, for the network and the machine.
+/// By how much a run may exceed the time limits of the rules, for delays of the network and the machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerances {
     /// How long after its client's deadline a response still counts as in time.
     pub response_slack: Nanos,
-    /// How long after a node was notified of a drain a new request may still reach the server.
+    /// How long after the notification of a node about a drain new requests may still reach the server.
     pub drain_grace: Nanos,
-    /// How long after its client has disconnected an attempt of a request may still begin.
+    /// How long after the disconnection of the client an attempt may still begin.
     pub disconnect_slack: Nanos,
-    /// By how much the deadline that a server is sent may exceed the time that the client has left.
+    /// By how much the deadline sent to a server may exceed the client's remaining time.
     pub deadline_slack: Nanos,
 }
 
-/// A broken rule.
+/// A breach of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// The rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// The line of the log, from 1; 0 for a breach that is no request's.
+    /// The line of the request in the log, from 1; 0 for a breach without a request.
     pub line: usize,
-    /// The id of the request.
+    /// The id of the request; a description for a breach without a request.
     pub id: String,
     /// What happened.
     pub description: String,
@@ -74,7 +74,7 @@
     }
 }
 
-/// All breaches in a log, in its order.
+/// All breaches in a log, in the order of the log.
 pub fn check(log: &[Request], tolerances: &Tolerances) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for (index, request) in log.iter().enumerate() {
@@ -102,11 +102,11 @@
 fn single_response_breach(request: &Request, tolerances: &Tolerances) -> Option<String> {
     if request.surplus_bytes > 0 {
         return Some(format!(
-            "{} bytes came behind its final answer",
+            "{} bytes followed its final response",
             request.surplus_bytes
         ));
     }
-    // A node that was paused can't know how much time has passed.
+    // A paused node does not notice how much time passes.
     if !request.is_excused && request.held_up == 0 {
         let attempt_breach = overstated_deadline_breach(request, tolerances)
             .or_else(|| attempt_after_disconnect_breach(request, tolerances));
@@ -117,14 +117,14 @@
     let deadline = request.arrival + request.timeout + request.held_up + tolerances.response_slack;
     match &request.response {
         None if request.is_excused || request.client_left_at.is_some() => None,
-        None => Some("it had no final answer".to_owned()),
+        None => Some("it got no final response".to_owned()),
         Some(response)
             if response.result == ClientResult::Served && !response.is_from_own_attempt =>
         {
-            Some("it was served with what no server made for it".to_owned())
+            Some("the body of its response was not written in one of its own attempts".to_owned())
         }
         Some(response) if response.at > deadline && !request.is_excused => Some(format!(
-            "its answer came {} ms after its client had gone",
+            "its response came {} ms after its deadline and the tolerance",
             milliseconds(response.at - deadline)
         )),
         Some(response) => attempt_after_response_breach(request, response.at),
@@ -137,26 +137,26 @@
         .iter()
         .find(|attempt| attempt.start > response_at)?;
     Some(format!(
-        "it came to {} after its final answer",
+        "an attempt reached {} after its final response",
         later.server
     ))
 }
 
-/// A server was sent a deadline beyond the time that the client had left.
+/// Describes the first attempt whose server was sent a deadline beyond the client's remaining time.
 fn overstated_deadline_breach(request: &Request, tolerances: &Tolerances) -> Option<String> {
     request.attempts.iter().find_map(|attempt| {
         let excess = attempt
             .deadline_excess
             .filter(|excess| *excess > tolerances.deadline_slack)?;
         Some(format!(
-            "{} was told of {} ms more than its client had left",
+            "{} was sent a deadline {} ms beyond the client's remaining time",
             attempt.server,
             milliseconds(excess)
         ))
     })
 }
 
-/// An attempt began after its client had disconnected.
+/// Describes the first attempt that began after the client had disconnected.
 fn attempt_after_disconnect_breach(request: &Request, tolerances: &Tolerances) -> Option<String> {
     let left_at = request.client_left_at?;
     let late = request
@@ -164,7 +164,7 @@
         .iter()
         .find(|attempt| attempt.start > left_at + tolerances.disconnect_slack)?;
     Some(format!(
-        "it came to {} {} ms after its client had left",
+        "an attempt reached {} {} ms after the client had disconnected",
         late.server,
         milliseconds(late.start - left_at)
     ))
@@ -174,7 +174,7 @@
     unsafe_attempt_breach(request).or_else(|| unsafe_rejection_breach(request))
 }
 
-/// An attempt followed one that may have been executed, where that is not allowed.
+/// Describes the first attempt that was not allowed after an earlier one that may have been executed.
 fn unsafe_attempt_breach(request: &Request) -> Option<String> {
     for (number, attempt) in request.attempts.iter().enumerate() {
         let earlier = &request.attempts[..number];
@@ -183,7 +183,7 @@
         };
         if !may_follow(request, executed, attempt) {
             return Some(format!(
-                "it came to {} and may have run at {} before",
+                "an attempt reached {} though the request may have been executed at {}",
                 attempt.server, executed.server
             ));
         }
@@ -191,7 +191,7 @@
     None
 }
 
-/// Whether a request may be attempted again after an attempt that may have been executed.
+/// Whether the attempt `next` is allowed after the attempt `executed`, which may have been executed.
 fn may_follow(request: &Request, executed: &Attempt, next: &Attempt) -> bool {
     match (request.idempotency, request.dedup) {
         (Idempotency::Idempotent, _) => true,
@@ -203,7 +203,7 @@
     }
 }
 
-/// Whether the servers of both attempts drop repeats of one another's requests.
+/// Whether the servers of both attempts deduplicate requests together.
 fn is_in_dedup_scope(scope: DedupScope, first: &Attempt, next: &Attempt) -> bool {
     match scope {
         DedupScope::All => true,
@@ -212,9 +212,9 @@
     }
 }
 
-/// A request was rejected, which promises that a retry is harmless, though it may have been executed.
+/// Describes a rejection, after which a retry must be harmless, of a request that may have been executed.
 fn unsafe_rejection_breach(request: &Request) -> Option<String> {
-    // Wherever the client's retry goes, it is harmless or dropped there.
+    // A retry at any server is harmless or dropped.
     let is_retry_harmless = matches!(
         (request.idempotency, request.dedup),
         (Idempotency::Idempotent, _)
@@ -234,14 +234,14 @@
         .iter()
         .find(|attempt| attempt.may_have_executed())?;
     Some(format!(
-        "it was refused and may have run at {}",
+        "it was rejected though it may have been executed at {}",
         executed.server
     ))
 }
 
 fn drain_breach(request: &Request, tolerances: &Tolerances) -> Option<String> {
     if request.held_up > 0 {
-        // The node may not have read yet that the server drains.
+        // The node may not have read the notification of the drain yet.
         return None;
     }
     request.attempts.iter().find_map(|attempt| {
@@ -249,7 +249,7 @@
             .drain_known_for
             .filter(|known_for| *known_for > tolerances.drain_grace)?;
         Some(format!(
-            "it came to {} {} ms after its node was told that this drains",
+            "an attempt reached {} {} ms after its node had been notified that the server drains or is gone",
             attempt.server,
             milliseconds(known_for)
         ))
@@ -264,30 +264,33 @@
         .attempts
         .iter()
         .find(|attempt| attempt.caused_overload)?;
-    Some(format!("it pushed {} over, which was cold", attempt.server))
+    Some(format!(
+        "an attempt overloaded {}, which was in slow start",
+        attempt.server
+    ))
 }
 
-/// The breach of a client that sent nothing, or half a request, and was left without an error or a close. It is no
-/// request of the log.
+/// The breach for a client that sent nothing, or an incomplete request, and got neither an error response nor a close.
+/// The log has no request for such a client.
 pub fn silent_client_breach(node: &str, duration: Nanos) -> Breach {
     Breach {
         rule: Rule::SingleResponse,
         line: 0,
         id: format!("a silent client of {node}"),
         description: format!(
-            "it had neither an error nor its end after {} ms",
+            "it got neither an error response nor a close within {} ms",
             milliseconds(duration)
         ),
     }
 }
 
-/// The breach of under half of the complete responses without a length having been forwarded.
+/// The breach for forwarding too few of the complete responses without a length.
 pub fn responses_without_length_breach(forwarded: usize, complete: usize) -> Breach {
     Breach {
         rule: Rule::SingleResponse,
         line: 0,
-        id: "answers without a length".to_owned(),
-        description: format!("{forwarded} of {complete} complete ones were forwarded"),
+        id: "responses without a length".to_owned(),
+        description: format!("only {forwarded} of {complete} complete responses were forwarded"),
     }
 }
 
--- a/testkit/scenarios/src/rules/tests.rs
+++ b/testkit/scenarios/src/rules/tests.rs
@@ -71,46 +71,55 @@
         Some(ClientResult::Served),
     );
     assert_eq!(broken_rules(&good), []);
-    let one = [Rule::SingleResponse];
+    let single_response = [Rule::SingleResponse];
     let with = |change: &dyn Fn(&mut Request)| {
         let mut request = good.clone();
         change(&mut request);
         broken_rules(&request)
     };
-    assert_eq!(with(&|r| r.response = None), one);
-    assert_eq!(with(&|r| r.surplus_bytes = 3), one);
+    assert_eq!(with(&|r| r.response = None), single_response);
+    assert_eq!(with(&|r| r.surplus_bytes = 3), single_response);
     assert_eq!(
-        with(&|r| r.response.iter_mut().for_each(|a| a.at = 571 * MILLISECOND)),
-        one
+        with(&|r| r
+            .response
+            .iter_mut()
+            .for_each(|response| response.at = 571 * MILLISECOND)),
+        single_response
     );
     assert_eq!(
-        with(&|r| r.response.iter_mut().for_each(|a| a.at = 570 * MILLISECOND)),
+        with(&|r| r
+            .response
+            .iter_mut()
+            .for_each(|response| response.at = 570 * MILLISECOND)),
         []
     );
     assert_eq!(
         with(&|r| r
             .response
             .iter_mut()
-            .for_each(|a| a.is_from_own_attempt = false)),
-        one
+            .for_each(|response| response.is_from_own_attempt = false)),
+        single_response
     );
     assert_eq!(
         with(&|r| r
             .attempts
             .push(attempt("a2", 101 * MILLISECOND, AttemptOutcome::Served))),
-        one
+        single_response
     );
-    // A node that was killed owes nothing; what came behind an answer is wrong all the same.
+    // A killed node owes no response, but must not send surplus bytes either.
     assert_eq!(with(&|r| (r.response, r.is_excused) = (None, true)), []);
-    assert_eq!(with(&|r| (r.surplus_bytes, r.is_excused) = (1, true)), one);
+    assert_eq!(
+        with(&|r| (r.surplus_bytes, r.is_excused) = (1, true)),
+        single_response
+    );
 }
 
-/// Two attempts, the first one of which ended so: where may the second go?
+/// A second attempt after each outcome of the first attempt.
 #[test]
 fn an_executed_request_is_attempted_again_only_within_its_idempotency_scope_and_window() {
     use crate::outcome::Idempotency::{Idempotent, Keyed, NonIdempotent};
-    let two = [Rule::NoDuplicateEffect];
-    let again = |idempotency, first, second: &str, after| {
+    let duplicate_effect = [Rule::NoDuplicateEffect];
+    let broken_by_second = |idempotency, first, second: &str, after| {
         let attempts = vec![
             attempt("a1", 0, first),
             attempt(second, after, AttemptOutcome::Served),
@@ -119,7 +128,7 @@
         request
             .response
             .iter_mut()
-            .for_each(|answer| answer.at = 4 * SECOND);
+            .for_each(|response| response.at = 4 * SECOND);
         request.timeout = 5 * SECOND;
         broken_rules(&request)
     };
@@ -132,20 +141,39 @@
         AttemptOutcome::Unfinished,
     ] {
         assert_eq!(
-            again(NonIdempotent, first, "a2", MILLISECOND),
-            two,
+            broken_by_second(NonIdempotent, first, "a2", MILLISECOND),
+            duplicate_effect,
+            "{first:?}"
+        );
+        assert_eq!(
+            broken_by_second(Keyed, first, "b1", MILLISECOND),
+            duplicate_effect,
+            "{first:?}"
+        );
+        assert_eq!(
+            broken_by_second(Keyed, first, "a2", 2 * SECOND),
+            duplicate_effect,
+            "{first:?}"
+        );
+        assert_eq!(
+            broken_by_second(Keyed, first, "a2", 2 * SECOND - 1),
+            [],
+            "{first:?}"
+        );
+        assert_eq!(
+            broken_by_second(Idempotent, first, "b1", 3 * SECOND),
+            [],
             "{first:?}"
         );
-        assert_eq!(again(Keyed, first, "b1", MILLISECOND), two, "{first:?}");
-        assert_eq!(again(Keyed, first, "a2", 2 * SECOND), two, "{first:?}");
-        assert_eq!(again(Keyed, first, "a2", 2 * SECOND - 1), [], "{first:?}");
-        assert_eq!(again(Idempotent, first, "b1", 3 * SECOND), [], "{first:?}");
     }
     assert_eq!(
-        again(NonIdempotent, AttemptOutcome::Rejected, "b1", MILLISECOND),
+        broken_by_second(NonIdempotent, AttemptOutcome::Rejected, "b1", MILLISECOND),
+        []
+    );
+    assert_eq!(
+        broken_by_second(Keyed, AttemptOutcome::Rejected, "b1", 3 * SECOND),
         []
     );
-    assert_eq!(again(Keyed, AttemptOutcome::Rejected, "b1", 3 * SECOND), []);
 }
 
 #[test]
@@ -230,25 +258,25 @@
     assert_eq!(breaches.len(), 1);
     assert_eq!(
         breaches[0].to_string(),
-        "line 2, request r: it had no final answer"
+        "line 2, request r: it got no final response"
     );
 }
 
 #[test]
 fn an_attempt_after_the_client_disconnected_is_a_breach() {
-    let with = |left: Nanos, start: Nanos| {
+    let with = |client_left_at: Nanos, start: Nanos| {
         let mut request = request(
             Idempotency::Idempotent,
             vec![attempt("a1", start, AttemptOutcome::Served)],
             None,
         );
-        request.client_left_at = Some(left);
+        request.client_left_at = Some(client_left_at);
         broken_rules(&request)
     };
     assert_eq!(
         with(100 * MILLISECOND, 50 * MILLISECOND),
         [],
-        "and it is owed nothing"
+        "a disconnected client is owed no response"
     );
     assert_eq!(with(100 * MILLISECOND, 250 * MILLISECOND), []);
     assert_eq!(
@@ -259,9 +287,9 @@
 
 #[test]
 fn a_server_deadline_beyond_the_client_timeout_is_a_breach() {
-    let with = |over: Option<Nanos>| {
+    let with = |deadline_excess: Option<Nanos>| {
         let mut attempt = attempt("a1", MILLISECOND, AttemptOutcome::Served);
-        attempt.deadline_excess = over;
+        attempt.deadline_excess = deadline_excess;
         broken_rules(&request(
             Idempotency::Idempotent,
             vec![attempt],
--- a/testkit/scenarios/src/scenario.rs
+++ b/testkit/scenarios/src/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios: what is rehearsed, as files that operators write in TOML. An invalid file is rejected with file, line and
-//! key.
+//! Scenarios: TOML files that describe the nodes, servers, clients, faults and expectations of a run. The error for an
+//! invalid file names the file, the line and the key.
 
 mod fault;
 mod fault_kinds;
@@ -20,7 +20,7 @@
     NodeGroup, RuleParameters, Scenario, Server, ServerGroup,
 };
 
-/// The shipped scenarios, by name.
+/// The names and texts of the shipped scenarios.
 pub const SHIPPED: [(&str, &str); 10] = [
     ("calm", include_str!("../scenes/calm.toml")),
     ("cold-start", include_str!("../scenes/cold-start.toml")),
@@ -42,17 +42,17 @@
 
 /// A scenario that has been read and validated.
 pub struct LoadedScenario {
-    /// Its name.
+    /// The shipped name, or the name of the file without its extension.
     pub name: String,
-    /// The scenario, its groups expanded.
+    /// The scenario, with the members of its groups among its nodes and servers.
     pub spec: Scenario,
-    /// Its faults, by time.
+    /// The faults, sorted by start time.
     pub faults: Vec<PlannedFault>,
     /// The text of the file.
     pub text: String,
 }
 
-/// Loads a shipped scenario by its name, or any other by the path of its file.
+/// Loads a shipped scenario by name, or any other scenario by the path of its file.
 pub fn find(name: &str) -> Result<LoadedScenario, FileError> {
     if let Some((name, text)) = SHIPPED.iter().find(|shipped| shipped.0 == name) {
         return load(name, &Source::embedded(&format!("{name}.toml"), text));
--- a/testkit/scenarios/src/scenario/fault.rs
+++ b/testkit/scenarios/src/scenario/fault.rs
@@ -1,4 +1,4 @@
-//! Faults: what goes wrong, which servers, nodes or links it affects, and when.
+//! Faults: their kinds, their targets and their times.
 
 use badgerpost_fakes::discovery::Mode;
 use badgerpost_fakes::random::Random;
@@ -35,16 +35,16 @@
         /// The service time in per cent of the usual one.
         percent: u32,
     },
-    /// What the server writes is not a valid response.
+    /// The server writes an invalid response.
     #[serde(rename = "spoilt")]
     InvalidResponse,
-    /// Responses have no length: each ends with its connection.
+    /// The server sends responses without a length, which end with the close of the connection.
     #[serde(rename = "no-length")]
     CloseDelimited,
     /// The server rejects every request.
     #[serde(rename = "turn-away")]
     RejectRequests,
-    /// The server responds 500 after it has executed the request.
+    /// The server responds with status 500 after executing the request.
     #[serde(rename = "fail")]
     ServerError,
     /// Discovery reports the server as draining.
@@ -56,7 +56,7 @@
     KillServer,
     /// The server's process is paused.
     PauseServer,
-    /// Discovery fails in this way.
+    /// Discovery fails in the given mode.
     #[serde(rename = "list")]
     Discovery(Mode),
     /// The node's process is killed (SIGKILL); it restarts at the end of the fault.
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkFault {
-    /// What is wrong with the link.
+    /// How the link fails.
     #[serde(rename = "what")]
     pub kind: LinkFaultKind,
     /// The end of the link that is not the node.
@@ -100,27 +100,27 @@
     },
     /// Datagrams are lost; connections are delayed by the retransmission of lost segments.
     Lossy {
-        /// The loss in thousandths of all messages.
+        /// The lost fraction of messages, in thousandths.
         permille: u16,
     },
-    /// Connections are reset under their requests.
+    /// Connections are reset while requests are open on them.
     Reset,
 }
 
-/// The other end of a node's link.
+/// The remote end of a node's link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkEnd {
     /// Servers, discovery and other nodes.
     All,
-    /// Servers and other nodes of a zone.
+    /// The servers and other nodes of a zone.
     Zone(ZoneIndex),
-    /// Servers.
+    /// All servers.
     Servers,
     /// Discovery.
     #[serde(rename = "list")]
     Discovery,
-    /// Other nodes.
+    /// All other nodes.
     Nodes,
     /// The node's clients.
     Clients,
@@ -130,14 +130,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum FaultTarget {
-    /// The server or node at this position.
+    /// The server or node at the given position.
     Single(TargetIndex),
     /// Several servers or nodes at once.
     Group(TargetGroup),
 }
 
 impl FaultTarget {
-    /// One of `waves` equal parts of a group; a single target is its own part.
+    /// The part of a group with the number `wave`, of `waves` equal parts; a single target is returned unchanged.
     pub(super) fn wave(self, wave: u64, waves: u64) -> Self {
         let Self::Group(TargetGroup { zone, from, to }) = self else {
             return self;
@@ -151,41 +151,41 @@
     }
 }
 
-/// A part of the servers or nodes.
+/// A fraction of the servers or nodes, in an order that is drawn from the seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetGroup {
-    /// The zone whose servers or nodes are meant; those of all zones without it.
+    /// The zone of the servers or nodes; all zones if absent.
     #[serde(default)]
     pub zone: Option<ZoneIndex>,
-    /// In the order that the seed draws: the thousandth at which the part begins ...
+    /// The start of the fraction in the drawn order, in thousandths.
     pub from: u16,
-    /// ... and at which it ends.
+    /// The end of the fraction in the drawn order, in thousandths.
     pub to: u16,
 }
 
-/// A fault of a plan.
+/// A fault with its time and target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedFault {
-    /// When it begins.
+    /// When the fault begins, from the start of the scenario.
     pub at: Nanos,
-    /// How long it lasts; none if it does not end.
+    /// How long the fault lasts; none if it lasts to the end of the run.
     #[serde(rename = "lasts")]
     pub duration: Option<Nanos>,
-    /// Which server, node or group it affects.
+    /// The server, node or group that is affected.
     #[serde(rename = "whom")]
     pub target: FaultTarget,
-    /// What goes wrong.
+    /// The kind of fault.
     #[serde(rename = "trouble")]
     pub kind: FaultKind,
-    /// The part of a server's requests that is affected, in thousandths.
+    /// The probability that a request to an affected server is affected, in thousandths.
     pub permille: u16,
 }
 
 impl PlannedFault {
-    /// The servers or nodes that are affected. A seed always draws the same order of a group, so that
-    /// the next tenth of the group is a different tenth.
+    /// The positions of the affected servers or nodes, sorted. The drawn order depends on the seed alone, so that
+    /// consecutive fractions of a group do not overlap.
     pub fn targets(&self, scenario: &Scenario, seed: u64) -> Vec<TargetIndex> {
         let group = match self.target {
             FaultTarget::Single(index) => return vec![index],
--- a/testkit/scenarios/src/scenario/fault_kinds.rs
+++ b/testkit/scenarios/src/scenario/fault_kinds.rs
@@ -1,4 +1,4 @@
-//! The kinds of faults: the name of each in scenario files, what it affects, and the keys that go with it.
+//! The kinds of faults: their names in scenario files, their scopes and their required keys.
 
 use badgerpost_fakes::discovery::Mode;
 
@@ -12,15 +12,14 @@
     Discovery,
 }
 
-/// A kind of fault as files describe it.
+/// How scenario files describe a kind of fault.
 #[derive(Clone, Copy)]
 pub(super) struct KindDefinition {
-    /// Its name.
     pub(super) name: &'static str,
-    /// The kind, with zeroes where the file has figures.
+    /// The kind, with zero for each value that the file sets.
     pub(super) kind: FaultKind,
     pub(super) scope: FaultScope,
-    /// The key that it requires; other kinds must not have that key.
+    /// The key that this kind requires and that is rejected for kinds that do not require it.
     pub(super) required_key: Option<&'static str>,
 }
 
@@ -67,7 +66,7 @@
         self
     }
 
-    /// Whether the kind may affect a part of a server's requests only.
+    /// Whether the kind accepts `chance`, the probability that a request is affected.
     pub(super) fn may_have_probability(&self) -> bool {
         matches!(
             self.kind,
@@ -81,7 +80,6 @@
     }
 }
 
-/// All kinds of faults.
 pub(super) const KINDS: [KindDefinition; 25] = [
     on_server("refuse", FaultKind::RefuseConnections),
     on_server("reset", FaultKind::ResetConnection { after: 0 }).requires("after_bytes"),
@@ -111,17 +109,17 @@
 ];
 
 impl FaultKind {
-    /// Its name in scenario files.
+    /// The kind's name in scenario files.
     pub fn name(self) -> &'static str {
         self.definition().map_or("?", |definition| definition.name)
     }
 
-    /// Whether it affects servers.
+    /// Whether the kind affects servers.
     pub fn affects_server(self) -> bool {
         self.scope() == Some(FaultScope::Server)
     }
 
-    /// Whether it affects nodes.
+    /// Whether the kind affects nodes or their links.
     pub fn affects_node(self) -> bool {
         self.scope() == Some(FaultScope::Node)
     }
@@ -136,7 +134,7 @@
             .find(|definition| definition.kind.is_same_kind(self))
     }
 
-    /// Whether both are of one kind, whatever their figures.
+    /// Whether both are the same kind, regardless of their values.
     fn is_same_kind(self, other: Self) -> bool {
         use std::mem::discriminant;
         match (self, other) {
--- a/testkit/scenarios/src/scenario/fault_parser.rs
+++ b/testkit/scenarios/src/scenario/fault_parser.rs
@@ -1,4 +1,4 @@
-//! Parses a `[[fault]]` table: its kind, its target and the times at which it occurs.
+//! Parses the `[[fault]]` tables of a scenario into planned faults.
 
 use std::ops::Range;
 
@@ -14,10 +14,10 @@
 use super::validation::{MAX_DURATION_MS, check_range};
 use crate::index::{TargetIndex, ZoneIndex};
 
-/// The most repetitions of a fault, and the most waves of a group.
+/// The maximum number of repetitions of a fault, and of waves of a group.
 const MAX_OCCURRENCES: u64 = 1000;
 
-/// Parses all faults of a scenario; they are returned by time.
+/// Parses all faults of a scenario and returns them sorted by start time.
 pub(super) fn parse_faults(
     scenario: &Scenario,
     source: &Source,
@@ -41,7 +41,7 @@
     source: &'a Source,
 }
 
-/// A key of a fault, and whether it goes with the fault's kind and target.
+/// A key of a fault table, with the key's position if present and whether the fault's kind and target allow the key.
 struct KeyUse {
     name: &'static str,
     span: Option<Range<usize>>,
@@ -65,13 +65,13 @@
             let known = KINDS.map(|known| known.name).join(", ");
             self.source.error_at(
                 name.span(),
-                format!("unknown kind of fault; there are {known}"),
+                format!("unknown kind of fault; known kinds: {known}"),
             )
         })
     }
 
     fn missing_key(&self, definition: &KindDefinition, key: &str) -> FileError {
-        let problem = format!("`{}` needs the key `{key}`", definition.name);
+        let problem = format!("`{}` requires the key `{key}`", definition.name);
         self.source.error_at(self.fault.kind.span(), problem)
     }
 
@@ -81,11 +81,11 @@
         key: &str,
         span: Range<usize>,
     ) -> FileError {
-        let problem = format!("`{key}` does not go with `{}`", definition.name);
+        let problem = format!("`{key}` is not allowed for `{}`", definition.name);
         self.source.error_at(span, problem)
     }
 
-    /// Checks that a server or node is named only where the kind affects one, and that a target is given at all.
+    /// Checks that the table has a target, and names a server or node only if the kind affects servers or nodes.
     fn check_target_keys(&self, definition: &KindDefinition) -> Result<(), FileError> {
         let fault = self.fault;
         let has_group = fault.zone.is_some() || fault.fraction.is_some();
@@ -93,12 +93,12 @@
             (&fault.server, "server", FaultScope::Server),
             (&fault.node, "node", FaultScope::Node),
         ] {
-            let is_wanted = definition.scope == scope;
+            let is_in_scope = definition.scope == scope;
             match name {
-                None if is_wanted && !has_group => {
+                None if is_in_scope && !has_group => {
                     return Err(self.missing_key(definition, &format!("{key}` or `zone")));
                 }
-                Some(name) if !is_wanted => {
+                Some(name) if !is_in_scope => {
                     return Err(self.misplaced_key(definition, key, name.span()));
                 }
                 _ => {}
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Checks that all other keys go with the kind, and that the one that it requires is there.
+    /// Checks that the kind allows all other keys that are present, and that the required key is present.
     fn check_keys(&self, definition: &KindDefinition) -> Result<(), FileError> {
         for key in self.key_uses(definition) {
             let is_required = definition.required_key == Some(key.name);
@@ -147,7 +147,7 @@
         ]
     }
 
-    /// The kind with the figures of the file.
+    /// The kind with the values of the file.
     fn kind(&self, definition: &KindDefinition) -> Result<FaultKind, FileError> {
         let fault = self.fault;
         self.float_in_range(&fault.probability, 0.0, 1.0)?;
@@ -181,13 +181,15 @@
             None => link.remote,
         };
         let direction = self.fault.direction.as_ref();
-        let (outbound, inbound) = match direction.map(|way| way.get_ref().as_str()) {
+        let (outbound, inbound) = match direction.map(|direction| direction.get_ref().as_str()) {
             None | Some("both") => (true, true),
             Some("there") => (true, false),
             Some("back") => (false, true),
             Some(_) => {
                 let span = direction.map(Spanned::span).unwrap_or_default();
-                return Err(self.source.error_at(span, "there are both, there and back"));
+                return Err(self
+                    .source
+                    .error_at(span, "must be `both`, `there` or `back`"));
             }
         };
         Ok(LinkFault {
@@ -209,7 +211,7 @@
             ("clients", _) => Ok(LinkEnd::Clients),
             (_, Some(zone)) => Ok(LinkEnd::Zone(ZoneIndex(zone))),
             _ => {
-                let problem = "neither a zone nor all, servers, list, nodes or clients";
+                let problem = "must be a zone, `all`, `servers`, `list`, `nodes` or `clients`";
                 Err(self.source.error_at(to.span(), problem))
             }
         }
@@ -246,7 +248,7 @@
             let span = self.fault.fraction.as_ref().map(Spanned::span);
             return Err(self
                 .source
-                .error_at(span.unwrap_or_default(), "above 0, up to 1"));
+                .error_at(span.unwrap_or_default(), "must be above 0 and at most 1"));
         }
         Ok(TargetGroup {
             zone,
@@ -257,17 +259,17 @@
 
     fn position<'a>(
         &self,
-        wanted: &Spanned<String>,
+        name: &Spanned<String>,
         mut names: impl Iterator<Item = &'a str>,
     ) -> Result<usize, FileError> {
-        let position = names.position(|name| name == wanted.get_ref());
+        let position = names.position(|known| known == name.get_ref());
         position.ok_or_else(|| {
             self.source
-                .error_at(wanted.span(), "there is none of this name")
+                .error_at(name.span(), "the scenario has nothing of this name")
         })
     }
 
-    /// Each occurrence of the fault: all waves of each repetition.
+    /// All occurrences of the fault: each wave of each repetition.
     fn schedule(
         &self,
         kind: FaultKind,
@@ -278,7 +280,7 @@
             self.source,
             &fault.at_ms,
             0..=MAX_DURATION_MS,
-            "from 0 to 3600000",
+            "must be from 0 to 3600000",
         )?;
         let duration = fault
             .duration_ms
@@ -299,13 +301,13 @@
 
     fn occurrences(&self, key: &Option<Spanned<u64>>) -> Result<u64, FileError> {
         if let Some(count) = key {
-            let problem = format!("from 1 to {MAX_OCCURRENCES}");
+            let problem = format!("must be from 1 to {MAX_OCCURRENCES}");
             check_range(self.source, count, 1..=MAX_OCCURRENCES, &problem)?;
         }
         Ok(value_or(key, 1))
     }
 
-    /// The value of a key, 1 without it.
+    /// The value of a key after a check of its range; 1 if the key is absent.
     fn float_in_range(
         &self,
         key: &Option<Spanned<f64>>,
@@ -317,7 +319,7 @@
                 self.source,
                 value,
                 min..=max,
-                &format!("from {min} to {max}"),
+                &format!("must be from {min} to {max}"),
             )?;
         }
         Ok(value_or(key, 1.0))
--- a/testkit/scenarios/src/scenario/schema.rs
+++ b/testkit/scenarios/src/scenario/schema.rs
@@ -1,5 +1,5 @@
-//! The scenario file's schema: its tables and keys, as operators write them in TOML. Keys are part of the file format; where
-//! a key is no standard term, the field has one and serde maps it.
+//! The schema of scenario files. Keys are part of the file format; a field whose name differs from its key is mapped by
+//! serde.
 
 use std::collections::BTreeSet;
 
@@ -12,23 +12,23 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// A description in one line.
+    /// A one-line description.
     pub about: String,
-    /// The operators' own settings file of every node, in TOML; empty for none.
+    /// The settings file that operators give every node, as TOML; empty for none.
     #[serde(rename = "own", default)]
     pub operator_settings: String,
-    /// Whether the nodes gossip with each other; the operators' settings have to enable zone health as well.
+    /// Whether the nodes gossip with each other. The operator settings have to enable zone health as well.
     #[serde(rename = "peers", default)]
     pub gossip: bool,
-    /// How long clients send requests.
+    /// How long clients send requests, from the start of the scenario.
     pub length_ms: Spanned<u64>,
-    /// The nodes; after validation also those of the groups.
+    /// The nodes; after the expansion of the groups also the groups' members.
     #[serde(rename = "node", default)]
     pub nodes: Vec<Node>,
     /// Groups of nodes.
     #[serde(rename = "nodes", default)]
     pub node_groups: Vec<NodeGroup>,
-    /// The match servers; after validation also those of the groups.
+    /// The match servers; after the expansion of the groups also the groups' members.
     #[serde(rename = "server", default)]
     pub servers: Vec<Server>,
     /// Groups of match servers.
@@ -48,10 +48,10 @@
     /// Discovery.
     #[serde(default)]
     pub discovery: Discovery,
-    /// The parameters of the rules.
+    /// The limits that the rules check.
     #[serde(default)]
     pub rules: RuleParameters,
-    /// Expectations besides the rules.
+    /// Expectations that are checked in addition to the rules.
     #[serde(rename = "expect", default)]
     pub expectations: Expectations,
     /// The faults.
@@ -60,7 +60,7 @@
 }
 
 impl Scenario {
-    /// Every zone that a node or a server is in, sorted.
+    /// The zones of all nodes and servers, sorted by name, without duplicates.
     pub fn zones(&self) -> Vec<&str> {
         let of_nodes = self.nodes.iter().map(|node| node.zone.as_str());
         let of_servers = self.servers.iter().map(|server| server.zone.as_str());
@@ -69,15 +69,15 @@
     }
 }
 
-/// A node.
+/// A single node.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Its name.
+    /// The node's name.
     pub name: Spanned<String>,
-    /// Its zone.
+    /// The name of the node's zone.
     pub zone: String,
-    /// The number of descriptors that it may hold.
+    /// The maximum number of file descriptors of the node's process.
     #[serde(rename = "sockets", default = "default_max_descriptors")]
     pub max_descriptors: usize,
 }
@@ -86,29 +86,29 @@
     1024
 }
 
-/// A match server.
+/// A single match server.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// Its name.
+    /// The server's name.
     pub name: Spanned<String>,
-    /// Its zone.
+    /// The name of the server's zone.
     pub zone: String,
-    /// Its cell.
+    /// The number of the server's cell, the smallest deduplication scope.
     #[serde(default)]
     pub cell: u64,
-    /// Its speed relative to a standard server.
+    /// The server's speed as a multiple of a standard server's.
     #[serde(default = "default_speed")]
     pub speed: Spanned<f64>,
-    /// The number of requests that it executes at a time.
+    /// The number of requests that the server executes concurrently.
     #[serde(default = "default_slots")]
     pub slots: usize,
-    /// The number of requests that may wait in its queue.
+    /// The capacity of the server's queue, in requests.
     #[serde(rename = "queue", default = "default_queue_capacity")]
     pub queue_capacity: usize,
-    /// When it starts, in slow start; without it, it started long ago.
+    /// When the server starts, followed by slow start; if absent, the server runs from the beginning, past slow start.
     pub starts_ms: Option<u64>,
-    /// How it degrades under load; without it, it doesn't.
+    /// How the server degrades under load; if absent, it does not degrade.
     #[serde(rename = "choke")]
     pub degradation: Option<Degradation>,
 }
@@ -117,16 +117,16 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Degradation {
-    /// The queue length from which it degrades ...
+    /// The queue length at which the server degrades if it lasts for `after_ms`.
     #[serde(rename = "waiting")]
     pub queue_length: usize,
-    /// ... if it lasts this long.
+    /// How long the queue has to have this length before the server degrades.
     #[serde(rename = "over_ms")]
     pub after_ms: Spanned<u64>,
-    /// The factor by which it is slower then ...
+    /// The factor on service times of a degraded server.
     #[serde(rename = "slower")]
     pub slowdown: Spanned<f64>,
-    /// ... until it has been mostly idle for this long.
+    /// How long a degraded server has to be mostly idle before it recovers.
     #[serde(rename = "rest_ms")]
     pub recovery_ms: Spanned<u64>,
 }
@@ -135,11 +135,11 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum LoadReports {
-    /// With each response.
+    /// In each response.
     #[default]
     #[serde(rename = "answers")]
     Responses,
-    /// To health checks only.
+    /// In responses to health checks only.
     #[serde(rename = "probes")]
     HealthChecks,
 }
@@ -156,43 +156,43 @@
     32
 }
 
-/// Nodes that are alike, named `NAME0`, `NAME1` and so on.
+/// A group of identical nodes, named `NAME0`, `NAME1` and so on.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeGroup {
     /// The number of nodes.
     pub count: usize,
-    /// The prefix of their names.
+    /// The prefix of the members' names.
     pub name: Spanned<String>,
-    /// Their zone.
+    /// The name of the members' zone.
     pub zone: String,
-    /// The number of descriptors that each may hold.
+    /// The maximum number of file descriptors of each node's process.
     #[serde(rename = "sockets", default = "default_max_descriptors")]
     pub max_descriptors: usize,
 }
 
-/// Servers that are alike but for their speed, named `NAME0`, `NAME1` and so on.
+/// A group of servers that differ in speed only, named `NAME0`, `NAME1` and so on.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerGroup {
     /// The number of servers.
     pub count: usize,
-    /// The prefix of their names.
+    /// The prefix of the members' names.
     pub name: Spanned<String>,
-    /// Their zone.
+    /// The name of the members' zone.
     pub zone: String,
-    /// The speed of the first and of the last server; the others' lie between, in even steps.
+    /// The speeds of the first and the last server; the speeds of the others are evenly spaced between them.
     #[serde(default = "default_speeds")]
     pub speed: Spanned<(f64, f64)>,
-    /// The number of requests that each executes at a time.
+    /// The number of requests that each server executes concurrently.
     #[serde(default = "default_slots")]
     pub slots: usize,
-    /// The number of requests that may wait in the queue of each.
+    /// The capacity of each server's queue, in requests.
     #[serde(rename = "queue", default = "default_queue_capacity")]
     pub queue_capacity: usize,
-    /// When they start, in slow start; without it, they started long ago.
+    /// When the servers start, followed by slow start; if absent, they run from the beginning, past slow start.
     pub starts_ms: Option<u64>,
-    /// How each degrades under load; without it, it doesn't.
+    /// How each server degrades under load; if absent, the servers do not degrade.
     #[serde(rename = "choke")]
     pub degradation: Option<Degradation>,
 }
@@ -201,31 +201,31 @@
     Spanned::new(default_speed().span(), (1.0, 1.0))
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// The class's name.
     pub name: Spanned<String>,
-    /// Whether its requests may take effect more than once.
+    /// Whether requests of the class may take effect more than once.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// Which servers drop repeats of keyed requests ...
+    /// The servers that drop repeats of keyed requests.
     #[serde(rename = "scope", default = "default_dedup_scope")]
     pub dedup_scope: DedupScope,
-    /// ... and for how long.
+    /// How long repeats of keyed requests are dropped.
     #[serde(rename = "window_ms", default = "default_dedup_window_ms")]
     pub dedup_window_ms: u64,
-    /// Its weight among the classes when a request is drawn.
+    /// The weight of the class when the class of a request is drawn.
     #[serde(rename = "share")]
     pub weight: Spanned<f64>,
-    /// The shortest and the longest service time of a request on a standard server.
+    /// The minimum and the maximum service time of a request on a standard server.
     #[serde(rename = "work_ms")]
     pub service_time_ms: Spanned<(u64, u64)>,
-    /// A response within this time has its full value.
+    /// The time within which a response has its full value.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: u64,
-    /// How long clients wait.
+    /// How long clients wait for a response.
     pub deadline_ms: Spanned<u64>,
 }
 
@@ -241,17 +241,17 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// Requests a second over all nodes, retries not counted; they arrive at random times, independent of responses.
+    /// The mean rate of requests a second over all nodes, without retries. Arrivals are an open-loop Poisson process.
     pub rate: Spanned<f64>,
-    /// How often a client retries after a rejection, a failure or no response.
+    /// The maximum number of retries after a rejection, a failure or a missing response.
     #[serde(default)]
     pub retries: u32,
-    /// The backoff before a retry; longer if the node asks for more.
+    /// The minimum backoff before a retry; a longer `Retry-After` of the node takes precedence.
     #[serde(default)]
     pub backoff_ms: u64,
 }
 
-/// The network between the machines.
+/// The latencies of the simulated network.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
@@ -263,40 +263,40 @@
     pub latency_between_zones_us: u64,
 }
 
-/// Discovery.
+/// How discovery behaves without faults.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// How long a change takes until it is in the endpoint list.
+    /// The delay from a change of a server to its appearance in the endpoint list.
     #[serde(rename = "notice_ms")]
     pub propagation_delay_ms: u64,
-    /// Whether the nodes have the first endpoint list in their configuration.
+    /// Whether the nodes' configuration contains the initial endpoint list.
     #[serde(rename = "known")]
     pub is_preconfigured: bool,
 }
 
-/// The parameters of the rules.
+/// The limits that the rules check.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RuleParameters {
-    /// How long after a node has been notified of a draining server new requests may reach the server.
+    /// How long after the notification of a node about a drain new requests may still reach the server.
     pub drain_grace_ms: u64,
-    /// How long after its client's deadline a response still counts.
+    /// How long after the client's deadline a response still counts as in time.
     #[serde(rename = "answer_slack_ms")]
     pub response_slack_ms: u64,
-    /// The fraction of its capacity that a server starts with.
+    /// The fraction of its full capacity that a server has at the beginning of slow start.
     #[serde(rename = "start_share")]
     pub slow_start_capacity: f64,
     /// How long slow start lasts.
     #[serde(rename = "warm_ms")]
     pub slow_start_duration_ms: u64,
-    /// A server in slow start is overloaded by more than this multiple of its capacity ...
+    /// The load, as a multiple of the current capacity, above which a server in slow start is overloaded.
     #[serde(rename = "tip_multiple")]
     pub overload_multiple: f64,
-    /// ... over this time.
+    /// The time over which the load of a server in slow start is averaged.
     #[serde(rename = "fall_ms")]
     pub overload_window_ms: u64,
-    /// The number of attempts that a request may have.
+    /// The maximum number of attempts of a request.
     pub attempts: u32,
 }
 
@@ -314,77 +314,77 @@
     }
 }
 
-/// Expectations besides the rules.
+/// Expectations that are checked in addition to the rules; absent ones are not checked.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expectations {
-    /// The least fraction of the requests that is served.
+    /// The minimum fraction of requests served.
     #[serde(rename = "served")]
     pub min_served_fraction: f64,
-    /// In a zone's outage: the time within which all its nodes stop sending to it, ...
+    /// The maximum time from the start of a zone's outage until all its nodes stop sending to the zone.
     #[serde(rename = "left_ms")]
     pub max_failover_ms: Option<u64>,
-    /// ... the most attempts that are sent to it, ...
+    /// The maximum number of attempts at a zone during its outage.
     #[serde(rename = "spent")]
     pub max_failed_over_attempts: Option<usize>,
-    /// ... the least fraction served in any second, ...
+    /// The minimum fraction of requests served in any second of a zone's outage.
     #[serde(rename = "worst_second")]
     pub min_served_fraction_in_a_second: Option<f64>,
-    /// ... and the time after the outage within which it has nine tenths of its load again.
+    /// The maximum time from the end of a zone's outage until the zone has nine tenths of its usual load.
     #[serde(rename = "full_back_ms")]
     pub max_recovery_ms: Option<u64>,
-    /// The most load that a server in slow start gets, as a multiple of its capacity.
+    /// The maximum load of a server in slow start, as a multiple of its current capacity.
     #[serde(rename = "cold")]
     pub max_slow_start_load: Option<f64>,
-    /// The most times that a node leaves a healthy zone.
+    /// The maximum number of times that nodes leave a healthy zone.
     #[serde(rename = "strayed")]
     pub max_false_ejections: Option<usize>,
 }
 
-/// A fault as it stands in the file.
+/// A `[[fault]]` table before its validation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// The name of its kind.
+    /// The name of the kind of fault.
     pub kind: Spanned<String>,
-    /// When it begins, from the start of the scenario.
+    /// When the fault begins, from the start of the scenario.
     pub at_ms: Spanned<u64>,
-    /// How long it lasts; without it, to the end.
+    /// How long the fault lasts; if absent, to the end of the run.
     #[serde(rename = "for_ms")]
     pub duration_ms: Option<u64>,
-    /// The server that it affects.
+    /// The name of the affected server; absent for groups and other kinds of faults.
     pub server: Option<Spanned<String>>,
-    /// The node that it affects.
+    /// The name of the affected node; absent for groups and other kinds of faults.
     pub node: Option<Spanned<String>>,
-    /// Or all servers or nodes of a zone ...
+    /// The zone whose servers or nodes are affected as a group.
     pub zone: Option<Spanned<String>>,
-    /// ... or a fraction of these, or of all; the seed draws which.
+    /// The fraction of a group that is affected, drawn from the seed; of all servers or nodes if `zone` is absent.
     #[serde(rename = "share")]
     pub fraction: Option<Spanned<f64>>,
-    /// `reset`: the number of bytes of the response before it.
+    /// For `reset`: the number of bytes of the response before the reset.
     pub after_bytes: Option<Spanned<u64>>,
-    /// `late`, `slow-link`: the delay.
+    /// For `late` and `slow-link`: the additional delay.
     #[serde(rename = "by_ms")]
     pub delay_ms: Option<Spanned<u64>>,
-    /// `slow`: the factor on service times.
+    /// For `slow`: the factor on service times.
     #[serde(rename = "times")]
     pub slowdown: Option<Spanned<f64>>,
-    /// `lossy-link`: the fraction of messages that is lost.
+    /// For `lossy-link`: the fraction of messages that is lost.
     pub loss: Option<Spanned<f64>>,
-    /// The probability that a request is affected; 1 without it.
+    /// The probability that a request is affected; 1 if absent.
     #[serde(rename = "chance")]
     pub probability: Option<Spanned<f64>>,
-    /// Links: the other end, a zone or one of `all`, `servers`, `list`, `nodes` and `clients`.
+    /// For faults of links: the remote end, which is a zone, `all`, `servers`, `list`, `nodes` or `clients`.
     pub to: Option<Spanned<String>>,
-    /// Links: `both` directions, from the node `there`, or `back`.
+    /// For faults of links: `there` for messages from the node, `back` for messages to the node, or `both`.
     #[serde(rename = "way")]
     pub direction: Option<Spanned<String>>,
-    /// The number of parts in which a group is affected, one after the other.
+    /// The number of equal parts of a group that are affected one after the other; 1 if absent.
     pub waves: Option<Spanned<u64>>,
-    /// The number of times that it occurs.
+    /// The number of times that the fault occurs; 1 if absent.
     #[serde(rename = "repeat")]
     pub repetitions: Option<Spanned<u64>>,
-    /// The time between waves and repetitions.
+    /// The time between the starts of consecutive waves and repetitions; 0 if absent.
     #[serde(rename = "every_ms")]
     pub interval_ms: Option<u64>,
 }
--- a/testkit/scenarios/src/scenario/validation.rs
+++ b/testkit/scenarios/src/scenario/validation.rs
@@ -1,4 +1,4 @@
-//! Checks the figures and names of a scenario against bounds that keep it on one machine, and its end in sight.
+//! Validates the values and names of a scenario. The bounds limit the memory and the duration of a run.
 
 use std::collections::BTreeSet;
 use std::ops::{Range, RangeInclusive};
@@ -8,34 +8,30 @@
 
 use super::schema::{Class, Scenario, Server};
 
-/// The most nodes of a scenario.
 pub(super) const MAX_NODES: usize = 512;
-/// The most servers of a scenario.
 pub(super) const MAX_SERVERS: usize = 512;
-/// The longest duration in a scenario: one hour.
 pub(super) const MAX_DURATION_MS: u64 = 3_600_000;
-/// The most requests a second.
-const MAX_RATE: f64 = 100_000.0;
-/// The longest name of a node, server or class, in bytes.
-const MAX_NAME_LENGTH: usize = 64;
+const MAX_REQUESTS_PER_SECOND: f64 = 100_000.0;
+/// The maximum length of the name of a node, server or class.
+const MAX_NAME_BYTES: usize = 64;
 
-/// Checks that a scenario has a class at all.
+/// Checks that a scenario has at least one class.
 pub(super) fn check_has_class(scenario: &Scenario, source: &Source) -> Result<(), FileError> {
     if scenario.classes.is_empty() {
-        return Err(source.error_at(0..0, "a scene needs at least one [[class]]"));
+        return Err(source.error_at(0..0, "a scenario must have at least one [[class]]"));
     }
     Ok(())
 }
 
-/// Checks a scenario whose groups have been expanded; its faults are checked as they are parsed.
+/// Checks a scenario after the expansion of its groups. Faults are checked when they are parsed.
 pub(super) fn check_scenario(scenario: &Scenario, source: &Source) -> Result<(), FileError> {
     check_counts(scenario, source)?;
     check_duration(source, &scenario.length_ms, 1)?;
     check_range(
         source,
         &scenario.clients.rate,
-        0.0..=MAX_RATE,
-        "from 0 to 100000 a second",
+        0.0..=MAX_REQUESTS_PER_SECOND,
+        "must be from 0 to 100000 requests a second",
     )?;
     for class in &scenario.classes {
         check_class(class, source)?;
@@ -49,13 +45,13 @@
 }
 
 fn check_counts(scenario: &Scenario, source: &Source) -> Result<(), FileError> {
-    let has_nodes = (1..=MAX_NODES).contains(&scenario.nodes.len());
-    let has_servers = (1..=MAX_SERVERS).contains(&scenario.servers.len());
-    if has_nodes && has_servers {
+    let is_node_count_valid = (1..=MAX_NODES).contains(&scenario.nodes.len());
+    let is_server_count_valid = (1..=MAX_SERVERS).contains(&scenario.servers.len());
+    if is_node_count_valid && is_server_count_valid {
         return Ok(());
     }
     let problem =
-        format!("a scene has 1 to {MAX_NODES} [[node]] and 1 to {MAX_SERVERS} [[server]]");
+        format!("a scenario must have 1 to {MAX_NODES} nodes and 1 to {MAX_SERVERS} servers");
     Err(source.error_at(0..0, problem))
 }
 
@@ -65,20 +61,25 @@
         source,
         class.weight.span(),
         weight > 0.0 && weight.is_finite(),
-        "must be above 0",
+        "must be a finite number above 0",
     )?;
     let (min, max) = *class.service_time_ms.get_ref();
     check(
         source,
         class.service_time_ms.span(),
         0 < min && min <= max && max <= MAX_DURATION_MS,
-        "from a time above 0 to one no shorter",
+        &format!("must be [MIN, MAX] with 0 < MIN <= MAX <= {MAX_DURATION_MS}"),
     )?;
     check_duration(source, &class.deadline_ms, 1)
 }
 
 fn check_server(server: &Server, source: &Source) -> Result<(), FileError> {
-    check_range(source, &server.speed, 0.001..=1000.0, "from 0.001 to 1000")?;
+    check_range(
+        source,
+        &server.speed,
+        0.001..=1000.0,
+        "must be from 0.001 to 1000",
+    )?;
     let Some(degradation) = &server.degradation else {
         return Ok(());
     };
@@ -86,7 +87,7 @@
         source,
         &degradation.slowdown,
         1.0..=1000.0,
-        "from 1 to 1000",
+        "must be from 1 to 1000",
     )?;
     check_duration(source, &degradation.after_ms, 0)?;
     check_duration(source, &degradation.recovery_ms, 0)
@@ -96,31 +97,31 @@
     source: &Source,
     names: impl Iterator<Item = &'a Spanned<String>>,
 ) -> Result<(), FileError> {
-    let mut taken = BTreeSet::new();
+    let mut seen = BTreeSet::new();
     for name in names {
         check(
             source,
             name.span(),
             is_valid_name(name.get_ref()),
-            "a name has 1 to 64 letters, digits, '-', '_' or '.'",
+            "a name must have 1 to 64 letters, digits, '-', '_' or '.'",
         )?;
-        let is_new = taken.insert(name.get_ref());
-        check(source, name.span(), is_new, "this name is taken")?;
+        let is_new = seen.insert(name.get_ref());
+        check(source, name.span(), is_new, "this name is already in use")?;
     }
     Ok(())
 }
 
 fn is_valid_name(name: &str) -> bool {
     let is_valid_byte = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.bytes().all(is_valid_byte)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(is_valid_byte)
 }
 
 fn check_duration(source: &Source, duration: &Spanned<u64>, min: u64) -> Result<(), FileError> {
-    let problem = format!("from {min} to {MAX_DURATION_MS}");
+    let problem = format!("must be from {min} to {MAX_DURATION_MS}");
     check_range(source, duration, min..=MAX_DURATION_MS, &problem)
 }
 
-/// Checks that a value lies in a range.
+/// Fails with `problem` at the value's position in the file if the value is outside the range.
 pub(super) fn check_range<T: PartialOrd>(
     source: &Source,
     value: &Spanned<T>,
