--- a/testkit/scenarios/src/scenario/schema.rs
+++ b/testkit/scenarios/src/scenario/schema.rs
@@ -293,7 +293,7 @@
     /// The load, as a multiple of the current capacity, above which a server in slow start is overloaded.
     #[serde(rename = "tip_multiple")]
     pub overload_multiple: f64,
-    /// The time over which the load of a server in slow start is averaged.
+    /// The time over which the load of a server in slow start is compared with its capacity.
     #[serde(rename = "fall_ms")]
     pub overload_window_ms: u64,
     /// The maximum number of attempts of a request.
--- a/testkit/scenarios/src/soak.rs
+++ b/testkit/scenarios/src/soak.rs
@@ -175,7 +175,7 @@
             self.random.between(2, 4),
         );
         let mean_service_time_ms = self.write_classes(&mut text);
-        // A server in slow start that gets as much as the others is overloaded at this utilization.
+        // At this utilization, a server in slow start is overloaded if it gets as many requests as the others.
         let utilization = 0.3 + 0.6 * self.random.uniform();
         let busy_slots = rate as f64 * mean_service_time_ms / 1000.0 / servers as f64;
         let slots = ((busy_slots / utilization).round() as u64).clamp(1, 32);
