--- a/testkit/scenarios/tests/file_formats.rs
+++ b/testkit/scenarios/tests/file_formats.rs
@@ -97,7 +97,9 @@
     let source = Source::embedded("every-fault.toml", &unknown);
     let loaded = scenario::load("every-fault", &source);
     let error = loaded.err().expect("an unknown kind").to_string();
-    let (_, kinds) = error.split_once("there are ").expect("a list");
+    let (_, kinds) = error
+        .split_once("unknown kind of fault; known kinds: ")
+        .expect("a list");
     kinds.trim().split(", ").map(str::to_owned).collect()
 }
 
