--- a/testkit/scenarios/src/sweep.rs
+++ b/testkit/scenarios/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario under many seeds, several at once, and computes the spread of each figure over them.
+//! Plays a scenario with many seeds, several at once, and computes the spread of each measure over the seeds.
 
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,32 +6,32 @@
 
 use badgerpost_time::{MILLISECOND, Nanos};
 
-use crate::fleet::{self, Conduct};
+use crate::fleet::{self, FailoverReport};
 use crate::plan::Plan;
 use crate::run::{self, Options, RunError};
 use crate::scenario;
 
-/// The result of one seed.
+/// The measures of the run of one seed.
 #[derive(Clone, Debug)]
 pub struct SeedResult {
     /// The seed.
     pub seed: u64,
     /// The fraction of the requests that was served.
     pub served_fraction: f64,
-    /// The number of breaches of rules.
+    /// The number of breaches of rules; requests that no client sent count as one breach.
     pub breaches: usize,
-    /// What the fleet did in the first outage of a zone, if there is one.
-    pub conduct: Option<Conduct>,
-    /// The most load that a server in slow start got, as a multiple of its capacity.
+    /// The failover in the first outage of a zone; none without an outage.
+    pub failover: Option<FailoverReport>,
+    /// The maximum load of a server in slow start, as a multiple of its capacity.
     pub slow_start_peak: f64,
-    /// How often a node left a healthy zone.
+    /// The number of times that nodes left a healthy zone.
     pub false_ejections: usize,
 }
 
-/// Results so far, or the first error.
+/// The results so far, or the first error.
 type Results = Result<Vec<SeedResult>, RunError>;
 
-/// Plays the seeds, `jobs` at once. The results are sorted by seed.
+/// Plays the seeds, `jobs` at once, and returns the results sorted by seed.
 pub fn sweep(name: &str, seeds: Range<u64>, jobs: usize, options: &Options) -> Results {
     let next_seed = AtomicU64::new(seeds.start);
     let results: Mutex<Results> = Mutex::new(Ok(Vec::new()));
@@ -47,7 +47,7 @@
     Ok(results)
 }
 
-/// Plays seeds until there are no more, or one has failed.
+/// Plays seeds until none is left or one has failed.
 fn run_seeds(
     name: &str,
     next_seed: &AtomicU64,
@@ -74,18 +74,18 @@
 fn run_seed(name: &str, seed: u64, options: &Options) -> Result<SeedResult, RunError> {
     let plan = Plan::draw(scenario::find(name)?, seed);
     let report = run::play(&plan, options, &mut |_| {})?;
-    let first_outage = fleet::troubles(&plan).into_iter().next();
+    let first_outage = fleet::zone_outages(&plan).into_iter().next();
     Ok(SeedResult {
         seed,
         served_fraction: report.counts().served_fraction(),
         breaches: report.breaches.len() + usize::from(report.unknown_requests > 0),
-        conduct: first_outage.map(|outage| fleet::conduct(&report.log, &outage)),
+        failover: first_outage.map(|outage| fleet::measure_failover(&report.log, &outage)),
         slow_start_peak: report.cold_peak(None),
-        false_ejections: fleet::strayed(&plan, &report.log).len(),
+        false_ejections: fleet::false_ejections(&plan, &report.log).len(),
     })
 }
 
-/// The names of the figures, as they are printed.
+/// The names of the measures, as printed.
 pub const COLUMNS: [&str; 12] = [
     "served",
     "left50_ms",
@@ -101,36 +101,36 @@
     "broken",
 ];
 
-/// The figures of a result in the order of [`COLUMNS`]; none where the run has no such figure.
+/// The measures of a result in the order of [`COLUMNS`]; none for measures that the run does not have.
 pub fn figures(result: &SeedResult) -> [Option<f64>; COLUMNS.len()] {
-    let conduct = result.conduct.as_ref();
-    let failover_ms = |fraction| conduct.and_then(|conduct| failover_ms(conduct, fraction));
+    let failover = result.failover.as_ref();
+    let failover_ms = |fraction| failover.and_then(|failover| failover_ms(failover, fraction));
     [
         Some(result.served_fraction),
         failover_ms(0.5),
         failover_ms(0.9),
         failover_ms(1.0),
-        conduct.map(|conduct| conduct.spent as f64),
-        conduct.map(|conduct| conduct.worst.0),
-        conduct
-            .and_then(|conduct| conduct.half_back)
+        failover.map(|failover| failover.attempts_during_outage as f64),
+        failover.map(|failover| failover.worst_second.0),
+        failover
+            .and_then(|failover| failover.half_load_after)
             .map(milliseconds),
-        conduct
-            .and_then(|conduct| conduct.full_back)
+        failover
+            .and_then(|failover| failover.nine_tenths_load_after)
             .map(milliseconds),
-        conduct.map(|conduct| conduct.peak_elsewhere),
+        failover.map(|failover| failover.peak_load_ratio_elsewhere),
         Some(result.slow_start_peak),
         Some(result.false_ejections as f64),
         Some(result.breaches as f64),
     ]
 }
 
-/// The time within which this fraction of the zone's nodes left it, if all did in the end.
-fn failover_ms(conduct: &Conduct, fraction: f64) -> Option<f64> {
-    if conduct.stayed > 0 {
+/// The time within which this fraction of the zone's nodes failed over; none unless all did.
+fn failover_ms(failover: &FailoverReport, fraction: f64) -> Option<f64> {
+    if failover.nodes_not_failed_over > 0 {
         return None;
     }
-    fleet::at_share(&conduct.left_after, fraction).map(milliseconds)
+    fleet::quantile(&failover.failover_times, fraction).map(milliseconds)
 }
 
 /// A duration in whole milliseconds.
@@ -138,18 +138,18 @@
     (duration / MILLISECOND) as f64
 }
 
-/// The spread of a figure over all results.
+/// The spread of a measure over all results.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spread {
-    /// The least value.
+    /// The minimum.
     pub min: f64,
-    /// The middle value; the lower of two.
+    /// The median; the lower one of two.
     pub median: f64,
-    /// The greatest value.
+    /// The maximum.
     pub max: f64,
 }
 
-/// The spread of one column; none if a result lacks the figure, as a spread over the others would mislead.
+/// The spread of one column; none if any result lacks the measure.
 pub fn spread(results: &[SeedResult], column: usize) -> Option<Spread> {
     let values: Option<Vec<f64>> = results
         .iter()
