--- a/testkit/scenarios/src/commands/measure_postgres.rs
+++ b/testkit/scenarios/src/commands/measure_postgres.rs
@@ -1,4 +1,4 @@
-//! `measure-postgres`: the costs of the PostgreSQL front end.
+//! The `measure-postgres` command: benchmark of the PostgreSQL front end.
 
 use std::io;
 use std::process::ExitCode;
@@ -9,7 +9,8 @@
 use crate::failure::Failure;
 use crate::output::print_line;
 
-/// Measures, and prints each figure once it is known. Printing goes on after it has failed; the first error is returned.
+/// Runs the benchmark and prints each figure when its measurement is complete. The benchmark continues after an output
+/// error; the first such error is returned.
 pub(super) fn measure(arguments: &MeasureArguments) -> Result<ExitCode, Failure> {
     let program = arguments.program.path()?;
     let mut printed: io::Result<()> = Ok(());
--- a/testkit/scenarios/src/commands/run_postgres.rs
+++ b/testkit/scenarios/src/commands/run_postgres.rs
@@ -1,4 +1,4 @@
-//! `run` of a scene of PostgreSQL.
+//! The `run` command for PostgreSQL scenarios.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,22 +12,22 @@
 use crate::failure::Failure;
 use crate::output::{percent_bar, print_line, show_progress, write_file};
 
-/// The exit code after a crash of a node.
+/// The exit code if the node exited during the run.
 const EXIT_CRASHED: u8 = 2;
 
-/// Findings that are printed at most.
-const MAX_PRINTED_FINDINGS: usize = 20;
+/// Upper bound of the violations that are printed.
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
-/// Plays the scene in real time and prints the summary. Fails if the result that a client received differs
-/// from what took effect, or if less was done than the scene expects.
+/// Runs the scenario in real time and prints a summary. The exit code reports a failure if an outcome that a client
+/// received contradicts the stored rows, or if the scenario's expectations are not met.
 pub(super) fn run(
     name: &str,
-    scene: &PgScenario,
+    scenario: &PgScenario,
     arguments: &RunArguments,
 ) -> Result<ExitCode, Failure> {
     let program = arguments.program.path()?;
     let bar = percent_bar();
-    let report = postgres::run(scene, arguments.seed, &program, &mut |done| {
+    let report = postgres::run(scenario, arguments.seed, &program, &mut |done| {
         show_progress(&bar, done);
     })?;
     bar.finish_and_clear();
@@ -45,7 +45,7 @@
     ))?;
     print_results(&report.transactions)?;
     print_durations(&report)?;
-    let verdict = Verdict::of(scene, &report);
+    let verdict = Verdict::of(scenario, &report);
     verdict.print(&report)?;
     Ok(verdict.exit_code())
 }
@@ -57,7 +57,7 @@
     write_file(path, &(lines.join("\n") + "\n"))
 }
 
-/// Prints how many transactions ended in each way, by driver.
+/// Prints the number of transactions by outcome and driver.
 fn print_results(transactions: &[TransactionRecord]) -> io::Result<()> {
     let mut counts = BTreeMap::<(ClientOutcome, &str), usize>::new();
     for transaction in transactions {
@@ -65,8 +65,8 @@
             .entry((transaction.outcome, transaction.driver))
             .or_default() += 1;
     }
-    for ((result, driver), count) in &counts {
-        print_line(&format!("{count:8} {result} by {driver}"))?;
+    for ((outcome, driver), count) in &counts {
+        print_line(&format!("{count:8} {outcome} by {driver}"))?;
     }
     Ok(())
 }
@@ -87,7 +87,7 @@
         quantile(&durations, 1.0)
     ))?;
     print_line(&format!(
-        "{} kills; {} drains, {} transactions begun after the grace",
+        "{} kills; {} drains, {} transactions begun after the grace period",
         report.kills, report.drains.drains, report.drains.late_transactions
     ))
 }
@@ -103,17 +103,17 @@
     sorted.get(index).copied().unwrap_or(0)
 }
 
-/// Whether the node did what it must, and the scene what it should.
+/// The checks of a run: the node's correctness and the scenario's expectations.
 struct Verdict {
-    /// Every client received the true result, and no transaction was begun after the grace of a drain.
+    /// Every outcome agrees with the stored rows, and no transaction began after the grace period of a drain.
     is_correct: bool,
-    /// As many databases died and drained, and as many transactions were committed, as the scene expects.
+    /// At least the expected numbers of crashes and drains occurred, and the expected fraction was committed.
     meets_expectations: bool,
     committed_fraction: f64,
 }
 
 impl Verdict {
-    fn of(scene: &PgScenario, report: &PgRunReport) -> Self {
+    fn of(scenario: &PgScenario, report: &PgRunReport) -> Self {
         let committed = report
             .transactions
             .iter()
@@ -121,11 +121,13 @@
             .count();
         let committed_fraction = committed as f64 / report.transactions.len().max(1) as f64;
         let drains = report.drains;
-        let enough_kills = scene.kills.is_none_or(|kills| report.kills >= kills.least);
-        let enough_drains = scene
+        let enough_kills = scenario
+            .kills
+            .is_none_or(|kills| report.kills >= kills.least);
+        let enough_drains = scenario
             .drains
             .is_none_or(|expected| drains.drains >= expected.least);
-        let enough_committed = committed_fraction >= scene.expect.committed;
+        let enough_committed = committed_fraction >= scenario.expect.committed;
         Self {
             is_correct: report.violations.is_empty() && drains.late_transactions == 0,
             meets_expectations: enough_kills && enough_drains && enough_committed,
@@ -134,8 +136,11 @@
     }
 
     fn print(&self, report: &PgRunReport) -> io::Result<()> {
-        for finding in report.violations.iter().take(MAX_PRINTED_FINDINGS) {
-            print_line(&format!("transaction {}: {}", finding.id, finding.problem))?;
+        for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+            print_line(&format!(
+                "transaction {}: {}",
+                violation.id, violation.problem
+            ))?;
         }
         let verdict = match (self.is_correct, self.meets_expectations) {
             (true, true) => "good",
--- a/testkit/scenarios/src/commands/up_postgres.rs
+++ b/testkit/scenarios/src/commands/up_postgres.rs
@@ -1,4 +1,4 @@
-//! `up` of a scene of PostgreSQL.
+//! The `up` command for PostgreSQL scenarios.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -11,14 +11,14 @@
 use crate::output::print_line;
 use crate::stay::StopRequest;
 
-/// How often it is checked whether the program is to end.
+/// Interval between two checks for a stop request.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Starts the databases and the node before them, prints a line of JSON once all is ready, and stays until it is
-/// stopped.
-pub(super) fn up(scene: &PgScenario, port: u16, program: &Path) -> Result<ExitCode, Failure> {
+/// Starts the databases and a node, prints their addresses and credentials as one line of JSON, and runs until a signal
+/// or the end of standard input requests a stop.
+pub(super) fn up(scenario: &PgScenario, port: u16, program: &Path) -> Result<ExitCode, Failure> {
     let stop = StopRequest::on_signals()?;
-    let environment = PgEnvironment::start(*scene.databases.get_ref(), program, port)?;
+    let environment = PgEnvironment::start(*scenario.databases.get_ref(), program, port)?;
     let client = environment.node_parameters();
     let databases: Vec<String> = environment
         .databases()
--- a/testkit/scenarios/src/postgres.rs
+++ b/testkit/scenarios/src/postgres.rs
@@ -1,5 +1,5 @@
-//! Scenarios of PostgreSQL, in real time: fake databases, a node in front of them, and clients with real drivers. Random
-//! choices follow from the seed: the kinds of transactions, and when a database dies, stops to respond or drains.
+//! PostgreSQL scenarios, run in real time: fake databases, a node in front of them, and clients with real drivers. The
+//! seed determines the kinds of transactions and the times at which databases crash, become unresponsive or drain.
 
 pub mod consistency;
 mod environment;
--- a/testkit/scenarios/src/postgres/consistency.rs
+++ b/testkit/scenarios/src/postgres/consistency.rs
@@ -5,18 +5,19 @@
 
 use serde::Serialize;
 
-/// The outcome of a transaction as its client knows it in the end.
+/// The final outcome of a transaction as reported to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClientOutcome {
-    /// It is committed.
+    /// The transaction is committed.
     Committed,
-    /// It never ran, and a retry is safe (53300, 57P03).
+    /// The transaction was not started, so a retry is safe (SQLSTATE 53300 or 57P03).
     #[serde(rename = "refused")]
     Rejected,
-    /// Nothing of it remains: an error before its COMMIT, and a ROLLBACK.
+    /// The transaction failed before COMMIT and was rolled back.
     RolledBack,
-    /// It may have taken effect: 08007, or the loss of a statement that was a complete transaction (08006).
+    /// The transaction may be committed: SQLSTATE 08007, or 08006 or 57P01 for a message that held the complete
+    /// transaction.
     Unknown,
     /// The connection broke without a response.
     #[serde(rename = "nothing")]
@@ -24,7 +25,7 @@
 }
 
 impl fmt::Display for ClientOutcome {
-    /// The outcome as the summary prints it.
+    /// Writes the outcome in the form that the summary prints.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Committed => "Committed",
@@ -42,21 +43,21 @@
 pub enum TransactionKind {
     /// One INSERT, committed by itself.
     Insert,
-    /// BEGIN, two INSERTs and COMMIT as separate queries.
+    /// BEGIN, two INSERTs and COMMIT, each as a separate query.
     Statements,
-    /// Two INSERTs in a transaction by the driver's own interface.
+    /// Two INSERTs in a transaction of the driver's transaction API.
     Transaction,
-    /// BEGIN, two INSERTs and COMMIT as one query.
+    /// BEGIN, two INSERTs and COMMIT in one simple query.
     #[serde(rename = "one text")]
     SingleQuery,
-    /// Three rows by COPY.
+    /// Three rows inserted by COPY.
     Copy,
     /// Two INSERTs, the second rolled back to a savepoint.
     Savepoint,
 }
 
 impl TransactionKind {
-    /// Rows that a committed transaction of this kind has inserted.
+    /// The number of rows that a committed transaction of this kind inserts.
     pub fn row_count(self) -> usize {
         match self {
             Self::Insert | Self::Savepoint => 1,
@@ -66,24 +67,24 @@
     }
 }
 
-/// One transaction as its client saw it; a line of the outcome log.
+/// One transaction from its client's view; written as one line of the outcome log.
 #[derive(Clone, Debug, Serialize)]
 pub struct TransactionRecord {
-    /// Its number; each of its rows holds it.
+    /// The transaction's number, from 1; stored in each row that the transaction inserts.
     pub id: i64,
-    /// How it was run.
+    /// How the client ran the transaction.
     pub kind: TransactionKind,
     /// The name of the client's driver.
     pub driver: &'static str,
-    /// Rows that it has inserted if it is committed.
+    /// The number of rows that are stored if the transaction is committed.
     #[serde(rename = "rows")]
     pub expected_rows: usize,
-    /// Its outcome as the client knows it.
+    /// The outcome that the client received.
     #[serde(rename = "told")]
     pub outcome: ClientOutcome,
-    /// The SQLSTATE code of the error, if there was one.
+    /// The error's SQLSTATE code, or the driver's error if there was no code; empty if the transaction is committed.
     pub code: String,
-    /// Its duration in microseconds.
+    /// The transaction's duration in microseconds, from its first message to its outcome.
     #[serde(rename = "took_us")]
     pub duration_us: u64,
 }
@@ -91,9 +92,9 @@
 /// A contradiction between an outcome and the stored rows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The transaction.
+    /// The transaction's number.
     pub id: i64,
-    /// What is wrong.
+    /// A description of the contradiction.
     pub problem: String,
 }
 
@@ -106,42 +107,42 @@
         let stored = stored_rows.get(&id).copied().unwrap_or(0);
         violations.extend(contradiction(record, stored).map(|problem| Violation { id, problem }));
         if !known.insert(id) {
-            let problem = "two final answers".to_owned();
+            let problem = "two outcomes were recorded for this transaction".to_owned();
             violations.push(Violation { id, problem });
         }
     }
     for id in stored_rows.keys().filter(|id| !known.contains(id)) {
         violations.push(Violation {
             id: *id,
-            problem: "there, and nobody has sent it".to_owned(),
+            problem: "rows are stored, but no client ran this transaction".to_owned(),
         });
     }
     violations
 }
 
-/// What contradicts the outcome of a transaction with so many stored rows.
+/// Describes how the outcome contradicts the number of rows stored for the transaction; `None` if both agree.
 fn contradiction(record: &TransactionRecord, stored: usize) -> Option<String> {
     let expected = record.expected_rows;
     match record.outcome {
         ClientOutcome::Committed if stored == 0 && expected > 0 => {
-            Some("told committed, and not there".to_owned())
-        }
-        ClientOutcome::Committed if stored != expected => {
-            Some(format!("told committed, with {stored} of {expected} rows"))
+            Some("reported as committed, but no rows are stored".to_owned())
         }
+        ClientOutcome::Committed if stored != expected => Some(format!(
+            "reported as committed, but {stored} rows are stored instead of {expected}"
+        )),
         ClientOutcome::Rejected | ClientOutcome::RolledBack if stored != 0 => Some(format!(
-            "told {} ({}), and {stored} rows are there",
+            "reported as {} ({}), but {stored} rows are stored",
             record.outcome, record.code
         )),
         ClientOutcome::Unknown | ClientOutcome::ConnectionLost
             if stored != 0 && stored != expected =>
         {
             Some(format!(
-                "{stored} of {expected} rows are there: twice, or in part"
+                "{stored} rows are stored instead of 0 or {expected}: partly committed or executed twice"
             ))
         }
         ClientOutcome::ConnectionLost => {
-            Some("the connection broke without a final answer".to_owned())
+            Some("the connection closed before the client received an outcome".to_owned())
         }
         _ => None,
     }
--- a/testkit/scenarios/src/postgres/consistency/tests.rs
+++ b/testkit/scenarios/src/postgres/consistency/tests.rs
@@ -14,54 +14,57 @@
 
 #[test]
 fn reports_each_contradiction_between_an_outcome_and_the_stored_rows() {
-    let all = [
+    let cases = [
         (
             ClientOutcome::Committed,
             2,
-            "told committed, and not there",
+            "reported as committed, but no rows are stored",
             0,
         ),
         (
             ClientOutcome::Committed,
             2,
-            "told committed, with 4 of 2 rows",
+            "reported as committed, but 4 rows are stored instead of 2",
             4,
         ),
         (
             ClientOutcome::Rejected,
             1,
-            "told Refused (), and 1 rows are there",
+            "reported as Refused (), but 1 rows are stored",
             1,
         ),
         (
             ClientOutcome::RolledBack,
             2,
-            "told RolledBack (), and 2 rows are there",
+            "reported as RolledBack (), but 2 rows are stored",
             2,
         ),
         (
             ClientOutcome::Unknown,
             1,
-            "2 of 1 rows are there: twice, or in part",
+            "2 rows are stored instead of 0 or 1: partly committed or executed twice",
             2,
         ),
         (
             ClientOutcome::Unknown,
             2,
-            "1 of 2 rows are there: twice, or in part",
+            "1 rows are stored instead of 0 or 2: partly committed or executed twice",
             1,
         ),
         (
             ClientOutcome::ConnectionLost,
             1,
-            "the connection broke without a final answer",
+            "the connection closed before the client received an outcome",
             0,
         ),
     ];
-    for (outcome, rows, problem, stored) in all {
-        let found = check(&[record(1, rows, outcome)], &BTreeMap::from([(1, stored)]));
+    for (outcome, expected_rows, problem, stored) in cases {
+        let violations = check(
+            &[record(1, expected_rows, outcome)],
+            &BTreeMap::from([(1, stored)]),
+        );
         assert_eq!(
-            found,
+            violations,
             [Violation {
                 id: 1,
                 problem: problem.to_owned()
@@ -72,7 +75,7 @@
 
 #[test]
 fn accepts_outcomes_that_match_the_stored_rows() {
-    for (outcome, rows, stored) in [
+    for (outcome, expected_rows, stored) in [
         (ClientOutcome::Committed, 2, 2),
         (ClientOutcome::Rejected, 2, 0),
         (ClientOutcome::RolledBack, 1, 0),
@@ -80,13 +83,17 @@
         (ClientOutcome::Unknown, 3, 0),
     ] {
         assert!(
-            check(&[record(1, rows, outcome)], &BTreeMap::from([(1, stored)])).is_empty(),
+            check(
+                &[record(1, expected_rows, outcome)],
+                &BTreeMap::from([(1, stored)])
+            )
+            .is_empty(),
             "{outcome:?}"
         );
     }
 }
 
 #[test]
-fn reports_rows_that_no_client_has_inserted() {
+fn reports_rows_of_a_transaction_that_no_client_ran() {
     assert_eq!(check(&[], &BTreeMap::from([(7, 1)])).len(), 1);
 }
--- a/testkit/scenarios/src/postgres/environment.rs
+++ b/testkit/scenarios/src/postgres/environment.rs
@@ -25,14 +25,14 @@
     databases: Rc<Vec<Database>>,
     discovery: Discovery,
     node: Process,
-    /// Where the node takes HTTP clients.
+    /// The address of the node's HTTP listener.
     pub http: SocketAddr,
-    /// Where it takes PostgreSQL clients.
+    /// The address of the node's PostgreSQL listener.
     pub listen: SocketAddr,
 }
 
 impl PgEnvironment {
-    /// Starts databases and a node; `port`: where it takes PostgreSQL clients, 0 for any.
+    /// Starts the databases and a node. `port` is the port of the node's PostgreSQL listener; 0 selects a free port.
     pub fn start(database_count: usize, program: &Path, port: u16) -> Result<Self, RunError> {
         let databases = (0..database_count)
             .map(|_| Database::start())
@@ -52,39 +52,40 @@
         })
     }
 
-    /// The databases.
+    /// The fake databases, in the order of their indexes.
     pub fn databases(&self) -> &[Database] {
         &self.databases
     }
 
-    /// The databases, for a task of its own.
+    /// A shared handle to the databases, for another task.
     pub(super) fn shared_databases(&self) -> Rc<Vec<Database>> {
         self.databases.clone()
     }
 
-    /// The discovery service.
     pub(super) fn discovery(&self) -> &Discovery {
         &self.discovery
     }
 
-    /// The process id of the node.
+    /// The operating system's process id of the node.
     pub fn node_id(&self) -> u32 {
         self.node.id()
     }
 
-    /// How the node ended, with its log, if it has ended by itself.
+    /// The exit status and the log of the node if its process has exited; `None` while the process runs.
     pub(super) fn crash(&mut self) -> Option<String> {
         let status = self.node.exited()?;
         let log = self.node.log();
-        Some(format!("the node ended with {status}; its log:\n{log}"))
+        Some(format!(
+            "the node process exited with {status}; node log:\n{log}"
+        ))
     }
 
-    /// Kills the node, which closes all its connections.
+    /// Kills the node's process, which closes all of the node's connections.
     pub(super) fn kill_node(&mut self) {
         self.node.kill();
     }
 
-    /// Parameters of a client of the node.
+    /// The parameters with which a client connects to the node.
     pub fn node_parameters(&self) -> ConnectionParameters {
         ConnectionParameters {
             port: self.listen.port(),
@@ -94,28 +95,28 @@
         }
     }
 
-    /// Parameters of a client that connects to a database directly.
+    /// The parameters with which a client connects to the database at this index without the node.
     pub fn database_parameters(&self, index: usize) -> ConnectionParameters {
         database_parameters(&self.databases[index])
     }
 
-    /// Publishes an endpoint list in which this database is draining, or none.
+    /// Publishes an endpoint list in which the database at `index` is draining; with `None` all are in service.
     pub fn set_draining(&mut self, index: Option<usize>) {
         publish_draining(&self.discovery, &self.databases, index);
     }
 
-    /// Creates the table of the transactions in each database.
+    /// Creates in each database the table `w`, into which the clients' transactions insert rows.
     pub async fn create_tables(&self) -> Result<(), RunError> {
         for database in self.databases.iter() {
-            create_table(database)
-                .await
-                .map_err(|error| RunError::Stage(format!("the stand-in database: {error}")))?;
+            create_table(database).await.map_err(|error| {
+                RunError::Stage(format!("fake database: creating table w failed: {error}"))
+            })?;
         }
         Ok(())
     }
 }
 
-/// Publishes an endpoint list in which this database is draining, or none.
+/// Publishes an endpoint list in which the database at index `draining` is draining; with `None` all are in service.
 pub(super) fn publish_draining(
     discovery: &Discovery,
     databases: &[Database],
@@ -145,10 +146,10 @@
     port: u16,
     discovery: SocketAddr,
 ) -> Result<(Process, SocketAddr), RunError> {
-    let no_servers = Discovery::new(serde_json::json!([]));
+    let empty_discovery = Discovery::new(serde_json::json!([]));
     let calm = scenario::find("calm")?;
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
-    let edge = process::edge(&calm, 0, any_port, no_servers.address, 7, None);
+    let edge = process::edge(&calm, 0, any_port, empty_discovery.address, 7, None);
     let verifier = Verifier::from_password(CLIENT_PASSWORD, b"a salt of the rehearsal").to_text();
     let start = Start {
         program,
--- a/testkit/scenarios/src/postgres/faults.rs
+++ b/testkit/scenarios/src/postgres/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection of a PostgreSQL scenario: kills databases and drains them, one at a time, until it is stopped.
+//! Fault injection of a PostgreSQL scenario: kills and drains databases, one at a time, until the tasks are aborted.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,19 +12,19 @@
 use super::load::WorkQueue;
 use super::scenario::{Drains, Kills};
 
-/// The grace period of a drain, and slack for the endpoint update to arrive.
-const DRAIN_GRACE: Duration = Duration::from_millis(500 + 50);
-/// A fault that waits for a matching statement is cleared after this.
+/// The node's grace period for a drain, plus slack for the delivery of the endpoint list.
+const DRAIN_GRACE_WITH_SLACK: Duration = Duration::from_millis(500 + 50);
+/// Time limit for a statement to trigger an injected fault; the fault is cleared afterwards.
 const MATCH_TIMEOUT: Duration = Duration::from_millis(400);
-/// A random interval is at most so many times the mean.
+/// Upper bound of a random interval, as a multiple of the mean.
 const MAX_INTERVAL_FACTOR: f64 = 4.0;
 
-/// Drains so far.
+/// Counts of the drains of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DrainCounts {
-    /// Databases that drained.
+    /// The number of drains completed; a database may drain several times.
     pub drains: u64,
-    /// Transactions that began at a draining database after its grace period.
+    /// The number of transactions that began at a draining database after the grace period.
     pub late_transactions: u64,
 }
 
@@ -36,18 +36,18 @@
 }
 
 impl FaultCounters {
-    /// Databases that died, or stopped to respond.
+    /// The number of crashes so far, including those of databases that were unresponsive first.
     pub(super) fn kills(&self) -> u64 {
         self.kills.get()
     }
 
-    /// Drains so far.
+    /// The drains completed so far.
     pub(super) fn drains(&self) -> DrainCounts {
         self.drains.get()
     }
 }
 
-/// What the tasks that inject faults share.
+/// State shared by the tasks that inject faults.
 #[derive(Clone)]
 pub(super) struct FaultContext {
     pub(super) databases: Rc<Vec<Database>>,
@@ -57,24 +57,24 @@
     pub(super) seed: u64,
 }
 
-/// A random interval with this mean.
+/// Draws an exponentially distributed interval, truncated at `MAX_INTERVAL_FACTOR` times the mean.
 fn interval(random: &mut Random, mean_ms: u64) -> Duration {
     let mean = Duration::from_millis(mean_ms).as_secs_f64();
     Duration::from_secs_f64(random.exponential(mean).min(MAX_INTERVAL_FACTOR * mean))
 }
 
-/// Kills one database at a time, in one of several ways, and restarts it.
+/// Crashes one database at a time, in a random way, and restarts that database after its downtime.
 pub(super) async fn kill_databases(context: FaultContext, settings: Kills) {
     let databases = &context.databases;
     let kills = &context.counters.kills;
     let mut random = Random::new(context.seed, "kills");
     loop {
         context.queue.set_extended(kills.get() < settings.least);
-        let before: Vec<u64> = databases.iter().map(Database::statements).collect();
+        let statements_before: Vec<u64> = databases.iter().map(Database::statements).collect();
         tokio::time::sleep(interval(&mut random, settings.every_ms)).await;
-        // Only one that the node is using: the death of an idle one would show nothing.
+        // The crash of a database that the node is not using affects no transaction.
         let active: Vec<usize> = (0..databases.len())
-            .filter(|index| databases[*index].statements() > before[*index])
+            .filter(|index| databases[*index].statements() > statements_before[*index])
             .collect();
         if active.is_empty() {
             continue;
@@ -87,7 +87,7 @@
             database.clear_fault();
             database.revive();
         } else {
-            // No matching statement arrived.
+            // No statement triggered the fault.
             database.clear_fault();
         }
     }
@@ -100,10 +100,10 @@
         3 => database.inject_fault("INSERT", InjectedFault::CrashAfterExecution),
         4 => database.inject_fault("COMMIT", InjectedFault::CrashBeforeExecution),
         5 => database.inject_fault("COMMIT", InjectedFault::CrashAfterExecution),
-        // The second row of a COPY.
+        // Matches the second row of a COPY.
         6 => database.inject_fault("\t1\n", InjectedFault::CrashBeforeExecution),
         _ => {
-            // Unresponsive, and then dead with everything that it received meanwhile.
+            // Unresponsive first; what the database receives in that time is lost in the crash.
             database.pause(true);
             tokio::time::sleep(Duration::from_millis(2 * settings.down_ms)).await;
             database.kill();
@@ -112,7 +112,7 @@
     }
 }
 
-/// Waits until the database is down; false if it is still up after the timeout.
+/// Waits until the database is down; returns false if the database is still up after the timeout.
 async fn is_down_within(database: &Database, timeout: Duration) -> bool {
     let started = Instant::now();
     while database.is_up() && started.elapsed() < timeout {
@@ -121,7 +121,7 @@
     !database.is_up()
 }
 
-/// Drains one database at a time, and counts the transactions that begin there after its grace period.
+/// Drains one database at a time, and counts the transactions that begin at that database after the grace period.
 pub(super) async fn drain_databases(context: FaultContext, settings: Drains) {
     let (databases, discovery) = (&context.databases, &context.discovery);
     let counts = &context.counters.drains;
@@ -133,11 +133,12 @@
         tokio::time::sleep(interval(&mut random, settings.every_ms)).await;
         let index = random.between(0, databases.len() as u64 - 1) as usize;
         publish_draining(discovery, databases, Some(index));
-        tokio::time::sleep(DRAIN_GRACE).await;
-        let begun = databases[index].begun();
-        let remaining = Duration::from_millis(settings.for_ms).saturating_sub(DRAIN_GRACE);
+        tokio::time::sleep(DRAIN_GRACE_WITH_SLACK).await;
+        let begun_by_grace_end = databases[index].begun();
+        let remaining =
+            Duration::from_millis(settings.for_ms).saturating_sub(DRAIN_GRACE_WITH_SLACK);
         tokio::time::sleep(remaining).await;
-        let late = databases[index].begun() - begun;
+        let late = databases[index].begun() - begun_by_grace_end;
         publish_draining(discovery, databases, None);
         let counted = counts.get();
         counts.set(DrainCounts {
--- a/testkit/scenarios/src/postgres/load.rs
+++ b/testkit/scenarios/src/postgres/load.rs
@@ -15,28 +15,28 @@
 pub(super) use sqlx_driver::SqlxDriver;
 pub(super) use tokio_postgres_driver::TokioPostgresDriver;
 
-/// Pause before the next attempt to connect, and after a rejected transaction.
+/// Pause after a failed attempt to connect, and after a rejected transaction.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
-/// Failed attempts to connect after which a client gives up.
+/// Failed attempts to connect after which a client stops.
 const MAX_FAILED_CONNECTS: usize = 2000;
-/// How many times the wanted number of transactions are run at most while faults are still outstanding.
+/// Upper bound of the transactions, as a multiple of the wanted number, while required faults are outstanding.
 const MAX_EXTENSION: i64 = 50;
 
-/// Where clients connect, and their credentials.
+/// The address, the database and the credentials with which clients connect.
 #[derive(Clone, Debug)]
 pub struct ConnectionParameters {
-    /// The port, on 127.0.0.1.
+    /// The TCP port on 127.0.0.1.
     pub port: u16,
-    /// The user.
+    /// The name of the user.
     pub user: String,
-    /// Its password.
+    /// The user's password.
     pub password: String,
-    /// The database.
+    /// The name of the database.
     pub database: String,
 }
 
 impl ConnectionParameters {
-    /// The same for tokio-postgres.
+    /// Converts the parameters to a configuration of tokio-postgres.
     pub(super) fn tokio_postgres_config(&self) -> tokio_postgres::Config {
         let mut config = tokio_postgres::Config::new();
         config
@@ -49,7 +49,7 @@
     }
 }
 
-/// Connects by tokio-postgres and drives the connection in a task of its own.
+/// Connects by tokio-postgres and drives the connection in a separate task.
 pub(super) async fn connect(
     config: &tokio_postgres::Config,
 ) -> Result<tokio_postgres::Client, tokio_postgres::Error> {
@@ -60,18 +60,18 @@
     Ok(client)
 }
 
-/// Numbers of the transactions to run, shared by all clients.
+/// Assigns the numbers of the transactions to run; shared by all clients.
 #[derive(Clone)]
 pub(super) struct WorkQueue {
     next_id: Rc<Cell<i64>>,
     wanted: i64,
-    /// Transactions go on beyond the wanted number.
+    /// Whether the limit is `max` instead of `wanted`.
     is_extended: Rc<Cell<bool>>,
     max: i64,
 }
 
 impl WorkQueue {
-    /// As many transactions as wanted; up to `MAX_EXTENSION` times as many while the queue is extended.
+    /// A queue of `wanted` transactions, or up to `MAX_EXTENSION` times as many while the queue is extended.
     pub(super) fn new(wanted: u64) -> Self {
         let wanted = i64::try_from(wanted).unwrap_or(i64::MAX / 64);
         Self {
@@ -84,37 +84,37 @@
 
     fn take(&self) -> Option<i64> {
         let id = self.next_id.get();
-        let is_open = id <= self.wanted || (self.is_extended.get() && id <= self.max);
-        is_open.then(|| {
+        let is_allowed = id <= self.wanted || (self.is_extended.get() && id <= self.max);
+        is_allowed.then(|| {
             self.next_id.set(id + 1);
             id
         })
     }
 
-    /// Sets whether transactions go on beyond the wanted number.
+    /// Sets whether the queue assigns numbers beyond the wanted one.
     pub(super) fn set_extended(&self, is_extended: bool) {
         self.is_extended.set(is_extended);
     }
 
-    /// The transactions begun, as a fraction of the wanted number.
+    /// The number of transactions begun divided by the wanted number; above 1 if the queue was extended.
     pub(super) fn progress(&self) -> f64 {
         self.next_id.get() as f64 / self.wanted as f64
     }
 }
 
-/// How much of a transaction one message to the server holds.
+/// Whether the message that failed held a complete transaction.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MessageScope {
-    /// The complete transaction: it may have been committed though the response was lost.
+    /// The message held the complete transaction, which may be committed if the response was lost.
     CompleteTransaction,
-    /// A part: nothing is committed before the COMMIT, which is a message of its own.
+    /// The message held a part of the transaction; nothing is committed before COMMIT, a separate message.
     PartialTransaction,
 }
 
-/// Why a transaction was not committed, as far as its client knows.
+/// The outcome and the error code that the client received for a transaction that was not committed.
 pub(super) struct TransactionFailure {
     outcome: ClientOutcome,
-    /// The SQLSTATE code; without one, what the driver reports.
+    /// The SQLSTATE code, or the driver's error if there is no code.
     code: String,
 }
 
@@ -129,7 +129,7 @@
 
 pub(super) type TransactionResult = Result<(), TransactionFailure>;
 
-/// The outcome of a transaction that failed with this SQLSTATE code; none if the connection broke.
+/// The outcome of a transaction that failed with this SQLSTATE code; the code is `None` if the connection closed.
 fn outcome_of_error(code: Option<&str>, scope: MessageScope) -> ClientOutcome {
     match code {
         None => ClientOutcome::ConnectionLost,
@@ -142,26 +142,26 @@
     }
 }
 
-/// A transaction that was run, and its result.
+/// The kind and the result of a transaction that was run.
 pub(super) struct FinishedTransaction {
     kind: TransactionKind,
     result: TransactionResult,
 }
 
-/// A PostgreSQL driver, as the load generator uses it.
+/// Interface of the load generator to a PostgreSQL driver.
 pub(super) trait ClientDriver {
     /// The driver's name in the outcome log.
     const NAME: &'static str;
-    /// A connection by this driver.
+    /// The driver's connection type.
     type Connection;
 
-    /// A driver that connects with these parameters.
+    /// Creates a driver that connects with these parameters.
     fn new(parameters: &ConnectionParameters) -> Self;
 
-    /// Opens a connection; none if that fails.
+    /// Opens a connection; returns `None` if connecting fails.
     async fn connect(&self) -> Option<Self::Connection>;
 
-    /// Whether the driver knows that the connection is closed.
+    /// Whether the driver has detected that the connection is closed.
     fn is_closed(connection: &Self::Connection) -> bool;
 
     /// Runs one transaction of a random kind.
@@ -179,7 +179,7 @@
     ) -> bool;
 }
 
-/// Runs transactions one after the other until the queue is empty; records each.
+/// Runs transactions one after the other until the queue is empty, and returns their records.
 pub(super) async fn run_client<D: ClientDriver>(
     parameters: ConnectionParameters,
     queue: WorkQueue,
@@ -191,11 +191,11 @@
     let mut idle: Option<D::Connection> = None;
     let mut failed_connects = 0;
     while failed_connects < MAX_FAILED_CONNECTS {
-        let open = match idle.take() {
+        let usable = match idle.take() {
             Some(connection) if !D::is_closed(&connection) => Some(connection),
             _ => driver.connect().await,
         };
-        let Some(mut connection) = open else {
+        let Some(mut connection) = usable else {
             failed_connects += 1;
             tokio::time::sleep(RETRY_PAUSE).await;
             continue;
--- a/testkit/scenarios/src/postgres/load/sqlx_driver.rs
+++ b/testkit/scenarios/src/postgres/load/sqlx_driver.rs
@@ -9,7 +9,7 @@
 };
 use crate::postgres::consistency::{ClientOutcome, TransactionKind};
 
-/// Connects by sqlx.
+/// Runs the transactions of a client by sqlx.
 pub(in crate::postgres) struct SqlxDriver {
     options: sqlx::postgres::PgConnectOptions,
 }
@@ -34,7 +34,7 @@
     }
 
     fn is_closed(_: &Self::Connection) -> bool {
-        // sqlx does not know; `is_reusable` asks the server.
+        // sqlx does not report whether a connection is closed; `is_reusable` sends a ping.
         false
     }
 
--- a/testkit/scenarios/src/postgres/load/tokio_postgres_driver.rs
+++ b/testkit/scenarios/src/postgres/load/tokio_postgres_driver.rs
@@ -12,7 +12,7 @@
 };
 use crate::postgres::consistency::{ClientOutcome, TransactionKind};
 
-/// Connects by tokio-postgres.
+/// Runs the transactions of a client by tokio-postgres.
 pub(in crate::postgres) struct TokioPostgresDriver {
     config: tokio_postgres::Config,
 }
@@ -60,8 +60,8 @@
     }
 
     async fn is_reusable(_: &mut Client, kind: TransactionKind, outcome: ClientOutcome) -> bool {
-        // This driver sends CopyFail and a second Sync after a COPY that failed before it began, and breaks at the
-        // second ReadyForQuery that any server sends in response.
+        // After a COPY that the server rejected, the driver sends CopyFail and a second Sync, and fails at the second
+        // ReadyForQuery, with which any server responds.
         kind != TransactionKind::Copy || outcome == ClientOutcome::Committed
     }
 }
@@ -70,17 +70,17 @@
     let code = error.code().map(|code| code.code().to_owned());
     TransactionFailure {
         outcome: outcome_of_error(code.as_deref(), scope),
-        // Without a code, the driver's own error shows what broke.
+        // An error without a code is one of the driver or of the connection.
         code: code.unwrap_or_else(|| format!("{error:?}")),
     }
 }
 
-/// Makes the failure of a transaction from an error of the driver.
-fn failed(scope: MessageScope) -> impl FnOnce(Error) -> TransactionFailure {
+/// Converts an error of the driver to the failure of a transaction.
+fn to_failure(scope: MessageScope) -> impl FnOnce(Error) -> TransactionFailure {
     move |error| failure(&error, scope)
 }
 
-/// The failure of a transaction after its ROLLBACK. If that failed too, the connection is lost.
+/// The failure of a transaction after ROLLBACK; the connection is lost if ROLLBACK failed without an SQLSTATE code.
 fn after_rollback(rollback: Result<(), Error>, failure: TransactionFailure) -> TransactionFailure {
     match rollback {
         Err(error) if error.code().is_none() => TransactionFailure::connection_lost(),
@@ -93,10 +93,10 @@
         .execute("INSERT INTO w VALUES ($1, $2)", &[&id, &0_i32])
         .await
         .map(drop)
-        .map_err(failed(CompleteTransaction))
+        .map_err(to_failure(CompleteTransaction))
 }
 
-/// BEGIN, each INSERT and COMMIT as a query of its own.
+/// BEGIN, each INSERT and COMMIT as a separate query.
 async fn statements(client: &Client, id: i64) -> TransactionResult {
     let before_commit = [
         "BEGIN".to_owned(),
@@ -113,15 +113,15 @@
     client
         .batch_execute("COMMIT")
         .await
-        .map_err(failed(PartialTransaction))
+        .map_err(to_failure(PartialTransaction))
 }
 
-/// A transaction by the driver's own interface.
+/// A transaction of the driver's transaction API.
 async fn transaction(client: &mut Client, id: i64) -> TransactionResult {
     let transaction = client
         .transaction()
         .await
-        .map_err(failed(PartialTransaction))?;
+        .map_err(to_failure(PartialTransaction))?;
     for row in 0..2_i32 {
         let insert = transaction
             .execute("INSERT INTO w VALUES ($1, $2)", &[&id, &row])
@@ -134,7 +134,7 @@
     transaction
         .commit()
         .await
-        .map_err(failed(PartialTransaction))
+        .map_err(to_failure(PartialTransaction))
 }
 
 /// The complete transaction as one simple query of several statements.
@@ -144,38 +144,38 @@
     let result = client
         .batch_execute(&sql)
         .await
-        .map_err(failed(CompleteTransaction));
+        .map_err(to_failure(CompleteTransaction));
     if result.is_err() {
-        // An error in the midst leaves the transaction open.
+        // An error after BEGIN leaves the transaction open.
         let _ = client.batch_execute("ROLLBACK").await;
     }
     result
 }
 
-/// Three rows by COPY.
+/// Inserts three rows by COPY.
 async fn copy(client: &Client, id: i64) -> TransactionResult {
     let sink = client
         .copy_in("COPY w FROM STDIN")
         .await
-        .map_err(failed(CompleteTransaction))?;
+        .map_err(to_failure(CompleteTransaction))?;
     let mut sink = std::pin::pin!(sink);
     for row in 0..3 {
         sink.send(Bytes::from(format!("{id}\t{row}\n")))
             .await
-            .map_err(failed(CompleteTransaction))?;
+            .map_err(to_failure(CompleteTransaction))?;
     }
     sink.finish()
         .await
         .map(drop)
-        .map_err(failed(CompleteTransaction))
+        .map_err(to_failure(CompleteTransaction))
 }
 
-/// Two rows, of which the second is rolled back to a savepoint.
+/// Inserts two rows and rolls the second back to a savepoint.
 async fn savepoint(client: &mut Client, id: i64) -> TransactionResult {
     let mut outer = client
         .transaction()
         .await
-        .map_err(failed(PartialTransaction))?;
+        .map_err(to_failure(PartialTransaction))?;
     let inserts = async {
         outer
             .execute("INSERT INTO w VALUES ($1, 0)", &[&id])
@@ -190,5 +190,5 @@
         let failure = failure(&error, PartialTransaction);
         return Err(after_rollback(outer.rollback().await, failure));
     }
-    outer.commit().await.map_err(failed(PartialTransaction))
+    outer.commit().await.map_err(to_failure(PartialTransaction))
 }
--- a/testkit/scenarios/src/postgres/measure.rs
+++ b/testkit/scenarios/src/postgres/measure.rs
@@ -1,5 +1,5 @@
-//! Measures the node in front of PostgreSQL and, in the same run, the same clients directly at the database: latency
-//! and CPU time of a statement, throughput, memory of an idle client, interruption of service, and the effect of a flood.
+//! Benchmark of the node's PostgreSQL front end: latency and throughput through the node and, in the same run, without
+//! the node; CPU time of a request, memory of an idle client, service interruptions, and latency during a flood.
 
 mod closed_loop;
 mod failover;
@@ -15,22 +15,22 @@
 use super::load::{self, ConnectionParameters};
 use crate::run::RunError;
 
-/// Duration of the run that gives a figure.
+/// Duration of one closed-loop run.
 const RUN_DURATION: Duration = Duration::from_millis(1500);
 
-/// One line of the table.
+/// One result of the benchmark.
 #[derive(Clone, Debug)]
 pub struct Figure {
-    /// What was measured.
+    /// A description of the measured quantity and its conditions.
     pub name: String,
-    /// The result, with its unit.
+    /// The measured value with its unit.
     pub value: String,
 }
 
-/// Receives each figure once it is known.
+/// Callback that receives each figure when its measurement is complete.
 type Report<'a> = &'a mut dyn FnMut(Figure);
 
-/// Measures everything; `silent_connections`: connections of the flood.
+/// Runs all measurements. `silent_connections` is the number of idle connections that the flood opens.
 pub fn measure(program: &Path, silent_connections: usize, report: Report) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -50,32 +50,34 @@
 }
 
 fn client_error(error: impl std::fmt::Display) -> RunError {
-    RunError::Stage(format!("a client of the kit's: {error}"))
+    RunError::Stage(format!(
+        "PostgreSQL client of the benchmark failed: {error}"
+    ))
 }
 
-/// The value below which this fraction of the sorted values lies; none if there are no values.
+/// The value below which this fraction of the sorted values lies; `None` if there are no values.
 fn quantile(sorted: &[f64], fraction: f64) -> Option<f64> {
     let last = sorted.len().max(1) - 1;
     sorted.get((last as f64 * fraction) as usize).copied()
 }
 
-/// Resources that a process has used.
+/// Resource usage of a process.
 struct ProcessUsage {
-    /// CPU time, in microseconds.
+    /// User and system CPU time, in microseconds.
     cpu_us: f64,
     /// Resident memory, in bytes.
     resident_bytes: f64,
 }
 
 impl ProcessUsage {
-    /// Position of the user time in `/proc/PID/stat`, counted from the field after the program's name.
+    /// Index of the user time in `/proc/PID/stat`, counted from the field after the program's name.
     const USER_TIME_FIELD: usize = 11;
     const SYSTEM_TIME_FIELD: usize = 12;
-    /// A hundred ticks a second, as on every system that this runs on.
+    /// Duration of a clock tick of `/proc/PID/stat`, for `USER_HZ` = 100.
     const TICK_US: f64 = 10_000.0;
     const KIBIBYTE: f64 = 1024.0;
 
-    /// Reads the usage of a process from `/proc`.
+    /// Reads the resource usage of a process from `/proc`.
     fn read(process_id: u32) -> Result<Self, RunError> {
         let stat = std::fs::read_to_string(format!("/proc/{process_id}/stat"))?;
         let fields = stat.rsplit(')').next().unwrap_or_default();
--- a/testkit/scenarios/src/postgres/measure/closed_loop.rs
+++ b/testkit/scenarios/src/postgres/measure/closed_loop.rs
@@ -1,4 +1,4 @@
-//! Closed-loop load: each client sends its next request as soon as it has the response to the last.
+//! Closed-loop load: each client sends the next request as soon as the response to the previous one arrives.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use crate::postgres::load::ConnectionParameters;
 use crate::run::RunError;
 
-/// What a client repeats.
+/// The request that a client repeats.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Request {
     /// A prepared SELECT.
@@ -31,18 +31,17 @@
         quantile(&self.sorted_us, fraction).unwrap_or(0.0)
     }
 
-    /// Requests completed.
     pub(super) fn count(&self) -> usize {
         self.sorted_us.len()
     }
 
-    /// Requests a second.
+    /// Completed requests per second.
     pub(super) fn throughput(&self) -> f64 {
         self.count() as f64 / self.run_duration.as_secs_f64()
     }
 }
 
-/// Has clients repeat a request for some time.
+/// Connects the clients, has each repeat the request for `duration`, and returns the latencies of all requests.
 pub(super) async fn run(
     parameters: &ConnectionParameters,
     client_count: usize,
@@ -59,8 +58,8 @@
     for client in clients {
         let latencies = latencies.clone();
         tasks.push(tokio::task::spawn_local(async move {
-            let own = repeat(&client, request, started, duration).await?;
-            latencies.borrow_mut().extend(own);
+            let client_latencies = repeat(&client, request, started, duration).await?;
+            latencies.borrow_mut().extend(client_latencies);
             Ok::<(), Error>(())
         }));
     }
--- a/testkit/scenarios/src/postgres/measure/failover.rs
+++ b/testkit/scenarios/src/postgres/measure/failover.rs
@@ -1,4 +1,4 @@
-//! Interruption of service for one client when one of two databases is killed or drained.
+//! Measures the service interruption of one client when one of two databases is killed or drained.
 
 use std::cell::{Cell, RefCell};
 use std::path::Path;
@@ -11,7 +11,7 @@
 use crate::postgres::PgEnvironment;
 use crate::run::RunError;
 
-/// Faults of each kind.
+/// The number of injected faults of each kind.
 const FAULTS: usize = 40;
 /// Pause before each fault.
 const FAULT_INTERVAL: Duration = Duration::from_millis(30);
@@ -48,18 +48,18 @@
     }
 }
 
-/// State shared with the task of the probing client.
+/// State shared with the task of the client that probes the service.
 #[derive(Clone, Default)]
 struct Probe {
-    /// When the fault was injected that no response has followed yet.
+    /// When the last fault was injected; `None` after the first response that follows.
     fault_at: Rc<Cell<Option<Instant>>>,
-    /// From each fault to the first response, in milliseconds.
+    /// Time from each fault to the first response, in milliseconds.
     interruptions_ms: Rc<RefCell<Vec<f64>>>,
     is_stopped: Rc<Cell<bool>>,
 }
 
 impl Probe {
-    /// Runs statements until it is stopped, and records the first success after each fault.
+    /// Runs statements until `is_stopped` is set, and records the time of the first success after each fault.
     async fn run(self, client: Client) {
         while !self.is_stopped.get() {
             let is_served = client.batch_execute("SELECT 1").await.is_ok();
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Waits until a response has followed the fault.
+    /// Waits for the first response after the fault, at most `RECOVERY_TIMEOUT`.
     async fn await_response(&self) {
         let started = Instant::now();
         while self.fault_at.get().is_some() && started.elapsed() < RECOVERY_TIMEOUT {
@@ -88,7 +88,7 @@
         let at = |fraction| quantile(&interruptions_ms, fraction).unwrap_or(f64::NAN);
         report(Figure {
             name: format!(
-                "a client's first answer behind a {} of one of two databases ({} times)",
+                "time to a client's first response after a {} of one of two databases ({} times)",
                 fault.name(),
                 interruptions_ms.len()
             ),
--- a/testkit/scenarios/src/postgres/measure/flood.rs
+++ b/testkit/scenarios/src/postgres/measure/flood.rs
@@ -1,4 +1,4 @@
-//! Latency of a load, and success of new clients, while many connections are opened that send nothing.
+//! Measures the latency of a load and the connects of new clients during a flood of connections that send nothing.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -15,9 +15,9 @@
 const LOAD_CLIENTS: usize = 8;
 /// New clients that connect during the flood.
 const NEW_CLIENTS: usize = 100;
-/// A new client that takes longer is late.
+/// Time limit for a new client's connect and first statement; a client that exceeds the limit counts as late.
 const LATE_AFTER: Duration = Duration::from_secs(1);
-/// Connections of the flood between two pauses, in which other tasks proceed.
+/// Connections opened between two pauses, in which other tasks run.
 const FLOOD_BATCH: usize = 16;
 
 /// The connections of the flood.
@@ -27,7 +27,7 @@
     failed_connects: usize,
 }
 
-/// What new clients met during the flood.
+/// Counts of the new clients that failed or were late during the flood.
 #[derive(Default)]
 struct NewClients {
     rejected: usize,
@@ -42,23 +42,26 @@
     let environment = PgEnvironment::start(1, program, 0)?;
     let parameters = environment.node_parameters();
     let load = || closed_loop::run(&parameters, LOAD_CLIENTS, Request::Select, RUN_DURATION);
-    let alone = load().await?;
+    let before_flood = load().await?;
     let (during_flood, flood, new_clients) = tokio::join!(
         load(),
         open_silent_connections(&parameters, silent_connections),
         connect_new_clients(&parameters)
     );
     let during_flood = during_flood?;
-    let (p99_alone, p99_flood) = (alone.quantile_us(0.99), during_flood.quantile_us(0.99));
+    let (p99_before, p99_flood) = (
+        before_flood.quantile_us(0.99),
+        during_flood.quantile_us(0.99),
+    );
     report(Figure {
         name: format!(
-            "a load beside {silent_connections} connections that say nothing ({} could not be opened)",
+            "latency during a flood of {silent_connections} silent connections ({} could not be opened)",
             flood.failed_connects
         ),
         value: format!(
-            "p99 {p99_alone:.0} us alone, {p99_flood:.0} beside them ({:.2} times); \
-             {} of {NEW_CLIENTS} new clients turned away, {} later than 1 s",
-            p99_flood / p99_alone.max(1e-9),
+            "p99 {p99_before:.0} us before, {p99_flood:.0} us during the flood ({:.2} times); \
+             {} of {NEW_CLIENTS} new clients rejected, {} later than 1 s",
+            p99_flood / p99_before.max(1e-9),
             new_clients.rejected,
             new_clients.late
         ),
--- a/testkit/scenarios/src/postgres/measure/idle.rs
+++ b/testkit/scenarios/src/postgres/measure/idle.rs
@@ -1,4 +1,4 @@
-//! Memory that the node holds for an idle client.
+//! Measures the node's memory for each idle client.
 
 use std::path::Path;
 
@@ -9,9 +9,9 @@
 use crate::postgres::load::ConnectionParameters;
 use crate::run::RunError;
 
-/// Idle clients that are counted.
+/// Idle clients whose memory is measured.
 const CLIENTS: usize = 1500;
-/// Clients before the first reading, so that what the node allocates once is not counted.
+/// Clients that connect before the first reading, to exclude the node's one-time allocations.
 const WARM_UP_CLIENTS: usize = 101;
 
 pub(super) async fn measure(program: &Path, report: Report<'_>) -> Result<(), RunError> {
@@ -27,13 +27,15 @@
     }
     let after = ProcessUsage::read(environment.node_id())?.resident_bytes;
     report(Figure {
-        name: format!("memory of an idle client ({CLIENTS}, each of which has run a statement)"),
+        name: format!(
+            "memory of an idle client (mean of {CLIENTS} clients, each after one statement)"
+        ),
         value: format!("{:.2} KB", (after - before) / CLIENTS as f64 / 1024.0),
     });
     Ok(())
 }
 
-/// A client that has run one statement.
+/// Connects a client and runs one statement.
 async fn idle_client(parameters: &ConnectionParameters) -> Result<Client, RunError> {
     let client = connect(parameters).await.map_err(client_error)?;
     client
--- a/testkit/scenarios/src/postgres/measure/statements.rs
+++ b/testkit/scenarios/src/postgres/measure/statements.rs
@@ -1,4 +1,4 @@
-//! Latency, throughput and CPU time of statements through the node, compared with the database alone.
+//! Measures latency, throughput and CPU time of statements through the node, compared with direct connections.
 
 use std::path::Path;
 
@@ -7,11 +7,11 @@
 use crate::postgres::PgEnvironment;
 use crate::run::RunError;
 
-/// Rounds for each figure. The best one counts: other work on the machine only adds to a latency.
+/// Rounds for each figure. The fastest round is reported, because other load on the machine only adds latency.
 const ROUNDS: usize = 3;
 const CLIENT_COUNTS: [usize; 3] = [1, 32, 256];
 
-/// The same load directly at the database and through the node.
+/// Results of the same load with direct connections to the database and through the node.
 struct Comparison {
     direct: Latencies,
     through_node: Latencies,
@@ -23,7 +23,7 @@
     let environment = PgEnvironment::start(1, program, 0)?;
     for (request, name) in [
         (Request::Select, "prepared select"),
-        (Request::Transaction, "transaction of three"),
+        (Request::Transaction, "transaction of three statements"),
     ] {
         for clients in CLIENT_COUNTS {
             if let Some(best) = best_round(&environment, clients, request).await? {
@@ -81,8 +81,8 @@
     Figure {
         name: name.to_owned(),
         value: format!(
-            "p50 {:.0} us directly, {:.0} through (+{:.0}); p99 {:.0}, {:.0}; {:.0} a second, {:.0}; \
-             {node_cpu_us:.1} us of the node's CPU",
+            "p50 {:.0} us direct, {:.0} us through the node (+{:.0}); p99 {:.0} us, {:.0} us; \
+             {:.0} requests/s, {:.0}; {node_cpu_us:.1} us of node CPU per request",
             direct.quantile_us(0.5),
             through_node.quantile_us(0.5),
             through_node.quantile_us(0.5) - direct.quantile_us(0.5),
--- a/testkit/scenarios/src/postgres/run.rs
+++ b/testkit/scenarios/src/postgres/run.rs
@@ -14,28 +14,27 @@
 use super::scenario::PgScenario;
 use crate::run::RunError;
 
-/// How often the progress is reported.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(50);
-/// Time limit for the databases to close their connections after the node's death.
+/// Time limit for the databases to close their connections after the node is killed.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Result of a run.
+/// The result of a run.
 pub struct PgRunReport {
-    /// Each transaction as its client saw it.
+    /// The transactions from their clients' view, ordered by their numbers.
     pub transactions: Vec<TransactionRecord>,
     /// Contradictions between the clients' outcomes and the stored rows.
     pub violations: Vec<Violation>,
-    /// Databases that died, or stopped to respond.
+    /// The number of database crashes, including those of databases that were unresponsive first.
     pub kills: u64,
-    /// Databases that drained.
+    /// Counts of the drains of databases.
     pub drains: DrainCounts,
-    /// Real time that the run took.
+    /// The run's duration in real time.
     pub duration: Duration,
-    /// How the node's process ended, if it ended by itself.
+    /// The exit status and the log of the node if its process exited during the run.
     pub crash: Option<String>,
 }
 
-/// Runs a scenario to its end.
+/// Runs a scenario to the end; `progress` receives the fraction of the transactions that have begun.
 pub fn run(
     scenario: &PgScenario,
     seed: u64,
@@ -76,7 +75,7 @@
         database.pause(false);
         database.revive();
     }
-    // Transactions still open at a database end by themselves: with the node go all its connections.
+    // Killing the node closes its connections, so the databases roll open transactions back before the rows are read.
     let crash = environment.crash();
     environment.kill_node();
     await_closed_connections(environment.databases()).await;
@@ -103,7 +102,7 @@
         let parameters = environment.node_parameters();
         let queue = queue.clone();
         let seed = seed.wrapping_mul(1_000_003) + index as u64;
-        // A third of the clients uses another driver.
+        // A third of the clients use sqlx.
         match index % 3 {
             2 => spawn_local(run_client::<SqlxDriver>(parameters, queue, seed)),
             _ => spawn_local(run_client::<TokioPostgresDriver>(parameters, queue, seed)),
--- a/testkit/scenarios/src/postgres/scenario.rs
+++ b/testkit/scenarios/src/postgres/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files of PostgreSQL: reads and validates the TOML that operators write.
+//! PostgreSQL scenario files: reads and validates the TOML that operators write.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-/// The shipped scenario files, by name.
+/// The shipped PostgreSQL scenarios: name and TOML text.
 pub const SHIPPED: [(&str, &str); 3] = [
     ("postgres", include_str!("../../scenes/postgres.toml")),
     (
@@ -23,48 +23,48 @@
 const MAX_CLIENTS: usize = 1000;
 const MAX_TRANSACTIONS: u64 = 10_000_000;
 
-/// A scenario of PostgreSQL.
+/// A PostgreSQL scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PgScenario {
-    /// What it demonstrates, in one line.
+    /// A description of the scenario, in one line.
     pub about: String,
-    /// Transactions of all clients together; they go on until the required number of faults has occurred.
+    /// The least number of transactions of all clients together; more are run while required faults are outstanding.
     pub transactions: Spanned<u64>,
-    /// Clients, each with its own connection.
+    /// The number of clients, each with a separate connection.
     pub clients: Spanned<usize>,
-    /// Fake databases.
+    /// The number of fake databases.
     pub databases: Spanned<usize>,
-    /// Databases that die.
+    /// Crashes of databases; none if absent.
     pub kills: Option<Kills>,
-    /// Databases that drain.
+    /// Drains of databases; none if absent.
     pub drains: Option<Drains>,
-    /// Expectations besides the correctness of every outcome.
+    /// Expected results besides the correctness of every outcome.
     #[serde(default)]
     pub expect: PgExpect,
 }
 
-/// Databases that die, one at a time.
+/// Crashes of databases, one at a time.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kills {
-    /// The least number of times.
+    /// The required number of crashes.
     pub least: u64,
-    /// Mean interval between two, in milliseconds.
+    /// Mean interval between two crashes, in milliseconds.
     pub every_ms: u64,
-    /// How long one is down, in milliseconds.
+    /// Downtime of a crashed database, in milliseconds.
     pub down_ms: u64,
 }
 
-/// Databases that drain according to the endpoint list, one at a time.
+/// Drains of databases by the endpoint list, one at a time.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drains {
-    /// The least number of times.
+    /// The required number of drains.
     pub least: u64,
-    /// Mean interval between two, in milliseconds.
+    /// Mean interval between two drains, in milliseconds.
     pub every_ms: u64,
-    /// How long one drains, in milliseconds; longer than the grace period, or nothing would be observed.
+    /// Duration of a drain, in milliseconds; late transactions are observed only beyond the grace period.
     pub for_ms: u64,
 }
 
@@ -72,18 +72,18 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PgExpect {
-    /// The least fraction of transactions that are committed, from 0 to 1.
+    /// The least fraction of committed transactions, from 0 to 1; 0 if absent.
     #[serde(default)]
     pub committed: f64,
 }
 
-/// Finds a shipped scenario of PostgreSQL, or reads a scenario file. None if the name is of another kind of scenario.
+/// Finds a shipped PostgreSQL scenario, or reads a scenario file; `None` if the name belongs to neither.
 pub fn find(name: &str) -> Option<Result<PgScenario, FileError>> {
     if let Some((name, text)) = SHIPPED.iter().find(|shipped| shipped.0 == name) {
         return Some(check(&Source::embedded(&format!("{name}.toml"), text)));
     }
     let text = std::fs::read_to_string(name).ok()?;
-    // Scenarios of another kind have no transactions.
+    // HTTP scenarios have no `transactions` key.
     let is_postgres = text
         .lines()
         .any(|line| line.trim_start().starts_with("transactions"));
@@ -107,22 +107,22 @@
     require(
         (1..=MAX_TRANSACTIONS).contains(transactions.get_ref()),
         transactions.span(),
-        "1 to 10,000,000",
+        "must be from 1 to 10,000,000",
     )?;
     require(
         (1..=MAX_CLIENTS).contains(clients.get_ref()),
         clients.span(),
-        "1 to 1,000",
+        "must be from 1 to 1,000",
     )?;
     require(
         (1..=MAX_DATABASES).contains(databases.get_ref()),
         databases.span(),
-        "1 to 16",
+        "must be from 1 to 16",
     )?;
     require(
         (0.0..=1.0).contains(&scenario.expect.committed),
         0..0,
-        "expect.committed: a share from 0 to 1",
+        "expect.committed: must be a fraction from 0 to 1",
     )?;
     let kills_are_valid = scenario
         .kills
@@ -133,7 +133,7 @@
     require(
         kills_are_valid && drains_are_valid,
         0..0,
-        "kills, drains: times must be above 0",
+        "kills, drains: every_ms, down_ms and for_ms must be above 0",
     )?;
     Ok(scenario)
 }
--- a/testkit/scenarios/src/postgres/scenario/tests.rs
+++ b/testkit/scenarios/src/postgres/scenario/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn accepts_shipped_scenario_files_and_locates_an_invalid_value() {
+fn shipped_scenario_files_are_valid_and_an_invalid_value_is_reported_with_its_line() {
     for (name, _) in SHIPPED {
         assert!(
             find(name).is_some_and(|scenario| scenario.is_ok()),
@@ -13,5 +13,8 @@
     let error = check(&Source::embedded("x.toml", invalid))
         .expect_err("invalid")
         .to_string();
-    assert_eq!(error, "x.toml:2: transactions: 1 to 10,000,000");
+    assert_eq!(
+        error,
+        "x.toml:2: transactions: must be from 1 to 10,000,000"
+    );
 }
