--- a/testkit/scenarios/src/bin/faulty_node.rs
+++ b/testkit/scenarios/src/bin/faulty_node.rs
@@ -28,7 +28,7 @@
 /// Attempts after which `Mutation::Crash` exits the process.
 const CRASH_AFTER_ATTEMPTS: usize = 100;
 const CRASH_EXIT_CODE: i32 = 3;
-/// With `Mutation::LeaveZone`, the node uses other zones in one second of each such interval.
+/// With `Mutation::LeaveZone`, the node uses other zones in one second of every interval of this length.
 const LEAVE_ZONE_INTERVAL_S: u64 = 3;
 const SECOND_NS: u64 = 1_000_000_000;
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Mutation {
     None,
-    /// Attempts non-idempotent requests twice.
+    /// Attempts each non-idempotent request twice, at different servers.
     Resend,
     /// Closes the connection without a response at every twentieth attempt.
     DropResponses,
@@ -79,7 +79,7 @@
     zone: String,
 }
 
-/// The operators' configuration file, as far as the virtual clock needs.
+/// The part of the operators' configuration file that configures the virtual clock.
 #[derive(Deserialize)]
 struct OperatorConfig {
     #[serde(rename = "rehearsal")]
--- a/testkit/scenarios/src/postgres/consistency.rs
+++ b/testkit/scenarios/src/postgres/consistency.rs
@@ -14,7 +14,7 @@
     /// The transaction was not started, so a retry is safe (SQLSTATE 53300 or 57P03).
     #[serde(rename = "refused")]
     Rejected,
-    /// The transaction failed before COMMIT and was rolled back.
+    /// The transaction failed with an error and was rolled back.
     RolledBack,
     /// The transaction may be committed: SQLSTATE 08007, or 08006 or 57P01 for a message that held the complete
     /// transaction.
